--- a/crates/config/src/catalog.rs
+++ b/crates/config/src/catalog.rs
@@ -94,7 +94,7 @@
     /// The compiled policy program.
     pub policy: Policy,
     /// How long idle replicas are kept.
-    pub keep: KeepEntry,
+    pub retention: KeepEntry,
     /// The weight store's pace.
     pub weight_store: WeightStoreEntry,
 }
@@ -411,7 +411,7 @@
             || "weight_store".into(),
             "every number must be at least 1",
         );
-        self.catalog.keep = keep.clone();
+        self.catalog.retention = keep.clone();
         self.catalog.weight_store = store.clone();
     }
 }
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -77,7 +77,7 @@
                 Ok(read) => return read,
                 Err(error) => error,
             };
-            let steps = steps_of(&error, &rest);
+            let steps = error_path(&error, &rest);
             faults.push(self.fault(&steps, error.inner().to_string()));
             if !remove(&mut rest, &steps) {
                 return T::default();
@@ -120,7 +120,7 @@
 }
 
 /// The path of an error; for an unknown field it names the field itself, not the object.
-fn steps_of(error: &serde_path_to_error::Error<serde_json::Error>, value: &Value) -> Vec<Step> {
+fn error_path(error: &serde_path_to_error::Error<serde_json::Error>, value: &Value) -> Vec<Step> {
     let mut steps: Vec<Step> = error
         .path()
         .iter()
@@ -130,7 +130,7 @@
             Segment::Enum { .. } | Segment::Unknown => None,
         })
         .collect();
-    if let Some(field) = unknown_field(&error.inner().to_string()) {
+    if let Some(field) = unknown_field_name(&error.inner().to_string()) {
         let last = Step::Key(field);
         if steps.last() != Some(&last) {
             steps.push(last);
@@ -142,7 +142,7 @@
     steps
 }
 
-fn unknown_field(message: &str) -> Option<String> {
+fn unknown_field_name(message: &str) -> Option<String> {
     let rest = message.strip_prefix("unknown field `")?;
     rest.split('`').next().map(str::to_owned)
 }
--- a/crates/config/src/policy.rs
+++ b/crates/config/src/policy.rs
@@ -20,7 +20,7 @@
 
 /// What a condition sees of a request.
 #[derive(Debug, Clone, Copy)]
-pub struct Attributes<'a> {
+pub struct RequestAttributes<'a> {
     /// The caller's workspace.
     pub workspace: &'a str,
     /// The model as `name@version`.
@@ -33,7 +33,7 @@
 
 /// What the program decides for a request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Ruling {
+pub struct PolicyDecision {
     /// Requests with a lower number go first.
     pub priority: Option<u32>,
     /// Longest time that the request may wait.
@@ -98,23 +98,23 @@
     /// Runs the program for one request.
     ///
     /// A condition that fails at run time counts as not holding.
-    pub fn rule(&self, attributes: &Attributes<'_>) -> Ruling {
-        let mut ruling = Ruling::default();
+    pub fn evaluate(&self, attributes: &RequestAttributes<'_>) -> PolicyDecision {
+        let mut ruling = PolicyDecision::default();
         if self.rules.is_empty() {
             return ruling;
         }
         let context = context_of(attributes);
         for rule in &self.rules {
             if matches!(rule.condition.execute(&context), Ok(Value::Bool(true))) {
-                ruling.fill_from(&rule.entry);
+                ruling.fill_unset_from(&rule.entry);
             }
         }
         ruling
     }
 }
 
-impl Ruling {
-    fn fill_from(&mut self, entry: &PolicyEntry) {
+impl PolicyDecision {
+    fn fill_unset_from(&mut self, entry: &PolicyEntry) {
         self.priority = self.priority.or(entry.priority);
         self.may_wait = self
             .may_wait
@@ -125,10 +125,10 @@
 }
 
 /// The functions of the language, set up once.
-static LANGUAGE: LazyLock<Arc<Env>> = LazyLock::new(|| Arc::new(Env::stdlib()));
+static CEL_ENV: LazyLock<Arc<Env>> = LazyLock::new(|| Arc::new(Env::stdlib()));
 
-fn context_of<'a>(attributes: &Attributes<'_>) -> Context<'a, 'a> {
-    let mut context = Context::with_env(LANGUAGE.clone());
+fn context_of<'a>(attributes: &RequestAttributes<'_>) -> Context<'a, 'a> {
+    let mut context = Context::with_env(CEL_ENV.clone());
     context.add_variable_from_value("workspace", attributes.workspace.to_owned());
     context.add_variable_from_value("model", attributes.model.to_owned());
     context.add_variable_from_value("kind", attributes.kind.to_owned());
--- a/crates/config/src/revision.rs
+++ b/crates/config/src/revision.rs
@@ -48,14 +48,14 @@
 
 /// A revision together with the bytes that it came in, to be passed on as they are.
 #[derive(Debug, Clone)]
-pub struct KeptRevision {
+pub struct EncodedRevision {
     /// The revision.
     pub stored: StoredRevision,
     /// What [`encode`] made of it.
     pub encoded: Arc<[u8]>,
 }
 
-impl KeptRevision {
+impl EncodedRevision {
     /// Decodes bytes and keeps them.
     ///
     /// # Errors
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -95,22 +95,22 @@
 
 impl Settings for RouterSettings {
     fn check(&self) -> Vec<FieldFault> {
-        let mut checks = Checks::of_place(&self.instance, &self.data_hall, &self.listen);
+        let mut checks = Checks::for_instance(&self.instance, &self.data_hall, &self.listen);
         checks.require(
             "controllers",
             !self.controllers.is_empty(),
             "may not be empty",
         );
-        checks.addresses("controllers", &self.controllers);
-        checks.address("key_value", &self.key_value);
+        checks.require_addresses("controllers", &self.controllers);
+        checks.require_address("key_value", &self.key_value);
         checks.require(
             "max_connections",
             self.max_connections > 0,
             "must be at least 1",
         );
-        checks.time("max_deadline_ms", self.max_deadline_ms);
-        checks.time("key_value_timeout_ms", self.key_value_timeout_ms);
-        checks.level("log_level", &self.log_level);
+        checks.require_nonzero("max_deadline_ms", self.max_deadline_ms);
+        checks.require_nonzero("key_value_timeout_ms", self.key_value_timeout_ms);
+        checks.require_log_level("log_level", &self.log_level);
         checks.into_faults()
     }
 }
@@ -164,14 +164,14 @@
 
 impl Settings for ControllerSettings {
     fn check(&self) -> Vec<FieldFault> {
-        let mut checks = Checks::of_place(&self.instance, &self.data_hall, &self.listen);
-        checks.addresses("peers", &self.peers);
-        checks.address("key_value", &self.key_value);
-        checks.address("instance_list", &self.instance_list);
+        let mut checks = Checks::for_instance(&self.instance, &self.data_hall, &self.listen);
+        checks.require_addresses("peers", &self.peers);
+        checks.require_address("key_value", &self.key_value);
+        checks.require_address("instance_list", &self.instance_list);
         checks.require("lease_ms", self.lease_ms >= 500, "must be at least 500");
-        checks.time("key_value_timeout_ms", self.key_value_timeout_ms);
-        checks.time("write_patience_ms", self.write_patience_ms);
-        checks.level("log_level", &self.log_level);
+        checks.require_nonzero("key_value_timeout_ms", self.key_value_timeout_ms);
+        checks.require_nonzero("write_patience_ms", self.write_patience_ms);
+        checks.require_log_level("log_level", &self.log_level);
         checks.into_faults()
     }
 }
--- a/crates/config/src/settings/checks.rs
+++ b/crates/config/src/settings/checks.rs
@@ -22,11 +22,11 @@
 
 impl Checks {
     /// Begins with the fields that say where a program runs and listens.
-    pub(super) fn of_place(instance: &str, data_hall: &str, listen: &str) -> Self {
+    pub(super) fn for_instance(instance: &str, data_hall: &str, listen: &str) -> Self {
         let mut checks = Self::default();
-        checks.given("instance", instance);
-        checks.given("data_hall", data_hall);
-        checks.address("listen", listen);
+        checks.require_text("instance", instance);
+        checks.require_text("data_hall", data_hall);
+        checks.require_address("listen", listen);
         checks
     }
 
@@ -38,29 +38,29 @@
     }
 
     /// A text may not be empty.
-    fn given(&mut self, path: &'static str, text: &str) {
+    fn require_text(&mut self, path: &'static str, text: &str) {
         self.require(path, !text.is_empty(), "is required");
     }
 
     /// A text must be one `ip:port`.
-    pub(super) fn address(&mut self, path: &'static str, text: &str) {
+    pub(super) fn require_address(&mut self, path: &'static str, text: &str) {
         let reason = "must be an IP number and a port, as 10.0.0.1:8000";
         self.require(path, is_address(text), reason);
     }
 
     /// Each text must be an `ip:port`.
-    pub(super) fn addresses(&mut self, path: &'static str, texts: &[String]) {
+    pub(super) fn require_addresses(&mut self, path: &'static str, texts: &[String]) {
         let all = texts.iter().all(|text| is_address(text));
         self.require(path, all, "must be addresses as 10.0.0.1:7000");
     }
 
     /// A time may not be zero.
-    pub(super) fn time(&mut self, path: &'static str, time_ms: u64) {
+    pub(super) fn require_nonzero(&mut self, path: &'static str, time_ms: u64) {
         self.require(path, time_ms > 0, "must be at least 1");
     }
 
     /// A text must name a level that can be logged.
-    pub(super) fn level(&mut self, path: &'static str, text: &str) {
+    pub(super) fn require_log_level(&mut self, path: &'static str, text: &str) {
         let reason = "must be one of error, warn, info, debug, trace";
         self.require(path, LEVELS.contains(&text), reason);
     }
--- a/crates/controller/src/config_feed.rs
+++ b/crates/controller/src/config_feed.rs
@@ -6,7 +6,7 @@
 
 use crate::node::Input;
 use crossbeam::channel::Sender;
-use passway_config::revision::{CURRENT_KEY, KeptRevision};
+use passway_config::revision::{CURRENT_KEY, EncodedRevision};
 use passway_platform::key_value::KeyValue;
 use passway_types::clock;
 use passway_types::prelude::*;
@@ -70,7 +70,7 @@
     let Some(found) = found else {
         return Input::ConfigConfirmed { asked_at };
     };
-    match KeptRevision::from_bytes(&found.value) {
+    match EncodedRevision::from_bytes(&found.value) {
         Ok(kept) => {
             *known = found.version;
             Input::ConfigRead {
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -20,7 +20,7 @@
 pub use input::{Input, LinkId};
 use links::Links;
 use passway_config::Catalog;
-use passway_config::revision::KeptRevision;
+use passway_config::revision::EncodedRevision;
 use passway_config::settings::ControllerSettings;
 use passway_decide::cell::{Action, Event};
 use passway_decide::plan::Holder;
@@ -59,7 +59,7 @@
     services: Services,
     cells: BTreeMap<CellName, CellShell>,
     links: Links,
-    kept: Option<Arc<KeptRevision>>,
+    kept: Option<Arc<EncodedRevision>>,
     /// The revision that this controller read last from the service itself.
     read_revision: Revision,
     catalog: Arc<Catalog>,
@@ -249,7 +249,8 @@
                 verdict,
             } => {
                 let verdict = translate::verdict(now, &model, verdict);
-                self.links.send_to_router(router, &Body::Verdict(verdict));
+                self.links
+                    .send_to_router(router, &Body::DemandAnswer(verdict));
             }
             Action::Publish(change) => {
                 let Some(shell) = self.cells.get_mut(cell) else {
@@ -299,44 +300,44 @@
             }
             Body::Probe(probe) => {
                 let shell = self.cells.get(probe.cell.as_str());
-                let may_order = shell.is_some_and(|shell| shell.may_order(probe.epoch));
+                let has_order_in_flight = shell.is_some_and(|shell| shell.may_order(probe.epoch));
                 let incarnation = self.me.incarnation;
                 self.links.send_to(
                     id,
                     Body::ProbeAnswer(ProbeAnswer {
                         incarnation,
-                        may_order,
+                        has_order_in_flight,
                     }),
                 );
             }
-            Body::ConfigWanted(wanted) if wanted.have_revision < self.revision() => {
+            Body::ConfigRequest(wanted) if wanted.known_revision < self.revision() => {
                 if let Some(config) = self.config_message() {
                     self.links.send_to(id, config);
                 }
             }
             Body::Query(query) => {
-                let json = self.answer(now, &query.what);
+                let json = self.answer(now, &query.kind);
                 self.links
                     .send_to(id, Body::QueryAnswer(QueryAnswer { json }));
             }
-            Body::ConfigWanted(_)
+            Body::ConfigRequest(_)
             | Body::Heartbeat(_)
             | Body::Config(_)
             | Body::Routes(_)
-            | Body::Verdict(_)
+            | Body::DemandAnswer(_)
             | Body::ProbeAnswer(_)
-            | Body::Needs(_)
+            | Body::InstanceReport(_)
             | Body::Placements(_)
             | Body::Subscribe(_)
             | Body::Members(_)
-            | Body::Successor(_)
-            | Body::News(_)
+            | Body::NewHolder(_)
+            | Body::Updates(_)
             | Body::QueryAnswer(_)
-            | Body::PromiseWanted(_)
+            | Body::PromiseRequest(_)
             | Body::Dispatchers(_)
             | Body::Promise(_)
             | Body::Suspects(_)
-            | Body::Words(_) => {}
+            | Body::KnownSignals(_) => {}
         }
     }
 
@@ -372,7 +373,7 @@
             incarnation: self.me.incarnation,
             config_revision: self.revision(),
             config_age_ms: config_feed::millis(self.gossip.config_age(now, self.revision())),
-            isolated: self.gossip.is_isolated(now),
+            is_isolated: self.gossip.is_isolated(now),
             routers: self.links.router_count(),
             cells: self.gossip.holders(),
         }
@@ -393,7 +394,7 @@
                 }
                 self.want_config(now, peer, heartbeat.config_revision);
             }
-            Body::Config(config) => match KeptRevision::from_bytes(&config.encoded) {
+            Body::Config(config) => match EncodedRevision::from_bytes(&config.encoded) {
                 Ok(kept) => self.adopt(now, Arc::new(kept)),
                 Err(error) => log::error!(error:% = error; "a peer's configuration cannot be read"),
             },
--- a/crates/controller/src/node/answers.rs
+++ b/crates/controller/src/node/answers.rs
@@ -21,7 +21,7 @@
             instance: hello.instance.clone(),
             config_revision: hello.config_revision,
             in_progress: hello.in_progress,
-            leaving: hello.leaving,
+            leaving: hello.is_leaving,
         });
         NodeStatus {
             instance: self.me.instance.to_string(),
--- a/crates/controller/src/node/configuration.rs
+++ b/crates/controller/src/node/configuration.rs
@@ -2,11 +2,11 @@
 
 use super::Node;
 use super::cell_shell::CellShell;
-use passway_config::revision::KeptRevision;
+use passway_config::revision::EncodedRevision;
 use passway_decide::cell::Event;
 use passway_types::prelude::*;
 use passway_wire::Body;
-use passway_wire::message::{Config, ConfigWanted};
+use passway_wire::message::{Config, ConfigRequest};
 use std::net::SocketAddr;
 
 /// Another peer is asked for a revision after this time.
@@ -37,7 +37,7 @@
     }
 
     /// Puts a revision in force if it is newer than the one that is.
-    pub(super) fn adopt(&mut self, now: Instant, kept: Arc<KeptRevision>) {
+    pub(super) fn adopt(&mut self, now: Instant, kept: Arc<EncodedRevision>) {
         let stored = &kept.stored;
         if stored.revision <= self.revision() {
             return;
@@ -72,8 +72,8 @@
 
     /// Asks for a revision that this controller lacks, at one peer at a time.
     pub(super) fn want_config(&mut self, now: Instant, peer: SocketAddr, revision: Revision) {
-        let have_revision = self.revision();
-        if revision <= have_revision
+        let known_revision = self.revision();
+        if revision <= known_revision
             || self
                 .config_asked_at
                 .is_some_and(|at| now < at + CONFIG_PATIENCE)
@@ -82,7 +82,7 @@
         }
         self.config_asked_at = Some(now);
         self.peers
-            .send(peer, Body::ConfigWanted(ConfigWanted { have_revision }));
+            .send(peer, Body::ConfigRequest(ConfigRequest { known_revision }));
     }
 
     /// The configuration in force as a message.
--- a/crates/controller/src/node/input.rs
+++ b/crates/controller/src/node/input.rs
@@ -1,7 +1,7 @@
 //! What the deciding thread is told.
 
 use crossbeam::channel::Sender;
-use passway_config::revision::KeptRevision;
+use passway_config::revision::EncodedRevision;
 use passway_decide::cell::Event;
 use passway_platform::instance_list::ListedInstance;
 use passway_process::outbox::Outbox;
@@ -55,7 +55,7 @@
         /// When the question was sent.
         asked_at: Instant,
         /// The revision that stands.
-        kept: Arc<KeptRevision>,
+        kept: Arc<EncodedRevision>,
     },
     /// The configuration that was read last still stands.
     ConfigConfirmed {
--- a/crates/controller/src/node/peers.rs
+++ b/crates/controller/src/node/peers.rs
@@ -9,7 +9,7 @@
 use anyhow::{Context, Result};
 use crossbeam::channel::Sender;
 use passway_decide::plan::Holder;
-use passway_process::dial::{Dialed, Dialer};
+use passway_process::dial::{DialEvent, Dialer};
 use passway_process::outbox::Outbox;
 use passway_types::clock;
 use passway_types::prelude::*;
@@ -87,12 +87,12 @@
     Dialer::start(peer, move |dialed| {
         let mut outboxes = outboxes.lock().unwrap_or_else(PoisonError::into_inner);
         match dialed {
-            Dialed::Connected(outbox) => {
+            DialEvent::Connected(outbox) => {
                 outbox.send(Body::Hello(hello.clone()));
                 outboxes.insert(peer, outbox);
                 said_at = clock::now();
             }
-            Dialed::Received(body) => {
+            DialEvent::Received(body) => {
                 // A heartbeat is answered, so that neither side falls silent.
                 if let Some(outbox) = outboxes.get(&peer)
                     && clock::since(said_at) >= WORD_PAUSE
@@ -103,7 +103,7 @@
                 // The deciding thread ends only with the process.
                 let _ = inputs.send(Input::FromPeer { peer, body });
             }
-            Dialed::Disconnected => {
+            DialEvent::Disconnected => {
                 outboxes.remove(&peer);
             }
         }
--- a/crates/controller/src/translate.rs
+++ b/crates/controller/src/translate.rs
@@ -27,11 +27,11 @@
 }
 
 /// A verdict as it travels.
-pub(crate) fn verdict(now: Instant, model: &str, from: DemandVerdict) -> message::Verdict {
+pub(crate) fn verdict(now: Instant, model: &str, from: DemandVerdict) -> message::DemandAnswer {
     let in_ms = |at: Instant| {
         u64::try_from(at.saturating_duration_since(now).as_millis()).unwrap_or(u64::MAX)
     };
-    let mut verdict = message::Verdict {
+    let mut verdict = message::DemandAnswer {
         model: model.to_owned(),
         ..Default::default()
     };
@@ -57,7 +57,7 @@
     message::Routes {
         cell: cell.to_owned(),
         epoch,
-        whole: from.whole,
+        is_complete: from.whole,
         added: all(&from.added),
         removed: all(&from.removed),
     }
--- a/crates/controller/src/workers.rs
+++ b/crates/controller/src/workers.rs
@@ -314,7 +314,7 @@
     while let Ok(Some(body)) = reader.receive() {
         if let Body::ProbeAnswer(answer) = body {
             link.close();
-            return Some((answer.incarnation, answer.may_order));
+            return Some((answer.incarnation, answer.has_order_in_flight));
         }
     }
     None
--- a/crates/ctl/src/ask.rs
+++ b/crates/ctl/src/ask.rs
@@ -38,7 +38,7 @@
     }))
     .ok()?;
     link.send(Body::Query(Query {
-        what: what.to_owned(),
+        kind: what.to_owned(),
     }))
     .ok()?;
     while let Ok(Some(body)) = reader.receive() {
--- a/crates/decide/src/cell/idle.rs
+++ b/crates/decide/src/cell/idle.rs
@@ -72,7 +72,7 @@
         return;
     }
     term.idle_check_at = now + IDLE_CHECK_PAUSE;
-    let policy = policy_of(&catalog.keep);
+    let policy = policy_of(&catalog.retention);
     let none = IdleHistory::default();
     let held: Vec<Placement> = term
         .draft
--- a/crates/decide/src/cell/placing.rs
+++ b/crates/decide/src/cell/placing.rs
@@ -9,7 +9,7 @@
 use crate::plan::{Placement, PlacementState, PlanError, Reason, Wish};
 use passway_config::Catalog;
 use passway_config::catalog::Model;
-use passway_config::policy::Attributes;
+use passway_config::policy::RequestAttributes;
 use passway_types::prelude::*;
 
 /// What every decision looks at besides the term itself.
@@ -174,7 +174,7 @@
     demand: &ModelDemand,
     reason: Reason,
 ) -> Wish {
-    let attributes = Attributes {
+    let attributes = RequestAttributes {
         workspace: &demand.workspace,
         model,
         kind: "",
@@ -185,7 +185,7 @@
         upstream: upstream.clone(),
         workspace: demand.workspace.clone(),
         reason,
-        max_held_bytes: catalog.policy.rule(&attributes).max_held_bytes,
+        max_held_bytes: catalog.policy.evaluate(&attributes).max_held_bytes,
     }
 }
 
--- a/crates/decide/src/router/admission.rs
+++ b/crates/decide/src/router/admission.rs
@@ -2,7 +2,7 @@
 
 use super::queue::Waiting;
 use super::{ANSWER_MARGIN, Arrival, BUSY_RETRY, DEFAULT_PRIORITY, RouterCore};
-use passway_config::policy::Attributes;
+use passway_config::policy::RequestAttributes;
 use passway_types::prelude::*;
 
 impl RouterCore {
@@ -51,7 +51,7 @@
             .retry_after(BUSY_RETRY));
         }
         let asked_priority = arrival.priority.unwrap_or(DEFAULT_PRIORITY);
-        let ruling = self.catalog.policy.rule(&Attributes {
+        let ruling = self.catalog.policy.evaluate(&RequestAttributes {
             workspace: &workspace.name,
             model: &model,
             kind: &arrival.kind,
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -14,7 +14,7 @@
 pub struct Body {
     source: Source,
     /// Whether the last frame may still wait in the connection's buffer.
-    unflushed: bool,
+    needs_flush: bool,
     on_end: Option<Box<dyn FnOnce() + Send>>,
 }
 
@@ -29,7 +29,7 @@
         let bytes = Some(bytes.into()).filter(|bytes| !bytes.is_empty());
         Self {
             source: Source::Whole(bytes),
-            unflushed: false,
+            needs_flush: false,
             on_end: None,
         }
     }
@@ -37,10 +37,10 @@
     /// A body that is read from `reader`, which may block. Each read is sent
     /// before the next one. An error breaks the connection, so that the caller
     /// can tell a broken answer from a whole one.
-    pub fn wrap_reader(reader: impl Read + Send + 'static) -> Self {
+    pub fn from_reader(reader: impl Read + Send + 'static) -> Self {
         Self {
             source: Source::Reader(Box::new(reader)),
-            unflushed: false,
+            needs_flush: false,
             on_end: None,
         }
     }
@@ -82,10 +82,10 @@
         let this = &mut *self;
         match &mut this.source {
             Source::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Source::Reader(_) if this.unflushed => {
+            Source::Reader(_) if this.needs_flush => {
                 // `hyper` flushes when a body has nothing ready; without this
                 // pause a token would wait for the next one.
-                this.unflushed = false;
+                this.needs_flush = false;
                 context.waker().wake_by_ref();
                 Poll::Pending
             }
@@ -95,7 +95,7 @@
                     Ok(0) => Poll::Ready(None),
                     Ok(count) => {
                         chunk.truncate(count);
-                        this.unflushed = true;
+                        this.needs_flush = true;
                         Poll::Ready(Some(Ok(Frame::data(chunk.into()))))
                     }
                     Err(error) => Poll::Ready(Some(Err(error))),
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -22,7 +22,7 @@
 use std::time::{Duration, Instant};
 
 /// Longest wait between two looks at the deadlines.
-const LOOK_PAUSE: Duration = Duration::from_millis(200);
+const DEADLINE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Bounds of a connection.
 #[derive(Debug, Clone)]
@@ -30,30 +30,30 @@
     /// Connections at one time.
     pub max_connections: usize,
     /// Largest body.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// Time for a request's head to arrive, idle time before it included.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Time for a request's body to arrive.
-    pub body_time: Duration,
+    pub body_timeout: Duration,
     /// Time for a caller to take any bytes of an answer.
-    pub write_time: Duration,
+    pub write_timeout: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
             max_connections: 1_024,
-            body_bytes: 4 << 20,
-            head_time: Duration::from_secs(10),
-            body_time: Duration::from_secs(10),
-            write_time: Duration::from_secs(20),
+            max_body_bytes: 4 << 20,
+            head_timeout: Duration::from_secs(10),
+            body_timeout: Duration::from_secs(10),
+            write_timeout: Duration::from_secs(20),
         }
     }
 }
 
 /// Why a body was not read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unread {
+pub enum BodyError {
     /// It is over the limit.
     TooLarge,
     /// It did not arrive in time.
@@ -68,7 +68,7 @@
     /// Method, path and headers.
     pub head: http::request::Parts,
     /// The body, or why there is none.
-    pub body: Result<Bytes, Unread>,
+    pub body: Result<Bytes, BodyError>,
     /// Who sent it.
     pub caller: Caller,
 }
@@ -93,7 +93,7 @@
 
 impl Caller {
     /// Whether the caller has closed its connection.
-    pub fn is_gone(&self) -> bool {
+    pub fn is_disconnected(&self) -> bool {
         match self.stream.peek(&mut [0]) {
             Ok(count) => count == 0,
             Err(error) => !matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted),
@@ -110,12 +110,12 @@
 }
 
 #[derive(Debug)]
-struct State {
+struct ConnectionState {
     phase: Mutex<Phase>,
     limits: Limits,
 }
 
-impl State {
+impl ConnectionState {
     fn set(&self, phase: Phase) {
         *self.phase.lock().unwrap_or_else(PoisonError::into_inner) = phase;
     }
@@ -124,19 +124,19 @@
         *self.phase.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn await_head(&self) {
+    fn start_head_phase(&self) {
         self.set(Phase::Head {
-            until: clock::now() + self.limits.head_time,
+            until: clock::now() + self.limits.head_timeout,
         });
     }
 
-    fn await_writes(&self) {
+    fn start_write_timeout(&self) {
         self.set(Phase::Answer {
-            until: clock::now() + self.limits.write_time,
+            until: clock::now() + self.limits.write_timeout,
         });
     }
 
-    fn is_over(&self, now: Instant, waits_to_write: bool) -> bool {
+    fn is_expired(&self, now: Instant, waits_to_write: bool) -> bool {
         match self.get() {
             Phase::Head { until } => now >= until,
             Phase::Body => false,
@@ -147,9 +147,9 @@
 
 /// Remembers a wake-up that came while the connection was polled.
 #[derive(Debug, Default)]
-struct Woken(AtomicBool);
+struct WakeFlag(AtomicBool);
 
-impl Wake for Woken {
+impl Wake for WakeFlag {
     fn wake(self: Arc<Self>) {
         self.0.store(true, Ordering::Release);
     }
@@ -168,16 +168,16 @@
     let interest = Rc::new(Interest::default());
     let now = clock::now();
     let phase = Mutex::new(Phase::Head {
-        until: now + limits.head_time,
+        until: now + limits.head_timeout,
     });
-    let state = Arc::new(State {
+    let state = Arc::new(ConnectionState {
         phase,
         limits: limits.clone(),
     });
     let caller = Caller {
         stream: stream.clone(),
     };
-    let service = service_fn(|request| answer(request, handler, &state, &caller));
+    let service = service_fn(|request| handle_request(request, handler, &state, &caller));
     let socket = Socket {
         stream: stream.clone(),
         interest: interest.clone(),
@@ -186,7 +186,7 @@
         .keep_alive(keep_alive)
         .serve_connection(socket, service);
     let mut connection = pin!(connection);
-    let woken = Arc::new(Woken::default());
+    let woken = Arc::new(WakeFlag::default());
     let waker = Waker::from(woken.clone());
     let mut context = Context::from_waker(&waker);
     loop {
@@ -199,30 +199,30 @@
             }
             Poll::Pending => {}
         }
-        if interest.take_wrote() && matches!(state.get(), Phase::Answer { .. }) {
-            state.await_writes();
+        if interest.take_has_written() && matches!(state.get(), Phase::Answer { .. }) {
+            state.start_write_timeout();
         }
         if woken.0.swap(false, Ordering::AcqRel) {
             continue;
         }
-        if state.is_over(clock::now(), interest.waits_to_write())
-            || interest.wait(&stream, LOOK_PAUSE).is_err()
+        if state.is_expired(clock::now(), interest.is_write_blocked())
+            || interest.wait(&stream, DEADLINE_CHECK_INTERVAL).is_err()
         {
             return;
         }
     }
 }
 
-async fn answer(
+async fn handle_request(
     request: hyper::Request<Incoming>,
     handler: &Handler,
-    state: &Arc<State>,
+    state: &Arc<ConnectionState>,
     caller: &Caller,
 ) -> Result<Response, Infallible> {
     state.set(Phase::Body);
     let (head, incoming) = request.into_parts();
     let body = read_body(incoming, &state.limits).await;
-    let mut response = server::call(
+    let mut response = server::call_handler(
         handler,
         Request {
             head,
@@ -230,14 +230,16 @@
             caller: caller.clone(),
         },
     );
-    state.await_writes();
+    state.start_write_timeout();
     let ended = state.clone();
-    response.body_mut().set_on_end(move || ended.await_head());
+    response
+        .body_mut()
+        .set_on_end(move || ended.start_head_phase());
     Ok(response)
 }
 
-async fn read_body(incoming: Incoming, limits: &Limits) -> Result<Bytes, Unread> {
-    let until = clock::now() + limits.body_time;
+async fn read_body(incoming: Incoming, limits: &Limits) -> Result<Bytes, BodyError> {
+    let until = clock::now() + limits.body_timeout;
     let incoming = RefCell::new(incoming);
     let mut body = Vec::new();
     loop {
@@ -247,7 +249,7 @@
             let mut incoming = incoming.borrow_mut();
             let polled = pin!(incoming.frame()).as_mut().poll(context);
             match polled {
-                Poll::Pending if clock::now() >= until => Poll::Ready(Err(Unread::TooSlow)),
+                Poll::Pending if clock::now() >= until => Poll::Ready(Err(BodyError::TooSlow)),
                 Poll::Pending => Poll::Pending,
                 Poll::Ready(frame) => Poll::Ready(Ok(frame)),
             }
@@ -255,12 +257,12 @@
         let Some(frame) = frame.await? else {
             return Ok(body.into());
         };
-        let frame = frame.map_err(|_| Unread::Broken)?;
+        let frame = frame.map_err(|_| BodyError::Broken)?;
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        if body.len() + data.len() > limits.body_bytes {
-            return Err(Unread::TooLarge);
+        if body.len() + data.len() > limits.max_body_bytes {
+            return Err(BodyError::TooLarge);
         }
         body.extend_from_slice(&data);
     }
--- a/crates/http/src/io.rs
+++ b/crates/http/src/io.rs
@@ -20,7 +20,7 @@
     read: Cell<bool>,
     write: Cell<bool>,
     /// Set whenever bytes went out, so that a slow reader can be told from a stuck one.
-    wrote: Cell<bool>,
+    has_written: Cell<bool>,
 }
 
 impl Interest {
@@ -29,11 +29,11 @@
         self.write.set(false);
     }
 
-    pub(crate) fn take_wrote(&self) -> bool {
-        self.wrote.replace(false)
+    pub(crate) fn take_has_written(&self) -> bool {
+        self.has_written.replace(false)
     }
 
-    pub(crate) fn waits_to_write(&self) -> bool {
+    pub(crate) fn is_write_blocked(&self) -> bool {
         self.write.get()
     }
 
@@ -95,7 +95,7 @@
                 Poll::Pending
             }
             written => {
-                self.interest.wrote.set(true);
+                self.interest.has_written.set(true);
                 Poll::Ready(written)
             }
         }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -20,7 +20,7 @@
 mod server;
 
 pub use body::Body;
-pub use connection::{Caller, Limits, Request, Unread};
+pub use connection::{BodyError, Caller, Limits, Request};
 pub use server::Server;
 
 /// An answer.
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// Pause after an accept failed, for instance for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 /// Stack of a connection's thread, in bytes.
 const STACK_BYTES: usize = 256 << 10;
 
@@ -75,18 +75,23 @@
         let live = Arc::new(AtomicUsize::new(0));
         loop {
             match self.listener.accept() {
-                Ok((stream, _)) => self.take(stream, &handler, &live),
+                Ok((stream, _)) => self.handle_connection(stream, &handler, &live),
                 Err(error) => {
                     log::warn!(error:% = error; "a connection could not be accepted");
-                    std::thread::sleep(ACCEPT_PAUSE);
+                    std::thread::sleep(ACCEPT_BACKOFF);
                 }
             }
         }
     }
 
-    fn take(&self, stream: TcpStream, handler: &Arc<Handler>, live: &Arc<AtomicUsize>) {
+    fn handle_connection(
+        &self,
+        stream: TcpStream,
+        handler: &Arc<Handler>,
+        live: &Arc<AtomicUsize>,
+    ) {
         let count = live.fetch_add(1, Ordering::AcqRel);
-        let guard = Live(live.clone());
+        let guard = ConnectionGuard(live.clone());
         if count >= self.limits.max_connections {
             connection::refuse(&stream, &self.refusal);
             return;
@@ -108,7 +113,7 @@
 }
 
 /// A panic ends the request, not the thread's connection count.
-pub(crate) fn call(handler: &Handler, request: Request) -> Response {
+pub(crate) fn call_handler(handler: &Handler, request: Request) -> Response {
     catch_unwind(AssertUnwindSafe(|| handler(request))).unwrap_or_else(|_| {
         log::error!("a handler panicked");
         let mut response = Response::new(Body::default());
@@ -118,9 +123,9 @@
 }
 
 /// Counts one connection while it lives.
-struct Live(Arc<AtomicUsize>);
+struct ConnectionGuard(Arc<AtomicUsize>);
 
-impl Drop for Live {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
--- a/crates/instance/src/allotments.rs
+++ b/crates/instance/src/allotments.rs
@@ -14,7 +14,7 @@
 use passway_types::clock;
 use passway_types::prelude::*;
 use passway_wire::dispatch::Dispatch as Body;
-use passway_wire::permits::{UseAsk, UseBack, UseTold, UseVerdict};
+use passway_wire::permits::{PermitAnswer, PermitRelease, PermitRequest, UseVerdict};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -81,14 +81,14 @@
             return Decision::Granted;
         };
         let now = clock::now();
-        let ask = UseAsk {
+        let ask = PermitRequest {
             id: rand::random(),
             workspace: workspace.name.to_string(),
             cost,
             rate_per_s: allotment.rate_per_s,
             burst: allotment.burst,
             upstream: String::new(),
-            ..UseAsk::default()
+            ..PermitRequest::default()
         };
         let told = shared.keeper.ask(shared, &ask);
         let window = shared.bounds.load().quota.window;
@@ -102,7 +102,7 @@
             };
         };
         if told.verdict() == UseVerdict::Granted {
-            parts.told(&workspace.name, told.part_per_s, window, now);
+            parts.told(&workspace.name, told.instance_rate_per_s, window, now);
             return Decision::Granted;
         }
         Decision::Refused(Duration::from_millis(told.retry_after_ms))
@@ -114,21 +114,29 @@
         let Some(holder) = shared.right().and_then(|right| right.holder()) else {
             return;
         };
-        let back = UseBack {
+        let back = PermitRelease {
             workspace: workspace.name.to_string(),
             cost,
-            ..UseBack::default()
+            ..PermitRelease::default()
         };
         let settings = &shared.settings;
         if holder.instance == settings.instance {
             self.take_back(shared, settings.peer_address, &back);
         } else {
-            shared.dispatch.send(holder.address, Body::UseBack(back));
+            shared
+                .dispatch
+                .send(holder.address, Body::PermitRelease(back));
         }
     }
 
     /// Answers an instance's question, in a term of this instance.
-    pub fn rule(&self, shared: &Shared, fence: Fence, from: SocketAddr, ask: &UseAsk) -> UseTold {
+    pub fn rule(
+        &self,
+        shared: &Shared,
+        fence: Fence,
+        from: SocketAddr,
+        ask: &PermitRequest,
+    ) -> PermitAnswer {
         let name = WorkspaceName::from(ask.workspace.as_str());
         let asked = Allotment {
             rate_per_s: ask.rate_per_s,
@@ -143,7 +151,7 @@
     }
 
     /// Takes back what a request counted that was granted here.
-    pub fn take_back(&self, shared: &Shared, from: SocketAddr, back: &UseBack) {
+    pub fn take_back(&self, shared: &Shared, from: SocketAddr, back: &PermitRelease) {
         let routes = shared.routes.load();
         let Some(allotment) = allotment_of(routes.as_deref(), &back.workspace) else {
             return;
--- a/crates/instance/src/dispatch.rs
+++ b/crates/instance/src/dispatch.rs
@@ -16,7 +16,8 @@
 use passway_types::clock;
 use passway_types::prelude::*;
 use passway_wire::dispatch::{
-    Ask, Datagram, Dispatch as Body, Ended, Grant, RunHere, RunOutcome, Running, Verdict,
+    Datagram, Dispatch as Body, DispatchReply, DispatchRequest, EngineRun, RunEnded, RunOutcome,
+    RunSnapshot, Verdict,
 };
 use std::collections::HashMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -99,7 +100,7 @@
     book: Mutex<RunBook>,
     line: Mutex<WaitingLine>,
     /// Attempts that wait for an answer.
-    asking: Questions<Grant>,
+    asking: Questions<DispatchReply>,
     runs: Mutex<HashMap<RunId, OwnRun>>,
     next_run: AtomicU64,
 }
@@ -153,7 +154,7 @@
     /// Sends a datagram. One that cannot be sent is lost like any other.
     pub fn send(&self, to: SocketAddr, body: impl Into<Option<Body>>) {
         if let Some(socket) = &self.socket
-            && let Err(error) = socket.send_to(&Datagram::bytes(body.into()), to)
+            && let Err(error) = socket.send_to(&Datagram::encode_body(body.into()), to)
         {
             log::debug!(to:% = to, error:% = error; "a datagram was not sent");
         }
@@ -181,18 +182,18 @@
         };
         let mut engines = shared.upstreams().drawn_engines(wanted, now);
         engines.retain(|id| !tried.contains(id));
-        let ask = Ask {
+        let ask = DispatchRequest {
             id: 0,
             service: service.to_string(),
             model: model_ref.model.to_string(),
             adapter: model_ref.adapter.as_deref().unwrap_or_default().to_owned(),
             hall: shared.settings.hall.to_string(),
-            drawn,
+            random: drawn,
             due_in_ms: due_in_ms(question.due_at, now),
             is_urgent: question.is_urgent,
-            tried: tried.iter().map(ToString::to_string).collect(),
+            tried_engines: tried.iter().map(ToString::to_string).collect(),
             regions: question.allowed.names().map(ToString::to_string).collect(),
-            is_bound: question.allowed.bind(),
+            is_restricted: question.allowed.bind(),
         };
         let mut asked = Vec::new();
         let mut choice = Choice::Absent;
@@ -205,7 +206,7 @@
                 break;
             }
             asked.push(dispatcher);
-            let ask = Ask {
+            let ask = DispatchRequest {
                 id: question.id,
                 ..ask.clone()
             };
@@ -225,7 +226,7 @@
     }
 
     /// The engine that was granted, if it is known here.
-    fn granted(&self, shared: &Shared, by: SocketAddr, grant: &Grant) -> Option<Told> {
+    fn granted(&self, shared: &Shared, by: SocketAddr, grant: &DispatchReply) -> Option<Told> {
         let engine = UpstreamId::from(grant.engine.as_str());
         let address = shared.upstreams().address_of(&engine)?;
         let run = OwnRun {
@@ -243,12 +244,17 @@
     }
 
     /// One question and its answer; `None` without one.
-    fn question(&self, shared: &Shared, dispatcher: SocketAddr, ask: Ask) -> Option<Grant> {
+    fn question(
+        &self,
+        shared: &Shared,
+        dispatcher: SocketAddr,
+        ask: DispatchRequest,
+    ) -> Option<DispatchReply> {
         if dispatcher == self.me {
             return Some(self.answer(shared, self.me, &ask));
         }
         let id = ask.id;
-        let body = Body::Ask(ask);
+        let body = Body::DispatchRequest(ask);
         self.asking.ask(id, || self.send(dispatcher, body.clone()))
     }
 
@@ -280,24 +286,24 @@
         let Some(dispatcher) = granted_by.or_else(|| self.dispatcher_of(&engine)) else {
             return;
         };
-        let ended = Ended {
+        let ended = RunEnded {
             id,
             outcome: encode(outcome).into(),
         };
         if dispatcher == self.me {
             self.over(shared, self.me, &ended);
         } else {
-            self.send(dispatcher, Body::Ended(ended));
+            self.send(dispatcher, Body::RunEnded(ended));
         }
     }
 
     /// Answers a question, as the dispatcher.
-    fn answer(&self, shared: &Shared, from: SocketAddr, ask: &Ask) -> Grant {
+    fn answer(&self, shared: &Shared, from: SocketAddr, ask: &DispatchRequest) -> DispatchReply {
         let key = RunKey {
             instance: from,
             id: ask.id,
         };
-        let grant = |verdict: Verdict, engine: &str| Grant {
+        let grant = |verdict: Verdict, engine: &str| DispatchReply {
             id: ask.id,
             verdict: verdict.into(),
             engine: engine.to_owned(),
@@ -314,7 +320,7 @@
             model: ask.model.as_str().into(),
             adapter: adapter.map(Into::into),
         };
-        let allowed = if ask.is_bound {
+        let allowed = if ask.is_restricted {
             AllowedRegions::only(ask.regions.iter().map(|region| region.as_str().into()))
         } else {
             AllowedRegions::ANY
@@ -325,11 +331,11 @@
             model_ref: Some(&model_ref),
             hall: &hall,
             allowed: &allowed,
-            drawn: ask.drawn,
+            drawn: ask.random,
         };
         let dispatchers = lock(&self.dispatchers);
         let is_open = |id: &UpstreamId| {
-            !ask.tried.iter().any(|tried| **tried == **id)
+            !ask.tried_engines.iter().any(|tried| **tried == **id)
                 && dispatchers.of_engine(id, now) == Some(self.me)
         };
         let runs = |id: &UpstreamId| {
@@ -364,7 +370,7 @@
     }
 
     /// A run is over, as its dispatcher hears.
-    fn over(&self, shared: &Shared, from: SocketAddr, ended: &Ended) {
+    fn over(&self, shared: &Shared, from: SocketAddr, ended: &RunEnded) {
         let key = RunKey {
             instance: from,
             id: ended.id,
@@ -378,14 +384,14 @@
     /// Takes in a datagram.
     fn take(&self, shared: &Shared, from: SocketAddr, body: Body) {
         match body {
-            Body::Ask(ask) => {
+            Body::DispatchRequest(ask) => {
                 let grant = self.answer(shared, from, &ask);
-                self.send(from, Body::Grant(grant));
+                self.send(from, Body::DispatchReply(grant));
             }
             // One that comes late, or twice, is of no use: the run ends by not being told.
-            Body::Grant(grant) => self.asking.answered(grant.id, grant),
-            Body::Ended(ended) => self.over(shared, from, &ended),
-            Body::Running(running) => {
+            Body::DispatchReply(grant) => self.asking.answered(grant.id, grant),
+            Body::RunEnded(ended) => self.over(shared, from, &ended),
+            Body::RunSnapshot(running) => {
                 let now = clock::now();
                 let mut book = lock(&self.book);
                 for run in running.runs {
@@ -396,20 +402,20 @@
                     book.note(key, &run.engine.as_str().into(), now);
                 }
             }
-            Body::VersionAsk(ask) => {
+            Body::VersionQuery(ask) => {
                 let told = shared.configuration_age.told(&ask);
-                self.send(from, Body::VersionTold(told));
+                self.send(from, Body::VersionAnswer(told));
             }
-            Body::VersionTold(told) => shared.configuration_age.answered(told),
-            Body::UseAsk(ask) => {
+            Body::VersionAnswer(told) => shared.configuration_age.answered(told),
+            Body::PermitRequest(ask) => {
                 let told = keeper::rule(shared, from, &ask);
-                self.send(from, Body::UseTold(told));
+                self.send(from, Body::PermitAnswer(told));
             }
-            Body::UseTold(told) => shared.keeper.answered(told),
-            Body::UseBack(back) if back.digest.is_empty() => {
+            Body::PermitAnswer(told) => shared.keeper.answered(told),
+            Body::PermitRelease(back) if back.digest.is_empty() => {
                 shared.allotments.take_back(shared, from, &back);
             }
-            Body::UseBack(back) => shared.poison.take_back(from, &back),
+            Body::PermitRelease(back) => shared.poison.take_back(from, &back),
             Body::Suspects(told) => shared.poison.join_from_peer(told),
         }
     }
@@ -418,10 +424,10 @@
     /// just begun, or an end was lost.
     fn refresh(&self, shared: &Shared) {
         let runs = lock(&self.runs).clone();
-        let mut by_dispatcher: HashMap<SocketAddr, Vec<RunHere>> = HashMap::new();
+        let mut by_dispatcher: HashMap<SocketAddr, Vec<EngineRun>> = HashMap::new();
         for (id, run) in runs {
             if let Some(dispatcher) = self.dispatcher_of(&run.engine) {
-                let here = RunHere {
+                let here = EngineRun {
                     id,
                     engine: run.engine.to_string(),
                 };
@@ -430,7 +436,7 @@
         }
         for (dispatcher, runs) in by_dispatcher {
             for part in runs.chunks(RUNS_PER_DATAGRAM) {
-                let body = Body::Running(Running {
+                let body = Body::RunSnapshot(RunSnapshot {
                     runs: part.to_vec(),
                 });
                 if dispatcher == self.me {
@@ -474,7 +480,7 @@
                 // The time is over, or a datagram of before was refused by a dead port.
                 continue;
             };
-            if let Some(body) = Datagram::read(&bytes[..length]) {
+            if let Some(body) = Datagram::decode_body(&bytes[..length]) {
                 self.take(shared, from, body);
             }
         }
--- a/crates/instance/src/feed_log.rs
+++ b/crates/instance/src/feed_log.rs
@@ -3,7 +3,7 @@
 use crate::news::Told;
 use crate::packing::{self, PACKED_FROM_BYTES};
 use passway_serving::ports::{Listing, StoreChange, StoreRevision, StoredValue};
-use passway_wire::message::{News, NewsValue};
+use passway_wire::message::{StoreValue, Updates};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Keys that went away and are remembered for instances that connect; whoever knows less is
@@ -110,7 +110,7 @@
     }
 
     /// What an instance lacks that knows the feed up to a revision.
-    pub fn after(&self, feed: usize, known: StoreRevision) -> Option<News> {
+    pub fn after(&self, feed: usize, known: StoreRevision) -> Option<Updates> {
         if known >= self.to {
             return None;
         }
@@ -118,42 +118,42 @@
         let is_whole = known == 0 || known < self.since || self.unseen.iter().any(is_unseen);
         let from = if is_whole { 0 } else { known };
         let values = self.values.values().filter(|value| value.revision > from);
-        let mut values: Vec<NewsValue> = values.map(|value| self.encode(value, known)).collect();
+        let mut values: Vec<StoreValue> = values.map(|value| self.encode(value, known)).collect();
         if !is_whole {
             let removals = self.removals.iter().filter(|(at, _)| *at > known);
-            values.extend(removals.map(|(revision, key)| NewsValue {
+            values.extend(removals.map(|(revision, key)| StoreValue {
                 key: key.clone(),
                 revision: *revision,
-                ..NewsValue::default()
+                ..StoreValue::default()
             }));
             values.sort_by_key(|value| value.revision);
         }
-        Some(News {
+        Some(Updates {
             feed: u32::try_from(feed).unwrap_or(u32::MAX),
-            from,
-            to: self.to,
+            from_revision: from,
+            to_revision: self.to,
             values,
-            ..News::default()
+            ..Updates::default()
         })
     }
 
     /// Tells one that it lacks something that cannot be told it, so that it asks the store.
-    pub fn gap(&self, feed: usize) -> News {
-        News {
+    pub fn gap(&self, feed: usize) -> Updates {
+        Updates {
             feed: u32::try_from(feed).unwrap_or(u32::MAX),
-            from: self.to,
-            to: self.to,
-            ..News::default()
+            from_revision: self.to,
+            to_revision: self.to,
+            ..Updates::default()
         }
     }
 
     /// A value for one that knows the feed up to a revision.
-    fn encode(&self, value: &StoredValue, known: StoreRevision) -> NewsValue {
-        let plain = NewsValue {
+    fn encode(&self, value: &StoredValue, known: StoreRevision) -> StoreValue {
+        let plain = StoreValue {
             key: value.key.clone(),
             value: Some(value.value.clone()),
             revision: value.revision,
-            ..NewsValue::default()
+            ..StoreValue::default()
         };
         if value.value.len() < PACKED_FROM_BYTES {
             return plain;
@@ -161,10 +161,10 @@
         let base = self.replaced.get(&value.key);
         let base = base.filter(|before| before.revision <= known);
         match packing::pack(&value.value, base.map(|before| &*before.value)) {
-            Ok(packed) => NewsValue {
+            Ok(packed) => StoreValue {
                 value: Some(packed.into()),
-                plain_bytes: value.value.len() as u64,
-                base: base.map_or(0, |before| before.revision),
+                uncompressed_bytes: value.value.len() as u64,
+                base_revision: base.map_or(0, |before| before.revision),
                 ..plain
             },
             Err(error) => {
--- a/crates/instance/src/freshness.rs
+++ b/crates/instance/src/freshness.rs
@@ -13,7 +13,7 @@
 use passway_types::clock;
 use passway_types::prelude::*;
 use passway_wire::dispatch::Dispatch as Body;
-use passway_wire::permits::{VersionAsk, VersionTold};
+use passway_wire::permits::{VersionAnswer, VersionQuery};
 use rand::seq::IndexedRandom;
 use std::net::SocketAddr;
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
@@ -39,7 +39,7 @@
     proved: Condvar,
     /// A request needs a proof.
     wanted: Condvar,
-    asked: Questions<VersionTold>,
+    asked: Questions<VersionAnswer>,
     /// When the holder of the right to order answered last.
     holder_answered_at: Mutex<Option<Instant>>,
 }
@@ -105,9 +105,9 @@
     }
 
     /// Answers another instance's question.
-    pub fn told(&self, ask: &VersionAsk) -> VersionTold {
+    pub fn told(&self, ask: &VersionQuery) -> VersionAnswer {
         let proof = self.state().proof();
-        VersionTold {
+        VersionAnswer {
             id: ask.id,
             version: proof.map_or(0, |proof| proof.version),
             age_ms: proof.map_or(0, |proof| millis_since(proof.asked_at, clock::now()) + 1),
@@ -115,7 +115,7 @@
     }
 
     /// Takes in the answer to a question of this instance.
-    pub fn answered(&self, told: VersionTold) {
+    pub fn answered(&self, told: VersionAnswer) {
         self.asked.answered(told.id, told);
     }
 
@@ -123,7 +123,7 @@
     fn ask(&self, shared: &Shared, address: SocketAddr) -> bool {
         let id = rand::random();
         let asked_at = clock::now();
-        let ask = Body::VersionAsk(VersionAsk { id });
+        let ask = Body::VersionQuery(VersionQuery { id });
         let told = self
             .asked
             .ask(id, || shared.dispatch.send(address, ask.clone()));
--- a/crates/instance/src/holder.rs
+++ b/crates/instance/src/holder.rs
@@ -31,7 +31,9 @@
 use passway_types::clock;
 use passway_types::prelude::*;
 use passway_wire::Body;
-use passway_wire::message::{Needs, Promise, PromiseWanted, Subscribe, Wish, Words};
+use passway_wire::message::{
+    InstanceReport, KnownSignals, ModelRequests, Promise, PromiseRequest, Subscribe,
+};
 use peers::accept;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::TcpListener;
@@ -154,7 +156,7 @@
     refused_models: usize,
 }
 
-fn wish(wish: &Wish) -> (ServiceName, ModelRef) {
+fn wish(wish: &ModelRequests) -> (ServiceName, ModelRef) {
     let adapter = Some(wish.adapter.as_str()).filter(|name| !name.is_empty());
     let wanted = ModelRef {
         model: wish.model.as_str().into(),
@@ -260,7 +262,7 @@
         if let Some((name, address)) = member.clone() {
             self.candidates.came(name, address, subscribe.is_weak);
         }
-        let known = |feed| subscribe.known.get(feed).copied().unwrap_or(0);
+        let known = |feed| subscribe.known_revisions.get(feed).copied().unwrap_or(0);
         let told = std::array::from_fn(known);
         self.listeners.came(number, member, told);
         self.tell_term(number);
@@ -269,10 +271,10 @@
         let suspects = self.shared.poison.suspects(TOLD_CRASHES);
         self.send_to(number, &Body::Suspects(suspects));
         let said = words::encode(&self.shared, None);
-        if said != Words::default() {
-            self.send_to(number, &Body::Words(said));
+        if said != KnownSignals::default() {
+            self.send_to(number, &Body::KnownSignals(said));
         }
-        let known = subscribe.placements.iter().copied().collect();
+        let known = subscribe.placement_digests.iter().copied().collect();
         let lacking = self.planner.placements_unlike(&known);
         if !lacking.is_empty() {
             self.send_to(number, &placements(lacking));
@@ -296,11 +298,11 @@
     /// A candidate has answered what it was asked in `ask_candidates`.
     fn promised(&mut self, promise: &Promise) {
         let name = InstanceId::from(promise.instance.as_str());
-        if promise.leaves {
+        if promise.is_leaving {
             self.candidates.left(&name);
             self.right.left(&name, promise.fence);
         } else {
-            let asked_at = self.begun_at + Duration::from_millis(promise.asked_ms);
+            let asked_at = self.begun_at + Duration::from_millis(promise.asked_at_ms);
             self.right.promised(&name, promise.fence, asked_at);
         }
     }
@@ -325,9 +327,9 @@
             log::info!(target: DECISION_TARGET, fence = fence, without_promise:? = without; "asks candidates to carry the right to order");
             self.without_promise = Some(without);
         }
-        let body = Body::PromiseWanted(PromiseWanted {
+        let body = Body::PromiseRequest(PromiseRequest {
             fence,
-            asked_ms: relay::millis_since(self.begun_at, now),
+            asked_at_ms: relay::millis_since(self.begun_at, now),
         });
         for (number, (name, _)) in self.listeners.members() {
             if self.candidates.contains(name) {
@@ -368,7 +370,7 @@
         *self.shared.members() = self.members();
     }
 
-    fn needs(&mut self, needs: &Needs, now: Instant) {
+    fn needs(&mut self, needs: &InstanceReport, now: Instant) {
         for waiting in &needs.waiting {
             let (service, wanted) = wish(waiting);
             let waiters = Waiters {
@@ -376,11 +378,11 @@
                 service,
                 wish: wanted,
                 count: waiting.count,
-                until: now + Duration::from_millis(waiting.wait_ms.into()),
+                until: now + Duration::from_millis(waiting.remaining_wait_ms.into()),
             };
             self.planner.waiting(waiters, now);
         }
-        for taken in &needs.taken {
+        for taken in &needs.accepted {
             let (service, wanted) = wish(taken);
             self.planner.taken(&service, &wanted, taken.count, now);
         }
--- a/crates/instance/src/holder/peers.rs
+++ b/crates/instance/src/holder/peers.rs
@@ -9,7 +9,7 @@
 use passway_serving::tenure::Holder;
 use passway_serving::upstreams::UpstreamEntry;
 use passway_types::prelude::*;
-use passway_wire::message::{Needs, Promise, Subscribe, Suspects, Words};
+use passway_wire::message::{InstanceReport, KnownSignals, Promise, Subscribe, Suspects};
 use passway_wire::{Body, Link, LinkReader};
 use std::collections::BTreeSet;
 use std::net::{SocketAddr, TcpListener};
@@ -22,7 +22,7 @@
     /// Its connection ended.
     Disconnected(u64, Option<InstanceId>),
     /// What an instance needs.
-    Needs(Needs),
+    Needs(InstanceReport),
     /// An instance wants the store's news.
     Subscribe(u64, Subscribe),
     /// A term of this instance has begun.
@@ -32,7 +32,7 @@
     /// An instance knows of requests under which upstreams crashed.
     Suspects(Suspects),
     /// An instance knows how much upstreams take.
-    Words(Words),
+    Words(KnownSignals),
     /// A candidate promises not to take the right to order.
     Promised(Promise),
     /// An upstream has said something of itself.
@@ -75,18 +75,18 @@
     let _ = inputs.send(Input::Connected(number, Outbox::start(link)));
     while let Ok(Some(body)) = reader.receive() {
         let input = match body {
-            Body::Needs(needs) => {
+            Body::InstanceReport(needs) => {
                 instance = Some(InstanceId::from(needs.instance.as_str()));
                 Input::Needs(needs)
             }
             Body::Subscribe(subscribe) => Input::Subscribe(number, subscribe),
-            Body::Successor(told) => match members::successor(&told) {
+            Body::NewHolder(told) => match members::successor(&told) {
                 Some(holder) => Input::Succeeded(holder),
                 None => continue,
             },
             Body::Promise(promise) => Input::Promised(promise),
             Body::Suspects(suspects) => Input::Suspects(suspects),
-            Body::Words(told) => Input::Words(told),
+            Body::KnownSignals(told) => Input::Words(told),
             _ => continue,
         };
         let _ = inputs.send(input);
--- a/crates/instance/src/holder/telling.rs
+++ b/crates/instance/src/holder/telling.rs
@@ -12,7 +12,7 @@
 use passway_types::clock;
 use passway_types::prelude::*;
 use passway_wire::message::{
-    EnginePlacement, News, Placements, Resident, Successor, Suspects, Words,
+    EnginePlacement, KnownSignals, NewHolder, PlacedModel, Placements, Suspects, Updates,
 };
 use passway_wire::{Body, Frame};
 use std::collections::BTreeSet;
@@ -22,14 +22,14 @@
 const TOLD_CHANGE_PART: f64 = 0.1;
 
 fn encode(placement: Placement) -> EnginePlacement {
-    let models = placement.models.into_iter().map(|model| Resident {
+    let models = placement.models.into_iter().map(|model| PlacedModel {
         model: model.name.to_string(),
         adapters: model.adapters.iter().map(ToString::to_string).collect(),
     });
     EnginePlacement {
         engine: placement.engine.to_string(),
         models: models.collect(),
-        closing: placement.closing.iter().map(ToString::to_string).collect(),
+        evicting: placement.closing.iter().map(ToString::to_string).collect(),
     }
 }
 
@@ -49,12 +49,12 @@
             return;
         };
         let settings = &self.shared.settings;
-        let term = Successor {
+        let term = NewHolder {
             instance: settings.instance.to_string(),
             address: settings.peer_address.to_string(),
             fence,
         };
-        self.send_to(number, &Body::Successor(term));
+        self.send_to(number, &Body::NewHolder(term));
     }
 
     /// Tells those that may succeed this instance who listens here. One that went may come
@@ -85,20 +85,20 @@
             return;
         }
         self.doubtful = doubtful;
-        let news = News {
-            confirmed_ms: Vec::new(),
+        let news = Updates {
+            confirmed_at_ms: Vec::new(),
             ..self.heartbeat(0, now)
         };
         let members = self.listeners.members();
         let successors = members.filter(|(_, (name, _))| self.candidates.contains(name));
         let outboxes = successors.filter_map(|(number, _)| self.peers.get(&number));
-        send_to_all(outboxes, Body::News(news));
+        send_to_all(outboxes, Body::Updates(news));
     }
 
     /// Joins in what an instance knows of requests that crash upstreams, and tells all.
     pub(super) fn tell_suspects(&mut self, told: Suspects) {
         let now = clock::now();
-        let mut breaks = self.shared.poison.join_breaks(&told.breaks);
+        let mut breaks = self.shared.poison.join_breaks(&told.disconnects);
         // Many instances see one upstream break off, and all are told once.
         self.told_breaks.retain(|_, until| now < *until);
         breaks.retain(|(start, _)| !self.told_breaks.contains_key(start));
@@ -110,7 +110,7 @@
         known.retain(|suspect| suspect.crashes.len() >= TOLD_CRASHES);
         if self.fence.is_some() && !(known.is_empty() && breaks.is_empty()) {
             let suspects = Suspects {
-                breaks,
+                disconnects: breaks,
                 ..poison::encode(known)
             };
             send_to_all(self.peers.values(), Body::Suspects(suspects));
@@ -119,10 +119,10 @@
 
     /// Joins in what upstreams said of themselves to an instance, and tells all what is news: whoever has
     /// not heard it from the upstream itself sends there as before.
-    pub(super) fn tell_words(&mut self, told: Words) {
+    pub(super) fn tell_words(&mut self, told: KnownSignals) {
         let now = clock::now();
-        for told in &told.resting {
-            let until = now + Duration::from_millis(told.left_ms.min(LONGEST_REST_MS));
+        for told in &told.backing_off {
+            let until = now + Duration::from_millis(told.remaining_ms.min(LONGEST_REST_MS));
             let engine = UpstreamId::from(told.upstream.as_str());
             self.planner.note_rest(&engine, told.started_at_ms, until);
         }
@@ -134,7 +134,7 @@
             limits || leaves
         });
         if self.fence.is_some() && !named.is_empty() {
-            let body = Body::Words(words::encode(&self.shared, Some(&named)));
+            let body = Body::KnownSignals(words::encode(&self.shared, Some(&named)));
             send_to_all(self.peers.values(), body);
         }
     }
@@ -196,17 +196,17 @@
     }
 
     /// The word that the holder lives, and up to when it knows the feeds.
-    pub(super) fn heartbeat(&self, instances: usize, now: Instant) -> News {
-        News {
-            instances: u32::try_from(instances).unwrap_or(u32::MAX),
-            sent_ms: relay::millis_since(self.begun_at, now).max(1),
-            confirmed_ms: self.relay.answered_ms(self.begun_at),
-            doubtful: self
+    pub(super) fn heartbeat(&self, instances: usize, now: Instant) -> Updates {
+        Updates {
+            instance_count: u32::try_from(instances).unwrap_or(u32::MAX),
+            queued_at_ms: relay::millis_since(self.begun_at, now).max(1),
+            confirmed_at_ms: self.relay.answered_ms(self.begun_at),
+            unconfirmed: self
                 .planner
                 .doubtful(now)
                 .map(ToString::to_string)
                 .collect(),
-            ..News::default()
+            ..Updates::default()
         }
     }
 
@@ -220,13 +220,13 @@
         let is_behind = |number: &u64| self.listeners.is_behind(*number);
         let (behind, current): (Vec<u64>, Vec<u64>) = listeners.into_iter().partition(is_behind);
         let heartbeat = self.heartbeat(instances, clock::now());
-        let alive = News {
-            confirmed_ms: Vec::new(),
+        let alive = Updates {
+            confirmed_at_ms: Vec::new(),
             ..heartbeat.clone()
         };
         for (numbers, news) in [(current, heartbeat), (behind, alive)] {
             let outboxes = numbers.iter().filter_map(|number| self.peers.get(number));
-            send_to_all(outboxes, Body::News(news));
+            send_to_all(outboxes, Body::Updates(news));
         }
     }
 
--- a/crates/instance/src/keeper.rs
+++ b/crates/instance/src/keeper.rs
@@ -11,7 +11,7 @@
 use passway_types::clock;
 use passway_types::prelude::*;
 use passway_wire::dispatch::Dispatch as Body;
-use passway_wire::permits::{UseAsk, UseTold, UseVerdict};
+use passway_wire::permits::{PermitAnswer, PermitRequest, UseVerdict};
 use std::fmt;
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -66,7 +66,7 @@
 /// This instance's questions to the keeper.
 #[derive(Debug, Default)]
 pub struct KeeperLink {
-    asked: Questions<UseTold>,
+    asked: Questions<PermitAnswer>,
     silent: Mutex<Option<Silent>>,
 }
 
@@ -75,7 +75,7 @@
     ///
     /// # Errors
     /// Why there is none.
-    pub fn ask(&self, shared: &Shared, ask: &UseAsk) -> Result<UseTold, Unruled> {
+    pub fn ask(&self, shared: &Shared, ask: &PermitRequest) -> Result<PermitAnswer, Unruled> {
         let ruling = self.ruling(shared, ask);
         if let Err(unruled) = ruling {
             shared.metrics.unruled(unruled);
@@ -83,7 +83,7 @@
         ruling
     }
 
-    fn ruling(&self, shared: &Shared, ask: &UseAsk) -> Result<UseTold, Unruled> {
+    fn ruling(&self, shared: &Shared, ask: &PermitRequest) -> Result<PermitAnswer, Unruled> {
         let holder = shared.right().and_then(|right| right.holder());
         let holder = holder.ok_or(Unruled::NoHolder)?;
         let settings = &shared.settings;
@@ -95,7 +95,7 @@
         if let Some(silent) = lock(&self.silent).as_ref().filter(is_silent) {
             return Err(silent.cause);
         }
-        let body = Body::UseAsk(ask.clone());
+        let body = Body::PermitRequest(ask.clone());
         let address = holder.address;
         let told = self
             .asked
@@ -116,25 +116,25 @@
     }
 
     /// Takes in the answer to a question of this instance.
-    pub fn answered(&self, told: UseTold) {
+    pub fn answered(&self, told: PermitAnswer) {
         self.asked.answered(told.id, told);
     }
 }
 
 /// An answer, if whoever gave it keeps the counts.
-fn of_keeper(told: UseTold) -> Result<UseTold, Unruled> {
-    if told.verdict() == UseVerdict::NotKeeper {
+fn of_keeper(told: PermitAnswer) -> Result<PermitAnswer, Unruled> {
+    if told.verdict() == UseVerdict::NotCoordinator {
         return Err(Unruled::NotKeeper);
     }
     Ok(told)
 }
 
 /// Answers an instance's question; only the keeper rules.
-pub fn rule(shared: &Shared, from: SocketAddr, ask: &UseAsk) -> UseTold {
+pub fn rule(shared: &Shared, from: SocketAddr, ask: &PermitRequest) -> PermitAnswer {
     let Some(fence) = shared.right().and_then(|right| right.term()) else {
-        return UseTold {
+        return PermitAnswer {
             id: ask.id,
-            ..UseTold::default()
+            ..PermitAnswer::default()
         };
     };
     if !ask.digest.is_empty() {
@@ -147,15 +147,15 @@
 }
 
 /// The answer that a ruling makes to a question.
-pub fn told(ask: &UseAsk, ruling: Ruling) -> UseTold {
-    let mut told = UseTold {
+pub fn told(ask: &PermitRequest, ruling: Ruling) -> PermitAnswer {
+    let mut told = PermitAnswer {
         id: ask.id,
-        ..UseTold::default()
+        ..PermitAnswer::default()
     };
     match ruling {
         Ruling::Granted { part_per_s } => {
             told.set_verdict(UseVerdict::Granted);
-            told.part_per_s = part_per_s;
+            told.instance_rate_per_s = part_per_s;
         }
         Ruling::Refused { retry_after } => {
             told.set_verdict(UseVerdict::Refused);
--- a/crates/instance/src/limits.rs
+++ b/crates/instance/src/limits.rs
@@ -8,7 +8,7 @@
 use passway_serving::limits::{self, EXACT, Shares};
 use passway_types::clock;
 use passway_types::prelude::*;
-use passway_wire::permits::{UseAsk, UseTold, UseVerdict};
+use passway_wire::permits::{PermitAnswer, PermitRequest, UseVerdict};
 use std::net::SocketAddr;
 use std::sync::{Mutex, PoisonError};
 
@@ -33,12 +33,12 @@
 impl Limits {
     /// Whether a request may go to an upstream that takes so many a second.
     pub fn ask(&self, shared: &Shared, upstream: &UpstreamId, per_s: f64) -> Turn {
-        let ask = UseAsk {
+        let ask = PermitRequest {
             id: rand::random(),
             upstream: upstream.to_string(),
             cost: 1.0,
             rate_per_s: per_s,
-            ..UseAsk::default()
+            ..PermitRequest::default()
         };
         match shared.keeper.ask(shared, &ask) {
             Ok(told) if told.verdict() == UseVerdict::Granted => Turn::Now,
@@ -58,7 +58,13 @@
     }
 
     /// Answers an instance's question, in a term of this instance.
-    pub fn rule(&self, shared: &Shared, fence: Fence, from: SocketAddr, ask: &UseAsk) -> UseTold {
+    pub fn rule(
+        &self,
+        shared: &Shared,
+        fence: Fence,
+        from: SocketAddr,
+        ask: &PermitRequest,
+    ) -> PermitAnswer {
         let upstream = UpstreamId::from(ask.upstream.as_str());
         // A word that one of the two has not heard yet is the newer one; which, is not known here.
         let known = shared.upstreams().limit_per_s(&upstream, clock::now());
--- a/crates/instance/src/listeners.rs
+++ b/crates/instance/src/listeners.rs
@@ -129,10 +129,10 @@
 /// What an instance lacks that knows a feed up to a revision, as it goes over a link. If that
 /// is too large, that there is something, so that the instance asks the store.
 fn news_frame(log: &FeedLog, feed: usize, known: StoreRevision) -> Option<Frame> {
-    let frame = Frame::new(Body::News(log.after(feed, known)?));
+    let frame = Frame::new(Body::Updates(log.after(feed, known)?));
     let frame = frame.or_else(|error| {
         log::error!(feed = feed, error:% = error; "news cannot be sent");
-        Frame::new(Body::News(log.gap(feed)))
+        Frame::new(Body::Updates(log.gap(feed)))
     });
     frame.ok()
 }
--- a/crates/instance/src/members.rs
+++ b/crates/instance/src/members.rs
@@ -9,12 +9,12 @@
 //! come by themselves.
 
 use crate::shared::Shared;
-use passway_process::dial::{Dialed, Dialer};
+use passway_process::dial::{DialEvent, Dialer};
 use passway_process::outbox::Outbox;
 use passway_serving::tenure::Holder;
 use passway_types::prelude::*;
 use passway_wire::Body;
-use passway_wire::message::{Member, Members, Successor};
+use passway_wire::message::{Member, Members, NewHolder};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -48,7 +48,7 @@
 }
 
 /// The holder that a message names.
-pub fn successor(told: &Successor) -> Option<Holder> {
+pub fn successor(told: &NewHolder) -> Option<Holder> {
     Some(Holder {
         instance: told.instance.as_str().into(),
         address: told.address.parse().ok()?,
@@ -153,7 +153,7 @@
         drop(members);
         self.dialers.retain(|name, _| missing.contains_key(name));
         for (name, address) in missing {
-            let word = Body::Successor(Successor {
+            let word = Body::NewHolder(NewHolder {
                 instance: me.to_string(),
                 address: shared.settings.peer_address.to_string(),
                 fence: self.fence,
@@ -162,13 +162,13 @@
             dialer.or_insert_with(|| {
                 let mut connection: Option<Outbox> = None;
                 Dialer::start(address, move |dialed| match dialed {
-                    Dialed::Connected(outbox) => {
+                    DialEvent::Connected(outbox) => {
                         outbox.send(word.clone());
                         // Kept open until it was read.
                         connection.replace(outbox);
                     }
-                    Dialed::Disconnected => drop(connection.take()),
-                    Dialed::Received(_) => {}
+                    DialEvent::Disconnected => drop(connection.take()),
+                    DialEvent::Received(_) => {}
                 })
             });
         }
--- a/crates/instance/src/news.rs
+++ b/crates/instance/src/news.rs
@@ -4,7 +4,7 @@
 use crate::packing::{self, PACKED_FROM_BYTES};
 use anyhow::{Context, Result};
 use passway_serving::ports::{Listing, StoreChange, StoreRevision, StoredValue};
-use passway_wire::message::{News, NewsValue};
+use passway_wire::message::{StoreValue, Updates};
 use std::collections::BTreeMap;
 
 /// News of one feed.
@@ -164,41 +164,41 @@
     ///
     /// # Errors
     /// If a value was packed against one that is not known here.
-    pub fn decode(&mut self, news: News) -> Result<Told> {
+    pub fn decode(&mut self, news: Updates) -> Result<Told> {
         let changes: Result<Vec<StoreChange>> =
             news.values.into_iter().map(|v| self.change(v)).collect();
         let changes = changes?;
-        let told = if news.from > 0 {
+        let told = if news.from_revision > 0 {
             Told::Changes {
-                from: news.from,
-                to: news.to,
+                from: news.from_revision,
+                to: news.to_revision,
                 changes,
             }
         } else {
             Told::Whole(Listing {
                 values: written(Vec::new(), changes),
-                revision: news.to,
+                revision: news.to_revision,
             })
         };
         self.note(&told);
         Ok(told)
     }
 
-    fn change(&self, told: NewsValue) -> Result<StoreChange> {
+    fn change(&self, told: StoreValue) -> Result<StoreChange> {
         let (key, revision) = (told.key, told.revision);
         let Some(mut value) = told.value else {
             return Ok(StoreChange::Removed { key, revision });
         };
-        if told.plain_bytes > 0 {
+        if told.uncompressed_bytes > 0 {
             if let Some(known) = self.newest(&key).filter(|known| known.revision >= revision) {
                 // It has come from the store already, and what it was packed against may be gone.
                 return Ok(StoreChange::Written(known.clone()));
             }
-            let base = self.at(&key, told.base).map(|known| &*known.value);
-            let plain_bytes = usize::try_from(told.plain_bytes)?;
+            let base = self.at(&key, told.base_revision).map(|known| &*known.value);
+            let plain_bytes = usize::try_from(told.uncompressed_bytes)?;
             let plain = packing::unpack(&value, base, plain_bytes);
             value = plain
-                .with_context(|| format!("unpacking {key} against {}", told.base))?
+                .with_context(|| format!("unpacking {key} against {}", told.base_revision))?
                 .into();
         }
         Ok(StoreChange::Written(StoredValue {
--- a/crates/instance/src/poison.rs
+++ b/crates/instance/src/poison.rs
@@ -22,7 +22,7 @@
 use passway_types::clock;
 use passway_types::prelude::*;
 use passway_wire::dispatch::Dispatch as Body;
-use passway_wire::message::{self, Break, Crash, Suspects};
+use passway_wire::message::{self, Crash, Suspects, UpstreamDisconnect};
 use prost::Message;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -192,7 +192,7 @@
     }
 
     /// Takes in which upstreams broke off at other instances. Returns them.
-    pub fn join_breaks(&self, told: &[Break]) -> Vec<(UpstreamStart, Instant)> {
+    pub fn join_breaks(&self, told: &[UpstreamDisconnect]) -> Vec<(UpstreamStart, Instant)> {
         let now = clock::now();
         let mut list = lock(&self.list);
         let breaks = told.iter().map(|told| {
@@ -347,14 +347,14 @@
     let suspects = suspects.into_iter().take(MAX_TOLD);
     Suspects {
         suspects: suspects.map(encode_one).collect(),
-        breaks: Vec::new(),
+        disconnects: Vec::new(),
     }
 }
 
 /// Upstreams that broke off, as they are told.
-pub fn encode_breaks(breaks: &[(UpstreamStart, Instant)]) -> Vec<Break> {
+pub fn encode_breaks(breaks: &[(UpstreamStart, Instant)]) -> Vec<UpstreamDisconnect> {
     let now = clock::now();
-    let breaks = breaks.iter().map(|(start, at)| Break {
+    let breaks = breaks.iter().map(|(start, at)| UpstreamDisconnect {
         upstream: start.upstream.to_string(),
         started_at_ms: start.started_at_ms,
         ms_ago: millis_since(*at, now),
@@ -369,14 +369,14 @@
         Crash {
             upstream: crash.upstream.to_string(),
             started_at_ms: crash.started_at_ms,
-            blame: match blame {
+            status: match blame {
                 Blame::Full => 0,
                 Blame::Explained => 1,
                 Blame::Cleared => 2,
                 Blame::Open => 3,
             },
             sent_ms_ago: run.map(|run| millis_since(run.sent_at, now)),
-            broke_ms_ago: run.map(|run| millis_since(run.broke_at, now)),
+            disconnected_ms_ago: run.map(|run| millis_since(run.broke_at, now)),
         }
     });
     message::Suspect {
@@ -392,12 +392,12 @@
     let ago = |ms: u64| now.checked_sub(Duration::from_millis(ms)).unwrap_or(now);
     let mut runs = BTreeMap::new();
     let crashes = told.crashes.into_iter().map(|crash| {
-        let times = crash.sent_ms_ago.zip(crash.broke_ms_ago);
+        let times = crash.sent_ms_ago.zip(crash.disconnected_ms_ago);
         let start = UpstreamStart {
             upstream: crash.upstream.into(),
             started_at_ms: crash.started_at_ms,
         };
-        let blame = match crash.blame {
+        let blame = match crash.status {
             0 => Blame::Full,
             1 => Blame::Explained,
             3 => Blame::Open,
--- a/crates/instance/src/poison/alone.rs
+++ b/crates/instance/src/poison/alone.rs
@@ -13,7 +13,7 @@
 use passway_types::clock;
 use passway_types::prelude::*;
 use passway_wire::dispatch::Dispatch as Body;
-use passway_wire::permits::{UseAsk, UseBack, UseTold, UseVerdict};
+use passway_wire::permits::{PermitAnswer, PermitRelease, PermitRequest, UseVerdict};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -92,11 +92,11 @@
     }
 
     fn ask_counter(&mut self, longest: Duration) -> Asked {
-        let ask = UseAsk {
+        let ask = PermitRequest {
             id: self.id,
             digest: self.digest.0.to_vec(),
             run_ms: millis(longest),
-            ..UseAsk::default()
+            ..PermitRequest::default()
         };
         match self.shared.keeper.ask(&self.shared, &ask) {
             Ok(told) if told.verdict() == UseVerdict::Granted => Asked::Granted,
@@ -125,15 +125,17 @@
         let Some(holder) = shared.right().and_then(|right| right.holder()) else {
             return;
         };
-        let back = UseBack {
+        let back = PermitRelease {
             digest: self.digest.0.to_vec(),
             id: self.id,
-            ..UseBack::default()
+            ..PermitRelease::default()
         };
         if holder.instance == shared.settings.instance {
             shared.poison.take_back(shared.settings.peer_address, &back);
         } else {
-            shared.dispatch.send(holder.address, Body::UseBack(back));
+            shared
+                .dispatch
+                .send(holder.address, Body::PermitRelease(back));
         }
     }
 }
@@ -156,10 +158,10 @@
 
 impl Poison {
     /// Answers an instance that asks to run a request alone, in a term of this instance.
-    pub fn rule(&self, fence: Fence, from: SocketAddr, ask: &UseAsk) -> UseTold {
-        let mut told = UseTold {
+    pub fn rule(&self, fence: Fence, from: SocketAddr, ask: &PermitRequest) -> PermitAnswer {
+        let mut told = PermitAnswer {
             id: ask.id,
-            ..UseTold::default()
+            ..PermitAnswer::default()
         };
         let Some(digest) = digest_of(&ask.digest) else {
             return told;
@@ -176,7 +178,7 @@
     }
 
     /// A run that was alone is over and has ended nothing.
-    pub fn take_back(&self, from: SocketAddr, back: &UseBack) {
+    pub fn take_back(&self, from: SocketAddr, back: &PermitRelease) {
         if let Some(digest) = digest_of(&back.digest) {
             lock(&self.alone.turns).give_back(digest, (from, back.id));
         }
--- a/crates/instance/src/relay.rs
+++ b/crates/instance/src/relay.rs
@@ -11,7 +11,7 @@
 use passway_serving::ports::StoreRevision;
 use passway_types::clock;
 use passway_types::prelude::*;
-use passway_wire::message::News;
+use passway_wire::message::Updates;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 /// Number of the configuration's feed.
@@ -51,17 +51,17 @@
 
 impl State {
     /// Takes in up to when the holder knew the feeds, by a word that has just come.
-    fn note_times(&mut self, news: &News, now: Instant) {
+    fn note_times(&mut self, news: &Updates, now: Instant) {
         self.heard_at = Some(now);
-        if news.sent_ms == 0 {
+        if news.queued_at_ms == 0 {
             return;
         }
-        let Some(begun_at) = now.checked_sub(Duration::from_millis(news.sent_ms)) else {
+        let Some(begun_at) = now.checked_sub(Duration::from_millis(news.queued_at_ms)) else {
             return;
         };
         let begun_at = self.holder_begun_at.map_or(begun_at, |at| at.min(begun_at));
         self.holder_begun_at = Some(begun_at);
-        for (known, ms) in self.confirmed_at.iter_mut().zip(&news.confirmed_ms) {
+        for (known, ms) in self.confirmed_at.iter_mut().zip(&news.confirmed_at_ms) {
             if *ms > 0 {
                 *known = Some(begun_at + Duration::from_millis(*ms));
             }
@@ -189,14 +189,14 @@
     }
 
     /// Takes in a word of the holder.
-    pub fn heard(&self, news: News) {
+    pub fn heard(&self, news: Updates) {
         let mut state = self.state();
         state.note_times(&news, clock::now());
         let feed = usize::try_from(news.feed).unwrap_or(FEEDS);
-        if news.to == 0 || feed >= FEEDS {
+        if news.to_revision == 0 || feed >= FEEDS {
             return;
         }
-        let to = news.to;
+        let to = news.to_revision;
         match state.bases[feed].decode(news) {
             Ok(told) => {
                 let before = state.waiting[feed].take();
--- a/crates/instance/src/report.rs
+++ b/crates/instance/src/report.rs
@@ -7,7 +7,7 @@
 use crate::shared::{Need, Shared};
 use crate::words;
 use crossbeam::channel::{Receiver, RecvTimeoutError};
-use passway_process::dial::{Dialed, Dialer};
+use passway_process::dial::{DialEvent, Dialer};
 use passway_process::outbox::Outbox;
 use passway_serving::poison::{Suspect, UpstreamStart};
 use passway_serving::tenure::{Candidate, Holder};
@@ -16,7 +16,8 @@
 use passway_types::prelude::*;
 use passway_wire::Body;
 use passway_wire::message::{
-    EnginePlacement, Needs, Promise, PromiseWanted, Running, Subscribe, Wish, Words,
+    EnginePlacement, InstanceReport, KnownSignals, ModelRequests, Promise, PromiseRequest,
+    RunCount, Subscribe,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -62,7 +63,7 @@
     relay: Arc<Relay>,
     link: Link,
     subscribed_at: Option<Instant>,
-    last_running: Vec<Running>,
+    last_running: Vec<RunCount>,
     dialed: Option<(Holder, Dialer)>,
     taken: Taken,
     /// What requests wait for here.
@@ -99,12 +100,12 @@
     (service, wish.model, wish.adapter)
 }
 
-fn wish((service, model, adapter): &WishKey, count: u32, wait: Duration) -> Wish {
-    Wish {
+fn wish((service, model, adapter): &WishKey, count: u32, wait: Duration) -> ModelRequests {
+    ModelRequests {
         service: service.to_string(),
         model: model.to_string(),
         adapter: adapter.as_deref().unwrap_or_default().to_owned(),
-        wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
+        remaining_wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
         count,
     }
 }
@@ -242,33 +243,34 @@
                 return;
             }
             match dialed {
-                Dialed::Connected(outbox) => {
+                DialEvent::Connected(outbox) => {
                     *link = Some(outbox);
                     is_new.store(true, Ordering::Release);
                     drop(link);
                     shared.tell(Need::HolderReached);
                 }
-                Dialed::Disconnected => {
+                DialEvent::Disconnected => {
                     *link = None;
                     relay.lost();
                 }
-                Dialed::Received(Body::News(news)) => {
-                    if let Some(instances) = usize::try_from(news.instances).ok().filter(|n| *n > 0)
+                DialEvent::Received(Body::Updates(news)) => {
+                    if let Some(instances) =
+                        usize::try_from(news.instance_count).ok().filter(|n| *n > 0)
                     {
                         shared.use_instances(instances);
                     }
-                    if news.sent_ms > 0 {
-                        let doubtful = news.doubtful.iter().map(|id| id.as_str().into());
+                    if news.queued_at_ms > 0 {
+                        let doubtful = news.unconfirmed.iter().map(|id| id.as_str().into());
                         shared.set_doubtful_engines(doubtful.collect());
                     }
                     relay.heard(news);
                     drop(link);
                 }
-                Dialed::Received(Body::Members(told)) => {
+                DialEvent::Received(Body::Members(told)) => {
                     drop(link);
                     *shared.members() = members::decode(&told);
                 }
-                Dialed::Received(Body::Successor(term)) => {
+                DialEvent::Received(Body::NewHolder(term)) => {
                     // Believed like any other word about the right: while the store is silent.
                     drop(link);
                     let holder = members::successor(&term);
@@ -280,38 +282,38 @@
                         log::info!(fence = term.fence; "a new term of the same holder");
                     }
                 }
-                Dialed::Received(Body::Dispatchers(told)) => {
+                DialEvent::Received(Body::Dispatchers(told)) => {
                     drop(link);
                     let list = members::decode(&told).into_iter();
                     let list = list.map(|(instance, address)| Candidate { instance, address });
                     shared.dispatch.set(list.collect());
                 }
-                Dialed::Received(Body::Suspects(told)) => {
+                DialEvent::Received(Body::Suspects(told)) => {
                     drop(link);
-                    for (start, at) in shared.poison.join_breaks(&told.breaks) {
+                    for (start, at) in shared.poison.join_breaks(&told.disconnects) {
                         shared.upstreams().doubt(&start.upstream, at);
                     }
                     // Only a word on requests says that what the fleet knows of them was told.
-                    if !told.suspects.is_empty() || told.breaks.is_empty() {
+                    if !told.suspects.is_empty() || told.disconnects.is_empty() {
                         shared.poison.join(told);
                     }
                 }
-                Dialed::Received(Body::Words(told)) => {
+                DialEvent::Received(Body::KnownSignals(told)) => {
                     drop(link);
                     words::join(&shared, told);
                 }
-                Dialed::Received(Body::Placements(placements)) => {
+                DialEvent::Received(Body::Placements(placements)) => {
                     drop(link);
                     placed(&shared, placements.engines);
                 }
-                Dialed::Received(Body::PromiseWanted(wanted)) => {
+                DialEvent::Received(Body::PromiseRequest(wanted)) => {
                     if let Some(promise) = promise(&shared, &right, &dialed_holder, wanted)
                         && let Some(outbox) = link.as_ref()
                     {
                         outbox.send(Body::Promise(promise));
                     }
                 }
-                Dialed::Received(_) => {}
+                DialEvent::Received(_) => {}
             }
         });
         self.dialed = Some((holder, dialer));
@@ -348,11 +350,11 @@
             return;
         }
         outbox.send(Body::Subscribe(Subscribe {
-            known: known.to_vec(),
+            known_revisions: known.to_vec(),
             instance: self.shared.settings.instance.to_string(),
             address: self.shared.settings.peer_address.to_string(),
             is_weak: self.right.is_weak(),
-            placements: self.shared.upstreams().placement_digests().collect(),
+            placement_digests: self.shared.upstreams().placement_digests().collect(),
         }));
         self.subscribed_at = Some(clock::now());
     }
@@ -380,11 +382,11 @@
             suspects = self.shared.poison.suspects(1);
             said = words::encode_for_holder(&self.shared, None);
         }
-        if said != Words::default() {
-            outbox.send(Body::Words(said));
+        if said != KnownSignals::default() {
+            outbox.send(Body::KnownSignals(said));
         }
-        suspects.breaks = poison::encode_breaks(&std::mem::take(&mut self.breaks));
-        if !suspects.suspects.is_empty() || !suspects.breaks.is_empty() {
+        suspects.disconnects = poison::encode_breaks(&std::mem::take(&mut self.breaks));
+        if !suspects.suspects.is_empty() || !suspects.disconnects.is_empty() {
             outbox.send(Body::Suspects(suspects));
         }
         let now = clock::now();
@@ -392,27 +394,27 @@
             Some(here) => wish(key, here.count, here.until.saturating_duration_since(now)),
             None => wish(key, 0, Duration::ZERO),
         });
-        let waiting: Vec<Wish> = waiting.collect();
+        let waiting: Vec<ModelRequests> = waiting.collect();
         let taken = taken
             .iter()
             .map(|(key, count)| wish(key, *count, Duration::ZERO));
-        let taken: Vec<Wish> = taken.collect();
+        let taken: Vec<ModelRequests> = taken.collect();
         let upstreams = self.shared.upstreams();
-        let running = upstreams.running().map(|(engine, model, count)| Running {
+        let running = upstreams.running().map(|(engine, model, count)| RunCount {
             engine: engine.to_string(),
             model: model.to_string(),
             count,
         });
-        let mut running: Vec<Running> = running.collect();
+        let mut running: Vec<RunCount> = running.collect();
         running.sort_by(|one, other| (&one.engine, &one.model).cmp(&(&other.engine, &other.model)));
         if waiting.is_empty() && taken.is_empty() && running == self.last_running {
             return;
         }
         self.last_running.clone_from(&running);
-        outbox.send(Body::Needs(Needs {
+        outbox.send(Body::InstanceReport(InstanceReport {
             instance: self.shared.settings.instance.to_string(),
             waiting,
-            taken,
+            accepted: taken,
             running,
         }));
     }
@@ -424,7 +426,7 @@
     shared: &Shared,
     right: &Right,
     asker: &Holder,
-    wanted: PromiseWanted,
+    wanted: PromiseRequest,
 ) -> Option<Promise> {
     let leaves = shared.is_stopping();
     let store_answers = !shared.store_health.is_failing();
@@ -432,8 +434,8 @@
     promises.then(|| Promise {
         instance: shared.settings.instance.to_string(),
         fence: wanted.fence,
-        asked_ms: wanted.asked_ms,
-        leaves,
+        asked_at_ms: wanted.asked_at_ms,
+        is_leaving: leaves,
     })
 }
 
@@ -453,7 +455,7 @@
             name: model.model.into(),
             adapters: model.adapters.into_iter().map(Into::into).collect(),
         });
-        let closing = placement.closing.into_iter().map(Into::into);
+        let closing = placement.evicting.into_iter().map(Into::into);
         upstreams.set_placement(&placement.engine, models.collect(), closing.collect());
     }
     drop(upstreams);
--- a/crates/instance/src/words.rs
+++ b/crates/instance/src/words.rs
@@ -11,7 +11,7 @@
 use passway_serving::words::{NamedLeaving, NamedRest, UpstreamWords};
 use passway_types::clock;
 use passway_types::prelude::*;
-use passway_wire::message::{LeavingUpstream, RestingUpstream, UpstreamLimit, Words};
+use passway_wire::message::{BackingOffUpstream, KnownSignals, LeavingUpstream, UpstreamLimit};
 
 /// Longest rest that is kept: one request in this time finds out whether the upstream still wants it, so
 /// that a figure that is wrong does not take an upstream away for good.
@@ -122,9 +122,9 @@
 }
 
 /// The words of some upstreams, or of all that have said something, as they are told.
-pub fn encode(shared: &Shared, named: Option<&[UpstreamId]>) -> Words {
+pub fn encode(shared: &Shared, named: Option<&[UpstreamId]>) -> KnownSignals {
     if named.is_some_and(<[UpstreamId]>::is_empty) {
-        return Words::default();
+        return KnownSignals::default();
     }
     let now = clock::now();
     let upstreams = shared.upstreams();
@@ -133,41 +133,41 @@
     let limits = limits.map(|(id, started_at_ms, word)| UpstreamLimit {
         upstream: id.to_string(),
         started_at_ms,
-        per_s: word.per_s,
+        requests_per_s: word.per_s,
         sent_ms_ago: millis_since(word.sent_at, now),
-        heard_ms_ago: millis_since(word.heard_at, now),
+        received_ms_ago: millis_since(word.heard_at, now),
     });
     let leaving = upstreams.leaving().filter(|(id, _)| is_named(id));
     let leaving = leaving.map(|(id, started_at_ms)| LeavingUpstream {
         upstream: id.to_string(),
         started_at_ms,
     });
-    Words {
+    KnownSignals {
         limits: limits.collect(),
         leaving: leaving.collect(),
-        resting: Vec::new(),
+        backing_off: Vec::new(),
     }
 }
 
 /// What this instance tells the holder of some upstreams, or of all: their words, and which of them want
 /// nothing from this instance.
-pub fn encode_for_holder(shared: &Shared, named: Option<&[UpstreamId]>) -> Words {
+pub fn encode_for_holder(shared: &Shared, named: Option<&[UpstreamId]>) -> KnownSignals {
     let now = clock::now();
     let mut words = encode(shared, named);
     let upstreams = shared.upstreams();
     let is_named = |id: &UpstreamId| named.is_none_or(|named| named.contains(id));
     let resting = upstreams.resting(now).filter(|(id, _)| is_named(id));
-    let resting = resting.map(|(id, until)| RestingUpstream {
+    let resting = resting.map(|(id, until)| BackingOffUpstream {
         upstream: id.to_string(),
         started_at_ms: upstreams.started_at_ms(id),
-        left_ms: millis(until.saturating_duration_since(now)),
+        remaining_ms: millis(until.saturating_duration_since(now)),
     });
-    words.resting = resting.collect();
+    words.backing_off = resting.collect();
     words
 }
 
 /// Takes in what another instance tells. Returns the upstreams that it tells of.
-pub fn join(shared: &Shared, told: Words) -> Vec<UpstreamId> {
+pub fn join(shared: &Shared, told: KnownSignals) -> Vec<UpstreamId> {
     let now = clock::now();
     let ago = |ms: u64| now.checked_sub(Duration::from_millis(ms)).unwrap_or(now);
     let mut named = Vec::new();
@@ -181,10 +181,10 @@
         }
         let word = LimitWord {
             per_s: told
-                .per_s
+                .requests_per_s
                 .filter(|per_s| per_s.is_finite() && *per_s >= 0.0),
             sent_at: ago(told.sent_ms_ago),
-            heard_at: ago(told.heard_ms_ago),
+            heard_at: ago(told.received_ms_ago),
         };
         note_limit(shared, &start, word);
         named.push(start.upstream);
--- a/crates/process/src/dial.rs
+++ b/crates/process/src/dial.rs
@@ -10,13 +10,13 @@
 /// Time to make a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// A peer that is silent for this long is given up; heartbeats come far more often.
-const SILENCE_LIMIT: Duration = Duration::from_secs(12);
+const READ_TIMEOUT: Duration = Duration::from_secs(12);
 /// Shortest pause between two attempts, in milliseconds; up to twice as long by chance.
-const RETRY_PAUSE_MS: u64 = 150;
+const MIN_RETRY_BACKOFF_MS: u64 = 150;
 
 /// What happens on a dialed connection.
 #[derive(Debug)]
-pub enum Dialed {
+pub enum DialEvent {
     /// The connection stands.
     Connected(Outbox),
     /// A message came.
@@ -33,14 +33,15 @@
 
 impl Dialer {
     /// Starts to connect; `handle` is called from the dialer's own thread.
-    pub fn start(address: SocketAddr, mut handle: impl FnMut(Dialed) + Send + 'static) -> Self {
+    pub fn start(address: SocketAddr, mut handle: impl FnMut(DialEvent) + Send + 'static) -> Self {
         let stopped = Arc::new(AtomicBool::new(false));
         let is_stopped = stopped.clone();
         std::thread::spawn(move || {
             while !is_stopped.load(Ordering::Relaxed) {
-                converse(address, &mut handle, &is_stopped);
-                handle(Dialed::Disconnected);
-                let pause = rand::rng().random_range(RETRY_PAUSE_MS..2 * RETRY_PAUSE_MS);
+                run_connection(address, &mut handle, &is_stopped);
+                handle(DialEvent::Disconnected);
+                let pause =
+                    rand::rng().random_range(MIN_RETRY_BACKOFF_MS..2 * MIN_RETRY_BACKOFF_MS);
                 std::thread::sleep(Duration::from_millis(pause));
             }
         });
@@ -54,17 +55,17 @@
     }
 }
 
-fn converse(address: SocketAddr, handle: &mut impl FnMut(Dialed), stopped: &AtomicBool) {
+fn run_connection(address: SocketAddr, handle: &mut impl FnMut(DialEvent), stopped: &AtomicBool) {
     let Ok((link, mut reader)) = Link::connect(address, CONNECT_TIMEOUT) else {
         return;
     };
-    if reader.set_timeout(SILENCE_LIMIT).is_err() {
+    if reader.set_timeout(READ_TIMEOUT).is_err() {
         return;
     }
-    handle(Dialed::Connected(Outbox::start(link.clone())));
+    handle(DialEvent::Connected(Outbox::start(link.clone())));
     while !stopped.load(Ordering::Relaxed) {
         match reader.receive() {
-            Ok(Some(body)) => handle(Dialed::Received(body)),
+            Ok(Some(body)) => handle(DialEvent::Received(body)),
             Ok(None) | Err(_) => break,
         }
     }
--- a/crates/process/src/logging.rs
+++ b/crates/process/src/logging.rs
@@ -1,12 +1,12 @@
 //! One structured line an event, through `log` and `fern`.
 //!
 //! * [`start`]: `key=value` lines on standard error, for programs run by hand.
-//! * [`json`]: JSON lines on standard output, bounded in volume, for programs whose
+//! * [`json`]: JSON lines on standard output, limited in volume, for programs whose
 //!   output is collected; [`queue`] holds them until they are written.
 
 pub mod json;
 pub mod queue;
-pub mod volume;
+pub mod rate_limit;
 
 use anyhow::{Context, Result};
 use log::kv::{self, Key, Value, VisitSource};
@@ -35,7 +35,7 @@
 }
 
 /// Time since 1970-01-01 UTC, as this machine's clock has it.
-fn time_of_day() -> Duration {
+fn unix_time() -> Duration {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
     elapsed.unwrap_or_default()
 }
@@ -50,7 +50,7 @@
 pub fn start(program: &'static str, level: &str) -> Result<()> {
     dispatch(level)?
         .format(move |out, message, record| {
-            let elapsed = time_of_day();
+            let elapsed = unix_time();
             let mut pairs = Pairs(String::new());
             // Writing into a string does not fail.
             let _ = record.key_values().visit(&mut pairs);
--- a/crates/process/src/logging/json.rs
+++ b/crates/process/src/logging/json.rs
@@ -5,8 +5,8 @@
 //! bound is dropped, counted, and told with the next batch.
 
 use super::queue::{LineReceiver, LineSender, line_queue};
-use super::volume::{LineClass, VolumeBound};
-use super::{dispatch, time_of_day};
+use super::rate_limit::{LineClass, LogRateLimit};
+use super::{dispatch, unix_time};
 use anyhow::{Context, Result};
 use log::kv::{self, Key, Value, VisitSource};
 use passway_types::clock;
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 /// Lines of this time are written by one call.
-const BATCH_TIME: Duration = Duration::from_millis(100);
+const BATCH_DELAY: Duration = Duration::from_millis(100);
 /// The target of lines about the end of a request, which come first in the bound.
 pub const REQUEST_TARGET: &str = "passway_instance::request";
 /// The target of lines about decisions that change an engine, the right to order, or the
@@ -28,19 +28,19 @@
 /// Where lines go on their way to the output.
 struct Sink {
     lines: LineSender,
-    bound: Mutex<VolumeBound>,
-    dropped: Arc<Dropped>,
+    rate_limit: Mutex<LogRateLimit>,
+    dropped: Arc<DroppedCounts>,
 }
 
 /// Lines that were dropped since this was told last, by what they were about.
 #[derive(Default)]
-struct Dropped {
+struct DroppedCounts {
     decisions: AtomicU64,
     request_ends: AtomicU64,
     others: AtomicU64,
 }
 
-impl Dropped {
+impl DroppedCounts {
     fn count(&self, class: LineClass) {
         let counter = match class {
             LineClass::Decision => &self.decisions,
@@ -57,16 +57,16 @@
 /// If the level is not known or logging was started before.
 pub fn start(program: &'static str, level: &str, lines_per_s: u32) -> Result<()> {
     let dispatch = dispatch(level)?;
-    let dropped = Arc::new(Dropped::default());
+    let dropped = Arc::new(DroppedCounts::default());
     let (lines, queued) = line_queue();
     let counted = dropped.clone();
     std::thread::spawn(move || write_batches(&queued, &counted, program));
     let sink = Sink {
         lines,
-        bound: Mutex::new(VolumeBound::new(lines_per_s, clock::now())),
+        rate_limit: Mutex::new(LogRateLimit::new(lines_per_s, clock::now())),
         dropped,
     };
-    let output = fern::Output::call(move |record| sink.take(record, program));
+    let output = fern::Output::call(move |record| sink.write(record, program));
     dispatch
         .chain(output)
         .apply()
@@ -74,24 +74,27 @@
 }
 
 impl Sink {
-    fn take(&self, record: &log::Record<'_>, program: &str) {
+    fn write(&self, record: &log::Record<'_>, program: &str) {
         let class = match record.target() {
             DECISION_TARGET => LineClass::Decision,
             REQUEST_TARGET => LineClass::RequestEnd,
             _ => LineClass::Other,
         };
-        let mut bound = self.bound.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut bound = self
+            .rate_limit
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         let admitted = bound.admit(class, clock::now());
         drop(bound);
-        if !admitted || !self.lines.send(line(record, program)) {
+        if !admitted || !self.lines.send(encode_line(record, program)) {
             self.dropped.count(class);
         }
     }
 }
 
 /// One event as a line of JSON.
-fn line(record: &log::Record<'_>, program: &str) -> String {
-    let mut fields = Fields(head(&record.level().to_string(), program));
+fn encode_line(record: &log::Record<'_>, program: &str) -> String {
+    let mut fields = Fields(common_fields(&record.level().to_string(), program));
     fields.0.insert("target".into(), record.target().into());
     let message = record.args().to_string();
     fields.0.insert("message".into(), message.into());
@@ -100,8 +103,8 @@
     Json::Object(fields.0).to_string()
 }
 
-fn head(level: &str, program: &str) -> Map<String, Json> {
-    let at_ms = u64::try_from(time_of_day().as_millis()).unwrap_or(u64::MAX);
+fn common_fields(level: &str, program: &str) -> Map<String, Json> {
+    let at_ms = u64::try_from(unix_time().as_millis()).unwrap_or(u64::MAX);
     let mut fields = Map::new();
     fields.insert("at_ms".into(), at_ms.into());
     fields.insert("level".into(), level.into());
@@ -125,13 +128,13 @@
 }
 
 /// Writes lines until the process ends; nobody waits for it.
-fn write_batches(queued: &LineReceiver, dropped: &Dropped, program: &str) {
+fn write_batches(queued: &LineReceiver, dropped: &DroppedCounts, program: &str) {
     let mut batch = String::new();
     while let Ok(first) = queued.receive() {
-        std::thread::sleep(BATCH_TIME);
+        std::thread::sleep(BATCH_DELAY);
         batch.clear();
-        for line in std::iter::once(first).chain(queued.waiting()) {
-            batch.push_str(&line);
+        for encode_line in std::iter::once(first).chain(queued.drain()) {
+            batch.push_str(&encode_line);
             batch.push('\n');
         }
         let [decisions, request_ends, others] =
@@ -139,7 +142,7 @@
                 .map(|counter| counter.swap(0, Ordering::Relaxed));
         let lost = decisions + request_ends + others;
         if lost > 0 {
-            let mut fields = head("WARN", program);
+            let mut fields = common_fields("WARN", program);
             fields.insert("message".into(), "log lines were dropped".into());
             fields.insert("dropped".into(), lost.into());
             fields.insert("decisions".into(), decisions.into());
@@ -153,6 +156,6 @@
 }
 
 /// Time after which a line that was logged before has been written, if somebody reads.
-pub fn flush_time() -> Duration {
-    BATCH_TIME * 2
+pub fn max_flush_delay() -> Duration {
+    BATCH_DELAY * 2
 }
--- a/crates/process/src/logging/queue.rs
+++ b/crates/process/src/logging/queue.rs
@@ -15,27 +15,27 @@
 #[derive(Debug, Clone)]
 pub struct LineSender {
     lines: Sender<String>,
-    bytes: Arc<AtomicUsize>,
+    waiting_bytes: Arc<AtomicUsize>,
 }
 
 /// The end that gives them.
 #[derive(Debug)]
 pub struct LineReceiver {
     lines: Receiver<String>,
-    bytes: Arc<AtomicUsize>,
+    waiting_bytes: Arc<AtomicUsize>,
 }
 
 /// An empty queue.
 pub fn line_queue() -> (LineSender, LineReceiver) {
     let (sender, receiver) = bounded(MAX_LINES);
-    let bytes = Arc::new(AtomicUsize::new(0));
+    let waiting_bytes = Arc::new(AtomicUsize::new(0));
     let sender = LineSender {
         lines: sender,
-        bytes: bytes.clone(),
+        waiting_bytes: waiting_bytes.clone(),
     };
     let receiver = LineReceiver {
         lines: receiver,
-        bytes,
+        waiting_bytes,
     };
     (sender, receiver)
 }
@@ -44,18 +44,18 @@
     /// Queues a line without waiting; false if there is no room for it.
     pub fn send(&self, line: String) -> bool {
         let length = line.len();
-        let waiting = self.bytes.fetch_add(length, Ordering::Relaxed);
+        let waiting = self.waiting_bytes.fetch_add(length, Ordering::Relaxed);
         let is_queued = waiting + length <= MAX_BYTES && self.lines.try_send(line).is_ok();
         if !is_queued {
-            self.bytes.fetch_sub(length, Ordering::Relaxed);
+            self.waiting_bytes.fetch_sub(length, Ordering::Relaxed);
         }
         is_queued
     }
 }
 
 impl LineReceiver {
-    fn taken(&self, line: String) -> String {
-        self.bytes.fetch_sub(line.len(), Ordering::Relaxed);
+    fn release(&self, line: String) -> String {
+        self.waiting_bytes.fetch_sub(line.len(), Ordering::Relaxed);
         line
     }
 
@@ -64,12 +64,12 @@
     /// # Errors
     /// If nobody can queue one any more.
     pub fn receive(&self) -> Result<String, RecvError> {
-        self.lines.recv().map(|line| self.taken(line))
+        self.lines.recv().map(|line| self.release(line))
     }
 
     /// The lines that wait, at most as many bytes of them as may wait at one time: others come
     /// in while these are taken.
-    pub fn waiting(&self) -> impl Iterator<Item = String> {
+    pub fn drain(&self) -> impl Iterator<Item = String> {
         let mut left = MAX_BYTES;
         std::iter::from_fn(move || {
             if left == 0 {
@@ -77,7 +77,7 @@
             }
             let line = self.lines.try_recv().ok()?;
             left = left.saturating_sub(line.len());
-            Some(self.taken(line))
+            Some(self.release(line))
         })
     }
 }
--- a/crates/process/src/logging/volume.rs
+++ b/crates/process/src/logging/rate_limit.rs
@@ -3,13 +3,13 @@
 use std::time::Instant;
 
 /// Part of the bound that only lines about the end of a request may use.
-const RESERVED_PART: f64 = 0.5;
+const REQUEST_END_RESERVED_RATIO: f64 = 0.5;
 /// Lines may gather for this long while fewer are written, in seconds.
 const BURST_S: f64 = 2.0;
 /// Lines about decisions, as a part of the bound on all others, which they do not use: the
 /// holder before 256 engines gives 250 orders a second on a calm day, at some 200 bytes each;
 /// any other instance writes a few in all.
-const DECISIONS_PART: f64 = 4.0;
+const DECISION_RATE_RATIO: f64 = 4.0;
 
 /// What a line is about.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -26,30 +26,30 @@
 #[derive(Debug, Clone, Copy)]
 struct Bucket {
     lines_per_s: f64,
-    left: f64,
+    tokens: f64,
 }
 
 impl Bucket {
     fn full(lines_per_s: f64) -> Self {
         Self {
             lines_per_s,
-            left: lines_per_s * BURST_S,
+            tokens: lines_per_s * BURST_S,
         }
     }
 
-    fn most(&self) -> f64 {
+    fn capacity(&self) -> f64 {
         self.lines_per_s * BURST_S
     }
 
-    fn fill(&mut self, quiet_s: f64) {
-        self.left = (self.left + self.lines_per_s * quiet_s).min(self.most());
+    fn refill(&mut self, quiet_s: f64) {
+        self.tokens = (self.tokens + self.lines_per_s * quiet_s).min(self.capacity());
     }
 
     /// Takes a line, if that leaves what is reserved for others.
-    fn take(&mut self, reserved: f64) -> bool {
-        let has_room = self.left - 1.0 >= reserved;
+    fn try_take(&mut self, reserved: f64) -> bool {
+        let has_room = self.tokens - 1.0 >= reserved;
         if has_room {
-            self.left -= 1.0;
+            self.tokens -= 1.0;
         }
         has_room
     }
@@ -58,33 +58,37 @@
 /// A bound on lines a second: lines about decisions never give way to those of requests, and
 /// the ends of requests come before all that is left.
 #[derive(Debug)]
-pub struct VolumeBound {
+pub struct LogRateLimit {
     decisions: Bucket,
     others: Bucket,
-    at: Instant,
+    refilled_at: Instant,
 }
 
-impl VolumeBound {
+impl LogRateLimit {
     /// A full bound.
     pub fn new(lines_per_s: u32, now: Instant) -> Self {
         let lines_per_s = f64::from(lines_per_s);
         Self {
-            decisions: Bucket::full(lines_per_s * DECISIONS_PART),
+            decisions: Bucket::full(lines_per_s * DECISION_RATE_RATIO),
             others: Bucket::full(lines_per_s),
-            at: now,
+            refilled_at: now,
         }
     }
 
     /// Whether a line may be written now.
     pub fn admit(&mut self, class: LineClass, now: Instant) -> bool {
-        let quiet_s = now.saturating_duration_since(self.at).as_secs_f64();
-        self.decisions.fill(quiet_s);
-        self.others.fill(quiet_s);
-        self.at = self.at.max(now);
+        let quiet_s = now
+            .saturating_duration_since(self.refilled_at)
+            .as_secs_f64();
+        self.decisions.refill(quiet_s);
+        self.others.refill(quiet_s);
+        self.refilled_at = self.refilled_at.max(now);
         match class {
-            LineClass::Decision => self.decisions.take(0.0),
-            LineClass::RequestEnd => self.others.take(0.0),
-            LineClass::Other => self.others.take(self.others.most() * RESERVED_PART),
+            LineClass::Decision => self.decisions.try_take(0.0),
+            LineClass::RequestEnd => self.others.try_take(0.0),
+            LineClass::Other => self
+                .others
+                .try_take(self.others.capacity() * REQUEST_END_RESERVED_RATIO),
         }
     }
 }
--- a/crates/process/src/outbox.rs
+++ b/crates/process/src/outbox.rs
@@ -8,18 +8,18 @@
 
 /// Messages that may wait for a slow peer; small ones reach this bound first. The queue itself
 /// has none, since one that has sets all its places aside: 165 kB a peer.
-const CAPACITY: usize = 4_096;
+const MAX_WAITING_MESSAGES: usize = 4_096;
 /// Bytes that may wait for a slow peer before one more message: a largest frame on its way
 /// and the next one behind it. Frames that go to many peers are kept once, however many wait.
 pub const MAX_WAITING_BYTES: usize = 2 * MAX_FRAME_BYTES;
 
 /// Bytes that wait in all outboxes of this process; a frame counts once for each peer.
-static ALL_WAITING: AtomicUsize = AtomicUsize::new(0);
+static TOTAL_WAITING_BYTES: AtomicUsize = AtomicUsize::new(0);
 
 /// Bytes that wait in all outboxes of this process; a frame that waits for several peers
 /// counts for each of them, though it is kept once.
 pub fn waiting_bytes() -> usize {
-    ALL_WAITING.load(Ordering::Relaxed)
+    TOTAL_WAITING_BYTES.load(Ordering::Relaxed)
 }
 
 /// A queue of messages with a thread that sends them, bounded in messages and in bytes.
@@ -29,29 +29,29 @@
 #[derive(Debug, Clone)]
 pub struct Outbox {
     sender: Sender<Frame>,
-    waiting: Arc<Waiting>,
+    waiting: Arc<WaitingBytes>,
     link: Link,
 }
 
 /// Bytes that wait for one peer; what is left of them is taken back when the last user is gone.
 #[derive(Debug, Default)]
-struct Waiting(AtomicUsize);
+struct WaitingBytes(AtomicUsize);
 
-impl Waiting {
+impl WaitingBytes {
     fn add(&self, bytes: usize) {
         self.0.fetch_add(bytes, Ordering::Relaxed);
-        ALL_WAITING.fetch_add(bytes, Ordering::Relaxed);
+        TOTAL_WAITING_BYTES.fetch_add(bytes, Ordering::Relaxed);
     }
 
     fn sub(&self, bytes: usize) {
         self.0.fetch_sub(bytes, Ordering::Relaxed);
-        ALL_WAITING.fetch_sub(bytes, Ordering::Relaxed);
+        TOTAL_WAITING_BYTES.fetch_sub(bytes, Ordering::Relaxed);
     }
 }
 
-impl Drop for Waiting {
+impl Drop for WaitingBytes {
     fn drop(&mut self) {
-        ALL_WAITING.fetch_sub(self.0.load(Ordering::Relaxed), Ordering::Relaxed);
+        TOTAL_WAITING_BYTES.fetch_sub(self.0.load(Ordering::Relaxed), Ordering::Relaxed);
     }
 }
 
@@ -82,8 +82,8 @@
 
     /// Queues an encoded message.
     pub fn send_frame(&self, frame: Frame) {
-        let bytes = frame.bytes();
-        if self.waiting_bytes() > MAX_WAITING_BYTES || self.sender.len() >= CAPACITY {
+        let bytes = frame.byte_len();
+        if self.waiting_bytes() > MAX_WAITING_BYTES || self.sender.len() >= MAX_WAITING_MESSAGES {
             log::warn!(waiting_bytes = self.waiting_bytes(); "a peer takes too little and is cut off");
             return self.link.close();
         }
@@ -106,10 +106,10 @@
 }
 
 /// Sends until nobody queues any more or the connection breaks.
-fn send_all(link: &Link, waiting: &Waiting, frames: &Receiver<Frame>) {
+fn send_all(link: &Link, waiting: &WaitingBytes, frames: &Receiver<Frame>) {
     for frame in frames {
         let sent = link.send_frame(&frame);
-        waiting.sub(frame.bytes());
+        waiting.sub(frame.byte_len());
         if sent.is_err() {
             return;
         }
--- a/crates/process/src/signals.rs
+++ b/crates/process/src/signals.rs
@@ -6,11 +6,11 @@
 use signal_hook::iterator::Signals;
 
 /// Signals remembered while nobody listens.
-const REMEMBERED: usize = 4;
+const MAX_PENDING_SIGNALS: usize = 4;
 
 /// What a signal asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Asked {
+pub enum SignalEvent {
     /// The process is to end.
     Stop,
     /// The settings have changed.
@@ -21,16 +21,16 @@
 ///
 /// # Errors
 /// If the handlers cannot be installed.
-pub fn asked() -> Result<Receiver<Asked>> {
+pub fn signal_events() -> Result<Receiver<SignalEvent>> {
     let mut signals =
         Signals::new([SIGTERM, SIGINT, SIGHUP]).context("installing signal handlers")?;
-    let (sender, receiver) = bounded(REMEMBERED);
+    let (sender, receiver) = bounded(MAX_PENDING_SIGNALS);
     std::thread::spawn(move || {
         for signal in signals.forever() {
             let asked = if signal == SIGHUP {
-                Asked::Reload
+                SignalEvent::Reload
             } else {
-                Asked::Stop
+                SignalEvent::Stop
             };
             // A full channel has enough signals already.
             let _ = sender.try_send(asked);
@@ -43,9 +43,9 @@
 ///
 /// # Errors
 /// If the handlers cannot be installed.
-pub fn termination() -> Result<Receiver<()>> {
+pub fn termination_signals() -> Result<Receiver<()>> {
     let mut signals = Signals::new([SIGTERM, SIGINT]).context("installing signal handlers")?;
-    let (sender, receiver) = bounded(REMEMBERED);
+    let (sender, receiver) = bounded(MAX_PENDING_SIGNALS);
     std::thread::spawn(move || {
         for _signal in signals.forever() {
             // A full channel has enough signals already.
--- a/crates/router/src/control.rs
+++ b/crates/router/src/control.rs
@@ -6,12 +6,12 @@
 use passway_config::settings::RouterSettings;
 use passway_decide::messages::{DemandVerdict, RouteChange};
 use passway_decide::router::{RouterAction, RouterCore};
-use passway_process::dial::{Dialed, Dialer};
+use passway_process::dial::{DialEvent, Dialer};
 use passway_process::outbox::Outbox;
 use passway_types::clock;
 use passway_types::prelude::*;
 use passway_wire::Body;
-use passway_wire::message::{self, ConfigWanted, Heartbeat, Hello, Role};
+use passway_wire::message::{self, ConfigRequest, Heartbeat, Hello, Role};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError, Weak};
@@ -87,13 +87,13 @@
                 return;
             };
             match dialed {
-                Dialed::Connected(outbox) => {
+                DialEvent::Connected(outbox) => {
                     outbox.send(Body::Hello(hello(&shared)));
                     control.links().outboxes.insert(address, outbox);
                     said_at = clock::now();
                 }
-                Dialed::Disconnected => control.disconnected(address),
-                Dialed::Received(body) => {
+                DialEvent::Disconnected => control.disconnected(address),
+                DialEvent::Received(body) => {
                     control.received(address, body, &shared);
                     if clock::since(said_at) >= WORD_PAUSE {
                         said_at = clock::now();
@@ -137,7 +137,7 @@
             Body::Heartbeat(heartbeat) => self.heartbeat(address, &heartbeat, shared),
             Body::Config(config) => self.config(&config.encoded, shared),
             Body::Routes(routes) => self.routes(routes, shared),
-            Body::Verdict(verdict) => self.verdict(address, &verdict, shared),
+            Body::DemandAnswer(verdict) => self.verdict(address, &verdict, shared),
             _ => {}
         }
     }
@@ -170,15 +170,15 @@
         self.want_config(address, heartbeat.config_revision, shared, now);
         let mut core = shared.core();
         core.set_routers(routers, now);
-        if !heartbeat.isolated {
+        if !heartbeat.is_isolated {
             core.set_current_until(now + shared.limits.stale_limit);
         }
     }
 
     /// Asks for a revision that this router lacks, at one controller at a time.
     fn want_config(&self, address: SocketAddr, revision: Revision, shared: &Shared, now: Instant) {
-        let have_revision = shared.catalog.load().revision;
-        if revision <= have_revision {
+        let known_revision = shared.catalog.load().revision;
+        if revision <= known_revision {
             return;
         }
         {
@@ -191,7 +191,10 @@
             }
             links.config_asked_at = Some(now);
         }
-        self.send_to(address, Body::ConfigWanted(ConfigWanted { have_revision }));
+        self.send_to(
+            address,
+            Body::ConfigRequest(ConfigRequest { known_revision }),
+        );
     }
 
     fn config(&self, encoded: &[u8], shared: &Arc<Shared>) {
@@ -232,7 +235,7 @@
             let mut links = self.links();
             let known = links.route_epochs.entry(routes.cell.clone()).or_default();
             // An older holder's word, or a change of a table that was never seen whole.
-            if routes.epoch < *known || (routes.epoch > *known && !routes.whole) {
+            if routes.epoch < *known || (routes.epoch > *known && !routes.is_complete) {
                 return;
             }
             *known = routes.epoch;
@@ -246,7 +249,7 @@
         let change = RouteChange {
             added: all(routes.added),
             removed: all(routes.removed),
-            whole: routes.whole,
+            whole: routes.is_complete,
         };
         self.decide(shared, |core, now| {
             core.routes_changed(now, &change, &routes.cell)
@@ -255,7 +258,7 @@
 
     /// Takes in the answer to a demand, if it is the holder's. A controller that was paused
     /// answers what it was asked as the holder, and would refuse what its successor serves.
-    fn verdict(&self, address: SocketAddr, verdict: &message::Verdict, shared: &Arc<Shared>) {
+    fn verdict(&self, address: SocketAddr, verdict: &message::DemandAnswer, shared: &Arc<Shared>) {
         let holder = self.holder_of(shared, &verdict.model);
         if holder.is_none_or(|holder| holder.address != address) {
             log::info!(model = verdict.model, controller:% = address; "an answer of a former holder is left out");
@@ -355,6 +358,6 @@
         incarnation: shared.incarnation,
         config_revision: shared.catalog.load().revision,
         in_progress: u32::try_from(shared.in_progress()).unwrap_or(u32::MAX),
-        leaving: shared.is_leaving(),
+        is_leaving: shared.is_leaving(),
     }
 }
--- a/crates/router/src/generate.rs
+++ b/crates/router/src/generate.rs
@@ -182,7 +182,7 @@
             if let Ok(word) = self.words.recv_timeout(CALLER_LOOK_PAUSE) {
                 return Ok(word);
             }
-            if self.caller.is_gone() {
+            if self.caller.is_disconnected() {
                 return Err(Refusal::new(ResultCode::CallerGone, "the caller went away"));
             }
             if clock::now() >= last_resort {
@@ -283,7 +283,7 @@
             .header("content-type", "text/event-stream")
             .header(REQUEST_HEADER, &self.label);
         let engine = EngineStream::new(response.into_body().into_reader());
-        http::build(builder, Body::wrap_reader(StreamReader::new(self, engine)))
+        http::build(builder, Body::from_reader(StreamReader::new(self, engine)))
     }
 
     /// Goes on with a broken stream at another engine, after `delivered` tokens.
--- a/crates/router/src/http.rs
+++ b/crates/router/src/http.rs
@@ -3,7 +3,7 @@
 use crate::control::Control;
 use crate::shared::Shared;
 use crate::{generate, service};
-use passway_http::{Body, Request, Response, Unread};
+use passway_http::{Body, BodyError, Request, Response};
 use passway_types::clock;
 use passway_types::prelude::*;
 use serde::Serialize;
@@ -117,9 +117,11 @@
 pub(crate) fn body<'r>(shared: &Shared, request: &'r Request) -> Result<&'r [u8], Refusal> {
     let limit = shared.limits.body_bytes;
     request.body.as_deref().map_err(|unread| match unread {
-        Unread::TooLarge => Refusal::new(ResultCode::BodyTooLarge, format!("over {limit} bytes")),
-        Unread::TooSlow => Refusal::new(ResultCode::BodyTooSlow, "the body did not arrive"),
-        Unread::Broken => Refusal::new(ResultCode::BadRequest, "the body broke off"),
+        BodyError::TooLarge => {
+            Refusal::new(ResultCode::BodyTooLarge, format!("over {limit} bytes"))
+        }
+        BodyError::TooSlow => Refusal::new(ResultCode::BodyTooSlow, "the body did not arrive"),
+        BodyError::Broken => Refusal::new(ResultCode::BadRequest, "the body broke off"),
     })
 }
 
--- a/crates/router/src/lifecycle.rs
+++ b/crates/router/src/lifecycle.rs
@@ -47,7 +47,7 @@
         let listen: SocketAddr = settings.listen.parse().context("listen")?;
         let limits = Limits {
             max_connections: settings.max_connections,
-            body_bytes: settings.body_limit_bytes,
+            max_body_bytes: settings.body_limit_bytes,
             ..Limits::default()
         };
         let server = Server::bind(listen).with_context(|| format!("binding {listen}"))?;
--- a/crates/standins/src/bin/passway-config-memory.rs
+++ b/crates/standins/src/bin/passway-config-memory.rs
@@ -329,7 +329,7 @@
         log.add(&told);
         let news = log.after(CONFIGURATION, revision - 1);
         let news = news.context("nothing to pass on")?;
-        let frame = Frame::new(Body::News(news)).context("encoding news")?;
+        let frame = Frame::new(Body::Updates(news)).context("encoding news")?;
         for outbox in &outboxes {
             outbox.send_frame(frame.clone());
         }
--- a/crates/standins/src/bin/passway-standins.rs
+++ b/crates/standins/src/bin/passway-standins.rs
@@ -45,7 +45,7 @@
     let path = &arguments.config;
     let text = std::fs::read_to_string(path).with_context(|| path.display().to_string())?;
     let (_, catalog) = catalog::parse(&text, 0).with_context(|| path.display().to_string())?;
-    let signals = passway_process::signals::termination()?;
+    let signals = passway_process::signals::termination_signals()?;
     let store = WeightStore::new(Pace::default());
     for upstream in catalog.upstreams.values() {
         let traits = EngineTraits {
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -182,7 +182,7 @@
             return server::json(&self.ledger());
         }
         if self.state().faults.dead {
-            return server::answer(200, Body::wrap_reader(BrokenBody));
+            return server::answer(200, Body::from_reader(BrokenBody));
         }
         match path.as_str() {
             "/control/status" => server::json(&self.status()),
@@ -313,7 +313,7 @@
         };
         if body["stream"].as_bool().unwrap_or(false) {
             let builder = http::Response::builder().header("content-type", "text/event-stream");
-            return builder.body(Body::wrap_reader(stream)).unwrap_or_default();
+            return builder.body(Body::from_reader(stream)).unwrap_or_default();
         }
         whole(stream)
     }
@@ -430,7 +430,7 @@
                 count += 1;
             }
             Ok(None) => break,
-            Err(_) => return server::answer(200, Body::wrap_reader(BrokenBody)),
+            Err(_) => return server::answer(200, Body::from_reader(BrokenBody)),
         }
     }
     server::json(&serde_json::json!({
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -98,7 +98,7 @@
         std::thread::sleep(Duration::from_millis(faults.delay_ms));
         let run = self.run(key.as_deref());
         if faults.break_after_run {
-            return server::answer(200, Body::wrap_reader(Broken));
+            return server::answer(200, Body::from_reader(Broken));
         }
         server::answer(
             200,
--- a/crates/types/src/clock.rs
+++ b/crates/types/src/clock.rs
@@ -13,15 +13,15 @@
 
 /// One moment by both clocks.
 #[derive(Debug, Clone, Copy)]
-struct Start {
+struct ClockBase {
     instant: Instant,
     /// Time since the machine has started, with suspensions.
     running: Duration,
 }
 
-static START: OnceLock<Start> = OnceLock::new();
+static START: OnceLock<ClockBase> = OnceLock::new();
 /// Milliseconds of the suspensions that tests have played.
-static PLAYED_MS: AtomicU64 = AtomicU64::new(0);
+static SIMULATED_SUSPENSION_MS: AtomicU64 = AtomicU64::new(0);
 
 /// The present moment. It goes on while the machine is suspended, and is never set back.
 #[expect(
@@ -29,11 +29,11 @@
     reason = "the one place that makes the steady clock count suspensions"
 )]
 pub fn now() -> Instant {
-    let start = START.get_or_init(|| Start {
+    let start = START.get_or_init(|| ClockBase {
         instant: Instant::now(),
-        running: running(),
+        running: time_since_boot(),
     });
-    start.instant + running().saturating_sub(start.running)
+    start.instant + time_since_boot().saturating_sub(start.running)
 }
 
 /// Time since a moment; zero if it is yet to come.
@@ -42,16 +42,17 @@
 }
 
 /// Goes on as if the machine had been suspended for so long; for tests.
-pub fn play_suspension(time: Duration) {
+pub fn simulate_suspension(time: Duration) {
     let ms = u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
-    PLAYED_MS.fetch_add(ms, Ordering::AcqRel);
+    SIMULATED_SUSPENSION_MS.fetch_add(ms, Ordering::AcqRel);
 }
 
 /// Time since the machine has started, with suspensions.
-fn running() -> Duration {
+fn time_since_boot() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     // Neither part is ever negative: the clock starts with the machine.
     let seconds = u64::try_from(time.tv_sec).unwrap_or(0);
     let nanoseconds = u32::try_from(time.tv_nsec).unwrap_or(0);
-    Duration::new(seconds, nanoseconds) + Duration::from_millis(PLAYED_MS.load(Ordering::Acquire))
+    Duration::new(seconds, nanoseconds)
+        + Duration::from_millis(SIMULATED_SUSPENSION_MS.load(Ordering::Acquire))
 }
--- a/crates/wire/src/dispatch.rs
+++ b/crates/wire/src/dispatch.rs
@@ -2,7 +2,7 @@
 //! those to and from the dispatcher of an engine.
 
 use crate::message::Suspects;
-use crate::permits::{UseAsk, UseBack, UseTold, VersionAsk, VersionTold};
+use crate::permits::{PermitAnswer, PermitRelease, PermitRequest, VersionAnswer, VersionQuery};
 use prost::{Message, Oneof};
 
 /// One datagram.
@@ -15,12 +15,12 @@
 
 impl Datagram {
     /// The bytes of a datagram with a message, or without one.
-    pub fn bytes(body: Option<Dispatch>) -> Vec<u8> {
+    pub fn encode_body(body: Option<Dispatch>) -> Vec<u8> {
         Self { body }.encode_to_vec()
     }
 
     /// The message that bytes hold; `None` if there is none, or it cannot be read.
-    pub fn read(bytes: &[u8]) -> Option<Dispatch> {
+    pub fn decode_body(bytes: &[u8]) -> Option<Dispatch> {
         Self::decode(bytes).ok()?.body
     }
 }
@@ -30,31 +30,31 @@
 pub enum Dispatch {
     /// Asks for an engine.
     #[prost(message, tag = "1")]
-    Ask(Ask),
+    DispatchRequest(DispatchRequest),
     /// The answer.
     #[prost(message, tag = "2")]
-    Grant(Grant),
+    DispatchReply(DispatchReply),
     /// A run is over.
     #[prost(message, tag = "3")]
-    Ended(Ended),
+    RunEnded(RunEnded),
     /// All that an instance runs on the dispatcher's engines.
     #[prost(message, tag = "4")]
-    Running(Running),
+    RunSnapshot(RunSnapshot),
     /// Asks how new the configuration is.
     #[prost(message, tag = "5")]
-    VersionAsk(VersionAsk),
+    VersionQuery(VersionQuery),
     /// The answer.
     #[prost(message, tag = "6")]
-    VersionTold(VersionTold),
+    VersionAnswer(VersionAnswer),
     /// Asks whether a workspace may use so much.
     #[prost(message, tag = "7")]
-    UseAsk(UseAsk),
+    PermitRequest(PermitRequest),
     /// The answer.
     #[prost(message, tag = "8")]
-    UseTold(UseTold),
+    PermitAnswer(PermitAnswer),
     /// What a workspace has not used.
     #[prost(message, tag = "9")]
-    UseBack(UseBack),
+    PermitRelease(PermitRelease),
     /// What the sender knows of requests that crash upstreams.
     #[prost(message, tag = "10")]
     Suspects(Suspects),
@@ -62,7 +62,7 @@
 
 /// Asks for an engine for one attempt.
 #[derive(Clone, PartialEq, Message)]
-pub struct Ask {
+pub struct DispatchRequest {
     /// The attempt's number at the instance that asks.
     #[prost(uint64, tag = "1")]
     pub id: u64,
@@ -80,13 +80,13 @@
     pub hall: String,
     /// A number of the request's own.
     #[prost(fixed64, tag = "6")]
-    pub drawn: u64,
+    pub random: u64,
     /// Time until it must begin to be in time, in milliseconds; below 0 if it is late.
     #[prost(sint64, tag = "8")]
     pub due_in_ms: i64,
     /// Engines where the request has been.
     #[prost(string, repeated, tag = "7")]
-    pub tried: Vec<String>,
+    pub tried_engines: Vec<String>,
     /// Whether engines let it in before all others that wait.
     #[prost(bool, tag = "9")]
     pub is_urgent: bool,
@@ -95,7 +95,7 @@
     pub regions: Vec<String>,
     /// Whether they bind.
     #[prost(bool, tag = "11")]
-    pub is_bound: bool,
+    pub is_restricted: bool,
 }
 
 /// What an attempt may do.
@@ -110,9 +110,9 @@
     Go = 2,
 }
 
-/// The answer to an [`Ask`].
+/// The answer to an [`DispatchRequest`].
 #[derive(Clone, PartialEq, Message)]
-pub struct Grant {
+pub struct DispatchReply {
     /// The attempt's number.
     #[prost(uint64, tag = "1")]
     pub id: u64,
@@ -142,7 +142,7 @@
 
 /// A run is over.
 #[derive(Clone, PartialEq, Message)]
-pub struct Ended {
+pub struct RunEnded {
     /// The attempt's number.
     #[prost(uint64, tag = "1")]
     pub id: u64,
@@ -153,7 +153,7 @@
 
 /// A run on an engine.
 #[derive(Clone, PartialEq, Message)]
-pub struct RunHere {
+pub struct EngineRun {
     /// The attempt's number.
     #[prost(uint64, tag = "1")]
     pub id: u64,
@@ -164,8 +164,8 @@
 
 /// What an instance runs on a dispatcher's engines.
 #[derive(Clone, PartialEq, Message)]
-pub struct Running {
+pub struct RunSnapshot {
     /// The runs.
     #[prost(message, repeated, tag = "1")]
-    pub runs: Vec<RunHere>,
+    pub runs: Vec<EngineRun>,
 }
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -19,7 +19,7 @@
 /// Unacknowledged bytes end a connection after this time, in milliseconds: one that has
 /// fallen silent takes what is written for as long as its buffers do, and an instance's
 /// needs would reach nobody. Enough for three lost segments in a row.
-const SILENCE_LIMIT_MS: u32 = 1_500;
+const UNACKNOWLEDGED_TIMEOUT_MS: u32 = 1_500;
 
 /// Bytes sent over all links of this process.
 static SENT_BYTES: AtomicU64 = AtomicU64::new(0);
@@ -53,7 +53,7 @@
     }
 
     /// Its length in bytes.
-    pub fn bytes(&self) -> usize {
+    pub fn byte_len(&self) -> usize {
         self.0.len()
     }
 }
@@ -89,7 +89,7 @@
     ///
     /// # Errors
     /// The socket's error.
-    pub fn silence_limit_ms(&self) -> io::Result<u32> {
+    pub fn unacknowledged_timeout_ms(&self) -> io::Result<u32> {
         Ok(rustix::net::sockopt::tcp_user_timeout(&*self.stream)?)
     }
 
@@ -99,7 +99,7 @@
     /// The socket's error.
     pub fn from_stream(stream: TcpStream) -> io::Result<(Self, LinkReader)> {
         stream.set_nodelay(true)?;
-        rustix::net::sockopt::set_tcp_user_timeout(&stream, SILENCE_LIMIT_MS)?;
+        rustix::net::sockopt::set_tcp_user_timeout(&stream, UNACKNOWLEDGED_TIMEOUT_MS)?;
         stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
         let reading = stream.try_clone()?;
         let reader = LinkReader {
@@ -133,7 +133,7 @@
         let writing = self.writing.lock().unwrap_or_else(PoisonError::into_inner);
         let sent = (&*self.stream).write_all(&frame.0);
         drop(writing);
-        SENT_BYTES.fetch_add(frame.bytes() as u64, Ordering::Relaxed);
+        SENT_BYTES.fetch_add(frame.byte_len() as u64, Ordering::Relaxed);
         if sent.is_err() {
             self.close();
         }
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -34,7 +34,7 @@
     Demand(Demand),
     /// A holder's answer to a demand.
     #[prost(message, tag = "6")]
-    Verdict(Verdict),
+    DemandAnswer(DemandAnswer),
     /// A router's report of use.
     #[prost(message, tag = "7")]
     Usage(Usage),
@@ -52,10 +52,10 @@
     QueryAnswer(QueryAnswer),
     /// Asks a controller for its revision of the configuration.
     #[prost(message, tag = "12")]
-    ConfigWanted(ConfigWanted),
+    ConfigRequest(ConfigRequest),
     /// What an instance needs and uses.
     #[prost(message, tag = "13")]
-    Needs(Needs),
+    InstanceReport(InstanceReport),
     /// What stands on engines.
     #[prost(message, tag = "14")]
     Placements(Placements),
@@ -64,16 +64,16 @@
     Subscribe(Subscribe),
     /// What the store told the holder.
     #[prost(message, tag = "16")]
-    News(News),
+    Updates(Updates),
     /// Where the instances that listen to the holder can be reached.
     #[prost(message, tag = "17")]
     Members(Members),
     /// Who holds the right to order now.
     #[prost(message, tag = "18")]
-    Successor(Successor),
+    NewHolder(NewHolder),
     /// A holder that the store does not answer asks a candidate to promise.
     #[prost(message, tag = "19")]
-    PromiseWanted(PromiseWanted),
+    PromiseRequest(PromiseRequest),
     /// A candidate's promise not to take the right to order.
     #[prost(message, tag = "20")]
     Promise(Promise),
@@ -85,7 +85,7 @@
     Suspects(Suspects),
     /// What upstreams say of themselves in their answers.
     #[prost(message, tag = "23")]
-    Words(Words),
+    KnownSignals(KnownSignals),
 }
 
 /// What an upstream said of how much it takes.
@@ -99,13 +99,13 @@
     pub started_at_ms: u64,
     /// Requests a second, from all instances together; `None` if it is in no need any more.
     #[prost(double, optional, tag = "3")]
-    pub per_s: Option<f64>,
+    pub requests_per_s: Option<f64>,
     /// Time since the request was sent whose answer says so, in milliseconds.
     #[prost(uint64, tag = "4")]
     pub sent_ms_ago: u64,
     /// Time since that answer came, in milliseconds.
     #[prost(uint64, tag = "5")]
-    pub heard_ms_ago: u64,
+    pub received_ms_ago: u64,
 }
 
 /// A start of an upstream that leaves.
@@ -121,7 +121,7 @@
 
 /// A start of an upstream that wants nothing from the instance that tells it.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct RestingUpstream {
+pub struct BackingOffUpstream {
     /// The upstream.
     #[prost(string, tag = "1")]
     pub upstream: String,
@@ -130,12 +130,12 @@
     pub started_at_ms: u64,
     /// For how long yet, in milliseconds.
     #[prost(uint64, tag = "3")]
-    pub left_ms: u64,
+    pub remaining_ms: u64,
 }
 
 /// What upstreams said of themselves in their answers, as far as the sender knows.
 #[derive(Clone, PartialEq, Message)]
-pub struct Words {
+pub struct KnownSignals {
     /// How much they take.
     #[prost(message, repeated, tag = "1")]
     pub limits: Vec<UpstreamLimit>,
@@ -144,19 +144,19 @@
     pub leaving: Vec<LeavingUpstream>,
     /// Those that want nothing from the sender; told to the holder of the right to order only.
     #[prost(message, repeated, tag = "3")]
-    pub resting: Vec<RestingUpstream>,
+    pub backing_off: Vec<BackingOffUpstream>,
 }
 
 /// A holder of the right to order that the store does not answer asks a candidate to
 /// promise that it does not take the right for a while.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Message)]
-pub struct PromiseWanted {
+pub struct PromiseRequest {
     /// The holder's fencing number.
     #[prost(uint64, tag = "1")]
     pub fence: u64,
     /// When it was asked, in milliseconds since some moment of the holder's own.
     #[prost(uint64, tag = "2")]
-    pub asked_ms: u64,
+    pub asked_at_ms: u64,
 }
 
 /// A candidate's promise not to take the right to order.
@@ -170,10 +170,10 @@
     pub fence: u64,
     /// The moment that it named.
     #[prost(uint64, tag = "3")]
-    pub asked_ms: u64,
+    pub asked_at_ms: u64,
     /// Whether the candidate's process ends, so that it never takes the right.
     #[prost(bool, tag = "4")]
-    pub leaves: bool,
+    pub is_leaving: bool,
 }
 
 /// A crash of an upstream.
@@ -189,13 +189,13 @@
     /// one explains it, 2 that the request was answered since, 3 that the upstream broke off and it
     /// is not known whether it has ended.
     #[prost(uint32, tag = "3")]
-    pub blame: u32,
+    pub status: u32,
     /// Time since the run was sent, in milliseconds, where that is known.
     #[prost(uint64, optional, tag = "4")]
     pub sent_ms_ago: Option<u64>,
     /// Time since it broke off, in milliseconds, where that is known.
     #[prost(uint64, optional, tag = "5")]
-    pub broke_ms_ago: Option<u64>,
+    pub disconnected_ms_ago: Option<u64>,
 }
 
 /// A request under which upstreams have crashed.
@@ -217,12 +217,12 @@
     pub suspects: Vec<Suspect>,
     /// Upstreams that broke off lately and may have ended.
     #[prost(message, repeated, tag = "2")]
-    pub breaks: Vec<Break>,
+    pub disconnects: Vec<UpstreamDisconnect>,
 }
 
 /// A start of an upstream that broke off.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct Break {
+pub struct UpstreamDisconnect {
     /// The upstream.
     #[prost(string, tag = "1")]
     pub upstream: String,
@@ -239,7 +239,7 @@
 pub struct Subscribe {
     /// What it knows of each feed: the store's revision, 0 for nothing; in the order of feeds.
     #[prost(uint64, repeated, tag = "1")]
-    pub known: Vec<u64>,
+    pub known_revisions: Vec<u64>,
     /// Its name.
     #[prost(string, tag = "2")]
     pub instance: String,
@@ -251,7 +251,7 @@
     pub is_weak: bool,
     /// Digests of what it believes to stand on each engine.
     #[prost(fixed64, repeated, tag = "5")]
-    pub placements: Vec<u64>,
+    pub placement_digests: Vec<u64>,
 }
 
 /// An instance and where it listens for others.
@@ -275,7 +275,7 @@
 
 /// A new holder of the right to order says so to an instance that may not know it.
 #[derive(Clone, PartialEq, Message)]
-pub struct Successor {
+pub struct NewHolder {
     /// Its name.
     #[prost(string, tag = "1")]
     pub instance: String,
@@ -289,7 +289,7 @@
 
 /// A value of the store.
 #[derive(Clone, PartialEq, Message)]
-pub struct NewsValue {
+pub struct StoreValue {
     /// Its key.
     #[prost(string, tag = "1")]
     pub key: String,
@@ -301,46 +301,46 @@
     pub revision: u64,
     /// Its length before it was packed, in bytes; 0 if it is not packed.
     #[prost(uint64, tag = "4")]
-    pub plain_bytes: u64,
+    pub uncompressed_bytes: u64,
     /// The revision of the key's value that it is packed against; 0 if against none.
     #[prost(uint64, tag = "5")]
-    pub base: u64,
+    pub base_revision: u64,
 }
 
 /// What the store told of one feed; without changes it only says that the sender lives.
 #[derive(Clone, PartialEq, Message)]
-pub struct News {
+pub struct Updates {
     /// The feed's number.
     #[prost(uint32, tag = "1")]
     pub feed: u32,
     /// The revision that the changes follow on; 0 if this is all there is.
     #[prost(uint64, tag = "2")]
-    pub from: u64,
+    pub from_revision: u64,
     /// The revision up to which this tells; 0 if it tells nothing.
     #[prost(uint64, tag = "3")]
-    pub to: u64,
+    pub to_revision: u64,
     /// The changes, or all values.
     #[prost(message, repeated, tag = "4")]
-    pub values: Vec<NewsValue>,
+    pub values: Vec<StoreValue>,
     /// Instances that the holder knows of; 0 if it does not say.
     #[prost(uint32, tag = "5")]
-    pub instances: u32,
+    pub instance_count: u32,
     /// When this was queued, in milliseconds since a moment of the holder's own; 0 if it does
     /// not say.
     #[prost(uint64, tag = "6")]
-    pub sent_ms: u64,
+    pub queued_at_ms: u64,
     /// When the store confirmed last to the holder that it knows all of a feed, by feeds, in
     /// milliseconds since the same moment; 0 for never.
     #[prost(uint64, repeated, tag = "7")]
-    pub confirmed_ms: Vec<u64>,
+    pub confirmed_at_ms: Vec<u64>,
     /// Engines to which an order of the holder has no answer and may be carried out yet.
     #[prost(string, repeated, tag = "8")]
-    pub doubtful: Vec<String>,
+    pub unconfirmed: Vec<String>,
 }
 
 /// A model or adapter of a service.
 #[derive(Clone, PartialEq, Message)]
-pub struct Wish {
+pub struct ModelRequests {
     /// The service.
     #[prost(string, tag = "1")]
     pub service: String,
@@ -352,7 +352,7 @@
     pub adapter: String,
     /// Milliseconds for which the last of the requests still waits; 0 for requests taken.
     #[prost(uint32, tag = "4")]
-    pub wait_ms: u32,
+    pub remaining_wait_ms: u32,
     /// Requests that wait, 0 if none does any more; or requests taken.
     #[prost(uint32, tag = "5")]
     pub count: u32,
@@ -360,7 +360,7 @@
 
 /// Requests that run on an engine.
 #[derive(Clone, PartialEq, Message)]
-pub struct Running {
+pub struct RunCount {
     /// The engine.
     #[prost(string, tag = "1")]
     pub engine: String,
@@ -374,24 +374,24 @@
 
 /// What an instance tells the holder of the right to order.
 #[derive(Clone, PartialEq, Message)]
-pub struct Needs {
+pub struct InstanceReport {
     /// The instance.
     #[prost(string, tag = "1")]
     pub instance: String,
     /// What requests wait for, where that has changed since the last message.
     #[prost(message, repeated, tag = "2")]
-    pub waiting: Vec<Wish>,
+    pub waiting: Vec<ModelRequests>,
     /// What requests were taken for since the last message.
     #[prost(message, repeated, tag = "3")]
-    pub taken: Vec<Wish>,
+    pub accepted: Vec<ModelRequests>,
     /// What runs now.
     #[prost(message, repeated, tag = "4")]
-    pub running: Vec<Running>,
+    pub running: Vec<RunCount>,
 }
 
 /// A model on an engine.
 #[derive(Clone, PartialEq, Message)]
-pub struct Resident {
+pub struct PlacedModel {
     /// The model.
     #[prost(string, tag = "1")]
     pub model: String,
@@ -408,10 +408,10 @@
     pub engine: String,
     /// Its models.
     #[prost(message, repeated, tag = "2")]
-    pub models: Vec<Resident>,
+    pub models: Vec<PlacedModel>,
     /// Models that are about to go.
     #[prost(string, repeated, tag = "3")]
-    pub closing: Vec<String>,
+    pub evicting: Vec<String>,
 }
 
 /// What the holder of the right to order tells the instances.
@@ -456,7 +456,7 @@
     pub in_progress: u32,
     /// Whether the sender is leaving.
     #[prost(bool, tag = "6")]
-    pub leaving: bool,
+    pub is_leaving: bool,
 }
 
 /// What a controller knows of the holder of a cell.
@@ -491,7 +491,7 @@
     pub config_age_ms: u64,
     /// Whether it reaches neither the service nor any other controller.
     #[prost(bool, tag = "5")]
-    pub isolated: bool,
+    pub is_isolated: bool,
     /// Live routers.
     #[prost(uint32, tag = "6")]
     pub routers: u32,
@@ -506,10 +506,10 @@
 /// Whoever lacks a revision asks one controller for it, so that it travels to
 /// each node once, however many controllers tell of it.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct ConfigWanted {
+pub struct ConfigRequest {
     /// The revision in force at the sender.
     #[prost(uint64, tag = "1")]
-    pub have_revision: u64,
+    pub known_revision: u64,
 }
 
 /// A revision of the configuration.
@@ -542,7 +542,7 @@
     pub epoch: u64,
     /// Whether `added` is the whole table.
     #[prost(bool, tag = "3")]
-    pub whole: bool,
+    pub is_complete: bool,
     /// Replicas that serve.
     #[prost(message, repeated, tag = "4")]
     pub added: Vec<Route>,
@@ -573,7 +573,7 @@
 
 /// A holder's answer to a demand.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct Verdict {
+pub struct DemandAnswer {
     /// The model.
     #[prost(string, tag = "1")]
     pub model: String,
@@ -618,7 +618,7 @@
     pub incarnation: u64,
     /// Whether an order of that epoch is still in its hands.
     #[prost(bool, tag = "2")]
-    pub may_order: bool,
+    pub has_order_in_flight: bool,
 }
 
 /// An operator's question.
@@ -626,7 +626,7 @@
 pub struct Query {
     /// `status`, `audit` or `drain`.
     #[prost(string, tag = "1")]
-    pub what: String,
+    pub kind: String,
 }
 
 /// The answer to an operator's question.
--- a/crates/wire/src/permits.rs
+++ b/crates/wire/src/permits.rs
@@ -5,15 +5,15 @@
 
 /// Asks an instance for the newest version of the configuration that it can prove.
 #[derive(Clone, PartialEq, Message)]
-pub struct VersionAsk {
+pub struct VersionQuery {
     /// The question's number at the instance that asks.
     #[prost(fixed64, tag = "1")]
     pub id: u64,
 }
 
-/// The answer to a [`VersionAsk`].
+/// The answer to a [`VersionQuery`].
 #[derive(Clone, PartialEq, Message)]
-pub struct VersionTold {
+pub struct VersionAnswer {
     /// The question's number.
     #[prost(fixed64, tag = "1")]
     pub id: u64,
@@ -28,7 +28,7 @@
 /// Asks the keeper whether a request may go: for its workspace's allotment, or to an upstream that
 /// names how much it takes.
 #[derive(Clone, PartialEq, Message)]
-pub struct UseAsk {
+pub struct PermitRequest {
     /// The question's number at the instance that asks.
     #[prost(fixed64, tag = "1")]
     pub id: u64,
@@ -62,16 +62,16 @@
 #[repr(i32)]
 pub enum UseVerdict {
     /// The instance that was asked is not the keeper.
-    NotKeeper = 0,
+    NotCoordinator = 0,
     /// It may.
     Granted = 1,
     /// The workspace has used what it may, or the upstream has what it takes.
     Refused = 2,
 }
 
-/// The answer to a [`UseAsk`].
+/// The answer to a [`PermitRequest`].
 #[derive(Clone, PartialEq, Message)]
-pub struct UseTold {
+pub struct PermitAnswer {
     /// The question's number.
     #[prost(fixed64, tag = "1")]
     pub id: u64,
@@ -83,12 +83,12 @@
     pub retry_after_ms: u64,
     /// The asking instance's part of the workspace's rate, in units a second.
     #[prost(double, tag = "4")]
-    pub part_per_s: f64,
+    pub instance_rate_per_s: f64,
 }
 
 /// A request that was granted did not run and never will.
 #[derive(Clone, PartialEq, Message)]
-pub struct UseBack {
+pub struct PermitRelease {
     /// The workspace.
     #[prost(string, tag = "1")]
     pub workspace: String,
--- a/src/bin/passway-controller.rs
+++ b/src/bin/passway-controller.rs
@@ -26,7 +26,7 @@
         return Ok(());
     }
     passway_process::logging::start("passway-controller", &settings.log_level)?;
-    let signals = passway_process::signals::termination()?;
+    let signals = passway_process::signals::termination_signals()?;
     let controller = Controller::start(settings)?;
     signals.recv().context("waiting for a signal")?;
     controller.stop();
--- a/src/bin/passway-instance.rs
+++ b/src/bin/passway-instance.rs
@@ -4,7 +4,7 @@
 use clap::Parser;
 use passway_instance::{Instance, Surroundings};
 use passway_process::logging;
-use passway_process::signals::Asked;
+use passway_process::signals::SignalEvent;
 use passway_serving::placement::policy::PolicyName;
 use passway_users_platform::{
     MetadataStore, PlatformDirectory, PlatformHeaders, ServerControl, read_settings,
@@ -56,7 +56,7 @@
         &arguments.log_level,
         arguments.log_lines_per_s,
     )?;
-    let signals = passway_process::signals::asked()?;
+    let signals = passway_process::signals::signal_events()?;
     let surroundings = Surroundings {
         store: Arc::new(MetadataStore::new(settings.store_address)),
         directory: Arc::new(PlatformDirectory),
@@ -64,7 +64,7 @@
         engines: Arc::new(ServerControl::default()),
     };
     let instance = Instance::start(settings, surroundings)?;
-    while signals.recv_timeout(SETTINGS_PAUSE) != Ok(Asked::Stop) {
+    while signals.recv_timeout(SETTINGS_PAUSE) != Ok(SignalEvent::Stop) {
         // The file may change with or without a signal.
         match read_settings() {
             Ok(settings) => instance.reload(&settings),
@@ -74,6 +74,6 @@
         }
     }
     instance.stop();
-    std::thread::sleep(logging::json::flush_time());
+    std::thread::sleep(logging::json::max_flush_delay());
     Ok(ExitCode::SUCCESS)
 }
--- a/src/bin/passway-router.rs
+++ b/src/bin/passway-router.rs
@@ -28,7 +28,7 @@
         return Ok(());
     }
     passway_process::logging::start("passway-router", &settings.log_level)?;
-    let signals = passway_process::signals::termination()?;
+    let signals = passway_process::signals::termination_signals()?;
     let router = Router::start(&settings)?;
     signals.recv().context("waiting for a signal")?;
     let cut = router.drain().finish(|| signals.try_recv().is_ok());
--- a/tests/all/config_memory.rs
+++ b/tests/all/config_memory.rs
@@ -11,7 +11,7 @@
 use crate::site::{self, configuration, until};
 use passway_instance::Instance;
 use passway_standins::platform::caller::HOST;
-use passway_wire::message::{News, Subscribe};
+use passway_wire::message::{Subscribe, Updates};
 use passway_wire::{Body, Link, LinkReader};
 use prost::Message;
 use serde_json::{Value, json};
@@ -51,11 +51,11 @@
     let (link, reader) = Link::connect(address, Duration::from_secs(5)).expect("a link");
     let subscribe = || {
         link.send(Body::Subscribe(Subscribe {
-            known: vec![1, 1],
+            known_revisions: vec![1, 1],
             instance: name.into(),
             address: "127.0.0.1:1".into(),
             is_weak: false,
-            placements: Vec::new(),
+            placement_digests: Vec::new(),
         }))
     };
     until("its coming", || {
@@ -74,9 +74,9 @@
         let Ok(Some(body)) = reader.receive() else {
             return (bytes, false);
         };
-        let Body::News(news) = body else { continue };
+        let Body::Updates(news) = body else { continue };
         bytes += news.encoded_len();
-        let is_there = |news: &News| news.values.iter().any(|value| value.key == key);
+        let is_there = |news: &Updates| news.values.iter().any(|value| value.key == key);
         if is_there(&news) {
             return (bytes, true);
         }
--- a/tests/all/config_way.rs
+++ b/tests/all/config_way.rs
@@ -15,7 +15,7 @@
 use passway_instance::relay::{CONFIGURATION, FEEDS, Relay, Tap};
 use passway_serving::ports::{Listing, StoreChange, StoreError, StoredValue, WatchAnswer};
 use passway_types::prelude::*;
-use passway_wire::message::{News, NewsValue};
+use passway_wire::message::{StoreValue, Updates};
 
 fn empty_list() -> Listing {
     Listing {
@@ -51,12 +51,12 @@
     let seen = followed(store, tap, &shared());
     until("the list", || seen.have(10));
     until("the holder's word", || {
-        relay.heard(News {
-            values: vec![NewsValue {
+        relay.heard(Updates {
+            values: vec![StoreValue {
                 key: "op/config".into(),
                 value: Some(Bytes::new()),
                 revision: 20,
-                ..NewsValue::default()
+                ..StoreValue::default()
             }],
             ..word(10, 20)
         });
@@ -66,12 +66,12 @@
 
 /// A feed asks the store although the holder speaks, which has heard nothing of the store.
 fn asks_beside_words(relay: &Relay, tap: Tap) {
-    relay.heard(News::default());
+    relay.heard(Updates::default());
     let store = ToldStore::new(|_| Ok(empty_list()), |_| Ok(change()));
     let seen = followed(store, tap, &shared());
     until("the list", || seen.have(10));
     until("the store's word", || {
-        relay.heard(News::default());
+        relay.heard(Updates::default());
         seen.have(20)
     });
 }
--- a/tests/all/dispatch_way.rs
+++ b/tests/all/dispatch_way.rs
@@ -6,7 +6,9 @@
 use passway_instance::Instance;
 use passway_standins::platform::model_server::{Faults, ModelServer};
 use passway_standins::platform::store::MetadataStandIn;
-use passway_wire::dispatch::{Ask, Datagram, Dispatch, Ended, Grant, RunOutcome, Running, Verdict};
+use passway_wire::dispatch::{
+    Datagram, Dispatch, DispatchReply, DispatchRequest, RunEnded, RunOutcome, RunSnapshot, Verdict,
+};
 use passway_wire::message::{Member, Members};
 use passway_wire::{Body, Link};
 use std::net::{SocketAddr, UdpSocket};
@@ -57,7 +59,7 @@
 
 impl World {
     fn send(&self, body: Dispatch) {
-        let bytes = Datagram::bytes(Some(body));
+        let bytes = Datagram::encode_body(Some(body));
         self.socket.send_to(&bytes, self.address).expect("sent");
     }
 
@@ -65,31 +67,31 @@
         let mut bytes = [0; 1_500];
         loop {
             let (length, _) = self.socket.recv_from(&mut bytes).expect("a datagram");
-            if let Some(body) = Datagram::read(&bytes[..length]) {
+            if let Some(body) = Datagram::decode_body(&bytes[..length]) {
                 return body;
             }
         }
     }
 
     /// The instance's answer to a question.
-    fn ask(&self, id: u64) -> Grant {
-        self.send(Dispatch::Ask(Ask {
+    fn ask(&self, id: u64) -> DispatchReply {
+        self.send(Dispatch::DispatchRequest(DispatchRequest {
             id,
             service: "engines".into(),
             model: "m0".into(),
             hall: "hall0".into(),
-            drawn: id,
-            ..Ask::default()
+            random: id,
+            ..DispatchRequest::default()
         }));
         match self.receive() {
-            Dispatch::Grant(grant) => grant,
+            Dispatch::DispatchReply(grant) => grant,
             other => panic!("{other:?}"),
         }
     }
 }
 
 /// Slots of one engine, as [`ModelServer`] says of itself.
-fn granted_until_full(world: &World) -> Vec<Grant> {
+fn granted_until_full(world: &World) -> Vec<DispatchReply> {
     let grants = (0..100).map(|id| world.ask(id));
     grants
         .take_while(|grant| grant.verdict() == Verdict::Go)
@@ -106,7 +108,7 @@
     assert_eq!(world.ask(0), grants[0]);
     // A slot is free again once its run is over.
     assert_eq!(world.ask(500).verdict(), Verdict::Full);
-    world.send(Dispatch::Ended(Ended {
+    world.send(Dispatch::RunEnded(RunEnded {
         id: 0,
         outcome: RunOutcome::Answered.into(),
     }));
@@ -116,13 +118,13 @@
         (Verdict::Go, &grants[0].engine)
     );
     // What is not there is not granted.
-    world.send(Dispatch::Ask(Ask {
+    world.send(Dispatch::DispatchRequest(DispatchRequest {
         id: 502,
         service: "engines".into(),
         model: "m9".into(),
-        ..Ask::default()
+        ..DispatchRequest::default()
     }));
-    let Dispatch::Grant(grant) = world.receive() else {
+    let Dispatch::DispatchReply(grant) = world.receive() else {
         panic!("no answer");
     };
     assert_eq!(grant.verdict(), Verdict::Absent);
@@ -149,15 +151,15 @@
     let world = world(&[None]);
     let all = granted_until_full(&world).len();
     let slots = u64::try_from(all / 2).expect("small");
-    let runs = (0..slots).map(|id| passway_wire::dispatch::RunHere {
+    let runs = (0..slots).map(|id| passway_wire::dispatch::EngineRun {
         id,
         engine: "i-0".into(),
     });
-    let running = Running {
+    let running = RunSnapshot {
         runs: runs.collect(),
     };
     // What was granted here lapses, since nobody speaks of it.
-    let bytes = Datagram::bytes(Some(Dispatch::Running(running)));
+    let bytes = Datagram::encode_body(Some(Dispatch::RunSnapshot(running)));
     other_engine_alone(&world, &bytes);
 }
 
@@ -167,17 +169,17 @@
     let world = world(&[None]);
     let all = granted_until_full(&world).len();
     let slots = u64::try_from(all / 2).expect("small");
-    let run = |id, engine: &str| passway_wire::dispatch::RunHere {
+    let run = |id, engine: &str| passway_wire::dispatch::EngineRun {
         id,
         engine: engine.to_owned(),
     };
     let long = "e".repeat(200);
     let others = (1_000..1_032).map(|id| run(id, &long));
     let runs = others.chain((0..slots).map(|id| run(id, "i-0")));
-    let running = Running {
+    let running = RunSnapshot {
         runs: runs.collect(),
     };
-    let bytes = Datagram::bytes(Some(Dispatch::Running(running)));
+    let bytes = Datagram::encode_body(Some(Dispatch::RunSnapshot(running)));
     assert!(bytes.len() > 4_096);
     other_engine_alone(&world, &bytes);
 }
@@ -192,28 +194,28 @@
     let mut bytes = [0; 1_500];
     let mut next = || loop {
         let (length, from) = socket.recv_from(&mut bytes).expect("a datagram");
-        match Datagram::read(&bytes[..length]) {
-            Some(Dispatch::Running(_)) | None => {}
+        match Datagram::decode_body(&bytes[..length]) {
+            Some(Dispatch::RunSnapshot(_)) | None => {}
             Some(body) => return (body, from),
         }
     };
-    let (Dispatch::Ask(ask), from) = next() else {
+    let (Dispatch::DispatchRequest(ask), from) = next() else {
         panic!("no question");
     };
     assert_eq!((&*ask.model, &*ask.hall), ("m0", "hall0"));
-    let grant = Grant {
+    let grant = DispatchReply {
         id: ask.id,
         verdict: Verdict::Go.into(),
         engine: "i-1".into(),
     };
-    let bytes = Datagram::bytes(Some(Dispatch::Grant(grant)));
+    let bytes = Datagram::encode_body(Some(Dispatch::DispatchReply(grant)));
     socket.send_to(&bytes, from).expect("sent");
     let answer = asking.join().expect("a caller");
     assert_eq!((answer.status, answer.whole), (200, true));
     assert_eq!(world.servers[1].runs(), ["c1"]);
     // The end is told. (The question may have come twice before.)
     let ended = std::iter::repeat_with(&mut next).find_map(|(body, _)| match body {
-        Dispatch::Ended(ended) => Some(ended),
+        Dispatch::RunEnded(ended) => Some(ended),
         _ => None,
     });
     let ended = ended.expect("the end");
@@ -275,13 +277,13 @@
     std::thread::spawn(move || {
         let mut bytes = [0; 1_500];
         while let Ok((length, from)) = socket.recv_from(&mut bytes) {
-            if let Some(Dispatch::Ask(ask)) = Datagram::read(&bytes[..length]) {
-                let grant = Grant {
+            if let Some(Dispatch::DispatchRequest(ask)) = Datagram::decode_body(&bytes[..length]) {
+                let grant = DispatchReply {
                     id: ask.id,
                     verdict: Verdict::Go.into(),
                     engine: "i-0".into(),
                 };
-                let bytes = Datagram::bytes(Some(Dispatch::Grant(grant)));
+                let bytes = Datagram::encode_body(Some(Dispatch::DispatchReply(grant)));
                 socket.send_to(&bytes, from).expect("sent");
             }
         }
--- a/tests/all/feed_log.rs
+++ b/tests/all/feed_log.rs
@@ -81,7 +81,10 @@
         waiting = waiting.followed_by(written(revision));
     }
     let news = log.after(CONFIGURATION, 10).expect("news");
-    assert_eq!((news.from, news.to, news.values.len()), (10, 499, 1));
+    assert_eq!(
+        (news.from_revision, news.to_revision, news.values.len()),
+        (10, 499, 1)
+    );
     let newest = StoreChange::Written(large("a", 499));
     let expected = Told::Changes {
         from: 10,
@@ -173,7 +176,7 @@
     });
     let news = log.after(CONFIGURATION, 15).expect("news");
     let keys: Vec<_> = news.values.iter().map(|value| &*value.key).collect();
-    assert_eq!(keys, ["b"], "told up to {}", news.to);
+    assert_eq!(keys, ["b"], "told up to {}", news.to_revision);
 }
 
 /// What came and went between two lists is not known to the holder.
@@ -182,7 +185,10 @@
     let mut log = FeedLog::default();
     log.add(&whole(&["a"], 10, 10));
     log.add(&whole(&["a"], 30, 10));
-    let from = |known| log.after(CONFIGURATION, known).map(|news| news.from);
+    let from = |known| {
+        log.after(CONFIGURATION, known)
+            .map(|news| news.from_revision)
+    };
     assert_eq!(from(10), Some(10));
     assert_eq!(from(20), Some(0));
     assert_eq!(from(30), None);
@@ -217,7 +223,7 @@
     }
     // Whoever knows too little is told all there is.
     let news = log.after(CONFIGURATION, 10).expect("news");
-    assert_eq!((news.from, news.values.len()), (0, 0));
+    assert_eq!((news.from_revision, news.values.len()), (0, 0));
     let news = log.after(CONFIGURATION, 3_000).expect("news");
-    assert_eq!((news.from, news.values.len()), (3_000, 5));
+    assert_eq!((news.from_revision, news.values.len()), (3_000, 5));
 }
--- a/tests/all/followed.rs
+++ b/tests/all/followed.rs
@@ -11,7 +11,7 @@
 };
 use passway_types::prelude::*;
 use passway_users_platform::PlatformHeaders;
-use passway_wire::message::News;
+use passway_wire::message::Updates;
 use std::net::SocketAddr;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -154,24 +154,24 @@
 }
 
 /// A word of the holder on the configuration, between two revisions and without a value.
-pub fn word(from: StoreRevision, to: StoreRevision) -> News {
-    News {
+pub fn word(from: StoreRevision, to: StoreRevision) -> Updates {
+    Updates {
         feed: u32::try_from(CONFIGURATION).expect("small"),
-        from,
-        to,
-        ..News::default()
+        from_revision: from,
+        to_revision: to,
+        ..Updates::default()
     }
 }
 
 /// A heartbeat of a holder that has begun at a moment and that the store has just answered for
 /// so many feeds.
-pub fn beat(begun_at: Instant, feeds: usize) -> News {
+pub fn beat(begun_at: Instant, feeds: usize) -> Updates {
     let passed = begun_at.elapsed().as_millis();
     let now_ms = u64::try_from(passed).expect("small") + 1;
     let known = |feed| if feed < feeds { now_ms } else { 0 };
-    News {
-        sent_ms: now_ms,
-        confirmed_ms: (0..FEEDS).map(known).collect(),
-        ..News::default()
+    Updates {
+        queued_at_ms: now_ms,
+        confirmed_at_ms: (0..FEEDS).map(known).collect(),
+        ..Updates::default()
     }
 }
--- a/tests/all/former_holder.rs
+++ b/tests/all/former_holder.rs
@@ -9,7 +9,7 @@
 use passway_standins::load::Outcome;
 use passway_standins::world::World;
 use passway_types::prelude::*;
-use passway_wire::message::{CellHolder, Config, Heartbeat, Verdict};
+use passway_wire::message::{CellHolder, Config, DemandAnswer, Heartbeat};
 use passway_wire::{Body, Link, LinkReader};
 use std::net::{SocketAddr, TcpListener};
 
@@ -80,11 +80,11 @@
 
     /// Refuses demands for the model.
     fn refuses(&self, code: ResultCode) {
-        self.says(Body::Verdict(Verdict {
+        self.says(Body::DemandAnswer(DemandAnswer {
             model: MODEL.into(),
             refused_code: code as u32,
             retry_in_ms: 2_000,
-            ..Verdict::default()
+            ..DemandAnswer::default()
         }));
     }
 }
--- a/tests/all/holder_heard.rs
+++ b/tests/all/holder_heard.rs
@@ -4,7 +4,7 @@
 use passway_serving::tenure::{Holder, Tenure, TenureLimits};
 use passway_standins::platform::store::Faults;
 use passway_types::prelude::*;
-use passway_wire::message::{Subscribe, Successor};
+use passway_wire::message::{NewHolder, Subscribe};
 use passway_wire::{Body, Link};
 use std::net::TcpListener;
 
@@ -102,12 +102,12 @@
     let address = successor.local_addr().expect("address");
     let (link, _reader) = Link::connect(own.address, Duration::from_secs(5)).expect("a link");
     let fence = own.fence + 1_000;
-    let announced = Successor {
+    let announced = NewHolder {
         instance: "two".into(),
         address: address.to_string(),
         fence,
     };
-    link.send(Body::Successor(announced)).expect("sent");
+    link.send(Body::NewHolder(announced)).expect("sent");
     // Taken in by now, while the store answers: its word goes first.
     std::thread::sleep(Duration::from_millis(200));
     assert_eq!(instance.holder().map(|h| h.fence), Some(own.fence));
@@ -137,11 +137,11 @@
     let holder = instances[first].holder().expect("itself");
     let (link, _reader) = Link::connect(holder.address, Duration::from_secs(5)).expect("a link");
     let subscribe = Subscribe {
-        known: vec![1, 1],
+        known_revisions: vec![1, 1],
         instance: "ghost".into(),
         address: "127.0.0.1:1".into(),
         is_weak: false,
-        placements: Vec::new(),
+        placement_digests: Vec::new(),
     };
     link.send(Body::Subscribe(subscribe)).expect("sent");
     until("a third one", || all_know(3));
@@ -167,23 +167,23 @@
         refuses: Some(503),
         ..Faults::default()
     });
-    let term = Successor {
+    let term = NewHolder {
         instance: known.instance.to_string(),
         address: known.address.to_string(),
         fence: known.fence + 1,
     };
     until("the new term", || {
         // Said again, as on each subscription; the link may be made anew meanwhile.
-        let _ = link.send(Body::Successor(term.clone()));
+        let _ = link.send(Body::NewHolder(term.clone()));
         instance.holder().map(|h| h.fence) == Some(known.fence + 1)
     });
     // Another instance's word on this link is not the holder's.
-    let other = Successor {
+    let other = NewHolder {
         instance: "two".into(),
         fence: known.fence + 9,
         ..term
     };
-    let _ = link.send(Body::Successor(other));
+    let _ = link.send(Body::NewHolder(other));
     std::thread::sleep(Duration::from_millis(200));
     assert_eq!(instance.holder().map(|h| h.fence), Some(known.fence + 1));
 }
--- a/tests/all/holder_link.rs
+++ b/tests/all/holder_link.rs
@@ -10,7 +10,7 @@
 use passway_instance::relay::{CONFIGURATION, FEEDS, Relay};
 use passway_standins::platform::store::{Faults, MetadataStandIn};
 use passway_types::prelude::*;
-use passway_wire::message::{News, NewsValue, Subscribe};
+use passway_wire::message::{StoreValue, Subscribe, Updates};
 use passway_wire::{Body, Link, LinkReader};
 use std::net::TcpListener;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -47,7 +47,7 @@
     /// Says that it lives and knows all.
     fn beat(&self, link: &Link) {
         // The listener may have closed the link, which the test sees by reading.
-        let _ = link.send(Body::News(beat(self.begun_at, FEEDS)));
+        let _ = link.send(Body::Updates(beat(self.begun_at, FEEDS)));
     }
 }
 
@@ -86,21 +86,21 @@
     let (_store, holder, _instance) = listener();
     let (link, mut reader) = holder.accept();
     let first = subscription(&mut reader).expect("a subscription");
-    let known = first.known[CONFIGURATION];
+    let known = first.known_revisions[CONFIGURATION];
     assert!(known > 0);
-    let packed = NewsValue {
+    let packed = StoreValue {
         key: "op/config".into(),
         value: Some(vec![1; 100].into()),
         revision: known + 5,
-        plain_bytes: 10_000,
-        base: known + 4,
+        uncompressed_bytes: 10_000,
+        base_revision: known + 4,
     };
     holder.beat(&link);
-    let word = News {
+    let word = Updates {
         values: vec![packed],
         ..word(known, known + 5)
     };
-    link.send(Body::News(word)).expect("sent");
+    link.send(Body::Updates(word)).expect("sent");
     let is_asked = AtomicBool::new(false);
     let again = std::thread::scope(|scope| {
         scope.spawn(|| {
@@ -114,17 +114,17 @@
         again
     });
     let again = again.expect("another subscription");
-    assert_eq!(again.known[CONFIGURATION], 0);
+    assert_eq!(again.known_revisions[CONFIGURATION], 0);
 }
 
 /// A word that was long on its way tells what was known when it left.
 #[test]
 fn waited_word_is_old() {
     let (relay, _) = Relay::new();
-    let word = |sent_ms, confirmed_ms| News {
-        sent_ms,
-        confirmed_ms: vec![confirmed_ms; FEEDS],
-        ..News::default()
+    let word = |sent_ms, confirmed_ms| Updates {
+        queued_at_ms: sent_ms,
+        confirmed_at_ms: vec![confirmed_ms; FEEDS],
+        ..Updates::default()
     };
     let relies = || relay.relied_until(CONFIGURATION).is_some();
     relay.heard(word(9_000, 9_000));
@@ -157,23 +157,25 @@
     let holder = Holder::begin(&store);
     let instance = site::start_at("one", way.address());
     let (link, mut reader) = holder.accept();
-    let known = subscription(&mut reader).expect("a subscription").known;
+    let known = subscription(&mut reader)
+        .expect("a subscription")
+        .known_revisions;
     assert!(known.iter().all(|revision| *revision > 0));
     way.set_faults(Faults {
         refuses: Some(503),
         ..Faults::default()
     });
     let value = site::configuration(9, &["m0"]).to_string();
-    let word = News {
-        values: vec![NewsValue {
+    let word = Updates {
+        values: vec![StoreValue {
             key: "op/config".into(),
             value: Some(value.into()),
             revision: known[CONFIGURATION] + 100,
-            ..NewsValue::default()
+            ..StoreValue::default()
         }],
         ..word(known[CONFIGURATION], known[CONFIGURATION] + 100)
     };
-    link.send(Body::News(word)).expect("sent");
+    link.send(Body::Updates(word)).expect("sent");
     until("the version", || instance.version() == Some(9));
 }
 
--- a/tests/all/log_lines.rs
+++ b/tests/all/log_lines.rs
@@ -4,7 +4,7 @@
 use crate::site::{self, Answer, Caller, ask, list_plain, plain_server, request, until};
 use expect_test::expect;
 use passway_ctl::commands::trace;
-use passway_process::logging::volume::{LineClass, VolumeBound};
+use passway_process::logging::rate_limit::{LineClass, LogRateLimit};
 use passway_standins::platform::program::{Output, Program, ProgramPlan};
 use passway_types::prelude::*;
 use std::net::TcpStream;
@@ -20,7 +20,7 @@
 #[test]
 fn ends_come_first() {
     let began_at = Instant::now();
-    let mut bound = VolumeBound::new(100, began_at);
+    let mut bound = LogRateLimit::new(100, began_at);
     let mut admitted = [0; 2];
     // A storm of 20,000 lines in ten seconds, a tenth of them ends of requests.
     for number in 0..20_000_u64 {
@@ -44,7 +44,7 @@
 #[test]
 fn decisions_kept() {
     let began_at = Instant::now();
-    let mut bound = VolumeBound::new(100, began_at);
+    let mut bound = LogRateLimit::new(100, began_at);
     let (mut decisions, mut ends) = (0, 0);
     for number in 0..20_000_u64 {
         let now = began_at + Duration::from_micros(number * 500);
--- a/tests/all/peer_queue.rs
+++ b/tests/all/peer_queue.rs
@@ -2,7 +2,7 @@
 
 use passway_process::outbox::{MAX_WAITING_BYTES, Outbox};
 use passway_types::prelude::*;
-use passway_wire::message::{News, NewsValue};
+use passway_wire::message::{StoreValue, Updates};
 use passway_wire::{Body, Link};
 use std::net::TcpListener;
 
@@ -22,15 +22,15 @@
     let (_peer, mut peer) = Link::from_stream(peer).expect("a link");
     let outbox = Outbox::start(link);
     for _ in 0..MESSAGES {
-        let value = NewsValue {
+        let value = StoreValue {
             key: "k".into(),
             value: Some(vec![7; MESSAGE_BYTES].into()),
             revision: 1,
-            ..NewsValue::default()
+            ..StoreValue::default()
         };
-        outbox.send(Body::News(News {
+        outbox.send(Body::Updates(Updates {
             values: vec![value],
-            ..News::default()
+            ..Updates::default()
         }));
         assert!(outbox.waiting_bytes() <= MAX_WAITING_BYTES + 2 * MESSAGE_BYTES);
     }
--- a/tests/all/poison_turns.rs
+++ b/tests/all/poison_turns.rs
@@ -8,7 +8,7 @@
 use passway_wire::Body;
 use passway_wire::dispatch::{Datagram, Dispatch};
 use passway_wire::message::{Member, Members};
-use passway_wire::permits::{UseAsk, UseTold, UseVerdict, VersionAsk};
+use passway_wire::permits::{PermitAnswer, PermitRequest, UseVerdict, VersionQuery};
 use std::net::UdpSocket;
 
 /// What crashes the engines.
@@ -84,11 +84,11 @@
     }
 
     /// The next question for a turn, and who asks.
-    fn asked(&self) -> (UseAsk, std::net::SocketAddr) {
+    fn asked(&self) -> (PermitRequest, std::net::SocketAddr) {
         let mut bytes = [0; 1_500];
         loop {
             let (length, from) = self.counter.recv_from(&mut bytes).expect("a question");
-            if let Some(Dispatch::UseAsk(ask)) = Datagram::read(&bytes[..length])
+            if let Some(Dispatch::PermitRequest(ask)) = Datagram::decode_body(&bytes[..length])
                 && !ask.digest.is_empty()
             {
                 return (ask, from);
@@ -126,12 +126,12 @@
             }
         };
         assert_eq!(again.id, first.id);
-        let mut told = UseTold {
+        let mut told = PermitAnswer {
             id: again.id,
-            ..UseTold::default()
+            ..PermitAnswer::default()
         };
         told.set_verdict(UseVerdict::Granted);
-        let bytes = Datagram::bytes(Some(Dispatch::UseTold(told)));
+        let bytes = Datagram::encode_body(Some(Dispatch::PermitAnswer(told)));
         world.counter.send_to(&bytes, from).expect("sent");
         assert_eq!(caller.join().expect("a caller"), 502);
     });
@@ -166,7 +166,7 @@
     // Datagrams are taken in one after the other: the word on the crashes has come before this question.
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
     socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-    let question = Datagram::bytes(Some(Dispatch::VersionAsk(VersionAsk { id: 1 })));
+    let question = Datagram::encode_body(Some(Dispatch::VersionQuery(VersionQuery { id: 1 })));
     socket.send_to(&question, &address).expect("sent");
     socket.recv_from(&mut [0; 1_500]).expect("an answer");
     assert!(is_held(&send(&two, "p2")));
--- a/tests/all/policy_rules.rs
+++ b/tests/all/policy_rules.rs
@@ -1,7 +1,7 @@
 //! Policy programs: the first rule that holds and sets an attribute decides it.
 
 use passway_config::document::PolicyEntry;
-use passway_config::policy::{Attributes, MAX_NODES, Policy};
+use passway_config::policy::{MAX_NODES, Policy, RequestAttributes};
 use std::time::Duration;
 
 fn rule(when: &str, priority: Option<u32>, may_wait_ms: Option<u64>) -> PolicyEntry {
@@ -13,8 +13,8 @@
     }
 }
 
-fn attributes<'a>(workspace: &'a str, kind: &'a str) -> Attributes<'a> {
-    Attributes {
+fn attributes<'a>(workspace: &'a str, kind: &'a str) -> RequestAttributes<'a> {
+    RequestAttributes {
         workspace,
         model: "m@1",
         kind,
@@ -31,13 +31,19 @@
     ];
     let policy = Policy::compile(&rules).expect("compiles");
     assert_eq!(
-        policy.rule(&attributes("drivers", "rush")).priority,
+        policy.evaluate(&attributes("drivers", "rush")).priority,
         Some(1)
     );
-    let may_wait = policy.rule(&attributes("drivers", "rush")).may_wait;
+    let may_wait = policy.evaluate(&attributes("drivers", "rush")).may_wait;
     assert_eq!(may_wait, Some(Duration::from_millis(200)));
-    assert_eq!(policy.rule(&attributes("drivers", "")).priority, Some(5));
-    assert_eq!(policy.rule(&attributes("accounts", "")).priority, Some(9));
+    assert_eq!(
+        policy.evaluate(&attributes("drivers", "")).priority,
+        Some(5)
+    );
+    assert_eq!(
+        policy.evaluate(&attributes("accounts", "")).priority,
+        Some(9)
+    );
 }
 
 #[test]
@@ -54,5 +60,5 @@
 #[test]
 fn wrong_type_fails() {
     let policy = Policy::compile(&[rule("workspace + 1 == 2", Some(1), None)]).expect("compiles");
-    assert_eq!(policy.rule(&attributes("a", "")).priority, None);
+    assert_eq!(policy.evaluate(&attributes("a", "")).priority, None);
 }
--- a/tests/all/relay_gap.rs
+++ b/tests/all/relay_gap.rs
@@ -10,7 +10,7 @@
     Listing, StoreChange, StoreError, StoreRevision, StoredValue, WatchAnswer,
 };
 use passway_types::prelude::*;
-use passway_wire::message::News;
+use passway_wire::message::Updates;
 
 fn value(revision: StoreRevision) -> StoredValue {
     StoredValue {
@@ -73,7 +73,10 @@
     assert!(!log.add(&quiet));
     assert!(!log.has_news(10));
     let news = log.after(CONFIGURATION, 10).expect("news");
-    assert_eq!((news.from, news.to, news.values.len()), (10, 40, 0));
+    assert_eq!(
+        (news.from_revision, news.to_revision, news.values.len()),
+        (10, 40, 0)
+    );
     assert_eq!(log.after(CONFIGURATION, 40), None);
 }
 
@@ -93,11 +96,11 @@
     let mut to = 10;
     until("the holder's word for the store's", || {
         to += 1;
-        relay.heard(News {
+        relay.heard(Updates {
             feed: u32::try_from(CONFIGURATION).expect("small"),
-            from: 10,
-            to,
-            ..News::default()
+            from_revision: 10,
+            to_revision: to,
+            ..Updates::default()
         });
         is_gone_at_once()
     });
--- a/tests/all/silent_connections.rs
+++ b/tests/all/silent_connections.rs
@@ -80,6 +80,6 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
     let address = listener.local_addr().expect("address");
     let (link, _reader) = Link::connect(address, Duration::from_secs(5)).expect("a link");
-    let limit_ms = link.silence_limit_ms().expect("an option");
+    let limit_ms = link.unacknowledged_timeout_ms().expect("an option");
     assert!((1..=MOST_SILENCE_MS).contains(&limit_ms), "{limit_ms} ms");
 }
--- a/tests/suspended/caller.rs
+++ b/tests/suspended/caller.rs
@@ -27,7 +27,7 @@
     let bytes = bytes.replace("Deadline-Ms: 8000", "Deadline-Ms: 3600000");
     caller.send(bytes.as_bytes());
     until("it is sent on", || !silent.received().is_empty());
-    clock::play_suspension(hour);
+    clock::simulate_suspension(hour);
     let answer = caller.receive().expect("an answer");
     assert_eq!(answer.status, 504);
 }
@@ -47,7 +47,7 @@
         assert_eq!(ask(address, &pay).map(|answer| answer.status), Some(200));
         let answer = stream(address, "chat", &format!("s{number}"), "m0");
         assert_eq!((answer.status, answer.whole), (200, true));
-        clock::play_suspension(Duration::from_secs(10));
+        clock::simulate_suspension(Duration::from_secs(10));
     }
     until("the right to order", || instance.fence().is_some());
 }
--- a/tests/suspended/dispatcher.rs
+++ b/tests/suspended/dispatcher.rs
@@ -5,26 +5,26 @@
 use passway_standins::platform::model_server::ModelServer;
 use passway_types::clock;
 use passway_types::prelude::*;
-use passway_wire::dispatch::{Ask, Datagram, Dispatch, Verdict};
+use passway_wire::dispatch::{Datagram, Dispatch, DispatchRequest, Verdict};
 use passway_wire::message::{Member, Members};
 use passway_wire::{Body, Link};
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 
 /// What the instance that dispatches answers to a question.
 fn ask(socket: &UdpSocket, dispatcher: SocketAddr, id: u64) -> Verdict {
-    let question = Ask {
+    let question = DispatchRequest {
         id,
         service: "engines".into(),
         model: "m0".into(),
         hall: "hall0".into(),
-        ..Ask::default()
+        ..DispatchRequest::default()
     };
-    let bytes = Datagram::bytes(Some(Dispatch::Ask(question)));
+    let bytes = Datagram::encode_body(Some(Dispatch::DispatchRequest(question)));
     socket.send_to(&bytes, dispatcher).expect("sent");
     let mut bytes = [0; 1_500];
     loop {
         let (length, _) = socket.recv_from(&mut bytes).expect("an answer");
-        if let Some(Dispatch::Grant(grant)) = Datagram::read(&bytes[..length])
+        if let Some(Dispatch::DispatchReply(grant)) = Datagram::decode_body(&bytes[..length])
             && grant.id == id
         {
             return grant.verdict();
@@ -62,7 +62,7 @@
     socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
     let full = (0..100).find(|id| ask(&socket, dispatcher, *id) != Verdict::Go);
     assert!(full.is_some(), "the engine has fewer slots");
-    clock::play_suspension(Duration::from_secs(10));
+    clock::simulate_suspension(Duration::from_secs(10));
     // The question that wakes it may be answered by what it knew before.
     ask(&socket, dispatcher, 200);
     assert_eq!(ask(&socket, dispatcher, 201), Verdict::Go);
--- a/tests/suspended/holder.rs
+++ b/tests/suspended/holder.rs
@@ -18,6 +18,6 @@
         refuses: Some(503),
         ..Faults::default()
     });
-    clock::play_suspension(Duration::from_secs(30));
+    clock::simulate_suspension(Duration::from_secs(30));
     assert_eq!(instance.fence(), None);
 }
--- a/tests/suspended/keys.rs
+++ b/tests/suspended/keys.rs
@@ -23,7 +23,7 @@
         refuses: Some(503),
         ..Faults::default()
     });
-    clock::play_suspension(Duration::from_secs(6));
+    clock::simulate_suspension(Duration::from_secs(6));
     assert_eq!(status(&instance, "/read/", "id2").0, 503);
     assert_eq!(server.received().len(), 1);
     store.set_faults(Faults::default());
--- a/tests/suspended/stopped.rs
+++ b/tests/suspended/stopped.rs
@@ -2,7 +2,7 @@
 
 use crate::alone;
 use crate::site::PATIENCE;
-use passway_wire::message::PromiseWanted;
+use passway_wire::message::PromiseRequest;
 use passway_wire::{Body, Link};
 use std::net::TcpListener;
 use std::process::Command;
@@ -31,7 +31,7 @@
     reader.set_timeout(PATIENCE).expect("a time-out");
     let receiving = std::thread::spawn(move || reader.receive());
     stop(5);
-    let body = Body::PromiseWanted(PromiseWanted::default());
+    let body = Body::PromiseRequest(PromiseRequest::default());
     dialed.send(body.clone()).expect("sent");
     let received = receiving.join().expect("a reader");
     assert_eq!(received.expect("a link that stands"), Some(body));
