--- a/crates/types/src/clock.rs
+++ b/crates/types/src/clock.rs
@@ -1,56 +1,56 @@
-//! The time that deadlines are measured by.
+//! The clock behind every deadline.
 //!
-//! A machine may be suspended, and the standard library's clock does not count that time: whoever
-//! wakes would believe that no lease, promise or time budget had lapsed, while for everybody else
-//! it had. So moments come from [`now`], which counts it. Waits of the system (sleeps, condition
-//! variables, polls, socket time-outs) still do not: whoever wakes compares with [`now`] again
-//! before it acts.
+//! [`Instant::now`] does not count the time during which the machine is suspended. After a
+//! suspension, a process that used it would consider its leases, promises and time budgets valid,
+//! although they have expired for all other instances. [`now`] counts suspensions. Waits of the
+//! operating system (sleeps, condition variables, polls, socket timeouts) do not, so a thread must
+//! compare its deadline with [`now`] again after each wait before it acts.
 
 use rustix::time::{ClockId, clock_gettime};
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// One moment by both clocks.
+/// One reading of both clocks, taken at the same time.
 #[derive(Debug, Clone, Copy)]
 struct ClockBase {
     instant: Instant,
-    /// Time since the machine has started, with suspensions.
-    running: Duration,
+    /// Time since the machine was booted, suspensions included.
+    since_boot: Duration,
 }
 
-static START: OnceLock<ClockBase> = OnceLock::new();
-/// Milliseconds of the suspensions that tests have played.
+static BASE: OnceLock<ClockBase> = OnceLock::new();
+/// Total duration of the suspensions that tests have simulated, in milliseconds.
 static SIMULATED_SUSPENSION_MS: AtomicU64 = AtomicU64::new(0);
 
-/// The present moment. It goes on while the machine is suspended, and is never set back.
+/// The current time. It advances while the machine is suspended and never goes back.
 #[expect(
     clippy::disallowed_methods,
-    reason = "the one place that makes the steady clock count suspensions"
+    reason = "the only place that corrects the monotonic clock for suspensions"
 )]
 pub fn now() -> Instant {
-    let start = START.get_or_init(|| ClockBase {
+    let base = BASE.get_or_init(|| ClockBase {
         instant: Instant::now(),
-        running: time_since_boot(),
+        since_boot: time_since_boot(),
     });
-    start.instant + time_since_boot().saturating_sub(start.running)
+    base.instant + time_since_boot().saturating_sub(base.since_boot)
 }
 
-/// Time since a moment; zero if it is yet to come.
-pub fn since(moment: Instant) -> Duration {
-    now().saturating_duration_since(moment)
+/// Time that has passed since `instant`; zero if `instant` is in the future.
+pub fn since(instant: Instant) -> Duration {
+    now().saturating_duration_since(instant)
 }
 
-/// Goes on as if the machine had been suspended for so long; for tests.
-pub fn simulate_suspension(time: Duration) {
-    let ms = u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
+/// Advances the clock as if the machine had been suspended for `duration`; for tests.
+pub fn simulate_suspension(duration: Duration) {
+    let ms = u64::try_from(duration.as_millis()).unwrap_or(u64::MAX);
     SIMULATED_SUSPENSION_MS.fetch_add(ms, Ordering::AcqRel);
 }
 
-/// Time since the machine has started, with suspensions.
+/// Time since the machine was booted, suspensions included.
 fn time_since_boot() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
-    // Neither part is ever negative: the clock starts with the machine.
+    // Both fields are never negative, since this clock starts at 0 when the machine boots.
     let seconds = u64::try_from(time.tv_sec).unwrap_or(0);
     let nanoseconds = u32::try_from(time.tv_nsec).unwrap_or(0);
     Duration::new(seconds, nanoseconds)
--- a/crates/types/src/hash.rs
+++ b/crates/types/src/hash.rs
@@ -1,22 +1,22 @@
-//! A hash that is the same in every process and every build.
+//! A hash function with the same result in every process and every build.
 
 use sha2::{Digest, Sha256};
 
-/// Bytes of a digest: too many for two inputs to be found that share one.
+/// Length of a digest: 128 bits make it infeasible to find two inputs with the same digest.
 pub const DIGEST_BYTES: usize = 16;
 
-/// Hashes the parts, each with its length, into 64 bits.
+/// Hashes all parts, each prefixed with its length, into 64 bits.
 ///
-/// Programs of two builds run side by side during an upgrade, so the standard
-/// library's hasher, which may change between versions, does not serve here.
+/// During an upgrade, programs of two builds run side by side. The standard library's hasher is
+/// not used because its result may change between versions.
 pub fn stable_hash(parts: &[&[u8]]) -> u64 {
     let digest = stable_digest(parts);
     let upper = digest.iter().take(8);
     upper.fold(0, |sum, byte| (sum << 8) | u64::from(*byte))
 }
 
-/// The same in [`DIGEST_BYTES`], the first of SHA-256: nobody can choose parts that share
-/// the digest of another's.
+/// Hashes like [`stable_hash`], but returns the first [`DIGEST_BYTES`] bytes of the SHA-256 hash,
+/// so that nobody can construct parts whose digest equals the digest of other parts.
 pub fn stable_digest(parts: &[&[u8]]) -> [u8; DIGEST_BYTES] {
     let mut hasher = Sha256::new();
     for part in parts {
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,7 +1,7 @@
-//! Ids, result codes, the clock and units shared by every passway crate.
+//! Identifiers, result codes, the clock and hashing, shared by all passway crates.
 //!
-//! This is the lowest layer: it knows nothing of files, sockets or decisions.
-//! [`prelude`] re-exports what nearly every module needs.
+//! This is the lowest layer: it contains no file or network access and no decisions.
+//! [`prelude`] re-exports the items that nearly every module needs.
 
 pub mod clock;
 pub mod hash;
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -1,25 +1,25 @@
 //! Numbered result codes and refusals.
 //!
-//! Every answer that is not the upstream's own carries one [`ResultCode`]. The
-//! code says whether the request ran; `docs/result-codes.md` is tested against
+//! Every answer that passway itself generates, instead of an upstream, carries a [`ResultCode`].
+//! The code determines whether the request ran. A test compares `docs/result-codes.md` with
 //! [`ResultCode::ALL`].
 
 use std::fmt;
 use std::time::Duration;
 
-/// Whether a request took effect at an upstream.
+/// Whether a request was executed by an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Ran {
-    /// Nothing of the request can have reached an upstream.
+    /// No part of the request can have reached an upstream.
     NotRun,
-    /// An upstream answered, or began to answer.
+    /// An upstream answered or started to answer.
     Ran,
-    /// The request was sent and its outcome was not learned.
+    /// The request was sent, but its outcome is not known.
     Unknown,
 }
 
 impl Ran {
-    /// The word used in headers and bodies.
+    /// The text used in headers and bodies.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not run",
@@ -31,7 +31,7 @@
 
 macro_rules! result_codes {
     ($($(#[doc = $doc:literal])+ $name:ident = $number:literal, $http:literal, $ran:ident;)+) => {
-        /// A numbered result of a request.
+        /// A numbered result of a request, sent to the caller.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
         #[repr(u16)]
         pub enum ResultCode {
@@ -42,22 +42,22 @@
             /// Every code, in numeric order.
             pub const ALL: &'static [Self] = &[$(Self::$name),+];
 
-            /// The HTTP status that carries this code.
+            /// The HTTP status of answers with this code.
             pub const fn http_status(self) -> u16 {
                 match self { $(Self::$name => $http),+ }
             }
 
-            /// Whether a request that ends with this code ran.
+            /// Whether a request that ended with this code was executed.
             pub const fn ran(self) -> Ran {
                 match self { $(Self::$name => Ran::$ran),+ }
             }
 
-            /// The name of the code as it stands in the source and in the table.
+            /// The name of the code, as in the source and in the table of result codes.
             pub const fn name(self) -> &'static str {
                 match self { $(Self::$name => stringify!($name)),+ }
             }
 
-            /// One sentence for the table of result codes.
+            /// The description of the code in the table of result codes: one sentence.
             pub const fn description(self) -> &'static str {
                 match self { $(Self::$name => concat!($($doc),+)),+ }
             }
@@ -124,19 +124,19 @@
     }
 }
 
-/// A final answer to a request that is not served, with a hint when to come back.
+/// The final answer to a request that is not served, with an optional retry hint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
-    /// What happened.
+    /// The reason for the refusal.
     pub code: ResultCode,
-    /// When a repeat may succeed, counted from this answer; `None` if a repeat is pointless.
+    /// Time from this answer until a retry may succeed; `None` if a retry is pointless.
     pub retry_after: Option<Duration>,
-    /// Detail for a person.
+    /// Human-readable details.
     pub detail: String,
 }
 
 impl Refusal {
-    /// A refusal without a retry hint.
+    /// Creates a refusal without a retry hint.
     pub fn new(code: ResultCode, detail: impl Into<String>) -> Self {
         Self {
             code,
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Adds the hint when to come back.
+    /// Sets the retry hint.
     #[must_use]
     pub fn retry_after(mut self, after: Duration) -> Self {
         self.retry_after = Some(after);
--- a/crates/types/src/prelude.rs
+++ b/crates/types/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The common types, for `use passway_types::prelude::*`.
+//! Commonly used types, for `use passway_types::prelude::*`.
 
 pub use crate::ids::*;
 pub use crate::outcome::{Ran, Refusal, ResultCode};
