--- a/crates/config/src/catalog.rs
+++ b/crates/config/src/catalog.rs
@@ -1,7 +1,7 @@
-//! The configuration checked and resolved for lookups.
+//! The checked configuration, resolved for lookups.
 //!
-//! A [`Catalog`] is immutable. Readers on a request's path hold it behind a
-//! read-copy-update pointer and never see half of a change.
+//! A [`Catalog`] is immutable. The request path reads it through a read-copy-update pointer, so
+//! that a reader never sees a partial change.
 
 use crate::check::{Fault, Faults, Source};
 use crate::document::{AdapterEntry, Document, Fencing, KeepEntry, ModelEntry, WeightStoreEntry};
@@ -11,19 +11,19 @@
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::net::SocketAddr;
 
-/// Bytes in a megabyte as operators write it.
+/// Bytes in a megabyte, the unit of the configuration.
 const MB_BYTES: u64 = 1 << 20;
 
-/// A model or an adapter; an adapter has a base.
+/// A base model or an adapter.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Model {
-    /// `name@version`.
+    /// Name and version, as `name@version`.
     pub name: ModelName,
-    /// The base model of an adapter.
+    /// The base model of an adapter; `None` for a base model.
     pub base: Option<ModelName>,
-    /// Accelerator memory of one replica, in bytes.
+    /// Accelerator memory that one replica uses, in bytes.
     pub size_bytes: u64,
-    /// Most replicas at one time.
+    /// Maximum number of concurrent replicas.
     pub max_replicas: u32,
     /// The cell that decides on this model.
     pub cell: CellName,
@@ -32,70 +32,70 @@
 /// A model engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Upstream {
-    /// Its id.
+    /// Id of the engine.
     pub id: UpstreamId,
-    /// Where it listens.
+    /// Address where the engine listens.
     pub address: SocketAddr,
-    /// The data hall it stands in.
+    /// Data hall of the engine.
     pub data_hall: DataHall,
-    /// The cell that decides on its memory.
+    /// The cell that decides on the use of the engine's memory.
     pub cell: CellName,
     /// Accelerator memory for models, in bytes.
     pub memory_bytes: u64,
-    /// Requests that it runs at one time.
+    /// Number of requests that the engine runs concurrently.
     pub slots: u32,
-    /// What it does with an old fencing number.
+    /// How the engine treats orders with an old fencing number.
     pub fencing: Fencing,
-    /// Whether the operators take it out of service.
+    /// Whether the operators take the engine out of service.
     pub draining: bool,
 }
 
-/// A workspace of callers.
+/// A workspace (tenant).
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Workspace {
-    /// Its name.
+    /// Name of the workspace.
     pub name: WorkspaceName,
     /// Weight in the fair sharing of tokens; at least 1.
     pub share: u32,
-    /// Time until the deadline of a request that names none.
+    /// Time from the arrival of a request to its deadline, if the request gives none.
     pub default_deadline: Duration,
-    /// Requests of the workspace that may wait at one router.
+    /// Maximum number of requests of the workspace that wait at one router.
     pub max_waiting: u32,
 }
 
 /// A plain service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceName,
-    /// Where its replicas listen.
+    /// Addresses of the replicas.
     pub addresses: Vec<SocketAddr>,
-    /// Methods that may not be repeated, in capitals.
+    /// Methods whose requests must not be retried, in capital letters.
     pub not_repeatable: HashSet<String>,
 }
 
-/// The whole configuration, resolved.
+/// The whole configuration, checked and resolved.
 #[derive(Debug, Default)]
 pub struct Catalog {
-    /// The revision it was built from.
+    /// The revision of the configuration.
     pub revision: Revision,
     /// Workspaces by name.
     pub workspaces: HashMap<WorkspaceName, Workspace>,
     /// Models and adapters by `name@version`.
     pub models: HashMap<ModelName, Arc<Model>>,
-    /// Other names of models and adapters.
+    /// Full names (`name@version`) of models and adapters by alias.
     pub aliases: HashMap<Arc<str>, ModelName>,
     /// Model engines by id.
     pub upstreams: HashMap<UpstreamId, Arc<Upstream>>,
     /// Plain services by name.
     pub services: HashMap<ServiceName, Arc<Service>>,
-    /// Every cell that has an upstream.
+    /// All cells that have an upstream.
     pub cells: BTreeSet<CellName>,
     /// The compiled policy program.
     pub policy: Policy,
-    /// How long idle replicas are kept.
+    /// Retention of idle replicas.
     pub retention: KeepEntry,
-    /// The weight store's pace.
+    /// Speed of the weight store.
     pub weight_store: WeightStoreEntry,
 }
 
@@ -103,7 +103,7 @@
     /// Checks a document and resolves it.
     ///
     /// # Errors
-    /// Every fault found, with paths but without lines; see [`parse`] for lines.
+    /// All faults, with paths but without lines; [`parse`] adds the lines.
     pub fn build(document: &Document, revision: Revision) -> Result<Self, Faults> {
         let mut builder = Builder::default();
         builder.catalog.revision = revision;
@@ -123,11 +123,11 @@
 
     /// Finds a model or adapter by `name@version` or alias.
     pub fn resolve(&self, name: &str) -> Option<&Arc<Model>> {
-        let full = self.aliases.get(name);
-        self.models.get(full.map_or(name, |alias| alias))
+        let full_name = self.aliases.get(name);
+        self.models.get(full_name.map_or(name, |found| found))
     }
 
-    /// The upstreams of a cell, in no order.
+    /// The upstreams of a cell, in no particular order.
     pub fn upstreams_of<'a>(&'a self, cell: &'a str) -> impl Iterator<Item = &'a Arc<Upstream>> {
         self.upstreams
             .values()
@@ -135,22 +135,22 @@
     }
 }
 
-/// Reads, checks and resolves a configuration file in one go.
+/// Parses, checks and resolves a configuration file.
 ///
 /// # Errors
-/// Every fault found, with its line.
+/// All faults, each with its line.
 pub fn parse(text: &str, revision: Revision) -> Result<(Document, Catalog), Faults> {
     let source = Source::parse(text)?;
     let mut faults = Vec::new();
     let document: Document = source.read(&mut faults);
-    let built = Catalog::build(&document, revision);
-    if let Err(found) = &built {
+    let result = Catalog::build(&document, revision);
+    if let Err(found) = &result {
         let known: HashSet<String> = faults.iter().map(|f| f.path.clone()).collect();
         let new = found.0.iter().filter(|f| !known.contains(&f.path));
         faults.extend(new.map(|f| source.fault_at(&f.path, f.reason.clone())));
     }
     faults.sort_by_key(|fault| fault.line);
-    match built {
+    match result {
         Ok(catalog) if faults.is_empty() => Ok((document, catalog)),
         _ => Err(Faults(faults)),
     }
@@ -171,21 +171,21 @@
         });
     }
 
-    fn require(&mut self, holds: bool, path: impl FnOnce() -> String, reason: &str) {
-        if !holds {
+    fn require(&mut self, is_valid: bool, path: impl FnOnce() -> String, reason: &str) {
+        if !is_valid {
             self.fault(path(), reason);
         }
     }
 
     fn workspaces(&mut self, document: &Document) {
         for (i, entry) in document.workspaces.iter().enumerate() {
-            let at = |field: &str| format!("workspaces[{i}].{field}");
-            self.require(!entry.name.is_empty(), || at("name"), "is required");
-            self.require(entry.share > 0, || at("share"), "must be at least 1");
-            let deadline_ok = entry.default_deadline_ms > 0;
+            let path = |field: &str| format!("workspaces[{i}].{field}");
+            self.require(!entry.name.is_empty(), || path("name"), "is required");
+            self.require(entry.share > 0, || path("share"), "must be at least 1");
+            let is_deadline_valid = entry.default_deadline_ms > 0;
             self.require(
-                deadline_ok,
-                || at("default_deadline_ms"),
+                is_deadline_valid,
+                || path("default_deadline_ms"),
                 "must be at least 1",
             );
             let name: WorkspaceName = entry.name.as_str().into();
@@ -195,28 +195,28 @@
                 default_deadline: Duration::from_millis(entry.default_deadline_ms),
                 max_waiting: entry.max_waiting,
             };
-            let twice = self.catalog.workspaces.insert(name, workspace).is_some();
-            self.require(!twice, || at("name"), "stands twice");
+            let is_duplicate = self.catalog.workspaces.insert(name, workspace).is_some();
+            self.require(!is_duplicate, || path("name"), "stands twice");
         }
     }
 
     fn upstreams(&mut self, document: &Document) {
         for (i, entry) in document.upstreams.iter().enumerate() {
-            let at = |field: &str| format!("upstreams[{i}].{field}");
-            self.require(!entry.id.is_empty(), || at("id"), "is required");
+            let path = |field: &str| format!("upstreams[{i}].{field}");
+            self.require(!entry.id.is_empty(), || path("id"), "is required");
             self.require(
                 !entry.data_hall.is_empty(),
-                || at("data_hall"),
+                || path("data_hall"),
                 "is required",
             );
-            self.require(!entry.cell.is_empty(), || at("cell"), "may not be empty");
+            self.require(!entry.cell.is_empty(), || path("cell"), "may not be empty");
             self.require(
                 entry.memory_mb > 0,
-                || at("memory_mb"),
+                || path("memory_mb"),
                 "must be at least 1",
             );
-            self.require(entry.slots > 0, || at("slots"), "must be at least 1");
-            let Some(address) = self.address(&entry.address, || at("address")) else {
+            self.require(entry.slots > 0, || path("slots"), "must be at least 1");
+            let Some(address) = self.address(&entry.address, || path("address")) else {
                 continue;
             };
             let id: UpstreamId = entry.id.as_str().into();
@@ -231,12 +231,12 @@
                 draining: entry.draining,
             };
             self.catalog.cells.insert(upstream.cell.clone());
-            let twice = self
+            let is_duplicate = self
                 .catalog
                 .upstreams
                 .insert(id, Arc::new(upstream))
                 .is_some();
-            self.require(!twice, || at("id"), "stands twice");
+            self.require(!is_duplicate, || path("id"), "stands twice");
         }
     }
 
@@ -252,17 +252,17 @@
 
     fn models(&mut self, document: &Document) {
         for (i, entry) in document.models.iter().enumerate() {
-            let at = |field: &str| format!("models[{i}].{field}");
-            self.require(!entry.name.is_empty(), || at("name"), "is required");
-            self.require(entry.size_mb > 0, || at("size_mb"), "must be at least 1");
+            let path = |field: &str| format!("models[{i}].{field}");
+            self.require(!entry.name.is_empty(), || path("name"), "is required");
+            self.require(entry.size_mb > 0, || path("size_mb"), "must be at least 1");
             self.require(
                 entry.max_replicas > 0,
-                || at("max_replicas"),
+                || path("max_replicas"),
                 "must be at least 1",
             );
             let name = full_name(&entry.name, &entry.version);
             let Some(cell) = self.cell_of(entry, &name) else {
-                self.fault(at("cell"), "no upstream is in such a cell");
+                self.fault(path("cell"), "no upstream is in such a cell");
                 continue;
             };
             let model = Model {
@@ -272,12 +272,14 @@
                 max_replicas: entry.max_replicas,
                 cell,
             };
-            self.insert_model(model, &entry.aliases, &at("name"));
+            self.insert_model(model, &entry.aliases, &path("name"));
         }
     }
 
-    /// The cell of a model: the one it names, else the cell with the highest
-    /// hash, so that a new cell moves only the models it wins.
+    /// Returns the configured cell of a model, or else the cell with the highest rendezvous hash.
+    ///
+    /// With rendezvous hashing, a new cell takes over only the models for which its own hash is the
+    /// highest; all others keep their cells.
     fn cell_of(&self, entry: &ModelEntry, name: &str) -> Option<CellName> {
         if !entry.cell.is_empty() {
             return self.catalog.cells.get(entry.cell.as_str()).cloned();
@@ -291,15 +293,15 @@
 
     fn adapters(&mut self, document: &Document) {
         for (i, entry) in document.adapters.iter().enumerate() {
-            let at = |field: &str| format!("adapters[{i}].{field}");
-            self.require(!entry.name.is_empty(), || at("name"), "is required");
-            self.require(entry.size_mb > 0, || at("size_mb"), "must be at least 1");
+            let path = |field: &str| format!("adapters[{i}].{field}");
+            self.require(!entry.name.is_empty(), || path("name"), "is required");
+            self.require(entry.size_mb > 0, || path("size_mb"), "must be at least 1");
             self.require(
                 entry.max_replicas > 0,
-                || at("max_replicas"),
+                || path("max_replicas"),
                 "must be at least 1",
             );
-            self.adapter(entry, &at("name"), &at("base"));
+            self.adapter(entry, &path("name"), &path("base"));
         }
     }
 
@@ -321,8 +323,10 @@
 
     fn insert_model(&mut self, model: Model, aliases: &[String], path: &str) {
         let name = model.name.clone();
-        let fits = self.catalog.upstreams_of(&model.cell);
-        let fits = fits.into_iter().any(|u| u.memory_bytes >= model.size_bytes);
+        let upstreams = self.catalog.upstreams_of(&model.cell);
+        let fits = upstreams
+            .into_iter()
+            .any(|u| u.memory_bytes >= model.size_bytes);
         if !fits {
             self.fault(path.to_owned(), "fits on no upstream of its cell");
         }
@@ -335,12 +339,12 @@
             self.fault(path.to_owned(), "stands twice");
         }
         for alias in aliases {
-            let twice = self
+            let is_duplicate = self
                 .catalog
                 .aliases
                 .insert(alias.as_str().into(), name.clone())
                 .is_some();
-            if twice {
+            if is_duplicate {
                 self.fault(path.to_owned(), format!("the alias `{alias}` stands twice"));
             }
         }
@@ -348,11 +352,11 @@
 
     fn services(&mut self, document: &Document) {
         for (i, entry) in document.services.iter().enumerate() {
-            let at = |field: &str| format!("services[{i}].{field}");
-            self.require(!entry.name.is_empty(), || at("name"), "is required");
+            let path = |field: &str| format!("services[{i}].{field}");
+            self.require(!entry.name.is_empty(), || path("name"), "is required");
             self.require(
                 !entry.addresses.is_empty(),
-                || at("addresses"),
+                || path("addresses"),
                 "may not be empty",
             );
             let mut addresses = Vec::new();
@@ -363,19 +367,19 @@
             let not_repeatable = entry
                 .not_repeatable
                 .iter()
-                .map(|m| m.to_ascii_uppercase())
+                .map(|method| method.to_ascii_uppercase())
                 .collect();
             let service = Service {
                 name: name.clone(),
                 addresses,
                 not_repeatable,
             };
-            let twice = self
+            let is_duplicate = self
                 .catalog
                 .services
                 .insert(name, Arc::new(service))
                 .is_some();
-            self.require(!twice, || at("name"), "stands twice");
+            self.require(!is_duplicate, || path("name"), "stands twice");
         }
     }
 
@@ -391,27 +395,27 @@
     }
 
     fn keep(&mut self, document: &Document) {
-        let keep = &document.keep;
-        let finite = |weight: f64| weight.is_finite() && weight > 0.0;
-        let at = |field: &str| format!("keep.{field}");
+        let retention = &document.keep;
+        let is_valid = |weight: f64| weight.is_finite() && weight > 0.0;
+        let path = |field: &str| format!("keep.{field}");
         self.require(
-            finite(keep.idle_weight),
-            || at("idle_weight"),
+            is_valid(retention.idle_weight),
+            || path("idle_weight"),
             "must be above 0",
         );
         self.require(
-            finite(keep.cold_weight),
-            || at("cold_weight"),
+            is_valid(retention.cold_weight),
+            || path("cold_weight"),
             "must be above 0",
         );
         let store = &document.weight_store;
-        let pace = store.max_loads > 0 && store.expected_mb_per_s > 0;
+        let is_store_valid = store.max_loads > 0 && store.expected_mb_per_s > 0;
         self.require(
-            pace,
+            is_store_valid,
             || "weight_store".into(),
             "every number must be at least 1",
         );
-        self.catalog.retention = keep.clone();
+        self.catalog.retention = retention.clone();
         self.catalog.weight_store = store.clone();
     }
 }
@@ -420,7 +424,7 @@
     format!("{name}@{version}").into()
 }
 
-/// The weight of `node` for `item` in rendezvous hashing; the same in every process.
+/// The weight of `node` for `item` in rendezvous hashing. The result is the same in all processes.
 pub fn rendezvous_hash(node: &str, item: &str) -> u64 {
     stable_hash(&[node.as_bytes(), item.as_bytes()])
 }
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,4 +1,4 @@
-//! Reading JSON with comments so that every fault is reported at once.
+//! Reads JSON with comments and reports all faults at once.
 
 use jsonc_parser::{CollectOptions, ParseOptions, ast};
 use serde::de::DeserializeOwned;
@@ -6,18 +6,18 @@
 use serde_path_to_error::Segment;
 use std::fmt;
 
-/// One thing wrong in a file: where, and why.
+/// A fault in a file, with its location and reason.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
     /// The path of the value, such as `models[2].size_mb`.
     pub path: String,
-    /// The line in the file, counted from 1; 0 if the value is absent.
+    /// The line in the file, starting at 1; 0 if the value is absent.
     pub line: usize,
-    /// The reason, for a person.
+    /// Human-readable reason.
     pub reason: String,
 }
 
-/// Every fault of one file; never empty when returned as an error.
+/// All faults of one file; never empty when returned as an error.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Faults(pub Vec<Fault>);
 
@@ -38,7 +38,7 @@
 
 impl std::error::Error for Faults {}
 
-/// A parsed file together with what is needed to name the line of a path.
+/// A parsed file together with its text, which is needed to find the line of a path.
 #[derive(Debug)]
 pub struct Source<'a> {
     text: &'a str,
@@ -49,7 +49,7 @@
     /// Parses `text` as JSON with comments.
     ///
     /// # Errors
-    /// One fault, at the line where the text is not JSON.
+    /// One fault, at the line where the text is not valid JSON.
     pub fn parse(text: &'a str) -> Result<Self, Faults> {
         jsonc_parser::parse_to_serde_value::<Option<Value>>(text, &ParseOptions::default())
             .map(|value| Self {
@@ -65,27 +65,27 @@
             })
     }
 
-    /// Deserializes the whole value; a value at fault is recorded, taken out and
-    /// its default used, so that the next fault is found too.
+    /// Deserializes the whole file into `T`.
     ///
-    /// `T` must have a default for every field, or an absent required field
-    /// ends the search.
+    /// If a value is invalid, this records the fault, removes the value so that its default is
+    /// used, and deserializes again to find the next fault. Every field of `T` must have a default;
+    /// otherwise an absent required field ends the search.
     pub fn read<T: DeserializeOwned + Default>(&self, faults: &mut Vec<Fault>) -> T {
-        let mut rest = self.value.clone();
+        let mut remaining = self.value.clone();
         loop {
-            let error = match serde_path_to_error::deserialize::<_, T>(&rest) {
-                Ok(read) => return read,
+            let error = match serde_path_to_error::deserialize::<_, T>(&remaining) {
+                Ok(value) => return value,
                 Err(error) => error,
             };
-            let steps = error_path(&error, &rest);
+            let steps = error_path(&error, &remaining);
             faults.push(self.fault(&steps, error.inner().to_string()));
-            if !remove(&mut rest, &steps) {
+            if !remove(&mut remaining, &steps) {
                 return T::default();
             }
         }
     }
 
-    /// A fault at `path`, given as it is displayed, with its line looked up.
+    /// Creates a fault at `path`, given in its displayed form, and looks up its line.
     pub fn fault_at(&self, path: &str, reason: impl Into<String>) -> Fault {
         let steps = parse_path(path);
         self.fault(&steps, reason.into())
@@ -119,7 +119,7 @@
     Index(usize),
 }
 
-/// The path of an error; for an unknown field it names the field itself, not the object.
+/// The path of an error; for an unknown field, the path of the field itself, not of the object.
 fn error_path(error: &serde_path_to_error::Error<serde_json::Error>, value: &Value) -> Vec<Step> {
     let mut steps: Vec<Step> = error
         .path()
@@ -131,9 +131,9 @@
         })
         .collect();
     if let Some(field) = unknown_field_name(&error.inner().to_string()) {
-        let last = Step::Key(field);
-        if steps.last() != Some(&last) {
-            steps.push(last);
+        let field_step = Step::Key(field);
+        if steps.last() != Some(&field_step) {
+            steps.push(field_step);
         }
     }
     while !steps.is_empty() && lookup(value, &steps).is_none() {
@@ -143,34 +143,34 @@
 }
 
 fn unknown_field_name(message: &str) -> Option<String> {
-    let rest = message.strip_prefix("unknown field `")?;
-    rest.split('`').next().map(str::to_owned)
+    let suffix = message.strip_prefix("unknown field `")?;
+    suffix.split('`').next().map(str::to_owned)
 }
 
 fn lookup<'v>(value: &'v Value, steps: &[Step]) -> Option<&'v Value> {
-    steps.iter().try_fold(value, |at, step| match step {
-        Step::Key(key) => at.get(key),
-        Step::Index(index) => at.get(index),
+    steps.iter().try_fold(value, |parent, step| match step {
+        Step::Key(key) => parent.get(key),
+        Step::Index(index) => parent.get(index),
     })
 }
 
-/// Takes the value at `steps` out; false if there is nothing to take out.
+/// Removes the value at `steps`; returns false if it cannot be removed.
 fn remove(value: &mut Value, steps: &[Step]) -> bool {
     let Some((last, parents)) = steps.split_last() else {
         return false;
     };
-    let mut at = value;
+    let mut parent = value;
     for step in parents {
         let next = match step {
-            Step::Key(key) => at.get_mut(key),
-            Step::Index(index) => at.get_mut(*index),
+            Step::Key(key) => parent.get_mut(key),
+            Step::Index(index) => parent.get_mut(*index),
         };
         let Some(next) = next else { return false };
-        at = next;
+        parent = next;
     }
-    match (last, at) {
+    match (last, parent) {
         (Step::Key(key), Value::Object(map)) => map.remove(key).is_some(),
-        // An array keeps its length, so that later paths still name the right item.
+        // The array keeps its length, so that the paths of later items stay correct.
         (Step::Index(index), Value::Array(items)) if !items[*index].is_object() => {
             items[*index] = Value::Object(Map::new());
             true
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,7 +1,7 @@
 //! The operators' configuration as they write it, before it is checked.
 //!
-//! Every field has a default, so that [`crate::check`] can find all faults in
-//! one pass; what may not be left out is checked by [`crate::Catalog::build`].
+//! Every field has a default, so that [`crate::check`] can find all faults in one pass.
+//! [`crate::Catalog::build`] checks that required fields are present.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Document {
-    /// Workspaces of callers and their shares.
+    /// Workspaces (tenants) and their shares.
     pub workspaces: Vec<WorkspaceEntry>,
     /// Base models.
     pub models: Vec<ModelEntry>,
@@ -19,15 +19,15 @@
     pub upstreams: Vec<UpstreamEntry>,
     /// Plain services.
     pub services: Vec<ServiceEntry>,
-    /// Policy programs, tried in order.
+    /// Rules of the policy program, applied in order.
     pub policies: Vec<PolicyEntry>,
-    /// How long idle replicas are kept.
+    /// Retention of idle replicas.
     pub keep: KeepEntry,
-    /// The weight store's pace.
+    /// Speed of the weight store.
     pub weight_store: WeightStoreEntry,
 }
 
-/// A workspace of callers.
+/// A workspace (tenant).
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct WorkspaceEntry {
@@ -35,9 +35,9 @@
     pub name: String,
     /// Weight in the fair sharing of tokens.
     pub share: u32,
-    /// Deadline for requests that name none, in milliseconds.
+    /// Deadline of requests that give none, in milliseconds after their arrival.
     pub default_deadline_ms: u64,
-    /// Requests of the workspace that may wait at one router.
+    /// Maximum number of requests of the workspace that wait at one router.
     pub max_waiting: u32,
 }
 
@@ -52,21 +52,21 @@
     }
 }
 
-/// A base model in one version.
+/// A version of a base model.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ModelEntry {
     /// Name without the version.
     pub name: String,
-    /// Version; requests name the model `name@version`.
+    /// Version; requests refer to the model as `name@version`.
     pub version: String,
     /// Other names that callers may use.
     pub aliases: Vec<String>,
-    /// Accelerator memory that one replica takes, in megabytes (2^20 bytes).
+    /// Accelerator memory that one replica uses, in megabytes (2^20 bytes).
     pub size_mb: u64,
-    /// Most replicas at one time.
+    /// Maximum number of concurrent replicas.
     pub max_replicas: u32,
-    /// The cell that decides on this model; empty means by hash over all cells.
+    /// The cell that decides on this model; if empty, a hash over all cells selects one.
     pub cell: String,
 }
 
@@ -83,21 +83,21 @@
     }
 }
 
-/// An adapter in one version on a base model.
+/// A version of an adapter for a base model.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct AdapterEntry {
     /// Name without the version.
     pub name: String,
-    /// Version; requests name the adapter `name@version`.
+    /// Version; requests refer to the adapter as `name@version`.
     pub version: String,
     /// Other names that callers may use.
     pub aliases: Vec<String>,
     /// The base model, as `name@version`.
     pub base: String,
-    /// Accelerator memory that one replica takes, in megabytes (2^20 bytes).
+    /// Accelerator memory that one replica uses, in megabytes (2^20 bytes).
     pub size_mb: u64,
-    /// Most replicas at one time.
+    /// Maximum number of concurrent replicas.
     pub max_replicas: u32,
 }
 
@@ -122,17 +122,17 @@
     pub id: String,
     /// Address as `ip:port`.
     pub address: String,
-    /// The data hall it stands in.
+    /// Data hall of the engine.
     pub data_hall: String,
-    /// The cell that decides on its memory.
+    /// The cell that decides on the use of the engine's memory.
     pub cell: String,
     /// Accelerator memory for models, in megabytes (2^20 bytes).
     pub memory_mb: u64,
-    /// Requests that it runs at one time.
+    /// Number of requests that the engine runs concurrently.
     pub slots: u32,
-    /// What it does with an old fencing number; left out means `ignores`.
+    /// How the engine treats orders with an old fencing number; `ignores` if omitted.
     pub fencing: Fencing,
-    /// Whether the operators take it out of service: it gets nothing new and its
+    /// Whether the operators take the engine out of service: it receives no new requests and its
     /// models are unloaded.
     pub draining: bool,
 }
@@ -152,15 +152,15 @@
     }
 }
 
-/// What an upstream does with an order that carries an old fencing number.
+/// How an upstream treats an order with an old fencing number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fencing {
-    /// It carries the order out.
+    /// The upstream executes the order.
     Ignores,
-    /// It refuses the order, but has forgotten the highest number after a restart.
+    /// The upstream refuses the order, but forgets the highest fencing number when it restarts.
     Forgets,
-    /// It refuses the order, also after a restart.
+    /// The upstream refuses the order, also after a restart.
     Keeps,
 }
 
@@ -172,41 +172,42 @@
     pub name: String,
     /// Addresses of its replicas, each as `ip:port`.
     pub addresses: Vec<String>,
-    /// Methods that may not be repeated even when the caller sends no key; such a
-    /// call is sent once and never retried.
+    /// Methods whose requests must not be retried, even if the caller sends no idempotency key.
+    /// Such a request is sent only once.
     pub not_repeatable: Vec<String>,
 }
 
-/// One rule of a policy program.
+/// A rule of the policy program.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PolicyEntry {
-    /// Name, for explanations.
+    /// Name, shown when a decision is explained.
     pub name: String,
-    /// A condition over `workspace`, `model`, `kind` and `priority`.
+    /// The condition: an expression over `workspace`, `model`, `kind` and `priority`.
     pub when: String,
-    /// Requests with a lower number go first.
+    /// Priority of the request; lower numbers are served first.
     pub priority: Option<u32>,
-    /// Longest time that a request may wait, in milliseconds.
+    /// Maximum time that a request may wait, in milliseconds.
     pub may_wait_ms: Option<u64>,
-    /// Most requests of one workspace that run at one time through one router.
+    /// Maximum number of concurrent requests of one workspace through one router.
     pub max_running: Option<u32>,
-    /// Most accelerator memory that models woken for the workspace may hold, in
-    /// megabytes (2^20 bytes).
+    /// Maximum accelerator memory of all models that were loaded for the workspace, in megabytes
+    /// (2^20 bytes).
     pub max_held_mb: Option<u64>,
 }
 
-/// How long idle replicas are kept.
+/// Retention of idle replicas.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct KeepEntry {
-    /// `fixed`, `ski_rental` or `histogram`.
+    /// The retention policy: `fixed`, `ski_rental` or `histogram`.
     pub policy: KeepPolicyName,
-    /// The time-out of the `fixed` policy, and the longest keep of the others, in milliseconds.
+    /// Retention time of the `fixed` policy and maximum retention time of the other policies, in
+    /// milliseconds.
     pub max_idle_ms: u64,
-    /// Cost of an idle accelerator second, against one second of a caller's cold wait.
+    /// Cost of an idle second of an accelerator, relative to `cold_weight`.
     pub idle_weight: f64,
-    /// Cost of a second of a caller's cold wait.
+    /// Cost of a second that a caller waits for a cold start, relative to `idle_weight`.
     pub cold_weight: f64,
 }
 
@@ -221,25 +222,25 @@
     }
 }
 
-/// The policies that decide when an idle replica is unloaded.
+/// The retention policies, which decide when an idle replica is unloaded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum KeepPolicyName {
-    /// Unload after a fixed idle time.
+    /// Unloads the replica after a fixed idle time.
     Fixed,
-    /// Hold idle as long as a reload would cost.
+    /// Retains the replica until its idle cost equals the cost of a reload.
     SkiRental,
-    /// Hold by a histogram of the model's idle gaps.
+    /// Sets the retention time from a histogram of the model's idle times.
     Histogram,
 }
 
-/// The weight store's pace as the operators know it.
+/// Speed of the weight store, as configured by the operators.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct WeightStoreEntry {
-    /// Loads that run at one time at full speed.
+    /// Number of concurrent loads that run at full speed.
     pub max_loads: u32,
-    /// First estimate of the transfer of a remote checkpoint, in megabytes a second.
+    /// Initial estimate of the transfer rate of a remote checkpoint, in megabytes per second.
     pub expected_mb_per_s: u64,
 }
 
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,12 +1,13 @@
-//! Settings files, the operators' catalog and policy programs.
+//! Settings files, the operators' configuration and policy programs.
 //!
-//! * [`check`] reads JSON with comments and reports every fault at once, each
-//!   with its place and reason.
-//! * [`settings`] holds what one program needs at start.
+//! * [`check`] reads JSON with comments and reports all faults at once, each with its location and
+//!   reason.
+//! * [`settings`] contains the settings that each program reads at startup.
 //! * [`document`] is the operators' configuration as they write it.
-//! * [`catalog`] is the same configuration checked and resolved for lookups;
-//!   only a [`catalog::Catalog`] reaches the decisions.
-//! * [`policy`] compiles policy programs and bounds their cost.
+//! * [`catalog`] is the same configuration, checked and resolved for lookups. All decisions use the
+//!   [`catalog::Catalog`] only.
+//! * [`policy`] compiles policy programs and limits their cost.
+//! * [`revision`] encodes a revision of the configuration for the key-value service.
 
 pub mod catalog;
 pub mod check;
--- a/crates/config/src/policy.rs
+++ b/crates/config/src/policy.rs
@@ -1,9 +1,9 @@
-//! Policy programs: rules whose conditions are Common Expression Language.
+//! Policy programs: rules with conditions in the Common Expression Language (CEL).
 //!
-//! A program is an ordered list of rules. For each attribute the first rule
-//! whose condition holds and that sets the attribute decides. Conditions may
-//! not loop (macros that expand to a comprehension are refused) and have at
-//! most [`MAX_NODES`] nodes, so that a program ends within a known cost.
+//! A program is an ordered list of rules. The value of each attribute comes from the first rule
+//! that sets the attribute and whose condition is true. To limit the cost of a program, conditions
+//! must not contain loops (macros that expand to a comprehension are refused) and have at most
+//! [`MAX_NODES`] nodes.
 
 use crate::document::PolicyEntry;
 use cel::common::ast::Expr;
@@ -11,36 +11,36 @@
 use std::sync::{Arc, LazyLock};
 use std::time::Duration;
 
-/// Most nodes in the syntax tree of one condition.
+/// Maximum number of nodes in the syntax tree of a condition.
 pub const MAX_NODES: usize = 64;
-/// Most rules in one configuration.
+/// Maximum number of rules in a configuration.
 pub const MAX_RULES: usize = 100;
 /// The variables that a condition may use.
 pub const VARIABLES: [&str; 4] = ["workspace", "model", "kind", "priority"];
 
-/// What a condition sees of a request.
+/// The attributes of a request that conditions can use.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestAttributes<'a> {
     /// The caller's workspace.
     pub workspace: &'a str,
     /// The model as `name@version`.
     pub model: &'a str,
-    /// The kind that the caller names, or empty.
+    /// The kind of request as given by the caller, or empty.
     pub kind: &'a str,
-    /// The priority that the caller asks for.
+    /// The priority that the caller requests.
     pub priority: u32,
 }
 
-/// What the program decides for a request.
+/// The decision of a policy program for a request. A field is `None` if no rule sets it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PolicyDecision {
-    /// Requests with a lower number go first.
+    /// Priority of the request; lower numbers are served first.
     pub priority: Option<u32>,
-    /// Longest time that the request may wait.
+    /// Maximum time that the request may wait.
     pub may_wait: Option<Duration>,
-    /// Most requests of the workspace that run at one time through one router.
+    /// Maximum number of concurrent requests of the workspace through one router.
     pub max_running: Option<u32>,
-    /// Most accelerator memory held for the workspace.
+    /// Maximum accelerator memory of all models that were loaded for the workspace, in bytes.
     pub max_held_bytes: Option<u64>,
 }
 
@@ -57,21 +57,21 @@
     rules: Vec<Rule>,
 }
 
-/// Why a rule is refused: its number, and the reason with line and column.
+/// A rule that is refused, and the reason.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RuleFault {
-    /// The rule's place in the list, counted from 0.
+    /// Index of the rule in the list, starting at 0.
     pub index: usize,
-    /// The reason.
+    /// The reason, with line and column for a syntax error.
     pub reason: String,
 }
 
 impl Policy {
-    /// Compiles every rule.
+    /// Compiles all rules.
     ///
     /// # Errors
-    /// Every rule that is not an expression, costs too much, uses an unknown
-    /// variable or sets nothing.
+    /// All rules whose condition is not a valid expression, is too expensive or uses an unknown
+    /// variable, and all rules that set no attribute.
     pub fn compile(entries: &[PolicyEntry]) -> Result<Self, Vec<RuleFault>> {
         let mut rules = Vec::with_capacity(entries.len());
         let mut faults = Vec::new();
@@ -95,25 +95,26 @@
         }
     }
 
-    /// Runs the program for one request.
+    /// Evaluates the program for one request.
     ///
-    /// A condition that fails at run time counts as not holding.
+    /// A condition that fails at run time counts as false.
     pub fn evaluate(&self, attributes: &RequestAttributes<'_>) -> PolicyDecision {
-        let mut ruling = PolicyDecision::default();
+        let mut decision = PolicyDecision::default();
         if self.rules.is_empty() {
-            return ruling;
+            return decision;
         }
         let context = context_of(attributes);
         for rule in &self.rules {
             if matches!(rule.condition.execute(&context), Ok(Value::Bool(true))) {
-                ruling.fill_unset_from(&rule.entry);
+                decision.fill_unset_from(&rule.entry);
             }
         }
-        ruling
+        decision
     }
 }
 
 impl PolicyDecision {
+    /// Sets each field that no earlier rule has set.
     fn fill_unset_from(&mut self, entry: &PolicyEntry) {
         self.priority = self.priority.or(entry.priority);
         self.may_wait = self
@@ -124,7 +125,7 @@
     }
 }
 
-/// The functions of the language, set up once.
+/// The standard library of CEL, created once.
 static CEL_ENV: LazyLock<Arc<Env>> = LazyLock::new(|| Arc::new(Env::stdlib()));
 
 fn context_of<'a>(attributes: &RequestAttributes<'_>) -> Context<'a, 'a> {
@@ -174,6 +175,9 @@
 }
 
 /// Counts the nodes of an expression.
+///
+/// # Errors
+/// If the expression contains a loop, a map or a struct, which are refused.
 fn count_nodes(node: &IdedExpr) -> Result<usize, String> {
     let children: Vec<&IdedExpr> = match &node.expr {
         Expr::Comprehension(_) => return Err("loops (all, exists, map, filter) are refused".into()),
--- a/crates/config/src/revision.rs
+++ b/crates/config/src/revision.rs
@@ -1,4 +1,4 @@
-//! A revision of the configuration as it is kept in the key-value service.
+//! Revisions of the configuration as they are stored in the key-value service.
 
 use crate::catalog::Catalog;
 use crate::check::Faults;
@@ -12,19 +12,19 @@
 use std::io::{Read, Write};
 use std::sync::Arc;
 
-/// Key of the current revision.
+/// Key of the current revision in the key-value service.
 pub const CURRENT_KEY: &str = "config/current";
 
-/// Largest revision that is decoded, in bytes; guards against a broken value.
+/// Maximum size of a decompressed revision; guards against corrupted values.
 const MAX_DECODED_BYTES: u64 = 64 << 20;
 
-/// Encodes a revision as it is kept and sent: JSON, compressed.
+/// Encodes a revision for storage and for messages: as compressed JSON.
 ///
-/// Plain JSON passes the key-value service's limit of a megabyte at the size of
-/// the target; see `docs/CAPACITY.md`.
+/// At the target size, uncompressed JSON exceeds the key-value service's limit of a megabyte; see
+/// `docs/CAPACITY.md`.
 ///
 /// # Errors
-/// If it cannot be written as JSON.
+/// If the revision cannot be written as JSON.
 pub fn encode(stored: &StoredRevision) -> Result<Vec<u8>> {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     let json = serde_json::to_vec(stored).context("encoding a revision")?;
@@ -32,10 +32,10 @@
     encoder.finish().context("compressing a revision")
 }
 
-/// Decodes what [`encode`] made.
+/// Decodes a revision that [`encode`] encoded.
 ///
 /// # Errors
-/// If the bytes are something else.
+/// If the bytes are not an encoded revision.
 pub fn decode(bytes: &[u8]) -> Result<StoredRevision> {
     let mut json = Vec::new();
     let decoder = DeflateDecoder::new(bytes);
@@ -46,20 +46,20 @@
     serde_json::from_slice(&json).context("decoding a revision")
 }
 
-/// A revision together with the bytes that it came in, to be passed on as they are.
+/// A revision together with its encoded form, which can be forwarded without encoding it again.
 #[derive(Debug, Clone)]
 pub struct EncodedRevision {
-    /// The revision.
+    /// The decoded revision.
     pub stored: StoredRevision,
-    /// What [`encode`] made of it.
+    /// The revision as encoded by [`encode`].
     pub encoded: Arc<[u8]>,
 }
 
 impl EncodedRevision {
-    /// Decodes bytes and keeps them.
+    /// Decodes a revision and retains the encoded bytes.
     ///
     /// # Errors
-    /// If the bytes are not a revision.
+    /// If the bytes are not an encoded revision.
     pub fn from_bytes(encoded: &[u8]) -> Result<Self> {
         Ok(Self {
             stored: decode(encoded)?,
@@ -68,27 +68,29 @@
     }
 }
 
-/// One accepted revision with who made it and when; the audit trail of configuration.
+/// An accepted revision with its author and time. All revisions together form the audit trail of
+/// the configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StoredRevision {
-    /// The revision's number; each accepted change adds one.
+    /// The number of the revision; each accepted change increments it by one.
     pub revision: Revision,
-    /// A number drawn for this change, by which a lost answer is read back.
+    /// A random number of this change. If the answer to its write is lost, the writer reads the
+    /// value back and recognizes its change by this number.
     pub change_id: u64,
-    /// Who applied it.
+    /// The author of the change.
     pub author: String,
-    /// When, in seconds since 1970-01-01 UTC.
+    /// Time of the change, in seconds since 1970-01-01 UTC.
     pub applied_at_unix_s: u64,
-    /// Why, in the operator's words.
+    /// The reason for the change, as given by the operator.
     pub comment: String,
-    /// What changed against the revision before, one line each.
+    /// The differences from the previous revision, one line each.
     pub changes: Vec<String>,
     /// The configuration itself.
     pub document: Document,
 }
 
 impl StoredRevision {
-    /// The key that keeps `revision` for the history.
+    /// The key under which `revision` is stored for the history.
     pub fn history_key(revision: Revision) -> String {
         format!("config/history/{revision:010}")
     }
@@ -96,7 +98,7 @@
     /// Checks and resolves the document.
     ///
     /// # Errors
-    /// Every fault of the document.
+    /// All faults of the document.
     pub fn catalog(&self) -> std::result::Result<Catalog, Faults> {
         Catalog::build(&self.document, self.revision)
     }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of each program, read once at start.
+//! The settings of each program, read once at startup.
 
 mod checks;
 
@@ -10,32 +10,32 @@
 use serde::de::DeserializeOwned;
 use std::path::Path;
 
-/// What every instance-bound program needs to know of its place.
+/// The settings of a program that runs on an instance.
 pub trait Settings: DeserializeOwned + Default {
-    /// What must hold beyond the types; returns each field at fault.
+    /// Checks the rules that the types do not express; returns every field that breaks a rule.
     fn check(&self) -> Vec<FieldFault>;
 
     /// Reads and checks a file.
     ///
     /// # Errors
-    /// If the file cannot be read, or every fault in it.
+    /// If the file cannot be read; otherwise all faults in it.
     fn read(path: &Path) -> anyhow::Result<Self> {
-        let name = || path.display().to_string();
-        let text = std::fs::read_to_string(path).with_context(name)?;
-        Self::parse(&text).with_context(name)
+        let file_name = || path.display().to_string();
+        let text = std::fs::read_to_string(path).with_context(file_name)?;
+        Self::parse(&text).with_context(file_name)
     }
 
-    /// Reads JSON with comments and checks it whole.
+    /// Parses JSON with comments and checks all fields.
     ///
     /// # Errors
-    /// Every fault, with line and reason.
+    /// All faults, each with its line and reason.
     fn parse(text: &str) -> Result<Self, Faults> {
         let source = Source::parse(text)?;
         let mut faults: Vec<Fault> = Vec::new();
         let settings: Self = source.read(&mut faults);
-        for found in settings.check() {
-            if !faults.iter().any(|fault| fault.path == found.path) {
-                faults.push(source.fault_at(found.path, found.reason));
+        for broken in settings.check() {
+            if !faults.iter().any(|fault| fault.path == broken.path) {
+                faults.push(source.fault_at(broken.path, broken.reason));
             }
         }
         faults.sort_by_key(|fault| fault.line);
@@ -55,23 +55,24 @@
     pub instance: String,
     /// Data hall of the instance.
     pub data_hall: String,
-    /// Where callers connect, as `ip:port`.
+    /// Address where callers connect, as `ip:port`.
     pub listen: String,
     /// Controllers, the one on this instance first, each as `ip:port`.
     pub controllers: Vec<String>,
     /// The key-value service, as `ip:port`; used only for claims.
     pub key_value: String,
-    /// Connections served at one time.
+    /// Maximum number of concurrent connections.
     pub max_connections: usize,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_limit_bytes: usize,
-    /// Longest time until a deadline that a caller may ask for, in milliseconds.
+    /// Maximum time until a deadline that a caller may request, in milliseconds.
     pub max_deadline_ms: u64,
-    /// Time without word of the configuration after which new work is refused, in milliseconds.
+    /// Maximum time without a confirmation that the configuration is current, in milliseconds.
+    /// After this time, the router refuses new requests.
     pub stale_limit_ms: u64,
-    /// Longest time for a call to the key-value service, in milliseconds.
+    /// Timeout for a call to the key-value service, in milliseconds.
     pub key_value_timeout_ms: u64,
-    /// Lowest level that is logged.
+    /// The least severe level that is logged.
     pub log_level: String,
 }
 
@@ -123,7 +124,7 @@
     pub instance: String,
     /// Data hall of the instance.
     pub data_hall: String,
-    /// Where routers, other controllers and `passwayctl` connect, as `ip:port`.
+    /// Address where routers, other controllers and `passwayctl` connect, as `ip:port`.
     pub listen: String,
     /// Other controllers, each as `ip:port`.
     pub peers: Vec<String>,
@@ -131,16 +132,16 @@
     pub key_value: String,
     /// The instance list, as `ip:port`.
     pub instance_list: String,
-    /// Time that a cell's lease lasts, in milliseconds.
+    /// Duration of a cell's lease, in milliseconds.
     pub lease_ms: u64,
-    /// Time after which an unanswered order can no longer arrive, in milliseconds.
+    /// Time after which an unanswered order can no longer reach its engine, in milliseconds.
     pub order_settle_ms: u64,
-    /// Longest time for a call to the key-value service or the instance list, in milliseconds.
+    /// Timeout for a call to the key-value service or the instance list, in milliseconds.
     pub key_value_timeout_ms: u64,
-    /// Time for which a write of a plan may be open before sleeping models are refused, in
-    /// milliseconds.
+    /// Time without an answer to a write of a plan after which requests for models that are not
+    /// loaded are refused, in milliseconds.
     pub write_patience_ms: u64,
-    /// Lowest level that is logged.
+    /// The least severe level that is logged.
     pub log_level: String,
 }
 
@@ -176,5 +177,5 @@
     }
 }
 
-/// Some hundred times what the key-value service takes when nothing is wrong.
+/// About a hundred times the usual latency of the key-value service.
 const DEFAULT_KEY_VALUE_TIMEOUT_MS: u64 = 1_000;
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer: bytes, or a reader whose every read is passed on at once.
+//! The body of an answer: bytes, or a reader from which each chunk is sent immediately.
 
 use bytes::Bytes;
 use hyper::body::{Body as HttpBody, Frame, SizeHint};
@@ -7,13 +7,13 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// Bytes taken from a reader at one time.
+/// Maximum number of bytes per read from a reader.
 const CHUNK_BYTES: usize = 16 << 10;
 
 /// The body of an answer.
 pub struct Body {
     source: Source,
-    /// Whether the last frame may still wait in the connection's buffer.
+    /// Whether the last frame may still be in the connection's write buffer.
     needs_flush: bool,
     on_end: Option<Box<dyn FnOnce() + Send>>,
 }
@@ -24,7 +24,7 @@
 }
 
 impl Body {
-    /// A body of bytes.
+    /// Creates a body from bytes.
     pub fn new(bytes: impl Into<Bytes>) -> Self {
         let bytes = Some(bytes.into()).filter(|bytes| !bytes.is_empty());
         Self {
@@ -34,9 +34,10 @@
         }
     }
 
-    /// A body that is read from `reader`, which may block. Each read is sent
-    /// before the next one. An error breaks the connection, so that the caller
-    /// can tell a broken answer from a whole one.
+    /// Creates a body that is read from `reader`, which may block.
+    ///
+    /// Each chunk is sent before the next one is read. A read error closes the connection, so that
+    /// the caller recognizes that the answer is incomplete.
     pub fn from_reader(reader: impl Read + Send + 'static) -> Self {
         Self {
             source: Source::Reader(Box::new(reader)),
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Calls `on_end` when the body was sent or given up.
+    /// Sets a function that is called after the body was sent or abandoned.
     pub(crate) fn set_on_end(&mut self, on_end: impl FnOnce() + Send + 'static) {
         self.on_end = Some(Box::new(on_end));
     }
@@ -83,8 +84,8 @@
         match &mut this.source {
             Source::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
             Source::Reader(_) if this.needs_flush => {
-                // `hyper` flushes when a body has nothing ready; without this
-                // pause a token would wait for the next one.
+                // `hyper` flushes its buffer when a body returns `Pending`. Without this, a token
+                // would stay in the buffer until the next one arrives.
                 this.needs_flush = false;
                 context.waker().wake_by_ref();
                 Poll::Pending
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -1,4 +1,4 @@
-//! Drives one connection on the thread that it has to itself.
+//! Drives one connection on its own thread.
 
 use crate::Response;
 use crate::body::Body;
@@ -21,21 +21,21 @@
 use std::task::{Context, Poll, Wake, Waker};
 use std::time::{Duration, Instant};
 
-/// Longest wait between two looks at the deadlines.
+/// Maximum time between two checks of the deadlines.
 const DEADLINE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Bounds of a connection.
+/// Limits and timeouts of connections.
 #[derive(Debug, Clone)]
 pub struct Limits {
-    /// Connections at one time.
+    /// Maximum number of concurrent connections.
     pub max_connections: usize,
-    /// Largest body.
+    /// Maximum size of a request body.
     pub max_body_bytes: usize,
-    /// Time for a request's head to arrive, idle time before it included.
+    /// Maximum time until a request's head has arrived, including the idle time before it.
     pub head_timeout: Duration,
-    /// Time for a request's body to arrive.
+    /// Maximum time until a request's body has arrived.
     pub body_timeout: Duration,
-    /// Time for a caller to take any bytes of an answer.
+    /// Maximum time during which a caller accepts no bytes of an answer.
     pub write_timeout: Duration,
 }
 
@@ -51,14 +51,14 @@
     }
 }
 
-/// Why a body was not read.
+/// The reason why a request body could not be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyError {
-    /// It is over the limit.
+    /// The body is larger than the limit.
     TooLarge,
-    /// It did not arrive in time.
+    /// The body did not arrive in time.
     TooSlow,
-    /// It broke off, or is not well formed.
+    /// The body is incomplete or malformed.
     Broken,
 }
 
@@ -67,14 +67,14 @@
 pub struct Request {
     /// Method, path and headers.
     pub head: http::request::Parts,
-    /// The body, or why there is none.
+    /// The body, or the reason why it could not be read.
     pub body: Result<Bytes, BodyError>,
-    /// Who sent it.
+    /// The caller that sent the request.
     pub caller: Caller,
 }
 
 impl Request {
-    /// A header's value, if it is there and text.
+    /// The value of a header, if the header is present and its value is text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.headers.get(name)?.to_str().ok()
     }
@@ -85,7 +85,7 @@
     }
 }
 
-/// The connection's other end.
+/// The peer of a connection.
 #[derive(Debug, Clone)]
 pub struct Caller {
     stream: Arc<TcpStream>,
@@ -101,12 +101,12 @@
     }
 }
 
-/// What the connection does, with the moment by which it must have gone on.
+/// The phase of a connection, with the deadline of that phase.
 #[derive(Debug, Clone, Copy)]
 enum Phase {
-    Head { until: Instant },
+    Head { deadline: Instant },
     Body,
-    Answer { until: Instant },
+    Answer { deadline: Instant },
 }
 
 #[derive(Debug)]
@@ -126,26 +126,26 @@
 
     fn start_head_phase(&self) {
         self.set(Phase::Head {
-            until: clock::now() + self.limits.head_timeout,
+            deadline: clock::now() + self.limits.head_timeout,
         });
     }
 
     fn start_write_timeout(&self) {
         self.set(Phase::Answer {
-            until: clock::now() + self.limits.write_timeout,
+            deadline: clock::now() + self.limits.write_timeout,
         });
     }
 
-    fn is_expired(&self, now: Instant, waits_to_write: bool) -> bool {
+    fn is_expired(&self, now: Instant, is_write_blocked: bool) -> bool {
         match self.get() {
-            Phase::Head { until } => now >= until,
+            Phase::Head { deadline } => now >= deadline,
             Phase::Body => false,
-            Phase::Answer { until } => waits_to_write && now >= until,
+            Phase::Answer { deadline } => is_write_blocked && now >= deadline,
         }
     }
 }
 
-/// Remembers a wake-up that came while the connection was polled.
+/// Records a wakeup that happened while the connection was polled.
 #[derive(Debug, Default)]
 struct WakeFlag(AtomicBool);
 
@@ -155,12 +155,12 @@
     }
 }
 
-/// Serves a connection until it ends.
+/// Serves a connection until it is closed.
 pub(crate) fn serve(stream: TcpStream, handler: &Handler, limits: &Limits, keep_alive: bool) {
     if stream.set_nonblocking(true).is_err() {
         return;
     }
-    // Tokens are small and must not wait for one another.
+    // Without this, small writes such as single tokens would be delayed to be sent together.
     if stream.set_nodelay(true).is_err() {
         return;
     }
@@ -168,7 +168,7 @@
     let interest = Rc::new(Interest::default());
     let now = clock::now();
     let phase = Mutex::new(Phase::Head {
-        until: now + limits.head_timeout,
+        deadline: now + limits.head_timeout,
     });
     let state = Arc::new(ConnectionState {
         phase,
@@ -186,15 +186,15 @@
         .keep_alive(keep_alive)
         .serve_connection(socket, service);
     let mut connection = pin!(connection);
-    let woken = Arc::new(WakeFlag::default());
-    let waker = Waker::from(woken.clone());
+    let wake_flag = Arc::new(WakeFlag::default());
+    let waker = Waker::from(wake_flag.clone());
     let mut context = Context::from_waker(&waker);
     loop {
         interest.clear();
         match connection.as_mut().poll(&mut context) {
             Poll::Ready(Ok(())) => return,
             Poll::Ready(Err(error)) => {
-                log::debug!(error:% = error; "a connection ended early");
+                log::debug!(error:% = error; "connection closed with an error");
                 return;
             }
             Poll::Pending => {}
@@ -202,7 +202,7 @@
         if interest.take_has_written() && matches!(state.get(), Phase::Answer { .. }) {
             state.start_write_timeout();
         }
-        if woken.0.swap(false, Ordering::AcqRel) {
+        if wake_flag.0.swap(false, Ordering::AcqRel) {
             continue;
         }
         if state.is_expired(clock::now(), interest.is_write_blocked())
@@ -231,25 +231,25 @@
         },
     );
     state.start_write_timeout();
-    let ended = state.clone();
+    let end_state = state.clone();
     response
         .body_mut()
-        .set_on_end(move || ended.start_head_phase());
+        .set_on_end(move || end_state.start_head_phase());
     Ok(response)
 }
 
 async fn read_body(incoming: Incoming, limits: &Limits) -> Result<Bytes, BodyError> {
-    let until = clock::now() + limits.body_timeout;
+    let deadline = clock::now() + limits.body_timeout;
     let incoming = RefCell::new(incoming);
     let mut body = Vec::new();
     loop {
-        // The connection's loop polls again at every look, so that a body that
-        // stands still is noticed without a timer.
+        // The connection's loop polls again at least every `DEADLINE_CHECK_INTERVAL`, so that a
+        // stalled body is detected without a timer.
         let frame = std::future::poll_fn(|context| {
             let mut incoming = incoming.borrow_mut();
             let polled = pin!(incoming.frame()).as_mut().poll(context);
             match polled {
-                Poll::Pending if clock::now() >= until => Poll::Ready(Err(BodyError::TooSlow)),
+                Poll::Pending if clock::now() >= deadline => Poll::Ready(Err(BodyError::TooSlow)),
                 Poll::Pending => Poll::Pending,
                 Poll::Ready(frame) => Poll::Ready(Ok(frame)),
             }
@@ -268,10 +268,10 @@
     }
 }
 
-/// The answer to a connection that is one too many.
+/// Sends the refusal to a connection above the maximum number.
 pub(crate) fn refuse(stream: &TcpStream, answer: &[u8]) {
     use std::io::Write;
-    // The caller may be gone or slow; neither may hold up accepting.
+    // A disconnected or slow caller must not delay accepting other connections.
     if stream.set_nonblocking(true).is_ok() {
         let mut stream = stream;
         let _ = stream.write(answer);
--- a/crates/http/src/io.rs
+++ b/crates/http/src/io.rs
@@ -1,4 +1,4 @@
-//! A non-blocking socket for `hyper`, and the wait until it can go on.
+//! A non-blocking socket for `hyper`, and waiting until the socket is ready.
 
 use hyper::rt::{Read, ReadBufCursor, Write};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
@@ -11,15 +11,16 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// Bytes read at one time.
+/// Maximum number of bytes per read.
 const READ_BYTES: usize = 8 << 10;
 
-/// What a connection waits for.
+/// The socket events that a connection waits for.
 #[derive(Debug, Default)]
 pub(crate) struct Interest {
     read: Cell<bool>,
     write: Cell<bool>,
-    /// Set whenever bytes went out, so that a slow reader can be told from a stuck one.
+    /// Set whenever bytes were written. Distinguishes a peer that reads slowly from one that does
+    /// not read at all.
     has_written: Cell<bool>,
 }
 
@@ -37,7 +38,7 @@
         self.write.get()
     }
 
-    /// Blocks until the socket can go on, or the time is over.
+    /// Blocks until the socket is ready or the timeout has expired.
     pub(crate) fn wait(&self, stream: &TcpStream, timeout: Duration) -> io::Result<()> {
         let mut flags = PollFlags::empty();
         if self.read.get() || !self.write.get() {
@@ -54,7 +55,7 @@
     }
 }
 
-/// The socket.
+/// A non-blocking TCP socket that records what it waits for.
 #[derive(Debug)]
 pub(crate) struct Socket {
     pub(crate) stream: Arc<TcpStream>,
@@ -68,8 +69,8 @@
         mut buffer: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         let mut chunk = [0; READ_BYTES];
-        let most = buffer.remaining().min(READ_BYTES);
-        match (&*self.stream).read(&mut chunk[..most]) {
+        let max_bytes = buffer.remaining().min(READ_BYTES);
+        match (&*self.stream).read(&mut chunk[..max_bytes]) {
             Ok(count) => {
                 buffer.put_slice(&chunk[..count]);
                 Poll::Ready(Ok(()))
@@ -94,9 +95,9 @@
                 self.interest.write.set(true);
                 Poll::Pending
             }
-            written => {
+            result => {
                 self.interest.has_written.set(true);
-                Poll::Ready(written)
+                Poll::Ready(result)
             }
         }
     }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! Accepts connections and gives each a thread.
+//! Accepts connections and serves each on its own thread.
 
 use crate::connection::{self, Limits, Request};
 use crate::{Body, Response};
@@ -10,15 +10,15 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Pause after an accept failed, for instance for want of file descriptors.
+/// Delay after a failed accept, for example if the process is out of file descriptors.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
-/// Stack of a connection's thread, in bytes.
+/// Stack size of a connection's thread.
 const STACK_BYTES: usize = 256 << 10;
 
-/// Answers one request; may block.
+/// A function that answers one request and may block.
 pub(crate) type Handler = dyn Fn(Request) -> Response + Send + Sync;
 
-/// A server that is bound to an address.
+/// An HTTP server that is bound to an address.
 pub struct Server {
     listener: TcpListener,
     limits: Limits,
@@ -34,7 +34,7 @@
 }
 
 impl Server {
-    /// Binds to an address; port 0 lets the kernel choose.
+    /// Binds to an address; with port 0 the kernel selects a port.
     ///
     /// # Errors
     /// If the address cannot be bound.
@@ -47,21 +47,21 @@
         })
     }
 
-    /// Sets the bounds of connections.
+    /// Sets the limits and timeouts of connections.
     #[must_use]
     pub fn limits(mut self, limits: Limits) -> Self {
         self.limits = limits;
         self
     }
 
-    /// Sets the whole answer, head included, to a connection that is one too many.
+    /// Sets the raw answer, including its head, to connections above the maximum number.
     #[must_use]
     pub fn refusal(mut self, answer: Vec<u8>) -> Self {
         self.refusal = answer;
         self
     }
 
-    /// Where the server listens.
+    /// The address where the server listens.
     ///
     /// # Errors
     /// The socket's error.
@@ -69,13 +69,13 @@
         self.listener.local_addr()
     }
 
-    /// Accepts connections for as long as the process lives.
+    /// Accepts connections until the process terminates.
     pub fn serve(self, handler: impl Fn(Request) -> Response + Send + Sync + 'static) -> ! {
         let handler: Arc<Handler> = Arc::new(handler);
-        let live = Arc::new(AtomicUsize::new(0));
+        let connection_count = Arc::new(AtomicUsize::new(0));
         loop {
             match self.listener.accept() {
-                Ok((stream, _)) => self.handle_connection(stream, &handler, &live),
+                Ok((stream, _)) => self.handle_connection(stream, &handler, &connection_count),
                 Err(error) => {
                     log::warn!(error:% = error; "a connection could not be accepted");
                     std::thread::sleep(ACCEPT_BACKOFF);
@@ -88,15 +88,16 @@
         &self,
         stream: TcpStream,
         handler: &Arc<Handler>,
-        live: &Arc<AtomicUsize>,
+        connection_count: &Arc<AtomicUsize>,
     ) {
-        let count = live.fetch_add(1, Ordering::AcqRel);
-        let guard = ConnectionGuard(live.clone());
+        let count = connection_count.fetch_add(1, Ordering::AcqRel);
+        let guard = ConnectionGuard(connection_count.clone());
         if count >= self.limits.max_connections {
             connection::refuse(&stream, &self.refusal);
             return;
         }
-        // Connections are kept only while there is room for others.
+        // A connection is kept open after a request only if fewer than half of the allowed
+        // connections are in use, so that others can connect.
         let keep_alive = count < self.limits.max_connections / 2;
         let (handler, limits) = (handler.clone(), self.limits.clone());
         let run = move || {
@@ -112,7 +113,8 @@
     }
 }
 
-/// A panic ends the request, not the thread's connection count.
+/// Calls the handler. If the handler panics, this returns an internal error instead, so that the
+/// connection's thread survives.
 pub(crate) fn call_handler(handler: &Handler, request: Request) -> Response {
     catch_unwind(AssertUnwindSafe(|| handler(request))).unwrap_or_else(|_| {
         log::error!("a handler panicked");
@@ -122,7 +124,7 @@
     })
 }
 
-/// Counts one connection while it lives.
+/// Decrements the number of connections when a connection has ended.
 struct ConnectionGuard(Arc<AtomicUsize>);
 
 impl Drop for ConnectionGuard {
--- a/crates/process/src/dial.rs
+++ b/crates/process/src/dial.rs
@@ -1,4 +1,4 @@
-//! A connection to a peer that is made again whenever it breaks.
+//! A connection to a peer that reconnects automatically.
 
 use crate::outbox::Outbox;
 use passway_types::prelude::*;
@@ -7,55 +7,60 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Time to make a connection.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// A peer that is silent for this long is given up; heartbeats come far more often.
+/// The connection is closed if nothing is received for this time. Heartbeats are sent far more
+/// often.
 const READ_TIMEOUT: Duration = Duration::from_secs(12);
-/// Shortest pause between two attempts, in milliseconds; up to twice as long by chance.
-const MIN_RETRY_BACKOFF_MS: u64 = 150;
+/// Minimum backoff between two connection attempts. The actual backoff is random, up to twice
+/// this time.
+const MIN_BACKOFF_MS: u64 = 150;
 
-/// What happens on a dialed connection.
+/// An event of a [`Dialer`].
 #[derive(Debug)]
 pub enum DialEvent {
-    /// The connection stands.
+    /// The connection was established. Messages to the peer go through the outbox.
     Connected(Outbox),
-    /// A message came.
+    /// A message was received.
     Received(Body),
-    /// The connection broke, or could not be made.
+    /// The connection was closed or could not be established.
     Disconnected,
 }
 
-/// Keeps a connection to one address until it is dropped.
+/// Keeps a connection to one address open until the dialer is dropped.
 #[derive(Debug)]
 pub struct Dialer {
-    stopped: Arc<AtomicBool>,
+    is_stopped: Arc<AtomicBool>,
 }
 
 impl Dialer {
-    /// Starts to connect; `handle` is called from the dialer's own thread.
+    /// Starts connecting. `handle` is called on the dialer's own thread.
     pub fn start(address: SocketAddr, mut handle: impl FnMut(DialEvent) + Send + 'static) -> Self {
-        let stopped = Arc::new(AtomicBool::new(false));
-        let is_stopped = stopped.clone();
+        let is_stopped = Arc::new(AtomicBool::new(false));
+        let stop_requested = is_stopped.clone();
         std::thread::spawn(move || {
-            while !is_stopped.load(Ordering::Relaxed) {
-                run_connection(address, &mut handle, &is_stopped);
+            while !stop_requested.load(Ordering::Relaxed) {
+                run_connection(address, &mut handle, &stop_requested);
                 handle(DialEvent::Disconnected);
-                let pause =
-                    rand::rng().random_range(MIN_RETRY_BACKOFF_MS..2 * MIN_RETRY_BACKOFF_MS);
-                std::thread::sleep(Duration::from_millis(pause));
+                let backoff_ms = rand::rng().random_range(MIN_BACKOFF_MS..2 * MIN_BACKOFF_MS);
+                std::thread::sleep(Duration::from_millis(backoff_ms));
             }
         });
-        Self { stopped }
+        Self { is_stopped }
     }
 }
 
 impl Drop for Dialer {
     fn drop(&mut self) {
-        self.stopped.store(true, Ordering::Relaxed);
+        self.is_stopped.store(true, Ordering::Relaxed);
     }
 }
 
-fn run_connection(address: SocketAddr, handle: &mut impl FnMut(DialEvent), stopped: &AtomicBool) {
+fn run_connection(
+    address: SocketAddr,
+    handle: &mut impl FnMut(DialEvent),
+    is_stopped: &AtomicBool,
+) {
     let Ok((link, mut reader)) = Link::connect(address, CONNECT_TIMEOUT) else {
         return;
     };
@@ -63,7 +68,7 @@
         return;
     }
     handle(DialEvent::Connected(Outbox::start(link.clone())));
-    while !stopped.load(Ordering::Relaxed) {
+    while !is_stopped.load(Ordering::Relaxed) {
         match reader.receive() {
             Ok(Some(body)) => handle(DialEvent::Received(body)),
             Ok(None) | Err(_) => break,
--- a/crates/process/src/lib.rs
+++ b/crates/process/src/lib.rs
@@ -1,9 +1,9 @@
-//! Process set-up shared by passway's programs.
+//! Process setup shared by passway's programs.
 //!
-//! * [`logging`]: one structured line an event, through `log` and `fern`.
-//! * [`dial`]: a connection to a peer that is made again whenever it breaks.
-//! * [`outbox`]: sending to a peer without ever blocking the sender.
-//! * [`signals`]: termination signals as a channel.
+//! * [`logging`]: one structured line per event, through `log` and `fern`.
+//! * [`dial`]: a connection to a peer that reconnects automatically.
+//! * [`outbox`]: sending to a peer without blocking the sender.
+//! * [`signals`]: signals of the operating system as a channel.
 
 pub mod dial;
 pub mod logging;
@@ -12,11 +12,11 @@
 
 use passway_types::ids::Incarnation;
 
-/// Bits of an incarnation; small enough to be shifted into a change id.
+/// Bits of an incarnation; few enough that an incarnation can be shifted into a change id.
 const INCARNATION_BITS: u32 = 40;
 
-/// Draws the number that tells this process from any other.
+/// Draws a random number that identifies this process.
 pub fn draw_incarnation() -> Incarnation {
-    // 0 is left out: it stands for "unknown" on the wire.
+    // 0 is excluded because it means "unknown" in messages.
     rand::random_range(1..1_u64 << INCARNATION_BITS)
 }
--- a/crates/process/src/logging.rs
+++ b/crates/process/src/logging.rs
@@ -1,8 +1,8 @@
-//! One structured line an event, through `log` and `fern`.
+//! Logging of one structured line per event, through `log` and `fern`.
 //!
-//! * [`start`]: `key=value` lines on standard error, for programs run by hand.
-//! * [`json`]: JSON lines on standard output, limited in volume, for programs whose
-//!   output is collected; [`queue`] holds them until they are written.
+//! * [`start`]: `key=value` lines on standard error, for programs that are run manually.
+//! * [`json`]: JSON lines on standard output, for programs whose output is collected. Their rate is
+//!   limited by [`rate_limit`], and [`queue`] holds them until they are written.
 
 pub mod json;
 pub mod queue;
@@ -13,7 +13,7 @@
 use std::fmt::Write;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// The crates whose lines are written at the level of the settings.
+/// The crates whose lines are logged at the configured level.
 const OWN_CRATES: [&str; 7] = [
     "passway_router",
     "passway_controller",
@@ -24,7 +24,8 @@
     "passway_users_platform",
 ];
 
-/// A dispatch that lets our own lines through at `level`, others from warnings on.
+/// A dispatch that passes lines of passway's own crates at `level`, and only warnings and errors of
+/// other crates.
 fn dispatch(level: &str) -> Result<fern::Dispatch> {
     let level: log::LevelFilter = level.parse().context("log_level")?;
     let mut dispatch = fern::Dispatch::new().level(log::LevelFilter::Warn);
@@ -34,7 +35,7 @@
     Ok(dispatch)
 }
 
-/// Time since 1970-01-01 UTC, as this machine's clock has it.
+/// Time since 1970-01-01 UTC by this machine's clock.
 fn unix_time() -> Duration {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
     elapsed.unwrap_or_default()
@@ -42,22 +43,22 @@
 
 /// Starts logging to standard error.
 ///
-/// A line is `time level target program message key=value ...`, the time in
+/// The format of a line is `time level target program message key=value ...`, where the time is in
 /// seconds since 1970-01-01 UTC.
 ///
 /// # Errors
-/// If the level is not known or logging was started before.
+/// If the level is unknown or logging was already started.
 pub fn start(program: &'static str, level: &str) -> Result<()> {
     dispatch(level)?
         .format(move |out, message, record| {
-            let elapsed = unix_time();
+            let time = unix_time();
             let mut pairs = Pairs(String::new());
-            // Writing into a string does not fail.
+            // Writing to a string does not fail.
             let _ = record.key_values().visit(&mut pairs);
             out.finish(format_args!(
                 "{}.{:03} {} {} {program} {message}{}",
-                elapsed.as_secs(),
-                elapsed.subsec_millis(),
+                time.as_secs(),
+                time.subsec_millis(),
                 record.level(),
                 record.target(),
                 pairs.0
@@ -68,11 +69,12 @@
         .context("logging was started before")
 }
 
+/// Formats the key-value pairs of a record as ` key=value ...`.
 struct Pairs(String);
 
 impl<'kvs> VisitSource<'kvs> for Pairs {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), kv::Error> {
-        let written = write!(self.0, " {key}={value}");
-        written.map_err(|_| kv::Error::msg("formatting failed"))
+        let result = write!(self.0, " {key}={value}");
+        result.map_err(|_| kv::Error::msg("formatting failed"))
     }
 }
--- a/crates/process/src/logging/json.rs
+++ b/crates/process/src/logging/json.rs
@@ -1,8 +1,8 @@
 //! JSON lines on standard output.
 //!
-//! Lines go through a queue to one thread that writes them in batches, so that nobody
-//! who logs waits for whoever reads the output. What does not fit into the queue or the
-//! bound is dropped, counted, and told with the next batch.
+//! A queue passes the lines to one thread that writes them in batches, so that a thread that logs
+//! never waits for the reader of the output. Lines that exceed the queue or the rate limit are
+//! dropped and counted; the next batch reports their number.
 
 use super::queue::{LineReceiver, LineSender, line_queue};
 use super::rate_limit::{LineClass, LogRateLimit};
@@ -17,22 +17,22 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-/// Lines of this time are written by one call.
+/// Time during which lines are collected before they are written with one call.
 const BATCH_DELAY: Duration = Duration::from_millis(100);
-/// The target of lines about the end of a request, which come first in the bound.
+/// The target of lines about the end of a request, which take precedence in the rate limit.
 pub const REQUEST_TARGET: &str = "passway_instance::request";
-/// The target of lines about decisions that change an engine, the right to order, or the
-/// configuration in force, which have a bound of their own.
+/// The target of lines about decisions that change an engine, the leadership or the active
+/// configuration. These lines have a rate limit of their own.
 pub const DECISION_TARGET: &str = "passway_instance::decision";
 
-/// Where lines go on their way to the output.
+/// Applies the rate limit to lines and queues them for the output.
 struct Sink {
     lines: LineSender,
     rate_limit: Mutex<LogRateLimit>,
     dropped: Arc<DroppedCounts>,
 }
 
-/// Lines that were dropped since this was told last, by what they were about.
+/// Numbers of lines by subject that were dropped since the last report.
 #[derive(Default)]
 struct DroppedCounts {
     decisions: AtomicU64,
@@ -51,16 +51,17 @@
     }
 }
 
-/// Starts logging to standard output, at most so many lines a second in the mean.
+/// Starts logging to standard output, with at most `lines_per_s` lines per second on average.
+/// Lines about decisions have a separate limit.
 ///
 /// # Errors
-/// If the level is not known or logging was started before.
+/// If the level is unknown or logging was already started.
 pub fn start(program: &'static str, level: &str, lines_per_s: u32) -> Result<()> {
     let dispatch = dispatch(level)?;
     let dropped = Arc::new(DroppedCounts::default());
-    let (lines, queued) = line_queue();
-    let counted = dropped.clone();
-    std::thread::spawn(move || write_batches(&queued, &counted, program));
+    let (lines, receiver) = line_queue();
+    let dropped_counts = dropped.clone();
+    std::thread::spawn(move || write_batches(&receiver, &dropped_counts, program));
     let sink = Sink {
         lines,
         rate_limit: Mutex::new(LogRateLimit::new(lines_per_s, clock::now())),
@@ -80,29 +81,30 @@
             REQUEST_TARGET => LineClass::RequestEnd,
             _ => LineClass::Other,
         };
-        let mut bound = self
+        let mut rate_limit = self
             .rate_limit
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        let admitted = bound.admit(class, clock::now());
-        drop(bound);
-        if !admitted || !self.lines.send(encode_line(record, program)) {
+        let is_admitted = rate_limit.admit(class, clock::now());
+        drop(rate_limit);
+        if !is_admitted || !self.lines.send(encode_line(record, program)) {
             self.dropped.count(class);
         }
     }
 }
 
-/// One event as a line of JSON.
+/// Encodes an event as a line of JSON.
 fn encode_line(record: &log::Record<'_>, program: &str) -> String {
     let mut fields = Fields(common_fields(&record.level().to_string(), program));
     fields.0.insert("target".into(), record.target().into());
     let message = record.args().to_string();
     fields.0.insert("message".into(), message.into());
-    // Gathering into a map does not fail.
+    // Inserting into a map does not fail.
     let _ = record.key_values().visit(&mut fields);
     Json::Object(fields.0).to_string()
 }
 
+/// The fields that every line has.
 fn common_fields(level: &str, program: &str) -> Map<String, Json> {
     let at_ms = u64::try_from(unix_time().as_millis()).unwrap_or(u64::MAX);
     let mut fields = Map::new();
@@ -112,6 +114,7 @@
     fields
 }
 
+/// Collects the key-value pairs of a record as JSON fields.
 struct Fields(Map<String, Json>);
 
 impl<'kvs> VisitSource<'kvs> for Fields {
@@ -119,7 +122,7 @@
         let json = match (value.to_u64(), value.to_f64(), value.to_bool()) {
             (Some(number), ..) => number.into(),
             (_, Some(number), _) => number.into(),
-            (.., Some(truth)) => truth.into(),
+            (.., Some(flag)) => flag.into(),
             _ => value.to_string().into(),
         };
         self.0.insert(key.as_str().to_owned(), json);
@@ -127,35 +130,36 @@
     }
 }
 
-/// Writes lines until the process ends; nobody waits for it.
-fn write_batches(queued: &LineReceiver, dropped: &DroppedCounts, program: &str) {
+/// Writes lines until the process terminates. No other thread waits for this one.
+fn write_batches(receiver: &LineReceiver, dropped: &DroppedCounts, program: &str) {
     let mut batch = String::new();
-    while let Ok(first) = queued.receive() {
+    while let Ok(first) = receiver.receive() {
         std::thread::sleep(BATCH_DELAY);
         batch.clear();
-        for encode_line in std::iter::once(first).chain(queued.drain()) {
+        for encode_line in std::iter::once(first).chain(receiver.drain()) {
             batch.push_str(&encode_line);
             batch.push('\n');
         }
         let [decisions, request_ends, others] =
             [&dropped.decisions, &dropped.request_ends, &dropped.others]
                 .map(|counter| counter.swap(0, Ordering::Relaxed));
-        let lost = decisions + request_ends + others;
-        if lost > 0 {
+        let total = decisions + request_ends + others;
+        if total > 0 {
             let mut fields = common_fields("WARN", program);
             fields.insert("message".into(), "log lines were dropped".into());
-            fields.insert("dropped".into(), lost.into());
+            fields.insert("dropped".into(), total.into());
             fields.insert("decisions".into(), decisions.into());
             fields.insert("request_ends".into(), request_ends.into());
             batch.push_str(&Json::Object(fields).to_string());
             batch.push('\n');
         }
-        // Whoever reads the output is gone; there is nobody to tell.
+        // A failed write means that the reader of the output has disconnected, so the error cannot
+        // be reported.
         let _ = std::io::stdout().write_all(batch.as_bytes());
     }
 }
 
-/// Time after which a line that was logged before has been written, if somebody reads.
+/// Time after which a logged line has been written, if the output is being read.
 pub fn max_flush_delay() -> Duration {
     BATCH_DELAY * 2
 }
--- a/crates/process/src/logging/queue.rs
+++ b/crates/process/src/logging/queue.rs
@@ -1,31 +1,31 @@
-//! The queue of lines on their way to the output, bounded in lines and in bytes: names in a
-//! line come from callers, so lines may be long.
+//! The queue of lines that wait to be written. The queue is limited in lines and in bytes: a line
+//! may be long, since it may contain names that callers choose.
 
 use crossbeam::channel::{Receiver, RecvError, Sender, bounded};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Lines that wait to be written.
+/// Maximum number of lines that wait to be written.
 const MAX_LINES: usize = 2_048;
-/// Bytes that wait to be written: as many lines of 512 bytes, which is more than the line about
-/// a request's end has.
+/// Maximum number of bytes that wait to be written: enough for [`MAX_LINES`] lines of 512 bytes.
+/// The line about the end of a request is shorter.
 const MAX_BYTES: usize = 1 << 20;
 
-/// The end that takes lines.
+/// The sending half of the queue.
 #[derive(Debug, Clone)]
 pub struct LineSender {
     lines: Sender<String>,
     waiting_bytes: Arc<AtomicUsize>,
 }
 
-/// The end that gives them.
+/// The receiving half of the queue.
 #[derive(Debug)]
 pub struct LineReceiver {
     lines: Receiver<String>,
     waiting_bytes: Arc<AtomicUsize>,
 }
 
-/// An empty queue.
+/// Creates an empty queue.
 pub fn line_queue() -> (LineSender, LineReceiver) {
     let (sender, receiver) = bounded(MAX_LINES);
     let waiting_bytes = Arc::new(AtomicUsize::new(0));
@@ -41,11 +41,11 @@
 }
 
 impl LineSender {
-    /// Queues a line without waiting; false if there is no room for it.
+    /// Queues a line without blocking. Returns false if the queue is full.
     pub fn send(&self, line: String) -> bool {
         let length = line.len();
-        let waiting = self.waiting_bytes.fetch_add(length, Ordering::Relaxed);
-        let is_queued = waiting + length <= MAX_BYTES && self.lines.try_send(line).is_ok();
+        let waiting_bytes = self.waiting_bytes.fetch_add(length, Ordering::Relaxed);
+        let is_queued = waiting_bytes + length <= MAX_BYTES && self.lines.try_send(line).is_ok();
         if !is_queued {
             self.waiting_bytes.fetch_sub(length, Ordering::Relaxed);
         }
@@ -54,6 +54,7 @@
 }
 
 impl LineReceiver {
+    /// Subtracts a received line from the waiting bytes.
     fn release(&self, line: String) -> String {
         self.waiting_bytes.fetch_sub(line.len(), Ordering::Relaxed);
         line
@@ -62,21 +63,21 @@
     /// Waits for a line.
     ///
     /// # Errors
-    /// If nobody can queue one any more.
+    /// If all senders were dropped.
     pub fn receive(&self) -> Result<String, RecvError> {
         self.lines.recv().map(|line| self.release(line))
     }
 
-    /// The lines that wait, at most as many bytes of them as may wait at one time: others come
-    /// in while these are taken.
+    /// Takes the waiting lines, up to [`MAX_BYTES`]. The limit ends the iteration even if new lines
+    /// are queued meanwhile.
     pub fn drain(&self) -> impl Iterator<Item = String> {
-        let mut left = MAX_BYTES;
+        let mut remaining_bytes = MAX_BYTES;
         std::iter::from_fn(move || {
-            if left == 0 {
+            if remaining_bytes == 0 {
                 return None;
             }
             let line = self.lines.try_recv().ok()?;
-            left = left.saturating_sub(line.len());
+            remaining_bytes = remaining_bytes.saturating_sub(line.len());
             Some(self.release(line))
         })
     }
--- a/crates/process/src/logging/rate_limit.rs
+++ b/crates/process/src/logging/rate_limit.rs
@@ -1,28 +1,28 @@
-//! How many lines may be written.
+//! Limits the rate of log lines.
 
 use std::time::Instant;
 
-/// Part of the bound that only lines about the end of a request may use.
+/// Ratio of the burst that is reserved for lines about the end of a request.
 const REQUEST_END_RESERVED_RATIO: f64 = 0.5;
-/// Lines may gather for this long while fewer are written, in seconds.
+/// Size of the burst, as the time in which it refills, in seconds.
 const BURST_S: f64 = 2.0;
-/// Lines about decisions, as a part of the bound on all others, which they do not use: the
-/// holder before 256 engines gives 250 orders a second on a calm day, at some 200 bytes each;
-/// any other instance writes a few in all.
+/// Rate limit of lines about decisions, as a ratio of the rate limit of all other lines. The two
+/// limits are independent. With 256 engines, the holder sends 250 orders per second in normal
+/// operation, with about 200 bytes per line; all other instances log only a few decisions in total.
 const DECISION_RATE_RATIO: f64 = 4.0;
 
-/// What a line is about.
+/// The subject of a line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LineClass {
-    /// A decision that changes an engine, the right to order, or the configuration in force.
+    /// A decision that changes an engine, the leadership or the active configuration.
     Decision,
     /// The end of a request.
     RequestEnd,
-    /// Anything else.
+    /// Any other subject.
     Other,
 }
 
-/// Lines that may be written, as they come back with time.
+/// A token bucket with one token per line.
 #[derive(Debug, Clone, Copy)]
 struct Bucket {
     lines_per_s: f64,
@@ -30,6 +30,7 @@
 }
 
 impl Bucket {
+    /// Creates a full bucket.
     fn full(lines_per_s: f64) -> Self {
         Self {
             lines_per_s,
@@ -37,26 +38,30 @@
         }
     }
 
+    /// The size of the burst.
     fn capacity(&self) -> f64 {
         self.lines_per_s * BURST_S
     }
 
-    fn refill(&mut self, quiet_s: f64) {
-        self.tokens = (self.tokens + self.lines_per_s * quiet_s).min(self.capacity());
+    /// Adds the tokens of an elapsed time.
+    fn refill(&mut self, elapsed_s: f64) {
+        self.tokens = (self.tokens + self.lines_per_s * elapsed_s).min(self.capacity());
     }
 
-    /// Takes a line, if that leaves what is reserved for others.
+    /// Takes a token if at least `reserved` tokens remain. Returns whether it was taken.
     fn try_take(&mut self, reserved: f64) -> bool {
-        let has_room = self.tokens - 1.0 >= reserved;
-        if has_room {
+        let has_capacity = self.tokens - 1.0 >= reserved;
+        if has_capacity {
             self.tokens -= 1.0;
         }
-        has_room
+        has_capacity
     }
 }
 
-/// A bound on lines a second: lines about decisions never give way to those of requests, and
-/// the ends of requests come before all that is left.
+/// A rate limit for log lines.
+///
+/// Lines about decisions have a limit of their own, so that lines about requests never displace
+/// them. Lines about the end of a request take precedence over other lines.
 #[derive(Debug)]
 pub struct LogRateLimit {
     decisions: Bucket,
@@ -65,7 +70,7 @@
 }
 
 impl LogRateLimit {
-    /// A full bound.
+    /// Creates a rate limit with a full burst.
     pub fn new(lines_per_s: u32, now: Instant) -> Self {
         let lines_per_s = f64::from(lines_per_s);
         Self {
@@ -75,13 +80,13 @@
         }
     }
 
-    /// Whether a line may be written now.
+    /// Returns whether a line may be written now.
     pub fn admit(&mut self, class: LineClass, now: Instant) -> bool {
-        let quiet_s = now
+        let elapsed_s = now
             .saturating_duration_since(self.refilled_at)
             .as_secs_f64();
-        self.decisions.refill(quiet_s);
-        self.others.refill(quiet_s);
+        self.decisions.refill(elapsed_s);
+        self.others.refill(elapsed_s);
         self.refilled_at = self.refilled_at.max(now);
         match class {
             LineClass::Decision => self.decisions.try_take(0.0),
--- a/crates/wire/src/dispatch.rs
+++ b/crates/wire/src/dispatch.rs
@@ -1,5 +1,7 @@
-//! Datagrams between instances: one message each, and each may be lost or come twice. Here are
-//! those to and from the dispatcher of an engine.
+//! Datagrams between instances, and the messages to and from the dispatcher of an engine.
+//!
+//! Each datagram carries one message and may be lost or delivered twice. The messages about permits
+//! are in [`crate::permits`].
 
 use crate::message::Suspects;
 use crate::permits::{PermitAnswer, PermitRelease, PermitRequest, VersionAnswer, VersionQuery};
@@ -8,62 +10,64 @@
 /// One datagram.
 #[derive(Clone, PartialEq, Message)]
 pub struct Datagram {
-    /// What it says; `None` comes from a newer program and is ignored.
+    /// The message; `None` if a newer program sent a kind that this one does not know. Such a
+    /// datagram is ignored.
     #[prost(oneof = "Dispatch", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10")]
     pub body: Option<Dispatch>,
 }
 
 impl Datagram {
-    /// The bytes of a datagram with a message, or without one.
+    /// Encodes a datagram with a message, or without one.
     pub fn encode_body(body: Option<Dispatch>) -> Vec<u8> {
         Self { body }.encode_to_vec()
     }
 
-    /// The message that bytes hold; `None` if there is none, or it cannot be read.
+    /// Decodes a datagram and returns its message; `None` if the datagram is malformed or its
+    /// message is of an unknown kind.
     pub fn decode_body(bytes: &[u8]) -> Option<Dispatch> {
         Self::decode(bytes).ok()?.body
     }
 }
 
-/// The kinds of datagram.
+/// The kinds of datagrams.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum Dispatch {
-    /// Asks for an engine.
+    /// Asks a dispatcher for an engine for one attempt.
     #[prost(message, tag = "1")]
     DispatchRequest(DispatchRequest),
-    /// The answer.
+    /// The answer to [`Dispatch::DispatchRequest`].
     #[prost(message, tag = "2")]
     DispatchReply(DispatchReply),
-    /// A run is over.
+    /// Reports that a run has ended.
     #[prost(message, tag = "3")]
     RunEnded(RunEnded),
-    /// All that an instance runs on the dispatcher's engines.
+    /// All runs of an instance on the dispatcher's engines.
     #[prost(message, tag = "4")]
     RunSnapshot(RunSnapshot),
-    /// Asks how new the configuration is.
+    /// Asks for the newest configuration version that the receiver can prove.
     #[prost(message, tag = "5")]
     VersionQuery(VersionQuery),
-    /// The answer.
+    /// The answer to [`Dispatch::VersionQuery`].
     #[prost(message, tag = "6")]
     VersionAnswer(VersionAnswer),
-    /// Asks whether a workspace may use so much.
+    /// Asks the coordinator for a permit for one request.
     #[prost(message, tag = "7")]
     PermitRequest(PermitRequest),
-    /// The answer.
+    /// The answer to [`Dispatch::PermitRequest`].
     #[prost(message, tag = "8")]
     PermitAnswer(PermitAnswer),
-    /// What a workspace has not used.
+    /// Releases a permit.
     #[prost(message, tag = "9")]
     PermitRelease(PermitRelease),
-    /// What the sender knows of requests that crash upstreams.
+    /// The requests that crash upstreams, as far as the sender knows.
     #[prost(message, tag = "10")]
     Suspects(Suspects),
 }
 
-/// Asks for an engine for one attempt.
+/// Asks a dispatcher for an engine for one attempt.
 #[derive(Clone, PartialEq, Message)]
 pub struct DispatchRequest {
-    /// The attempt's number at the instance that asks.
+    /// The number of the attempt, unique within the requesting instance.
     #[prost(uint64, tag = "1")]
     pub id: u64,
     /// The service.
@@ -75,78 +79,79 @@
     /// The adapter; empty for none.
     #[prost(string, tag = "4")]
     pub adapter: String,
-    /// The hall that is preferred at equal load.
+    /// The data hall that is preferred at equal load.
     #[prost(string, tag = "5")]
     pub hall: String,
-    /// A number of the request's own.
+    /// A random number of the request; it spreads requests over equally loaded engines.
     #[prost(fixed64, tag = "6")]
     pub random: u64,
-    /// Time until it must begin to be in time, in milliseconds; below 0 if it is late.
+    /// Time until the attempt must start to meet its deadline, in milliseconds; negative if it is
+    /// late.
     #[prost(sint64, tag = "8")]
     pub due_in_ms: i64,
-    /// Engines where the request has been.
+    /// Engines that the request was already sent to.
     #[prost(string, repeated, tag = "7")]
     pub tried_engines: Vec<String>,
-    /// Whether engines let it in before all others that wait.
+    /// Whether engines admit the attempt before all others that wait.
     #[prost(bool, tag = "9")]
     pub is_urgent: bool,
-    /// The regions in which it may be served, if they bind.
+    /// The regions in which the request may be served, if `is_restricted` is set.
     #[prost(string, repeated, tag = "10")]
     pub regions: Vec<String>,
-    /// Whether they bind.
+    /// Whether the request may be served only in `regions`.
     #[prost(bool, tag = "11")]
     pub is_restricted: bool,
 }
 
-/// What an attempt may do.
+/// The result of a [`DispatchRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub enum Verdict {
-    /// None of the dispatcher's engines has what is needed.
+    /// None of the dispatcher's engines has the model and adapter.
     Absent = 0,
-    /// All that have it are full.
+    /// All engines that have them are full.
     Full = 1,
-    /// It goes to the engine that is named.
+    /// The attempt may be sent to the engine named in the [`DispatchReply`].
     Go = 2,
 }
 
 /// The answer to an [`DispatchRequest`].
 #[derive(Clone, PartialEq, Message)]
 pub struct DispatchReply {
-    /// The attempt's number.
+    /// The number of the attempt.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// What it may do.
+    /// The result.
     #[prost(enumeration = "Verdict", tag = "2")]
     pub verdict: i32,
-    /// The engine.
+    /// The engine; empty unless the verdict is [`Verdict::Go`].
     #[prost(string, tag = "3")]
     pub engine: String,
 }
 
-/// How a run that is over tells about its engine.
+/// The outcome of a run, as far as it concerns the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub enum RunOutcome {
-    /// Nothing.
+    /// The outcome says nothing about the engine.
     Unknown = 0,
-    /// It answered well.
+    /// The engine answered successfully.
     Answered = 1,
-    /// It failed.
+    /// The engine failed.
     Failed = 2,
-    /// It was too full.
+    /// The engine was overloaded and rejected the request.
     Shed = 3,
-    /// It could not be reached.
+    /// The engine could not be reached.
     Unreachable = 4,
 }
 
-/// A run is over.
+/// Reports that a run has ended.
 #[derive(Clone, PartialEq, Message)]
 pub struct RunEnded {
-    /// The attempt's number.
+    /// The number of the attempt.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// What it tells.
+    /// The outcome of the run.
     #[prost(enumeration = "RunOutcome", tag = "2")]
     pub outcome: i32,
 }
@@ -154,7 +159,7 @@
 /// A run on an engine.
 #[derive(Clone, PartialEq, Message)]
 pub struct EngineRun {
-    /// The attempt's number.
+    /// The number of the attempt.
     #[prost(uint64, tag = "1")]
     pub id: u64,
     /// The engine.
@@ -162,7 +167,7 @@
     pub engine: String,
 }
 
-/// What an instance runs on a dispatcher's engines.
+/// All runs of an instance on a dispatcher's engines.
 #[derive(Clone, PartialEq, Message)]
 pub struct RunSnapshot {
     /// The runs.
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,13 +1,13 @@
 //! Messages between passway's own processes, and their framing.
 //!
-//! * [`message`]: one [`message::Envelope`] a frame, protocol buffers by derive,
-//!   so the build needs no generator.
-//! * [`dispatch`]: datagrams about where requests go.
-//! * [`permits`]: datagrams about what instances may do.
+//! * [`message`]: messages on connections, one [`message::Envelope`] per frame. The protocol
+//!   buffers are derived from Rust types, so that the build needs no code generator.
+//! * [`dispatch`]: datagrams by which requests are assigned to engines.
+//! * [`permits`]: datagrams by which instances ask for permits.
 //! * [`link`]: a blocking connection that sends and receives envelopes.
 //!
-//! Times travel as what remains in milliseconds, never as a clock reading, since
-//! the clocks of two instances are not compared.
+//! Deadlines are sent as a remaining time in milliseconds and past events as an age, not as clock
+//! readings, since the clocks of two instances cannot be compared.
 
 pub mod dispatch;
 pub mod link;
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -10,21 +10,22 @@
 use std::time::Duration;
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
-/// Largest frame: a whole configuration (1 MB in the users' store) and some room.
+/// Maximum size of a frame: a whole configuration (at most 1 MB in the users' store) and reserve.
 pub const MAX_FRAME_BYTES: usize = 4 << 20;
-/// Bytes read at one time.
+/// Maximum number of bytes per read.
 const READ_BYTES: usize = 16 << 10;
-/// A peer that takes no bytes for this long is given up.
+/// The connection is closed if the peer accepts no bytes for this time.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Unacknowledged bytes end a connection after this time, in milliseconds: one that has
-/// fallen silent takes what is written for as long as its buffers do, and an instance's
-/// needs would reach nobody. Enough for three lost segments in a row.
+/// The connection is closed if sent bytes are not acknowledged within this time.
+///
+/// Without this limit, writes to an unresponsive peer succeed until the socket's buffers are full,
+/// and an instance's reports are lost meanwhile. The time allows for three lost segments in a row.
 const UNACKNOWLEDGED_TIMEOUT_MS: u32 = 1_500;
 
-/// Bytes sent over all links of this process.
+/// Total bytes sent over all links of this process.
 static SENT_BYTES: AtomicU64 = AtomicU64::new(0);
 
-/// Bytes sent over all links of this process since its start, frames included.
+/// Total bytes sent over all links since the start of this process, including frame headers.
 pub fn sent_bytes() -> u64 {
     SENT_BYTES.load(Ordering::Relaxed)
 }
@@ -35,8 +36,8 @@
         .new_codec()
 }
 
-/// A message as it goes over a link. Clones share the bytes, so one that goes to many peers
-/// is encoded and kept once.
+/// An encoded message. Clones share the bytes, so a message to many peers is encoded and stored
+/// once.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Frame(Bytes);
 
@@ -44,7 +45,7 @@
     /// Encodes a message.
     ///
     /// # Errors
-    /// If it is larger than [`MAX_FRAME_BYTES`].
+    /// If the encoded message is larger than [`MAX_FRAME_BYTES`].
     pub fn new(body: Body) -> io::Result<Self> {
         let envelope = Envelope { body: Some(body) };
         let mut frame = BytesMut::new();
@@ -52,22 +53,22 @@
         Ok(Self(frame.freeze()))
     }
 
-    /// Its length in bytes.
+    /// Length of the frame in bytes.
     pub fn byte_len(&self) -> usize {
         self.0.len()
     }
 }
 
-/// The sending half; clones share one connection.
+/// The sending half of a connection; clones share the connection.
 #[derive(Debug, Clone)]
 pub struct Link {
     stream: Arc<TcpStream>,
-    /// Held while a frame is written, and by nothing else: a peer that takes no bytes holds
-    /// the writer up, and must not hold up those who close the connection.
-    writing: Arc<Mutex<()>>,
+    /// Locked only while a frame is written. A peer that accepts no bytes blocks the writer, but
+    /// must not block a thread that closes the connection.
+    write_lock: Arc<Mutex<()>>,
 }
 
-/// The receiving half.
+/// The receiving half of a connection.
 #[derive(Debug)]
 pub struct LinkReader {
     stream: TcpStream,
@@ -79,13 +80,13 @@
     /// Connects to a peer.
     ///
     /// # Errors
-    /// The connection's error.
+    /// If the connection cannot be established.
     pub fn connect(address: SocketAddr, timeout: Duration) -> io::Result<(Self, LinkReader)> {
         Self::from_stream(TcpStream::connect_timeout(&address, timeout)?)
     }
 
-    /// How long bytes that are not acknowledged may be on their way before the connection
-    /// ends, in milliseconds; 0 if that is left to the system.
+    /// Time after which unacknowledged bytes close the connection, in milliseconds; 0 if the
+    /// system's default applies.
     ///
     /// # Errors
     /// The socket's error.
@@ -93,7 +94,7 @@
         Ok(rustix::net::sockopt::tcp_user_timeout(&*self.stream)?)
     }
 
-    /// Uses an accepted connection.
+    /// Creates a link from an established connection.
     ///
     /// # Errors
     /// The socket's error.
@@ -101,16 +102,16 @@
         stream.set_nodelay(true)?;
         rustix::net::sockopt::set_tcp_user_timeout(&stream, UNACKNOWLEDGED_TIMEOUT_MS)?;
         stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
-        let reading = stream.try_clone()?;
+        let read_half = stream.try_clone()?;
         let reader = LinkReader {
-            stream: reading,
+            stream: read_half,
             codec: codec(),
             buffer: BytesMut::new(),
         };
         Ok((
             Self {
                 stream: Arc::new(stream),
-                writing: Arc::default(),
+                write_lock: Arc::default(),
             },
             reader,
         ))
@@ -119,8 +120,8 @@
     /// Sends one message.
     ///
     /// # Errors
-    /// The socket's error; the connection is closed then, since a frame may have
-    /// been cut.
+    /// The socket's error. The connection is then closed, since the frame may have been sent only
+    /// in part.
     pub fn send(&self, body: Body) -> io::Result<()> {
         self.send_frame(&Frame::new(body)?)
     }
@@ -128,27 +129,30 @@
     /// Sends one encoded message.
     ///
     /// # Errors
-    /// As [`Link::send`].
+    /// The same as for [`Link::send`].
     pub fn send_frame(&self, frame: &Frame) -> io::Result<()> {
-        let writing = self.writing.lock().unwrap_or_else(PoisonError::into_inner);
-        let sent = (&*self.stream).write_all(&frame.0);
-        drop(writing);
+        let guard = self
+            .write_lock
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let result = (&*self.stream).write_all(&frame.0);
+        drop(guard);
         SENT_BYTES.fetch_add(frame.byte_len() as u64, Ordering::Relaxed);
-        if sent.is_err() {
+        if result.is_err() {
             self.close();
         }
-        sent
+        result
     }
 
-    /// Closes both directions, which also ends the reader and a write under way.
+    /// Closes both directions, which also ends the reader and a write in progress.
     pub fn close(&self) {
-        // Closing may fail only because the peer closed first.
+        // Fails only if the peer has already closed the connection.
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 }
 
 impl LinkReader {
-    /// Ends a receive that hears nothing for this long with an error.
+    /// Sets the time after which [`LinkReader::receive`] fails if no bytes arrive.
     ///
     /// # Errors
     /// The socket's error.
@@ -156,7 +160,7 @@
         self.stream.set_read_timeout(Some(timeout))
     }
 
-    /// Receives one message; `None` when the peer closed.
+    /// Receives one message; `None` if the peer has closed the connection.
     ///
     /// # Errors
     /// The socket's error, or a frame that cannot be decoded.
@@ -173,7 +177,7 @@
             let count = match self.stream.read(&mut chunk) {
                 Ok(0) => return Ok(None),
                 Ok(count) => count,
-                // The process was stopped and goes on: the peer may stand as before.
+                // The process was stopped and continued; the connection may still be intact.
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
                 Err(error) => return Err(error),
             };
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -1,11 +1,12 @@
-//! The messages.
+//! The messages of one connection between two processes.
 
 use prost::{Message, Oneof};
 
-/// One frame.
+/// The content of one frame.
 #[derive(Clone, PartialEq, Message)]
 pub struct Envelope {
-    /// What it carries; `None` comes from a newer program and is ignored.
+    /// The message; `None` if a newer program sent a kind that this one does not know. Such a
+    /// message is ignored.
     #[prost(
         oneof = "Body",
         tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, \
@@ -14,10 +15,10 @@
     pub body: Option<Body>,
 }
 
-/// The kinds of message.
+/// The kinds of messages.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum Body {
-    /// First message of whoever connects.
+    /// The first message on a connection, sent by the side that connects.
     #[prost(message, tag = "1")]
     Hello(Hello),
     /// A controller's heartbeat.
@@ -29,316 +30,330 @@
     /// Where requests may be sent.
     #[prost(message, tag = "4")]
     Routes(Routes),
-    /// A router's demand.
+    /// A router's demand for a model.
     #[prost(message, tag = "5")]
     Demand(Demand),
     /// A holder's answer to a demand.
     #[prost(message, tag = "6")]
     DemandAnswer(DemandAnswer),
-    /// A router's report of use.
+    /// A router's report of requests in progress.
     #[prost(message, tag = "7")]
     Usage(Usage),
-    /// Asks whether a former holder can still send orders.
+    /// Asks whether a previous holder can still send orders.
     #[prost(message, tag = "8")]
     Probe(Probe),
     /// The answer to a probe.
     #[prost(message, tag = "9")]
     ProbeAnswer(ProbeAnswer),
-    /// An operator's question.
+    /// An operator's query.
     #[prost(message, tag = "10")]
     Query(Query),
-    /// The answer to an operator's question, as JSON.
+    /// The answer to an operator's query, as JSON.
     #[prost(message, tag = "11")]
     QueryAnswer(QueryAnswer),
-    /// Asks a controller for its revision of the configuration.
+    /// Requests a controller's revision of the configuration.
     #[prost(message, tag = "12")]
     ConfigRequest(ConfigRequest),
-    /// What an instance needs and uses.
+    /// The requests that an instance accepted, has waiting and is running.
     #[prost(message, tag = "13")]
     InstanceReport(InstanceReport),
-    /// What stands on engines.
+    /// The models that are loaded on engines.
     #[prost(message, tag = "14")]
     Placements(Placements),
-    /// Asks the holder of the right to order for what the store tells it.
+    /// Subscribes to the updates of the store that the holder relays.
     #[prost(message, tag = "15")]
     Subscribe(Subscribe),
-    /// What the store told the holder.
+    /// Updates of the store, relayed by the holder.
     #[prost(message, tag = "16")]
     Updates(Updates),
-    /// Where the instances that listen to the holder can be reached.
+    /// The addresses of the instances that are subscribed to the holder.
     #[prost(message, tag = "17")]
     Members(Members),
-    /// Who holds the right to order now.
+    /// Announces a new holder of the leadership.
     #[prost(message, tag = "18")]
     NewHolder(NewHolder),
-    /// A holder that the store does not answer asks a candidate to promise.
+    /// Requests a [`Promise`] from a candidate, while the store does not answer the holder.
     #[prost(message, tag = "19")]
     PromiseRequest(PromiseRequest),
-    /// A candidate's promise not to take the right to order.
+    /// A candidate's promise not to take the leadership.
     #[prost(message, tag = "20")]
     Promise(Promise),
-    /// The instances that dispatch for engines.
+    /// The instances that act as dispatchers of engines.
     #[prost(message, tag = "21")]
     Dispatchers(Members),
-    /// Requests under which upstreams have crashed.
+    /// Requests during which upstreams have crashed.
     #[prost(message, tag = "22")]
     Suspects(Suspects),
-    /// What upstreams say of themselves in their answers.
+    /// Signals that upstreams sent about themselves in their answers.
     #[prost(message, tag = "23")]
     KnownSignals(KnownSignals),
 }
 
-/// What an upstream said of how much it takes.
+/// The request rate that an upstream advertised as its limit.
 #[derive(Clone, PartialEq, Message)]
 pub struct UpstreamLimit {
     /// The upstream.
     #[prost(string, tag = "1")]
     pub upstream: String,
-    /// When it had started, in Unix milliseconds by its own clock; 0 if it does not tell.
+    /// Start time of the upstream's process, in Unix milliseconds by the upstream's clock; 0 if
+    /// not known.
     #[prost(uint64, tag = "2")]
     pub started_at_ms: u64,
-    /// Requests a second, from all instances together; `None` if it is in no need any more.
+    /// Requests per second, from all instances together; `None` if the upstream has withdrawn its
+    /// limit.
     #[prost(double, optional, tag = "3")]
     pub requests_per_s: Option<f64>,
-    /// Time since the request was sent whose answer says so, in milliseconds.
+    /// Time since the request was sent whose answer advertised the limit, in milliseconds.
     #[prost(uint64, tag = "4")]
     pub sent_ms_ago: u64,
-    /// Time since that answer came, in milliseconds.
+    /// Time since that answer was received, in milliseconds.
     #[prost(uint64, tag = "5")]
     pub received_ms_ago: u64,
 }
 
-/// A start of an upstream that leaves.
+/// An upstream process that announced that it is leaving.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct LeavingUpstream {
     /// The upstream.
     #[prost(string, tag = "1")]
     pub upstream: String,
-    /// When it had started, in Unix milliseconds by its own clock; 0 if it does not tell.
+    /// Start time of the upstream's process, in Unix milliseconds by the upstream's clock; 0 if
+    /// not known.
     #[prost(uint64, tag = "2")]
     pub started_at_ms: u64,
 }
 
-/// A start of an upstream that wants nothing from the instance that tells it.
+/// An upstream process that asked the sender of this message not to send requests for a while.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct BackingOffUpstream {
     /// The upstream.
     #[prost(string, tag = "1")]
     pub upstream: String,
-    /// When it had started, in Unix milliseconds by its own clock; 0 if it does not tell.
+    /// Start time of the upstream's process, in Unix milliseconds by the upstream's clock; 0 if
+    /// not known.
     #[prost(uint64, tag = "2")]
     pub started_at_ms: u64,
-    /// For how long yet, in milliseconds.
+    /// Remaining backoff, in milliseconds.
     #[prost(uint64, tag = "3")]
     pub remaining_ms: u64,
 }
 
-/// What upstreams said of themselves in their answers, as far as the sender knows.
+/// The signals of upstreams that the sender knows. Upstreams send them in their answers.
 #[derive(Clone, PartialEq, Message)]
 pub struct KnownSignals {
-    /// How much they take.
+    /// Advertised limits.
     #[prost(message, repeated, tag = "1")]
     pub limits: Vec<UpstreamLimit>,
-    /// Those that leave.
+    /// Upstreams that are leaving.
     #[prost(message, repeated, tag = "2")]
     pub leaving: Vec<LeavingUpstream>,
-    /// Those that want nothing from the sender; told to the holder of the right to order only.
+    /// Upstreams that asked the sender to back off; sent to the holder of the leadership only.
     #[prost(message, repeated, tag = "3")]
     pub backing_off: Vec<BackingOffUpstream>,
 }
 
-/// A holder of the right to order that the store does not answer asks a candidate to
-/// promise that it does not take the right for a while.
+/// Requests a candidate's promise not to take the leadership for a while.
+///
+/// The holder sends this when the store does not answer, to extend its leadership without the
+/// store.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Message)]
 pub struct PromiseRequest {
     /// The holder's fencing number.
     #[prost(uint64, tag = "1")]
     pub fence: u64,
-    /// When it was asked, in milliseconds since some moment of the holder's own.
+    /// Time of the request, in milliseconds since a reference time that only the holder knows.
     #[prost(uint64, tag = "2")]
     pub asked_at_ms: u64,
 }
 
-/// A candidate's promise not to take the right to order.
+/// A candidate's promise not to take the leadership.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Promise {
     /// The candidate.
     #[prost(string, tag = "1")]
     pub instance: String,
-    /// The fencing number that the holder named.
+    /// The fencing number from the [`PromiseRequest`].
     #[prost(uint64, tag = "2")]
     pub fence: u64,
-    /// The moment that it named.
+    /// The time from the [`PromiseRequest`].
     #[prost(uint64, tag = "3")]
     pub asked_at_ms: u64,
-    /// Whether the candidate's process ends, so that it never takes the right.
+    /// Whether the candidate's process is terminating and will never take the leadership.
     #[prost(bool, tag = "4")]
     pub is_leaving: bool,
 }
 
-/// A crash of an upstream.
+/// A crash of an upstream while it ran a suspect request.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Crash {
     /// The upstream.
     #[prost(string, tag = "1")]
     pub upstream: String,
-    /// When it had started, in Unix milliseconds by its own clock; 0 if it does not tell.
+    /// Start time of the upstream's process, in Unix milliseconds by the upstream's clock; 0 if
+    /// not known.
     #[prost(uint64, tag = "2")]
     pub started_at_ms: u64,
-    /// What the crash tells about the request: 0 that it may be the cause, 1 that another
-    /// one explains it, 2 that the request was answered since, 3 that the upstream broke off and it
-    /// is not known whether it has ended.
+    /// What the crash implies for the request:
+    ///
+    /// * 0: the request may have caused the crash,
+    /// * 1: another request explains the crash,
+    /// * 2: the request was answered since then,
+    /// * 3: the upstream disconnected, and it is not known whether its process has terminated.
     #[prost(uint32, tag = "3")]
     pub status: u32,
-    /// Time since the run was sent, in milliseconds, where that is known.
+    /// Time since the request was sent to the upstream, in milliseconds, if known.
     #[prost(uint64, optional, tag = "4")]
     pub sent_ms_ago: Option<u64>,
-    /// Time since it broke off, in milliseconds, where that is known.
+    /// Time since the upstream disconnected, in milliseconds, if known.
     #[prost(uint64, optional, tag = "5")]
     pub disconnected_ms_ago: Option<u64>,
 }
 
-/// A request under which upstreams have crashed.
+/// A request during which upstreams have crashed.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Suspect {
-    /// The digest of what it asks for.
+    /// The digest of the request.
     #[prost(bytes = "vec", tag = "1")]
     pub digest: Vec<u8>,
-    /// The crashes.
+    /// The crashes that happened while an upstream ran the request.
     #[prost(message, repeated, tag = "2")]
     pub crashes: Vec<Crash>,
 }
 
-/// Requests under which upstreams have crashed, as far as the sender knows.
+/// The suspect requests and the recent disconnects that the sender knows.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Suspects {
-    /// The requests.
+    /// Requests during which upstreams have crashed.
     #[prost(message, repeated, tag = "1")]
     pub suspects: Vec<Suspect>,
-    /// Upstreams that broke off lately and may have ended.
+    /// Upstreams that disconnected recently and whose processes may have terminated.
     #[prost(message, repeated, tag = "2")]
     pub disconnects: Vec<UpstreamDisconnect>,
 }
 
-/// A start of an upstream that broke off.
+/// An upstream process that disconnected during a request.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct UpstreamDisconnect {
     /// The upstream.
     #[prost(string, tag = "1")]
     pub upstream: String,
-    /// When it had started, in Unix milliseconds by its own clock; 0 if it does not tell.
+    /// Start time of the upstream's process, in Unix milliseconds by the upstream's clock; 0 if
+    /// not known.
     #[prost(uint64, tag = "2")]
     pub started_at_ms: u64,
-    /// Time since it broke off, in milliseconds.
+    /// Time since the upstream disconnected, in milliseconds.
     #[prost(uint64, tag = "3")]
     pub ms_ago: u64,
 }
 
-/// An instance asks for the store's news.
+/// Subscribes an instance to the updates of the store that the holder relays.
 #[derive(Clone, PartialEq, Message)]
 pub struct Subscribe {
-    /// What it knows of each feed: the store's revision, 0 for nothing; in the order of feeds.
+    /// The store's revision up to which the instance knows each feed, in the order of the feeds; 0
+    /// if it knows nothing of a feed.
     #[prost(uint64, repeated, tag = "1")]
     pub known_revisions: Vec<u64>,
-    /// Its name.
+    /// The name of the instance.
     #[prost(string, tag = "2")]
     pub instance: String,
-    /// Where it listens for other instances.
+    /// The address where the instance listens for other instances.
     #[prost(string, tag = "3")]
     pub address: String,
-    /// Whether others had better hold the right to order, since it has little processor.
+    /// Whether the instance has few CPU resources, so that another instance should preferably hold
+    /// the leadership.
     #[prost(bool, tag = "4")]
     pub is_weak: bool,
-    /// Digests of what it believes to stand on each engine.
+    /// A digest for each engine of the models that, as far as the instance knows, are loaded there.
     #[prost(fixed64, repeated, tag = "5")]
     pub placement_digests: Vec<u64>,
 }
 
-/// An instance and where it listens for others.
+/// An instance and its address for other instances.
 #[derive(Clone, PartialEq, Message)]
 pub struct Member {
-    /// Its name.
+    /// The name of the instance.
     #[prost(string, tag = "1")]
     pub instance: String,
-    /// The address.
+    /// The address where the instance listens for other instances.
     #[prost(string, tag = "2")]
     pub address: String,
 }
 
-/// The instances that listen to the holder of the right to order, and itself.
+/// A list of instances, for example the holder of the leadership and all its subscribers.
 #[derive(Clone, PartialEq, Message)]
 pub struct Members {
-    /// All of them.
+    /// The instances.
     #[prost(message, repeated, tag = "1")]
     pub members: Vec<Member>,
 }
 
-/// A new holder of the right to order says so to an instance that may not know it.
+/// Announces the sender as the new holder of the leadership to an instance that may not know yet.
 #[derive(Clone, PartialEq, Message)]
 pub struct NewHolder {
-    /// Its name.
+    /// The name of the instance.
     #[prost(string, tag = "1")]
     pub instance: String,
-    /// Where it listens for other instances.
+    /// The address where the instance listens for other instances.
     #[prost(string, tag = "2")]
     pub address: String,
-    /// Its fencing number.
+    /// The new holder's fencing number.
     #[prost(uint64, tag = "3")]
     pub fence: u64,
 }
 
-/// A value of the store.
+/// A changed value of the store.
 #[derive(Clone, PartialEq, Message)]
 pub struct StoreValue {
-    /// Its key.
+    /// The key.
     #[prost(string, tag = "1")]
     pub key: String,
-    /// Its bytes, packed if `plain_bytes` is not 0; absent if the key went away.
+    /// The value, compressed if `uncompressed_bytes` is not 0; absent if the key was removed.
     #[prost(bytes = "bytes", optional, tag = "2")]
     pub value: Option<bytes::Bytes>,
     /// The store's revision of the change.
     #[prost(uint64, tag = "3")]
     pub revision: u64,
-    /// Its length before it was packed, in bytes; 0 if it is not packed.
+    /// Length of the uncompressed value in bytes; 0 if the value is not compressed.
     #[prost(uint64, tag = "4")]
     pub uncompressed_bytes: u64,
-    /// The revision of the key's value that it is packed against; 0 if against none.
+    /// The revision of the key's earlier value that was used as the compression dictionary; 0 if
+    /// none was used.
     #[prost(uint64, tag = "5")]
     pub base_revision: u64,
 }
 
-/// What the store told of one feed; without changes it only says that the sender lives.
+/// Updates of one feed of the store. Without values, this is only a heartbeat of the sender.
 #[derive(Clone, PartialEq, Message)]
 pub struct Updates {
-    /// The feed's number.
+    /// The index of the feed.
     #[prost(uint32, tag = "1")]
     pub feed: u32,
-    /// The revision that the changes follow on; 0 if this is all there is.
+    /// The revision after which the changes begin; 0 if `values` contains the whole feed.
     #[prost(uint64, tag = "2")]
     pub from_revision: u64,
-    /// The revision up to which this tells; 0 if it tells nothing.
+    /// The revision up to which `values` is complete; 0 if this message contains no updates.
     #[prost(uint64, tag = "3")]
     pub to_revision: u64,
-    /// The changes, or all values.
+    /// The changed values, or all values of the feed.
     #[prost(message, repeated, tag = "4")]
     pub values: Vec<StoreValue>,
-    /// Instances that the holder knows of; 0 if it does not say.
+    /// Number of instances that the holder knows; 0 if not given.
     #[prost(uint32, tag = "5")]
     pub instance_count: u32,
-    /// When this was queued, in milliseconds since a moment of the holder's own; 0 if it does
-    /// not say.
+    /// Time when the message was queued, in milliseconds since a reference time that only the
+    /// holder knows; 0 if not given.
     #[prost(uint64, tag = "6")]
     pub queued_at_ms: u64,
-    /// When the store confirmed last to the holder that it knows all of a feed, by feeds, in
-    /// milliseconds since the same moment; 0 for never.
+    /// For each feed, the last time at which the store confirmed that the holder knows the whole
+    /// feed, in milliseconds since the same reference time; 0 for never.
     #[prost(uint64, repeated, tag = "7")]
     pub confirmed_at_ms: Vec<u64>,
-    /// Engines to which an order of the holder has no answer and may be carried out yet.
+    /// Engines with an unconfirmed order: the engine did not answer and may still execute it.
     #[prost(string, repeated, tag = "8")]
     pub unconfirmed: Vec<String>,
 }
 
-/// A model or adapter of a service.
+/// The number of requests for a model or adapter of a service.
 #[derive(Clone, PartialEq, Message)]
 pub struct ModelRequests {
     /// The service.
@@ -350,15 +365,16 @@
     /// The adapter; empty for none.
     #[prost(string, tag = "3")]
     pub adapter: String,
-    /// Milliseconds for which the last of the requests still waits; 0 for requests taken.
+    /// Time until the last of the waiting requests stops waiting, in milliseconds; 0 for accepted
+    /// requests.
     #[prost(uint32, tag = "4")]
     pub remaining_wait_ms: u32,
-    /// Requests that wait, 0 if none does any more; or requests taken.
+    /// Number of waiting requests, 0 if none is waiting any more; or number of accepted requests.
     #[prost(uint32, tag = "5")]
     pub count: u32,
 }
 
-/// Requests that run on an engine.
+/// The number of requests of a model that run on an engine.
 #[derive(Clone, PartialEq, Message)]
 pub struct RunCount {
     /// The engine.
@@ -367,54 +383,54 @@
     /// The model.
     #[prost(string, tag = "2")]
     pub model: String,
-    /// How many.
+    /// The number of requests.
     #[prost(uint32, tag = "3")]
     pub count: u32,
 }
 
-/// What an instance tells the holder of the right to order.
+/// The report of an instance to the holder of the leadership.
 #[derive(Clone, PartialEq, Message)]
 pub struct InstanceReport {
     /// The instance.
     #[prost(string, tag = "1")]
     pub instance: String,
-    /// What requests wait for, where that has changed since the last message.
+    /// Waiting requests, for models where the number has changed since the last report.
     #[prost(message, repeated, tag = "2")]
     pub waiting: Vec<ModelRequests>,
-    /// What requests were taken for since the last message.
+    /// Requests that were accepted since the last report.
     #[prost(message, repeated, tag = "3")]
     pub accepted: Vec<ModelRequests>,
-    /// What runs now.
+    /// Requests that are running now.
     #[prost(message, repeated, tag = "4")]
     pub running: Vec<RunCount>,
 }
 
-/// A model on an engine.
+/// A model that is loaded on an engine.
 #[derive(Clone, PartialEq, Message)]
 pub struct PlacedModel {
     /// The model.
     #[prost(string, tag = "1")]
     pub model: String,
-    /// Its adapters there.
+    /// The adapters of the model that are loaded on the engine.
     #[prost(string, repeated, tag = "2")]
     pub adapters: Vec<String>,
 }
 
-/// What stands on one engine.
+/// The models that are loaded on one engine.
 #[derive(Clone, PartialEq, Message)]
 pub struct EnginePlacement {
     /// The engine.
     #[prost(string, tag = "1")]
     pub engine: String,
-    /// Its models.
+    /// The loaded models.
     #[prost(message, repeated, tag = "2")]
     pub models: Vec<PlacedModel>,
-    /// Models that are about to go.
+    /// Models that are about to be unloaded.
     #[prost(string, repeated, tag = "3")]
     pub evicting: Vec<String>,
 }
 
-/// What the holder of the right to order tells the instances.
+/// Placements that the holder of the leadership publishes to the instances.
 #[derive(Clone, PartialEq, Message)]
 pub struct Placements {
     /// The engines whose placement has changed.
@@ -422,7 +438,7 @@
     pub engines: Vec<EnginePlacement>,
 }
 
-/// What a program is.
+/// The role of a program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub enum Role {
@@ -436,22 +452,23 @@
     Operator = 3,
 }
 
-/// First message of whoever connects; routers repeat it as their heartbeat.
+/// The first message on a connection, sent by the side that connects. Routers repeat it as their
+/// heartbeat.
 #[derive(Clone, PartialEq, Message)]
 pub struct Hello {
-    /// What the sender is.
+    /// The role of the sender.
     #[prost(enumeration = "Role", tag = "1")]
     pub role: i32,
-    /// The instance that it runs on.
+    /// The instance that the sender runs on.
     #[prost(string, tag = "2")]
     pub instance: String,
-    /// Its incarnation.
+    /// The incarnation of the sender.
     #[prost(fixed64, tag = "3")]
     pub incarnation: u64,
-    /// The revision that is in force at the sender.
+    /// The revision of the configuration that the sender applies.
     #[prost(uint64, tag = "4")]
     pub config_revision: u64,
-    /// Requests in progress at the sender.
+    /// Number of requests in progress at the sender.
     #[prost(uint32, tag = "5")]
     pub in_progress: u32,
     /// Whether the sender is leaving.
@@ -459,55 +476,55 @@
     pub is_leaving: bool,
 }
 
-/// What a controller knows of the holder of a cell.
+/// The holder of a cell, as known by a controller.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct CellHolder {
     /// The cell.
     #[prost(string, tag = "1")]
     pub cell: String,
-    /// The epoch.
+    /// The epoch of the holder.
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
-    /// Where the holder listens.
+    /// The address where the holder listens.
     #[prost(string, tag = "3")]
     pub address: String,
 }
 
-/// A controller's heartbeat, sent to all that are connected.
+/// A controller's heartbeat, sent to all connected peers.
 #[derive(Clone, PartialEq, Message)]
 pub struct Heartbeat {
-    /// The controller's instance.
+    /// The instance that the controller runs on.
     #[prost(string, tag = "1")]
     pub instance: String,
-    /// Its incarnation.
+    /// The incarnation of the sender.
     #[prost(fixed64, tag = "2")]
     pub incarnation: u64,
-    /// The highest revision that it knows.
+    /// The highest revision of the configuration that the controller knows.
     #[prost(uint64, tag = "3")]
     pub config_revision: u64,
-    /// Time since that revision was last confirmed at the key-value service by
-    /// anybody, in milliseconds.
+    /// Time since any controller last confirmed at the key-value service that this revision is the
+    /// current one, in milliseconds.
     #[prost(uint64, tag = "4")]
     pub config_age_ms: u64,
-    /// Whether it reaches neither the service nor any other controller.
+    /// Whether the controller reaches neither the key-value service nor any other controller.
     #[prost(bool, tag = "5")]
     pub is_isolated: bool,
-    /// Live routers.
+    /// Number of live routers.
     #[prost(uint32, tag = "6")]
     pub routers: u32,
-    /// The holders that it knows; left out while they are as in the last
-    /// heartbeat on this connection.
+    /// The holders that the controller knows; omitted if unchanged since the last heartbeat on this
+    /// connection.
     #[prost(message, repeated, tag = "7")]
     pub cells: Vec<CellHolder>,
 }
 
-/// Asks a controller for its revision of the configuration.
+/// Requests a controller's revision of the configuration.
 ///
-/// Whoever lacks a revision asks one controller for it, so that it travels to
-/// each node once, however many controllers tell of it.
+/// Many controllers may announce the same revision. A node that lacks the revision requests it from
+/// only one of them, so that each node receives it once.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct ConfigRequest {
-    /// The revision in force at the sender.
+    /// The revision that the sender applies.
     #[prost(uint64, tag = "1")]
     pub known_revision: u64,
 }
@@ -515,12 +532,12 @@
 /// A revision of the configuration.
 #[derive(Clone, PartialEq, Message)]
 pub struct Config {
-    /// The stored revision, encoded as it is kept.
+    /// The revision, encoded as in the key-value service.
     #[prost(bytes = "bytes", tag = "1")]
     pub encoded: bytes::Bytes,
 }
 
-/// A replica.
+/// A replica of a model on an upstream.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Route {
     /// The model.
@@ -531,22 +548,22 @@
     pub upstream: String,
 }
 
-/// A change of where requests may be sent.
+/// A change of the replicas that requests may be sent to.
 #[derive(Clone, PartialEq, Message)]
 pub struct Routes {
-    /// The cell that it speaks for.
+    /// The cell whose replicas have changed.
     #[prost(string, tag = "1")]
     pub cell: String,
-    /// The epoch of the holder that sent it; an older one is ignored.
+    /// The epoch of the holder that sent the change; routers ignore changes of older epochs.
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
-    /// Whether `added` is the whole table.
+    /// Whether `added` is the complete routing table of the cell.
     #[prost(bool, tag = "3")]
     pub is_complete: bool,
-    /// Replicas that serve.
+    /// Replicas that accept requests.
     #[prost(message, repeated, tag = "4")]
     pub added: Vec<Route>,
-    /// Replicas that get nothing new.
+    /// Replicas that no new requests may be sent to.
     #[prost(message, repeated, tag = "5")]
     pub removed: Vec<Route>,
 }
@@ -557,16 +574,16 @@
     /// The model.
     #[prost(string, tag = "1")]
     pub model: String,
-    /// The workspace that waits first.
+    /// The workspace of the first waiting request.
     #[prost(string, tag = "2")]
     pub workspace: String,
-    /// Requests that wait.
+    /// Number of waiting requests.
     #[prost(uint32, tag = "3")]
     pub waiting: u32,
-    /// Time to the earliest deadline, in milliseconds.
+    /// Time until the earliest deadline, in milliseconds.
     #[prost(uint64, tag = "4")]
     pub deadline_in_ms: u64,
-    /// The best priority among them.
+    /// The best priority among the waiting requests.
     #[prost(uint32, tag = "5")]
     pub priority: u32,
 }
@@ -577,35 +594,35 @@
     /// The model.
     #[prost(string, tag = "1")]
     pub model: String,
-    /// Time until the model is expected to serve, in milliseconds.
+    /// Expected time until the model is ready, in milliseconds.
     #[prost(uint64, tag = "2")]
     pub ready_in_ms: u64,
-    /// The result code if the demand is refused, else 0.
+    /// The result code if the demand is refused, otherwise 0.
     #[prost(uint32, tag = "3")]
     pub refused_code: u32,
-    /// When to come back, in milliseconds.
+    /// Time after which a refused demand may be sent again, in milliseconds.
     #[prost(uint64, tag = "4")]
     pub retry_in_ms: u64,
 }
 
-/// A router's report of use.
+/// A router's report of the requests that use a model.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Usage {
     /// The model.
     #[prost(string, tag = "1")]
     pub model: String,
-    /// Requests in progress.
+    /// Number of requests in progress.
     #[prost(uint32, tag = "2")]
     pub running: u32,
 }
 
-/// Asks whether a former holder can still send orders.
+/// Asks whether a previous holder can still send orders.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Probe {
     /// The cell.
     #[prost(string, tag = "1")]
     pub cell: String,
-    /// The epoch that the former holder had.
+    /// The epoch of the previous holder.
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
 }
@@ -616,23 +633,23 @@
     /// The incarnation of the process that answers.
     #[prost(fixed64, tag = "1")]
     pub incarnation: u64,
-    /// Whether an order of that epoch is still in its hands.
+    /// Whether the process still has an order of that epoch that it may send.
     #[prost(bool, tag = "2")]
     pub has_order_in_flight: bool,
 }
 
-/// An operator's question.
+/// An operator's query.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Query {
-    /// `status`, `audit` or `drain`.
+    /// The kind of query: `status`, `audit` or `drain`.
     #[prost(string, tag = "1")]
     pub kind: String,
 }
 
-/// The answer to an operator's question.
+/// The answer to an operator's query.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct QueryAnswer {
-    /// JSON text.
+    /// The answer as JSON text.
     #[prost(string, tag = "1")]
     pub json: String,
 }
