--- a/tests/all/config_checks.rs
+++ b/tests/all/config_checks.rs
@@ -1,4 +1,4 @@
-//! Settings and configuration are checked whole: every fault with place and reason.
+//! Checks of settings and configuration report all faults, each with its location and reason.
 
 use expect_test::expect;
 use passway_config::catalog;
@@ -7,7 +7,7 @@
 #[test]
 fn settings_faults() {
     let text = r#"{
-  // Two unknown fields, one wrong type, one wrong address, one level that is none.
+  // Two unknown fields, one wrong type, one invalid address, one unknown log level.
   "instance": "entry0",
   "data_hall": "atlanta",
   "listen": "localhost:80",
@@ -83,9 +83,9 @@
 
 #[test]
 fn shipped_examples() {
-    for site in ["market", "laundry"] {
+    for deployment in ["market", "laundry"] {
         let read = |name: &str| {
-            std::fs::read_to_string(format!("examples/{site}/{name}.jsonc")).expect("example")
+            std::fs::read_to_string(format!("examples/{deployment}/{name}.jsonc")).expect("example")
         };
         catalog::parse(&read("config"), 1).expect("no faults");
         for number in 0..6 {
--- a/tests/all/log_lines.rs
+++ b/tests/all/log_lines.rs
@@ -1,5 +1,5 @@
-//! Logs of instances on the users' platform: their volume, a reader that does not read,
-//! and a request's story out of them.
+//! Logs of instances on the users' platform: the rate limit, an output that nobody reads, and the
+//! trace of a request that `passwayctl` builds from the logs.
 
 use crate::site::{self, Answer, Caller, ask, list_plain, plain_server, request, until};
 use expect_test::expect;
@@ -9,61 +9,68 @@
 use passway_types::prelude::*;
 use std::net::TcpStream;
 
-/// Requests whose lines nobody reads.
+/// Number of requests to an instance whose output nobody reads.
 const REQUESTS: u32 = 3_000;
-/// An id that a head still has room for.
+/// Length of a request id that still fits into the maximum size of a request head.
 const LONG_ID_BYTES: usize = 12 << 10;
-/// What such lines may take: a queue and a batch of 1 MiB each, and what the allocator and a
-/// connection need beside them.
-const MOST_GROWN_BYTES: usize = 8 << 20;
+/// Maximum memory growth due to such lines: a queue and a batch of 1 MiB each, and the overhead of
+/// the allocator and a connection.
+const MAX_GROWTH_BYTES: usize = 8 << 20;
 
 #[test]
-fn ends_come_first() {
-    let began_at = Instant::now();
-    let mut bound = LogRateLimit::new(100, began_at);
+fn request_ends_take_precedence() {
+    let started_at = Instant::now();
+    let mut rate_limit = LogRateLimit::new(100, started_at);
     let mut admitted = [0; 2];
-    // A storm of 20,000 lines in ten seconds, a tenth of them ends of requests.
+    // 20,000 lines in ten seconds; a tenth of them are about the end of a request.
     for number in 0..20_000_u64 {
-        let now = began_at + Duration::from_micros(number * 500);
-        let ends_request = number % 10 == 0;
-        let class = if ends_request {
+        let now = started_at + Duration::from_micros(number * 500);
+        let is_request_end = number % 10 == 0;
+        let class = if is_request_end {
             LineClass::RequestEnd
         } else {
             LineClass::Other
         };
-        admitted[usize::from(ends_request)] += u32::from(bound.admit(class, now));
+        admitted[usize::from(is_request_end)] += u32::from(rate_limit.admit(class, now));
     }
-    let [others, ends] = admitted;
-    // 100 a second and what two quiet seconds had gathered.
-    assert!(others + ends <= 1_200, "{others} and {ends}");
-    assert!(ends > 8 * others, "{others} lines beside {ends} ends");
+    let [others, request_ends] = admitted;
+    // 100 lines per second and a burst of two seconds.
+    assert!(
+        others + request_ends <= 1_200,
+        "{others} and {request_ends}"
+    );
+    assert!(
+        request_ends > 8 * others,
+        "{others} other lines, {request_ends} request ends"
+    );
 }
 
-/// A storm of requests' lines beside 250 orders a second, as the holder before 256 engines has
-/// on a calm day: each order is written, and the lines a second stay bounded.
+/// Many lines about requests while the holder logs 250 orders per second, its normal rate with 256
+/// engines: all orders are logged, and the total rate stays limited.
 #[test]
-fn decisions_kept() {
-    let began_at = Instant::now();
-    let mut bound = LogRateLimit::new(100, began_at);
-    let (mut decisions, mut ends) = (0, 0);
+fn decisions_not_displaced() {
+    let started_at = Instant::now();
+    let mut rate_limit = LogRateLimit::new(100, started_at);
+    let (mut decisions, mut request_ends) = (0, 0);
     for number in 0..20_000_u64 {
-        let now = began_at + Duration::from_micros(number * 500);
+        let now = started_at + Duration::from_micros(number * 500);
         if number % 8 == 0 {
-            decisions += u32::from(bound.admit(LineClass::Decision, now));
+            decisions += u32::from(rate_limit.admit(LineClass::Decision, now));
         } else {
-            ends += u32::from(bound.admit(LineClass::RequestEnd, now));
+            request_ends += u32::from(rate_limit.admit(LineClass::RequestEnd, now));
         }
     }
     assert_eq!(decisions, 2_500);
-    assert!((1_100..=1_200).contains(&ends), "{ends}");
-    // However many there are, 400 a second and what two quiet seconds had gathered.
-    let last = began_at + Duration::from_secs(10);
-    let more = (0..20_000).filter(|_| bound.admit(LineClass::Decision, last));
-    assert!(more.count() <= 800);
+    assert!((1_100..=1_200).contains(&request_ends), "{request_ends}");
+    // Decisions are limited to 400 lines per second and a burst of two seconds.
+    let ended_at = started_at + Duration::from_secs(10);
+    let admitted = (0..20_000).filter(|_| rate_limit.admit(LineClass::Decision, ended_at));
+    assert!(admitted.count() <= 800);
 }
 
-/// An instance whose lines nobody reads, beside a plain server; it has answered once.
-fn unread(name: &str) -> Program {
+/// Starts an instance whose output nobody reads, and a plain server behind it. Returns after the
+/// instance has answered a request.
+fn start_unread(name: &str) -> Program {
     let store = site::store(&[]);
     let server = plain_server();
     list_plain(&store, "i-0", server.address, "ready");
@@ -85,9 +92,9 @@
     program
 }
 
-/// Sends requests on one connection, whose next request waits for the line about the one
-/// before; how many are answered well.
-fn serve(program: &Program, requests: u32, id: &str) -> u32 {
+/// Sends requests on one connection and returns how many were answered successfully. Each request
+/// is accepted only after the line about the previous one was logged.
+fn count_served(program: &Program, requests: u32, id: &str) -> u32 {
     let mut caller = Caller::connect(program.callers);
     let mut count = 0;
     for number in 0..requests {
@@ -103,25 +110,25 @@
 }
 
 #[test]
-fn full_pipe_serves() {
-    let instance = unread("pipe");
-    // Some megabytes of lines, more than a pipe holds, and nobody reads them.
-    assert_eq!(serve(&instance, REQUESTS, "p"), REQUESTS);
+fn full_pipe_does_not_block() {
+    let instance = start_unread("pipe");
+    // The lines take some megabytes, which is more than fits into the pipe that nobody reads.
+    assert_eq!(count_served(&instance, REQUESTS, "p"), REQUESTS);
 }
 
 #[test]
 fn long_lines_bounded() {
-    let instance = unread("long");
-    let before_bytes = instance.resident_bytes();
-    // Lines carry ids that callers choose.
+    let instance = start_unread("long");
+    let initial_bytes = instance.resident_bytes();
+    // The lines contain the request ids, which callers choose.
     let id = "l".repeat(LONG_ID_BYTES);
-    assert_eq!(serve(&instance, REQUESTS, &id), REQUESTS);
-    let grown_bytes = instance.resident_bytes().saturating_sub(before_bytes);
-    assert!(grown_bytes < MOST_GROWN_BYTES, "{grown_bytes}");
+    assert_eq!(count_served(&instance, REQUESTS, &id), REQUESTS);
+    let grown_bytes = instance.resident_bytes().saturating_sub(initial_bytes);
+    assert!(grown_bytes < MAX_GROWTH_BYTES, "{grown_bytes}");
 }
 
 #[test]
-fn story_of_request() {
+fn trace_of_request() {
     let log = r#"
   7.68 front-2 {"at_ms":7600,"message":"lost the right to order","fence":2}
   8.01 front-3 {"at_ms":9100,"message":"holds the right to order","fence":70}
@@ -132,13 +139,13 @@
   9.90 front-1 {"at_ms":9900,"level":"INFO","target":"t","message":"request ended","request":"r1","model":"m1","adapter":"","status":503,"end":"refused","runs":0}
   9.91 front-1 {"at_ms":9910,"message":"request ended","request":"r2","status":200}
 "#;
-    let story = trace::story(log, "r1").expect("a story");
+    let request_trace = trace::story(log, "r1").expect("a trace");
     expect![[r#"
         -2.300s front-2                  lost the right to order fence=2
         -0.800s front-3                  holds the right to order fence=70
         -0.400s front-3                  order action=Load answer=Taken engine=e4 model=m1
         +0.000s front-1                  request ended end=refused model=m1 runs=0 status=503
     "#]]
-    .assert_eq(&story);
+    .assert_eq(&request_trace);
     assert_eq!(trace::story(log, "r3"), None);
 }
--- a/tests/all/peer_queue.rs
+++ b/tests/all/peer_queue.rs
@@ -1,4 +1,5 @@
-//! What waits for a peer that does not read is bounded in bytes.
+//! The queue to a peer that does not read is limited in bytes, so that the peer cannot exhaust the
+//! memory of the sender.
 
 use passway_process::outbox::{MAX_WAITING_BYTES, Outbox};
 use passway_types::prelude::*;
@@ -6,20 +7,20 @@
 use passway_wire::{Body, Link};
 use std::net::TcpListener;
 
-/// Bytes of one message.
+/// Size of one message.
 const MESSAGE_BYTES: usize = 1 << 20;
-/// Messages for a peer that reads none of them.
+/// Number of messages to a peer that reads none of them.
 const MESSAGES: usize = 64;
-/// What the system keeps of a connection in both directions, at most.
-const SOCKET_BYTES: usize = 16 << 20;
+/// Upper bound of the socket buffers of a connection in both directions.
+const MAX_SOCKET_BYTES: usize = 16 << 20;
 
 #[test]
-fn silent_peer_cut_off() {
+fn unresponsive_peer_disconnected() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
     let address = listener.local_addr().expect("address");
     let (link, _reader) = Link::connect(address, Duration::from_secs(5)).expect("a link");
-    let (peer, _) = listener.accept().expect("a peer");
-    let (_peer, mut peer) = Link::from_stream(peer).expect("a link");
+    let (stream, _) = listener.accept().expect("a peer");
+    let (_peer_link, mut peer_reader) = Link::from_stream(stream).expect("a link");
     let outbox = Outbox::start(link);
     for _ in 0..MESSAGES {
         let value = StoreValue {
@@ -34,10 +35,13 @@
         }));
         assert!(outbox.waiting_bytes() <= MAX_WAITING_BYTES + 2 * MESSAGE_BYTES);
     }
-    let mut received = 0;
-    while let Ok(Some(_)) = peer.receive() {
-        received += MESSAGE_BYTES;
+    let mut received_bytes = 0;
+    while let Ok(Some(_)) = peer_reader.receive() {
+        received_bytes += MESSAGE_BYTES;
     }
-    let most = MAX_WAITING_BYTES + SOCKET_BYTES;
-    assert!(received <= most, "{received} bytes reached the peer");
+    let max_bytes = MAX_WAITING_BYTES + MAX_SOCKET_BYTES;
+    assert!(
+        received_bytes <= max_bytes,
+        "{received_bytes} bytes reached the peer"
+    );
 }
--- a/tests/all/policy_rules.rs
+++ b/tests/all/policy_rules.rs
@@ -1,4 +1,5 @@
-//! Policy programs: the first rule that holds and sets an attribute decides it.
+//! Policy programs: the value of an attribute comes from the first rule that sets it and whose
+//! condition is true.
 
 use passway_config::document::PolicyEntry;
 use passway_config::policy::{MAX_NODES, Policy, RequestAttributes};
@@ -47,9 +48,9 @@
 }
 
 #[test]
-fn cost_is_bounded() {
-    let long = vec!["workspace == 'a'"; MAX_NODES].join(" || ");
-    let faults = Policy::compile(&[rule(&long, Some(1), None)]).expect_err("too long");
+fn cost_is_limited() {
+    let condition = vec!["workspace == 'a'"; MAX_NODES].join(" || ");
+    let faults = Policy::compile(&[rule(&condition, Some(1), None)]).expect_err("too expensive");
     assert!(
         faults[0].reason.contains("the limit is"),
         "{}",
