--- a/crates/instance/src/allotments.rs
+++ b/crates/instance/src/allotments.rs
@@ -90,7 +90,7 @@
             upstream: String::new(),
             ..UseAsk::default()
         };
-        let told = shared.keeper.ask(shared, &ask);
+        let told = shared.coordinator.ask(shared, &ask);
         let window = shared.bounds.load().quota.window;
         let mut parts = lock(&self.parts);
         let Ok(told) = told else {
@@ -111,7 +111,7 @@
     /// A request that was granted did not run and never will. If the message is lost, that costs
     /// its workspace what the request counts.
     pub fn give_back(&self, shared: &Shared, workspace: &Workspace, cost: f64) {
-        let Some(holder) = shared.right().and_then(|right| right.holder()) else {
+        let Some(holder) = shared.leadership().and_then(|right| right.holder()) else {
             return;
         };
         let back = UseBack {
--- a/crates/instance/src/callers.rs
+++ b/crates/instance/src/callers.rs
@@ -1,10 +1,10 @@
 //! Callers' connections: one thread each.
 
-use crate::ending::Endings;
-use crate::forward::{self, After};
+use crate::forward::{self, ConnectionReuse};
 use crate::http1::{self, BodyReader, Connection, HttpError, RequestHead};
 use crate::reply::{self, Refusal};
 use crate::shared::Shared;
+use crate::stop_signal::StopSignals;
 use anyhow::{Context, Result};
 use passway_process::logging::json::REQUEST_TARGET;
 use passway_serving::routes::CallerLimits;
@@ -16,41 +16,41 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 /// Bounds before a configuration is known.
-const FIRST_LIMITS: CallerLimits = CallerLimits {
+const INITIAL_LIMITS: CallerLimits = CallerLimits {
     max_header_bytes: 16 << 10,
     max_body_bytes: 4 << 20,
     header_timeout_ms: 3_000,
     idle_timeout_ms: 15_000,
 };
 /// Time for a body to arrive.
-const BODY_TIME: Duration = Duration::from_secs(10);
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time for a caller to stop sending a request that has been refused before all of it was
 /// read: some round trips, which take a few milliseconds each.
-const UNREAD_TIME: Duration = Duration::from_millis(200);
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
 /// Stack of a connection's thread.
 const STACK_BYTES: usize = 256 << 10;
 /// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Callers' connections of one instance.
 #[derive(Debug)]
 pub struct Callers {
     address: SocketAddr,
     shared: Arc<Shared>,
-    endings: Arc<Endings>,
+    endings: Arc<StopSignals>,
     open: Arc<AtomicUsize>,
 }
 
 /// What a thread needs that serves callers. It counts as open while it lives, so that a
 /// stop can wait for it.
-struct Serving {
+struct ConnectionContext {
     shared: Arc<Shared>,
-    endings: Arc<Endings>,
+    endings: Arc<StopSignals>,
     open: Arc<AtomicUsize>,
 }
 
-impl Serving {
-    fn begin(shared: &Arc<Shared>, endings: &Arc<Endings>, open: &Arc<AtomicUsize>) -> Self {
+impl ConnectionContext {
+    fn new(shared: &Arc<Shared>, endings: &Arc<StopSignals>, open: &Arc<AtomicUsize>) -> Self {
         open.fetch_add(1, Ordering::AcqRel);
         Self {
             shared: shared.clone(),
@@ -60,13 +60,13 @@
     }
 }
 
-impl Clone for Serving {
+impl Clone for ConnectionContext {
     fn clone(&self) -> Self {
-        Self::begin(&self.shared, &self.endings, &self.open)
+        Self::new(&self.shared, &self.endings, &self.open)
     }
 }
 
-impl Drop for Serving {
+impl Drop for ConnectionContext {
     fn drop(&mut self) {
         self.open.fetch_sub(1, Ordering::AcqRel);
     }
@@ -84,10 +84,10 @@
     let callers = Callers {
         address: listener.local_addr().context("the bound address")?,
         shared: shared.clone(),
-        endings: Arc::new(Endings::new().context("the signals of the end")?),
+        endings: Arc::new(StopSignals::new().context("the signals of the end")?),
         open: Arc::default(),
     };
-    let serving = Serving::begin(shared, &callers.endings, &callers.open);
+    let serving = ConnectionContext::new(shared, &callers.endings, &callers.open);
     std::thread::spawn(move || accept(&serving, &listener));
     Ok(callers)
 }
@@ -100,8 +100,8 @@
 
     /// Answers everything that still waits, closes what rests, and takes no connection
     /// beyond those that the kernel has already accepted.
-    pub fn end(&self) {
-        self.shared.end();
+    pub fn end_waits(&self) {
+        self.shared.end_waits();
         self.endings.answers.set();
     }
 
@@ -111,32 +111,32 @@
     }
 
     /// Threads that may still have a caller to answer.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open.load(Ordering::Acquire)
     }
 }
 
 /// Accepts connections until the ending, and then those that wait already: their callers
 /// may have sent a request, and closing the listener would reset them.
-fn accept(serving: &Serving, listener: &TcpListener) {
+fn accept(serving: &ConnectionContext, listener: &TcpListener) {
     loop {
         match listener.accept() {
             Ok((stream, _)) => spawn_thread(serving.clone(), stream),
             Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                if serving.shared.is_ending() {
+                if serving.shared.should_end_waits() {
                     return;
                 }
                 wait_to_accept(listener, &serving.endings);
             }
             Err(error) => {
                 log::warn!(error:% = error; "a connection could not be accepted");
-                std::thread::sleep(ACCEPT_PAUSE);
+                std::thread::sleep(ACCEPT_BACKOFF);
             }
         }
     }
 }
 
-fn wait_to_accept(listener: &TcpListener, endings: &Endings) {
+fn wait_to_accept(listener: &TcpListener, endings: &StopSignals) {
     let mut polled = [
         PollFd::new(listener, PollFlags::IN),
         PollFd::new(&endings.answers, PollFlags::IN),
@@ -145,16 +145,16 @@
         Ok(_) | Err(rustix::io::Errno::INTR) => {}
         Err(error) => {
             log::warn!(error:% = error; "cannot wait for connections");
-            std::thread::sleep(ACCEPT_PAUSE);
+            std::thread::sleep(ACCEPT_BACKOFF);
         }
     }
 }
 
-fn spawn_thread(serving: Serving, stream: TcpStream) {
+fn spawn_thread(serving: ConnectionContext, stream: TcpStream) {
     let run = move || {
         // A socket that refuses its options is of no use; dropping it closes it.
         if let Ok(mut connection) = Connection::new(stream) {
-            connection.end_with(serving.endings.clone());
+            connection.set_stop_signals(serving.endings.clone());
             serve_connection(&serving, connection);
         }
     };
@@ -166,11 +166,11 @@
 
 fn limits(shared: &Shared) -> CallerLimits {
     let routes = shared.routes.load();
-    routes.as_ref().map_or(FIRST_LIMITS, |table| table.limits)
+    routes.as_ref().map_or(INITIAL_LIMITS, |table| table.limits)
 }
 
 /// Reads and serves one request after the other until the connection ends.
-fn serve_connection(serving: &Serving, mut caller: Connection) {
+fn serve_connection(serving: &ConnectionContext, mut caller: Connection) {
     let shared = &serving.shared;
     loop {
         let limits = limits(shared);
@@ -186,55 +186,55 @@
             Ok(Some(head)) => head,
             Err(HttpError::Malformed(_)) => return refuse(shared, caller, Refusal::Malformed),
             Err(HttpError::TooLarge) => return refuse(shared, caller, Refusal::HeadTooLarge),
-            Err(HttpError::Ending) if !caller.unused().is_empty() => {
-                return refuse_unread(shared, caller, "");
+            Err(HttpError::Stopping) if !caller.buffered().is_empty() => {
+                return refuse_half_read(shared, caller, "");
             }
             Ok(None) | Err(_) => return,
         };
-        let in_progress = shared.enter();
+        let in_progress = shared.count_in_progress();
         let arrived_at = clock::now();
         let announced = head.headers.text("content-length");
         let announced = announced
             .and_then(|length| length.parse().ok())
             .unwrap_or(0);
         // A length beyond what is allowed is refused as such, by who reads it.
-        let Some(mut room) = shared.hold_body(announced.min(limits.max_body_bytes)) else {
-            return refuse_for_room(shared, caller, &head);
+        let Some(mut room) = shared.reserve_body(announced.min(limits.max_body_bytes)) else {
+            return refuse_for_memory(shared, caller, &head);
         };
         let body = match read_body(&mut caller, &head, limits.max_body_bytes) {
             Ok(body) => body,
             Err(HttpError::Malformed(_)) => return refuse(shared, caller, Refusal::Malformed),
             Err(HttpError::TooLarge) => return refuse(shared, caller, Refusal::BodyTooLarge),
-            Err(HttpError::Ending) => {
+            Err(HttpError::Stopping) => {
                 let facts = shared.vocabulary.request(&head.headers);
-                return refuse_unread(shared, caller, &facts.id);
+                return refuse_half_read(shared, caller, &facts.id);
             }
             Err(_) => return,
         };
-        if !room.set_bytes(body.len()) {
-            return refuse_for_room(shared, caller, &head);
+        if !room.resize(body.len()) {
+            return refuse_for_memory(shared, caller, &head);
         }
         let after = forward::serve(shared, &mut caller, &head, &body, arrived_at);
         drop((in_progress, room));
-        if after == After::Close {
+        if after == ConnectionReuse::Close {
             return;
         }
         // A stream's connection waited for the later ending.
-        caller.end_with(serving.endings.clone());
+        caller.set_stop_signals(serving.endings.clone());
     }
 }
 
 fn refuse(shared: &Shared, caller: Connection, refusal: Refusal) {
-    refuse_named(shared, caller, "", refusal);
+    refuse_with_id(shared, caller, "", refusal);
 }
 
 /// Refuses a request of which the process has read only a part when it ends.
-fn refuse_unread(shared: &Shared, caller: Connection, id: &str) {
+fn refuse_half_read(shared: &Shared, caller: Connection, id: &str) {
     refuse_not_run(shared, caller, id, "half read at the stop");
 }
 
 /// Refuses a request for whose body the others in progress leave no room.
-fn refuse_for_room(shared: &Shared, caller: Connection, head: &RequestHead) {
+fn refuse_for_memory(shared: &Shared, caller: Connection, head: &RequestHead) {
     let facts = shared.vocabulary.request(&head.headers);
     refuse_not_run(shared, caller, &facts.id, "no room for its body");
 }
@@ -243,17 +243,17 @@
     let refusal = Refusal::NotRun {
         retry_after_ms: forward::RETRY_AFTER_MS,
     };
-    shared.metrics.ended(end, refusal.code());
+    shared.metrics.request_ended(end, refusal.code());
     log::info!(target: REQUEST_TARGET, request = id, status = refusal.code(), offers = 0,
         runs = 0, end = end; "request ended");
-    refuse_named(shared, caller, id, refusal);
+    refuse_with_id(shared, caller, id, refusal);
 }
 
-fn refuse_named(shared: &Shared, mut caller: Connection, id: &str, refusal: Refusal) {
+fn refuse_with_id(shared: &Shared, mut caller: Connection, id: &str, refusal: Refusal) {
     let written = reply::refuse(&mut caller, &*shared.vocabulary, id, refusal, true);
     // If the caller is gone already, there is nobody else to tell.
     if written.is_ok() {
-        caller.close_after_answer(clock::now() + UNREAD_TIME);
+        caller.close_after_answer(clock::now() + DRAIN_TIMEOUT);
     }
 }
 
@@ -263,7 +263,7 @@
     max_bytes: usize,
 ) -> Result<Vec<u8>, HttpError> {
     let mut body = BodyReader::of_request(head)?;
-    let until = clock::now() + BODY_TIME;
+    let until = clock::now() + BODY_TIMEOUT;
     let expects = head.headers.text("expect");
     if expects.is_some_and(|word| word.eq_ignore_ascii_case("100-continue")) && !body.is_done() {
         http1::write_all(caller, b"HTTP/1.1 100 Continue\r\n\r\n", false, None, until)?;
--- a/crates/instance/src/control.rs
+++ b/crates/instance/src/control.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 
 /// Takes in what an engine's answer to an instance says of the engine.
-fn hear<T>(shared: &Shared, start: &UpstreamStart, said: Said<T>, sent_at: Instant) -> T {
+fn apply_signals<T>(shared: &Shared, start: &UpstreamStart, said: Said<T>, sent_at: Instant) -> T {
     let heard = Heard {
         start,
         words: &said.words,
@@ -24,13 +24,13 @@
 }
 
 /// Whether an engine wants nothing from this instance.
-pub fn rests(shared: &Shared, engine: &str) -> bool {
+pub fn is_backing_off(shared: &Shared, engine: &str) -> bool {
     let upstreams = shared.upstreams();
     upstreams.closed_until(engine, clock::now()).is_some()
 }
 
 /// Asks an engine for its state; `None` without an answer.
-pub fn report(
+pub fn query_report(
     shared: &Shared,
     engines: &dyn Engines,
     start: &UpstreamStart,
@@ -38,11 +38,11 @@
 ) -> Option<EngineReport> {
     let sent_at = clock::now();
     let said = engines.report(&start.upstream, address);
-    hear(shared, start, said, sent_at)
+    apply_signals(shared, start, said, sent_at)
 }
 
 /// Gives an order, if the term in which it was decided still runs.
-pub fn give(
+pub fn send_order(
     shared: &Shared,
     engines: &dyn Engines,
     right: &Right,
@@ -64,9 +64,9 @@
     let sent_at = clock::now();
     // The last thing before it leaves: a holder that was paused must not send, and an engine may have asked
     // for rest since.
-    if right.fence() != Some(fence) || rests(shared, &order.engine) {
+    if right.fence() != Some(fence) || is_backing_off(shared, &order.engine) {
         return OrderAnswer::NotSent;
     }
     let said = engines.order(order.address, &given);
-    hear(shared, &start, said, sent_at)
+    apply_signals(shared, &start, said, sent_at)
 }
--- a/crates/instance/src/dispatch.rs
+++ b/crates/instance/src/dispatch.rs
@@ -5,7 +5,7 @@
 //! a dispatcher that dies, freezes or is cut off costs a request that moment and nothing else.
 
 use crate::keeper;
-use crate::questions::Questions;
+use crate::queries::PendingQueries;
 use crate::shared::Shared;
 use passway_serving::dispatch::{
     Dispatchers, REFRESH_PAUSE, RunBook, RunId, RunKey, Waiter, WaitingLine, counted_load,
@@ -24,19 +24,19 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 /// Dispatchers that are asked for one attempt before it waits.
-const MOST_ASKED: usize = 2;
+const MAX_DISPATCHERS_ASKED: usize = 2;
 /// Largest datagram that is read: what UDP carries.
-const MAX_BYTES: usize = 65_507;
+const MAX_DATAGRAM_BYTES: usize = 65_507;
 /// Runs that are told in one: with names of usual length, of some 15 bytes, what goes over any
 /// link in one piece (1,400 bytes); with longer ones it goes in several.
 const RUNS_PER_DATAGRAM: usize = 40;
 
 /// Longest time to or since a due moment that is told: far over any request's patience.
-const LONGEST_DUE_MS: u64 = 600_000;
+const MAX_DUE_MS: u64 = 600_000;
 
 /// A run of this instance that its dispatcher knows, or will hear of.
 #[derive(Debug, Clone)]
-struct OwnRun {
+struct LocalRun {
     engine: UpstreamId,
     /// Who granted it; `None` if it was sent without asking.
     granted_by: Option<SocketAddr>,
@@ -44,18 +44,18 @@
 
 /// What a request is told.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Told {
+pub struct DispatchAnswer {
     /// Where it goes.
     pub choice: Choice,
     /// The number of the run, if it goes.
-    pub run: Option<RunId>,
+    pub run_id: Option<RunId>,
 }
 
 /// A request's question.
 #[derive(Debug, Clone, Copy)]
-pub struct Question<'a> {
+pub struct EngineQuery<'a> {
     /// The attempt's number, from [`Dispatch::next_run`]; the same when it asks again.
-    pub id: RunId,
+    pub run_id: RunId,
     /// The service.
     pub service: &'a ServiceName,
     /// What it needs.
@@ -79,8 +79,8 @@
 }
 
 /// The moment that is so many milliseconds away.
-fn due_at(due_in_ms: i64, now: Instant) -> Instant {
-    let away = Duration::from_millis(due_in_ms.unsigned_abs().min(LONGEST_DUE_MS));
+fn instant_from_due_ms(due_in_ms: i64, now: Instant) -> Instant {
+    let away = Duration::from_millis(due_in_ms.unsigned_abs().min(MAX_DUE_MS));
     let moment = if due_in_ms < 0 {
         now.checked_sub(away)
     } else {
@@ -92,16 +92,16 @@
 /// The instance's part in dispatching.
 #[derive(Debug)]
 pub struct Dispatch {
-    me: SocketAddr,
+    own_address: SocketAddr,
     /// `None` if the port is taken: the instance then goes by what it sees itself.
     socket: Option<UdpSocket>,
     dispatchers: Mutex<Dispatchers>,
-    book: Mutex<RunBook>,
-    line: Mutex<WaitingLine>,
+    run_book: Mutex<RunBook>,
+    waiting_line: Mutex<WaitingLine>,
     /// Attempts that wait for an answer.
-    asking: Questions<Grant>,
-    runs: Mutex<HashMap<RunId, OwnRun>>,
-    next_run: AtomicU64,
+    pending_queries: PendingQueries<Grant>,
+    runs: Mutex<HashMap<RunId, LocalRun>>,
+    next_run_id: AtomicU64,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -110,39 +110,39 @@
 
 impl Dispatch {
     /// Binds the address for other instances.
-    pub fn bind(me: SocketAddr) -> Self {
-        let socket = UdpSocket::bind(me);
+    pub fn bind(own_address: SocketAddr) -> Self {
+        let socket = UdpSocket::bind(own_address);
         if let Err(error) = &socket {
-            log::warn!(address:% = me, error:% = error; "no port for dispatching; engines are chosen by what is seen here");
+            log::warn!(address:% = own_address, error:% = error; "no port for dispatching; engines are chosen by what is seen here");
         }
         Self {
-            me,
+            own_address,
             socket: socket.ok(),
             dispatchers: Mutex::default(),
-            book: Mutex::default(),
-            line: Mutex::default(),
-            asking: Questions::default(),
+            run_book: Mutex::default(),
+            waiting_line: Mutex::default(),
+            pending_queries: PendingQueries::default(),
             runs: Mutex::default(),
             // Numbers of a process before this one are not used again.
-            next_run: AtomicU64::new(rand::random()),
+            next_run_id: AtomicU64::new(rand::random()),
         }
     }
 
     /// Uses another list of dispatchers.
-    pub fn set(&self, list: Vec<Candidate>) {
+    pub fn set_dispatchers(&self, list: Vec<Candidate>) {
         log::info!(dispatchers = list.len(); "dispatchers");
         lock(&self.dispatchers).set(list);
         // The thread that answers looks again.
-        self.send(self.me, None);
+        self.send(self.own_address, None);
     }
 
     /// Who dispatches for engines.
-    pub fn list(&self) -> Vec<Candidate> {
+    pub fn dispatcher_list(&self) -> Vec<Candidate> {
         lock(&self.dispatchers).list().to_vec()
     }
 
     /// Whether engines have dispatchers.
-    pub fn is_used(&self) -> bool {
+    pub fn is_enabled(&self) -> bool {
         self.socket.is_some() && !lock(&self.dispatchers).is_empty()
     }
 
@@ -160,12 +160,16 @@
     }
 
     /// An engine for a request; `None` if nobody tells, so that it goes by what is seen here.
-    pub fn ask(&self, shared: &Shared, question: &Question<'_>) -> Option<Told> {
-        if !self.is_used() {
+    pub fn query_engine(
+        &self,
+        shared: &Shared,
+        question: &EngineQuery<'_>,
+    ) -> Option<DispatchAnswer> {
+        if !self.is_enabled() {
             return None;
         }
         let now = clock::now();
-        let &Question {
+        let &EngineQuery {
             service,
             model_ref,
             tried,
@@ -201,69 +205,78 @@
             if asked.contains(&dispatcher) {
                 continue;
             }
-            if asked.len() >= MOST_ASKED {
+            if asked.len() >= MAX_DISPATCHERS_ASKED {
                 break;
             }
             asked.push(dispatcher);
             let ask = Ask {
-                id: question.id,
+                id: question.run_id,
                 ..ask.clone()
             };
-            let Some(grant) = self.question(shared, dispatcher, ask) else {
+            let Some(grant) = self.query_dispatcher(shared, dispatcher, ask) else {
                 lock(&self.dispatchers).silent(dispatcher, clock::now());
                 return None;
             };
             match grant.verdict() {
-                Verdict::Go => return self.granted(shared, dispatcher, &grant),
+                Verdict::Go => return self.accept_grant(shared, dispatcher, &grant),
                 Verdict::Full => choice = Choice::Full,
                 Verdict::Absent => {}
             }
         }
         // That none of them knows what stands there by what is heard here is told soon.
         let is_told = choice == Choice::Full || engines.is_empty();
-        is_told.then_some(Told { choice, run: None })
+        is_told.then_some(DispatchAnswer {
+            choice,
+            run_id: None,
+        })
     }
 
     /// The engine that was granted, if it is known here.
-    fn granted(&self, shared: &Shared, by: SocketAddr, grant: &Grant) -> Option<Told> {
+    fn accept_grant(
+        &self,
+        shared: &Shared,
+        by: SocketAddr,
+        grant: &Grant,
+    ) -> Option<DispatchAnswer> {
         let engine = UpstreamId::from(grant.engine.as_str());
         let address = shared.upstreams().address_of(&engine)?;
-        let run = OwnRun {
+        let run = LocalRun {
             engine: engine.clone(),
             granted_by: Some(by),
         };
         lock(&self.runs).insert(grant.id, run);
-        Some(Told {
+        Some(DispatchAnswer {
             choice: Choice::Send {
                 id: engine,
                 address,
             },
-            run: Some(grant.id),
+            run_id: Some(grant.id),
         })
     }
 
     /// One question and its answer; `None` without one.
-    fn question(&self, shared: &Shared, dispatcher: SocketAddr, ask: Ask) -> Option<Grant> {
-        if dispatcher == self.me {
-            return Some(self.answer(shared, self.me, &ask));
+    fn query_dispatcher(&self, shared: &Shared, dispatcher: SocketAddr, ask: Ask) -> Option<Grant> {
+        if dispatcher == self.own_address {
+            return Some(self.answer_query(shared, self.own_address, &ask));
         }
         let id = ask.id;
         let body = Body::Ask(ask);
-        self.asking.ask(id, || self.send(dispatcher, body.clone()))
+        self.pending_queries
+            .send_and_wait(id, || self.send(dispatcher, body.clone()))
     }
 
     /// A number for an attempt.
-    pub fn next_run(&self) -> RunId {
-        self.next_run.fetch_add(1, Ordering::Relaxed)
+    pub fn next_run_id(&self) -> RunId {
+        self.next_run_id.fetch_add(1, Ordering::Relaxed)
     }
 
     /// A request goes to an engine without having asked; the run's number.
-    pub fn unasked(&self, engine: &UpstreamId) -> Option<RunId> {
-        if !self.is_used() {
+    pub fn record_direct_run(&self, engine: &UpstreamId) -> Option<RunId> {
+        if !self.is_enabled() {
             return None;
         }
-        let id = self.next_run();
-        let run = OwnRun {
+        let id = self.next_run_id();
+        let run = LocalRun {
             engine: engine.clone(),
             granted_by: None,
         };
@@ -272,9 +285,9 @@
     }
 
     /// A run of this instance is over.
-    pub fn ended(&self, shared: &Shared, id: RunId, outcome: Outcome) {
+    pub fn run_ended(&self, shared: &Shared, id: RunId, outcome: Outcome) {
         let run = lock(&self.runs).remove(&id);
-        let Some(OwnRun { engine, granted_by }) = run else {
+        let Some(LocalRun { engine, granted_by }) = run else {
             return;
         };
         let Some(dispatcher) = granted_by.or_else(|| self.dispatcher_of(&engine)) else {
@@ -284,15 +297,15 @@
             id,
             outcome: encode(outcome).into(),
         };
-        if dispatcher == self.me {
-            self.over(shared, self.me, &ended);
+        if dispatcher == self.own_address {
+            self.record_run_end(shared, self.own_address, &ended);
         } else {
             self.send(dispatcher, Body::Ended(ended));
         }
     }
 
     /// Answers a question, as the dispatcher.
-    fn answer(&self, shared: &Shared, from: SocketAddr, ask: &Ask) -> Grant {
+    fn answer_query(&self, shared: &Shared, from: SocketAddr, ask: &Ask) -> Grant {
         let key = RunKey {
             instance: from,
             id: ask.id,
@@ -305,7 +318,7 @@
         let now = clock::now();
         // The order of locks: the upstreams before the book.
         let upstreams = shared.upstreams();
-        let mut book = lock(&self.book);
+        let mut book = lock(&self.run_book);
         if let Some(engine) = book.engine_of(key) {
             return grant(Verdict::Go, engine);
         }
@@ -330,17 +343,17 @@
         let dispatchers = lock(&self.dispatchers);
         let is_open = |id: &UpstreamId| {
             !ask.tried.iter().any(|tried| **tried == **id)
-                && dispatchers.of_engine(id, now) == Some(self.me)
+                && dispatchers.of_engine(id, now) == Some(self.own_address)
         };
         let runs = |id: &UpstreamId| {
             let slots = upstreams.slots_of(id);
             counted_load(book.load(id), slots, ask.is_urgent)
         };
         let choice = upstreams.choose_by(wanted, is_open, Some(&runs), now);
-        let mut line = lock(&self.line);
+        let mut line = lock(&self.waiting_line);
         let waiter = Waiter {
             model_ref: model_ref.clone(),
-            due_at: due_at(ask.due_in_ms, now),
+            due_at: instant_from_due_ms(ask.due_in_ms, now),
         };
         match choice {
             Choice::Send { id, .. } => {
@@ -364,30 +377,30 @@
     }
 
     /// A run is over, as its dispatcher hears.
-    fn over(&self, shared: &Shared, from: SocketAddr, ended: &Ended) {
+    fn record_run_end(&self, shared: &Shared, from: SocketAddr, ended: &Ended) {
         let key = RunKey {
             instance: from,
             id: ended.id,
         };
-        let engine = lock(&self.book).end(key);
+        let engine = lock(&self.run_book).end(key);
         if let (Some(engine), Some(outcome)) = (engine, decode(ended.outcome())) {
             shared.upstreams().observed(&engine, outcome, clock::now());
         }
     }
 
     /// Takes in a datagram.
-    fn take(&self, shared: &Shared, from: SocketAddr, body: Body) {
+    fn handle_datagram(&self, shared: &Shared, from: SocketAddr, body: Body) {
         match body {
             Body::Ask(ask) => {
-                let grant = self.answer(shared, from, &ask);
+                let grant = self.answer_query(shared, from, &ask);
                 self.send(from, Body::Grant(grant));
             }
             // One that comes late, or twice, is of no use: the run ends by not being told.
-            Body::Grant(grant) => self.asking.answered(grant.id, grant),
-            Body::Ended(ended) => self.over(shared, from, &ended),
+            Body::Grant(grant) => self.pending_queries.deliver_answer(grant.id, grant),
+            Body::Ended(ended) => self.record_run_end(shared, from, &ended),
             Body::Running(running) => {
                 let now = clock::now();
-                let mut book = lock(&self.book);
+                let mut book = lock(&self.run_book);
                 for run in running.runs {
                     let key = RunKey {
                         instance: from,
@@ -405,7 +418,7 @@
                 let told = keeper::rule(shared, from, &ask);
                 self.send(from, Body::UseTold(told));
             }
-            Body::UseTold(told) => shared.keeper.answered(told),
+            Body::UseTold(told) => shared.coordinator.answered(told),
             Body::UseBack(back) if back.digest.is_empty() => {
                 shared.allotments.take_back(shared, from, &back);
             }
@@ -416,7 +429,7 @@
 
     /// Tells dispatchers what runs on their engines, so that they know it although they have
     /// just begun, or an end was lost.
-    fn refresh(&self, shared: &Shared) {
+    fn announce_runs(&self, shared: &Shared) {
         let runs = lock(&self.runs).clone();
         let mut by_dispatcher: HashMap<SocketAddr, Vec<RunHere>> = HashMap::new();
         for (id, run) in runs {
@@ -433,8 +446,8 @@
                 let body = Body::Running(Running {
                     runs: part.to_vec(),
                 });
-                if dispatcher == self.me {
-                    self.take(shared, self.me, body);
+                if dispatcher == self.own_address {
+                    self.handle_datagram(shared, self.own_address, body);
                 } else {
                     self.send(dispatcher, body);
                 }
@@ -452,17 +465,17 @@
         let Some(socket) = &self.socket else {
             return;
         };
-        let mut bytes = vec![0; MAX_BYTES];
+        let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
         let mut refresh_at = clock::now();
         loop {
             let now = clock::now();
             // Without dispatchers nothing is due by time: a datagram tells when there are some.
-            let pause = self.is_used().then(|| {
+            let pause = self.is_enabled().then(|| {
                 if now >= refresh_at {
                     refresh_at = now + REFRESH_PAUSE;
-                    self.refresh(shared);
-                    lock(&self.book).expire(now);
-                    lock(&self.line).expire(now);
+                    self.announce_runs(shared);
+                    lock(&self.run_book).expire(now);
+                    lock(&self.waiting_line).expire(now);
                 }
                 let left = refresh_at.saturating_duration_since(now);
                 left.max(Duration::from_millis(1))
@@ -475,7 +488,7 @@
                 continue;
             };
             if let Some(body) = Datagram::read(&bytes[..length]) {
-                self.take(shared, from, body);
+                self.handle_datagram(shared, from, body);
             }
         }
     }
--- a/crates/instance/src/events.rs
+++ b/crates/instance/src/events.rs
@@ -10,7 +10,7 @@
 
 /// Cuts a stream into whole events.
 #[derive(Debug, Default)]
-pub struct EventCutter {
+pub struct EventSplitter {
     partial: Vec<u8>,
     last_id: Option<u64>,
     last_id_text: Option<String>,
@@ -40,12 +40,12 @@
     })
 }
 
-impl EventCutter {
+impl EventSplitter {
     /// Adds bytes and moves whole events to `out`, leaving out those that went before.
     ///
     /// # Errors
     /// If an event is too large to be kept until it is whole; nothing more is kept then.
-    pub fn add(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<(), EventTooLarge> {
+    pub fn push(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<(), EventTooLarge> {
         if self.partial.len() > MAX_PARTIAL_BYTES {
             return Err(EventTooLarge);
         }
@@ -77,7 +77,7 @@
     }
 
     /// Bytes behind the last whole event, at a clean end of the stream.
-    pub fn take_rest(&mut self) -> Vec<u8> {
+    pub fn take_remainder(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.partial)
     }
 
--- a/crates/instance/src/feeds.rs
+++ b/crates/instance/src/feeds.rs
@@ -268,7 +268,7 @@
         let Some(feed) = self.tap.feed else {
             return OWN_WATCH;
         };
-        let bound = self.feed.shared().revocation();
+        let bound = self.feed.shared().revocation_bound();
         let bound = bound.filter(|_| feed == CONFIGURATION);
         bound.map_or(RELAYED_WATCH, |bound| {
             (bound / PROOFS_IN_BOUND).min(RELAYED_WATCH)
--- a/crates/instance/src/feeds/configuration.rs
+++ b/crates/instance/src/feeds/configuration.rs
@@ -50,11 +50,11 @@
         let unknown: Vec<DataHall> = unknown.cloned().collect();
         drop(upstreams);
         for hall in unknown {
-            self.shared.metrics.unusable_word(HALL_WORD);
+            self.shared.metrics.unusable_signal(HALL_WORD);
             log::error!(hall:% = hall; "a hall that is not known is to be emptied");
         }
         log::info!(target: DECISION_TARGET, halls:? = self.emptied; "halls emptied by operators");
-        self.shared.upstreams_changed();
+        self.shared.notify_upstreams_changed();
     }
 
     fn take(&self, value: &StoredValue) {
@@ -140,7 +140,7 @@
     /// proved nothing for long.
     fn must_ask(&self) -> bool {
         let shared = &self.shared;
-        let bound = shared.revocation();
+        let bound = shared.revocation_bound();
         bound.is_some_and(|bound| !shared.configuration_age.is_younger(bound / OLD_PART))
     }
 
--- a/crates/instance/src/feeds/upstreams.rs
+++ b/crates/instance/src/feeds/upstreams.rs
@@ -71,9 +71,9 @@
         drop(upstreams);
         for entry in &gone {
             log::info!(target: DECISION_TARGET, upstream:% = entry.id; "an upstream is gone");
-            self.shared.pool.forget(&entry.id);
+            self.shared.pool.close_idle(&entry.id);
             if !entry.draining {
-                self.shared.upstream_ended(&entry.id, u64::MAX);
+                self.shared.record_ended_starts(&entry.id, u64::MAX);
             }
         }
         self.shared.limits.retain(&self.shared);
@@ -127,9 +127,9 @@
         let restarted = self.shared.upstreams().take_restarted();
         for id in restarted {
             log::info!(target: DECISION_TARGET, upstream:% = id; "an upstream has started again under its id");
-            self.shared.pool.forget(&id);
+            self.shared.pool.close_idle(&id);
             let started_at_ms = self.shared.upstreams().started_at_ms(&id);
-            self.shared.upstream_ended(&id, started_at_ms);
+            self.shared.record_ended_starts(&id, started_at_ms);
         }
     }
 
@@ -159,8 +159,8 @@
         self.shared.upstreams().replace(entries, gone_at, now);
         self.forget_restarted();
         self.expire();
-        self.shared.set_upstreams_listed();
-        self.shared.upstreams_changed();
+        self.shared.mark_upstreams_listed();
+        self.shared.notify_upstreams_changed();
     }
 
     fn changed(&mut self, change: &StoreChange) -> bool {
@@ -193,7 +193,7 @@
     }
 
     fn settled(&mut self) -> Duration {
-        self.shared.upstreams_changed();
+        self.shared.notify_upstreams_changed();
         if self.right.term().is_some() {
             let upstreams = self.shared.upstreams().entries().count();
             let upstreams = u32::try_from(upstreams).unwrap_or(u32::MAX);
--- a/crates/instance/src/forward.rs
+++ b/crates/instance/src/forward.rs
@@ -2,9 +2,9 @@
 //!
 //! * [`destination`]: its route and service. [`access`]: whether it may go.
 //! * [`waiting`]: waiting for an upstream and choosing it.
-//! * [`refusing`]: the answer when nothing more can be tried.
+//! * [`refusal`]: the answer when nothing more can be tried.
 //! * [`attempt`], [`exchange`]: what happens within one attempt. [`suspect`]: whether the
-//!   request crashes what runs it. [`limits`]: a turn at upstreams in need. [`door`]: the last look
+//!   request crashes what runs it. [`limits`]: a turn at upstreams in need. [`send_permit`]: the last look
 //!   before a request leaves.
 //!
 //! What an attempt tells decides what may follow. A request that was not run may go
@@ -14,10 +14,10 @@
 mod access;
 mod attempt;
 mod destination;
-mod door;
 mod exchange;
 mod limits;
-mod refusing;
+mod refusal;
+mod send_permit;
 mod suspect;
 mod waiting;
 
@@ -25,11 +25,11 @@
 use crate::poison::Trial;
 use crate::relay::millis_since;
 use crate::reply::{self, Refusal};
-use crate::shared::{Need, Shared};
-use access::{Access, Denied};
-use attempt::{Attempt, Delivered, FailedAnswer, Target};
-use destination::{draw, find_destination, host_of};
-use limits::HeldBack;
+use crate::shared::{ReportEvent, Shared};
+use access::{Access, Denial};
+use attempt::{Attempt, Delivery, FailedAnswer, Target};
+use destination::{find_destination, host_of, request_hash};
+use limits::DeferredUpstream;
 use passway_process::logging::json::REQUEST_TARGET;
 use passway_serving::dispatch::RunId;
 use passway_serving::poison::{RequestDigest, Standing};
@@ -43,13 +43,13 @@
 /// When a refused caller may come back, where nothing better is known.
 pub const RETRY_AFTER_MS: u64 = 500;
 /// How a request ends whose answer its caller does not take.
-const UNREAD: &str = "not taken by its caller";
+const NOT_TAKEN: &str = "not taken by its caller";
 /// Most times that one request is offered to upstreams.
 const MAX_OFFERS: u32 = 6;
 
 /// Whether the caller's connection may carry another request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum After {
+pub enum ConnectionReuse {
     /// It may.
     Keep,
     /// It must be closed.
@@ -68,39 +68,39 @@
     is_engine: bool,
     access: Access,
     /// What it counts towards its workspace's allotment, once that was taken.
-    used: Option<f64>,
+    charged_cost: Option<f64>,
     /// Whether an upstream may have run it.
     may_have_run: bool,
     arrived_at: Instant,
     deadline_at: Instant,
     close_after: bool,
-    delivered: Delivered,
+    delivered: Delivery,
     tried: Vec<UpstreamId>,
     /// Upstreams in need that do not take the request yet.
-    held_back: Vec<HeldBack>,
+    deferred: Vec<DeferredUpstream>,
     /// When the first of those does, in milliseconds, if only they have what it needs.
-    turn_ms: Option<u64>,
+    upstream_available_ms: Option<u64>,
     runs: u32,
     /// The number under which the next attempt asks for an engine.
-    question: RunId,
+    run_id: RunId,
     /// When the attempt in progress began.
     attempt_at: Instant,
     /// Where the request goes on, chosen before an upstream that is silent was left.
-    next: Option<Target>,
+    next_target: Option<Target>,
     /// Whether it may run while upstreams that broke off under it may have ended.
-    standing: Standing,
+    suspicion: Standing,
     /// Its turn to run alone among those like it, once it has asked for one.
-    trial: Option<Trial>,
+    isolated_run: Option<Trial>,
     /// When its model can be there at the earliest, in milliseconds, if that is too late for it.
-    comes_ms: Option<u64>,
+    model_ready_ms: Option<u64>,
     /// What it asks for, once that was computed.
     digest: OnceCell<RequestDigest>,
-    record: RequestRecord,
+    record: RequestLog,
 }
 
 /// What the line about the request's end tells beside its facts.
 #[derive(Debug, Default)]
-struct RequestRecord {
+struct RequestLog {
     /// Times that it was offered to an upstream.
     offers: u32,
     /// The last of them.
@@ -114,7 +114,7 @@
     /// How it ended.
     end: &'static str,
     /// Whether its caller has taken nothing of the answer for long.
-    is_unread: bool,
+    is_stalled: bool,
     /// Whether a stop of this instance left it less time than it had.
     cut_by_stop: bool,
 }
@@ -135,24 +135,26 @@
     head: &RequestHead,
     body: &[u8],
     arrived_at: Instant,
-) -> After {
+) -> ConnectionReuse {
     let facts = shared.vocabulary.request(&head.headers);
     let close_after = shared.is_stopping() || !head.is_1_1 || head.headers.connection_says("close");
     let destination = match find_destination(shared, caller, head, &facts, arrived_at) {
         Ok(destination) => destination,
-        Err(Denied { refusal, end }) => {
-            shared.metrics.ended(end, refusal.code());
+        Err(Denial { refusal, end }) => {
+            shared.metrics.request_ended(end, refusal.code());
             log::info!(target: REQUEST_TARGET, request = facts.id, status = refusal.code(),
                 offers = 0, runs = 0, end = end;
                 "request ended");
             let vocabulary = &*shared.vocabulary;
             let done = reply::refuse(caller, vocabulary, &facts.id, refusal, close_after);
-            return after(done.is_ok() && !close_after);
+            return connection_reuse(done.is_ok() && !close_after);
         }
     };
     let caller_ms = facts.deadline_ms.unwrap_or(u64::MAX);
     let timeout_ms = caller_ms.min(destination.route.timeout_ms);
-    shared.retries().requested(&destination.service, arrived_at);
+    shared
+        .retry_budget()
+        .requested(&destination.service, arrived_at);
     Forwarding {
         shared,
         caller,
@@ -163,24 +165,24 @@
         service: destination.service,
         is_engine: destination.is_engine,
         access: destination.access,
-        used: None,
+        charged_cost: None,
         may_have_run: false,
         arrived_at,
         deadline_at: arrived_at + Duration::from_millis(timeout_ms),
         close_after,
-        delivered: Delivered::default(),
+        delivered: Delivery::default(),
         tried: Vec::new(),
-        held_back: Vec::new(),
-        turn_ms: None,
-        standing: Standing::default(),
-        trial: None,
+        deferred: Vec::new(),
+        upstream_available_ms: None,
+        suspicion: Standing::default(),
+        isolated_run: None,
         runs: 0,
-        question: shared.dispatch.next_run(),
+        run_id: shared.dispatch.next_run_id(),
         attempt_at: arrived_at,
-        next: None,
-        comes_ms: None,
+        next_target: None,
+        model_ready_ms: None,
         digest: OnceCell::new(),
-        record: RequestRecord::default(),
+        record: RequestLog::default(),
     }
     .serve()
 }
@@ -189,27 +191,31 @@
     Refusal::NotRun { retry_after_ms }
 }
 
-fn after(keep: bool) -> After {
-    if keep { After::Keep } else { After::Close }
+fn connection_reuse(keep: bool) -> ConnectionReuse {
+    if keep {
+        ConnectionReuse::Keep
+    } else {
+        ConnectionReuse::Close
+    }
 }
 
 impl Forwarding<'_> {
-    fn wish(&self) -> Option<&ModelRef> {
+    fn model_ref(&self) -> Option<&ModelRef> {
         self.facts.wish.as_ref().filter(|_| self.is_engine)
     }
 
     /// Serves the request and says how it ended.
-    fn serve(mut self) -> After {
-        let after = self.run();
-        self.give_use_back();
-        if let Some(run) = self.next.take().and_then(|unused| unused.run) {
+    fn serve(mut self) -> ConnectionReuse {
+        let after = self.run_attempts();
+        self.release_allotment();
+        if let Some(run_id) = self.next_target.take().and_then(|unused| unused.run_id) {
             self.shared
                 .dispatch
-                .ended(self.shared, run, Outcome::Unknown);
+                .run_ended(self.shared, run_id, Outcome::Unknown);
         }
         let record = &self.record;
         let metrics = &self.shared.metrics;
-        metrics.ended(record.end, record.status);
+        metrics.request_ended(record.end, record.status);
         if let Some(first_ms) = record.first_ms {
             metrics.first_byte(Duration::from_millis(first_ms));
         }
@@ -218,44 +224,44 @@
         }
         let table = self.shared.routes.load();
         let version = table.as_ref().map_or(0, |table| table.version);
-        let wish = self.facts.wish.as_ref();
+        let model_ref = self.facts.wish.as_ref();
         log::info!(target: REQUEST_TARGET, request = self.facts.id, route:% = self.route.name,
-            service:% = self.service, model:% = wish.map_or("", |wish| &wish.model),
+            service:% = self.service, model:% = model_ref.map_or("", |model_ref| &model_ref.model),
             workspace:% = self.access.workspace.as_ref().map_or("", |workspace| &workspace.name),
-            adapter:% = wish.and_then(|wish| wish.adapter.as_deref()).unwrap_or(""),
+            adapter:% = model_ref.and_then(|model_ref| model_ref.adapter.as_deref()).unwrap_or(""),
             upstream:% = record.upstream.as_deref().unwrap_or(""), offers = record.offers,
             runs = self.runs, status = record.status, end = record.end,
             waited_ms = record.waited_ms.unwrap_or(0), first_ms = record.first_ms.unwrap_or(0),
-            took_ms = self.held_ms(), config_version = version;
+            took_ms = self.elapsed_ms(), config_version = version;
             "request ended");
         after
     }
 
-    fn run(&mut self) -> After {
+    fn run_attempts(&mut self) -> ConnectionReuse {
         if let Err(denied) = self.admit() {
             return self.refuse(denied);
         }
-        if let Some(wish) = self.wish()
+        if let Some(model_ref) = self.model_ref()
             && self.refused_for().is_none()
         {
-            self.shared.tell(Need::Taken {
+            self.shared.report(ReportEvent::RequestAccepted {
                 service: self.service.clone(),
-                wish: wish.clone(),
+                model_ref: model_ref.clone(),
             });
         }
         let mut failed: Option<Box<FailedAnswer>> = None;
         for offer in 0..MAX_OFFERS {
             let first = offer == 0;
-            let Some(target) = self.find_upstream(failed.is_none()) else {
-                return self.give_up(failed);
+            let Some(target) = self.wait_for_upstream(failed.is_none()) else {
+                return self.answer_failure(failed);
             };
-            if !first && !self.may_repeat() {
-                return self.give_up(failed);
+            if !first && !self.try_spend_retry() {
+                return self.answer_failure(failed);
             }
             self.tried.push(target.id.clone());
             self.record.offers += 1;
             self.record.upstream = Some(target.id.clone());
-            let waited_ms = self.held_ms();
+            let waited_ms = self.elapsed_ms();
             self.record.waited_ms.get_or_insert(waited_ms);
             let start = target.start();
             let attempt = self.attempt(&target);
@@ -264,60 +270,60 @@
             self.may_have_run |= attempt.may_have_run();
             match attempt {
                 Attempt::Answered(after) => {
-                    self.run_answered();
+                    self.handle_answered_run();
                     return after;
                 }
                 Attempt::CallerGone => {
-                    self.record.end = if self.record.is_unread || self.caller.has_timed_out() {
-                        UNREAD
+                    self.record.end = if self.record.is_stalled || self.caller.has_timed_out() {
+                        NOT_TAKEN
                     } else {
                         "caller gone"
                     };
-                    return After::Close;
+                    return ConnectionReuse::Close;
                 }
                 Attempt::Denied(denied) if self.may_have_run => {
                     log::info!(target: REQUEST_TARGET, request = self.facts.id; "{}", denied.end);
-                    return self.give_up(failed);
+                    return self.answer_failure(failed);
                 }
                 Attempt::Denied(denied) => return self.refuse(denied),
                 Attempt::TimedOut => {
                     self.runs += 1;
                     let now = clock::now();
                     if self.shared.upstreams().is_silent(&target.id, now) {
-                        self.doubt(&target, &start, true);
+                        self.watch_for_crash(&target, &start, true);
                     }
-                    return self.give_up(failed);
+                    return self.answer_failure(failed);
                 }
-                Attempt::Ending => {
+                Attempt::Stopping => {
                     self.runs += 1;
                     self.record.cut_by_stop = true;
-                    return self.give_up(failed);
+                    return self.answer_failure(failed);
                 }
                 // What is full now may have room in a moment.
                 Attempt::NotRun(Outcome::Shed) => self.tried.clear(),
-                Attempt::NotRun(_) | Attempt::NotSent | Attempt::Unwanted => {}
+                Attempt::NotRun(_) | Attempt::NotSent | Attempt::NotPermitted => {}
                 Attempt::Broken => {
                     self.runs += 1;
-                    self.run_broke(&target, start);
+                    self.handle_broken_run(&target, start);
                     if !self.may_run_again() {
-                        return self.give_up(failed);
+                        return self.answer_failure(failed);
                     }
                 }
                 Attempt::Failed(answer) => {
                     self.runs += 1;
-                    self.run_answered();
+                    self.handle_answered_run();
                     failed = Some(answer);
                     if !self.may_run_again() {
-                        return self.give_up(failed);
+                        return self.answer_failure(failed);
                     }
                 }
             }
         }
-        self.give_up(failed)
+        self.answer_failure(failed)
     }
 
     /// Time since the request arrived, in milliseconds.
-    fn held_ms(&self) -> u64 {
+    fn elapsed_ms(&self) -> u64 {
         millis_since(self.arrived_at, clock::now())
     }
 
@@ -325,46 +331,47 @@
         self.route.kind.may_run_again() && self.runs < self.route.attempts
     }
 
-    fn may_repeat(&self) -> bool {
-        let mut retries = self.shared.retries();
+    fn try_spend_retry(&self) -> bool {
+        let mut retries = self.shared.retry_budget();
         retries.try_spend(&self.service, clock::now())
     }
 
     fn attempt(&mut self, target: &Target) -> Attempt {
-        let (attempt, outcome) = self.attempted(target);
-        self.question = self.shared.dispatch.next_run();
-        if let Some(run) = target.run {
-            self.shared.dispatch.ended(self.shared, run, outcome);
+        let (attempt, outcome) = self.run_attempt(target);
+        self.run_id = self.shared.dispatch.next_run_id();
+        if let Some(run_id) = target.run_id {
+            self.shared.dispatch.run_ended(self.shared, run_id, outcome);
         }
         attempt
     }
 
     /// One attempt, and what it tells of the upstream.
-    fn attempted(&mut self, target: &Target) -> (Attempt, Outcome) {
+    fn run_attempt(&mut self, target: &Target) -> (Attempt, Outcome) {
         if self.caller.is_closed() {
             return (Attempt::CallerGone, Outcome::Unknown);
         }
-        let wish = self.wish().cloned();
+        let model_ref = self.model_ref().cloned();
         let now = clock::now();
         self.attempt_at = now;
         self.shared
             .upstreams()
-            .started(&target.id, wish.as_ref(), now);
+            .started(&target.id, model_ref.as_ref(), now);
         let attempt = self.exchange(target);
         let outcome = match &attempt {
             Attempt::Answered(_) => Outcome::Answered,
-            Attempt::CallerGone | Attempt::Ending | Attempt::Denied(_) | Attempt::Unwanted => {
-                Outcome::Unknown
-            }
+            Attempt::CallerGone
+            | Attempt::Stopping
+            | Attempt::Denied(_)
+            | Attempt::NotPermitted => Outcome::Unknown,
             Attempt::NotRun(outcome) => *outcome,
             Attempt::NotSent => Outcome::Unreachable,
             Attempt::Broken | Attempt::Failed(_) | Attempt::TimedOut => Outcome::Failed,
         };
         let now = clock::now();
         let mut upstreams = self.shared.upstreams();
-        upstreams.ended(&target.id, wish.as_ref(), outcome, now);
+        upstreams.ended(&target.id, model_ref.as_ref(), outcome, now);
         drop(upstreams);
-        self.shared.upstreams_changed();
+        self.shared.notify_upstreams_changed();
         (attempt, outcome)
     }
 }
--- a/crates/instance/src/forward/access.rs
+++ b/crates/instance/src/forward/access.rs
@@ -14,16 +14,16 @@
 
 /// Longest wait for a proof that the configuration is the newest: a question to another instance
 /// and a second one elsewhere.
-const PROOF_WAIT: Duration = Duration::from_millis(150);
+const PROOF_TIMEOUT: Duration = Duration::from_millis(150);
 /// When a caller may come back to an instance that cannot prove its configuration: at once, since
 /// it meets another one then, which most likely can.
-const UNPROVED_RETRY_MS: u64 = 50;
+const UNPROVEN_RETRY_MS: u64 = 50;
 /// Pause before it is looked again for a keeper of allotments.
-const KEEPER_STEP: Duration = Duration::from_millis(50);
+const COORDINATOR_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Why a request may not go.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Denied {
+pub(super) struct Denial {
     /// What its caller is told.
     pub refusal: Refusal,
     /// The same for logs and metrics.
@@ -31,13 +31,13 @@
 }
 
 /// A caller without a key that the configuration knows.
-pub(super) const NO_KEY: Denied = Denied {
+pub(super) const UNKNOWN_KEY: Denial = Denial {
     refusal: Refusal::NoKey,
     end: "refused without a key that is known",
 };
-const UNPROVED: Denied = Denied {
+const UNPROVEN_CONFIGURATION: Denial = Denial {
     refusal: Refusal::NotRun {
-        retry_after_ms: UNPROVED_RETRY_MS,
+        retry_after_ms: UNPROVEN_RETRY_MS,
     },
     end: "refused, the configuration may be old",
 };
@@ -52,24 +52,24 @@
     /// The regions in which it may be served, by its route and its workspace.
     pub allowed: AllowedRegions,
     /// Whether it may go only with a key that holds.
-    is_closed: bool,
+    needs_key: bool,
 }
 
 impl Access {
     /// Looks a request's key up; `None` if its route is closed to it.
-    pub fn of(table: &RouteTable, route: &Route, facts: &RequestFacts) -> Option<Self> {
+    pub fn look_up(table: &RouteTable, route: &Route, facts: &RequestFacts) -> Option<Self> {
         let Some(workspaces) = &table.workspaces else {
             return Some(Self {
                 workspace: None,
                 mark: WorkspaceMark::Untouched,
                 allowed: route.allowed.clone(),
-                is_closed: false,
+                needs_key: false,
             });
         };
         let key = facts.key.as_ref();
         let workspace = key.and_then(|key| workspaces.of_key(key)).cloned();
-        let is_closed = !route.is_public;
-        if is_closed && workspace.is_none() {
+        let needs_key = !route.is_public;
+        if needs_key && workspace.is_none() {
             return None;
         }
         let name = workspace.as_ref().map(|workspace| workspace.name.clone());
@@ -78,7 +78,7 @@
             allowed: own.map_or(route.allowed.clone(), |own| own.and(&route.allowed)),
             workspace,
             mark: WorkspaceMark::Set(name),
-            is_closed,
+            needs_key,
         })
     }
 }
@@ -92,21 +92,21 @@
     }
 
     /// Admits a request that has just arrived.
-    pub(super) fn admit(&mut self) -> Result<(), Denied> {
-        if self.access.is_closed
-            && let Some(bound) = self.shared.revocation()
+    pub(super) fn admit(&mut self) -> Result<(), Denial> {
+        if self.access.needs_key
+            && let Some(bound) = self.shared.revocation_bound()
         {
-            let until = clock::now() + PROOF_WAIT;
+            let until = clock::now() + PROOF_TIMEOUT;
             let age = &self.shared.configuration_age;
             if !age.wait_until_permitted(bound, until) {
-                return Err(UNPROVED);
+                return Err(UNPROVEN_CONFIGURATION);
             }
         }
-        self.take_use()
+        self.charge_allotment()
     }
 
     /// Takes what the request counts from its workspace's allotment.
-    fn take_use(&mut self) -> Result<(), Denied> {
+    fn charge_allotment(&mut self) -> Result<(), Denial> {
         let Some(workspace) = self.access.workspace.clone() else {
             return Ok(());
         };
@@ -115,34 +115,34 @@
         loop {
             let shared = self.shared;
             let decision = shared.allotments.ask(shared, &workspace, cost);
-            shared.metrics.workspace(&workspace.name, decision);
+            shared.metrics.workspace_request(&workspace.name, decision);
             match decision {
                 Decision::Granted => {
-                    self.used = Some(cost);
+                    self.charged_cost = Some(cost);
                     return Ok(());
                 }
                 Decision::Refused(retry_after) => {
                     let retry_after_ms = millis(retry_after);
-                    return Err(Denied {
+                    return Err(Denial {
                         refusal: Refusal::OverAllotment { retry_after_ms },
                         end: "refused beyond its workspace's allotment",
                     });
                 }
                 Decision::Unknown => {}
             }
-            if clock::now() >= wait_until || shared.is_ending() || self.caller.is_closed() {
-                return Err(Denied {
+            if clock::now() >= wait_until || shared.should_end_waits() || self.caller.is_closed() {
+                return Err(Denial {
                     refusal: not_run(RETRY_AFTER_MS),
                     end: "refused, nobody keeps allotments",
                 });
             }
-            std::thread::sleep(KEEPER_STEP);
+            std::thread::sleep(COORDINATOR_POLL_INTERVAL);
         }
     }
 
     /// Gives back what the request counted, if it has not run and never will.
-    pub(super) fn give_use_back(&mut self) {
-        if let Some(cost) = self.used.take_if(|_| !self.may_have_run)
+    pub(super) fn release_allotment(&mut self) {
+        if let Some(cost) = self.charged_cost.take_if(|_| !self.may_have_run)
             && let Some(workspace) = &self.access.workspace
         {
             let allotments = &self.shared.allotments;
@@ -151,22 +151,22 @@
     }
 
     /// Looks again whether the request may go, the last thing before it is sent.
-    pub(super) fn check_access(&self) -> Result<(), Denied> {
-        if !self.access.is_closed {
+    pub(super) fn check_access(&self) -> Result<(), Denial> {
+        if !self.access.needs_key {
             return Ok(());
         }
         // The proof before the table: one that came later may belong to a version without the key.
-        let bound = self.shared.revocation();
+        let bound = self.shared.revocation_bound();
         if bound.is_some_and(|bound| !self.shared.configuration_age.permits(bound)) {
-            return Err(UNPROVED);
+            return Err(UNPROVEN_CONFIGURATION);
         }
         let table = self.shared.routes.load();
         let now = table
             .as_ref()
-            .and_then(|table| Access::of(table, &self.route, &self.facts));
+            .and_then(|table| Access::look_up(table, &self.route, &self.facts));
         match now {
             Some(now) if now.mark == self.access.mark => Ok(()),
-            _ => Err(NO_KEY),
+            _ => Err(UNKNOWN_KEY),
         }
     }
 }
--- a/crates/instance/src/forward/attempt.rs
+++ b/crates/instance/src/forward/attempt.rs
@@ -1,8 +1,8 @@
 //! One attempt at an upstream: where it goes, how it ended, what of its answer went out.
 
-use super::After;
-use super::access::Denied;
-use crate::events::EventCutter;
+use super::ConnectionReuse;
+use super::access::Denial;
+use crate::events::EventSplitter;
 use crate::http1::AnswerHead;
 use passway_serving::dispatch::RunId;
 use passway_serving::poison::UpstreamStart;
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 pub(super) enum Attempt {
     /// The caller has the answer.
-    Answered(After),
+    Answered(ConnectionReuse),
     /// The caller left, or its connection broke.
     CallerGone,
     /// The upstream has not run it and never will.
@@ -22,17 +22,17 @@
     /// No connection could be made, so nothing of it was sent.
     NotSent,
     /// The upstream has said meanwhile that it does not want it; nothing of it was sent.
-    Unwanted,
+    NotPermitted,
     /// It may have run; the answer broke off or was no answer.
     Broken,
     /// The upstream failed and says so.
     Failed(Box<FailedAnswer>),
     /// It may not go, or not any more; nothing of it was sent.
-    Denied(Denied),
+    Denied(Denial),
     /// The time is over.
     TimedOut,
     /// The process is about to end; the request may have run.
-    Ending,
+    Stopping,
 }
 
 /// A failure that an upstream vouches for, kept in case nobody does better.
@@ -44,10 +44,10 @@
 
 /// What has gone to the caller, over all attempts.
 #[derive(Debug, Default)]
-pub(super) struct Delivered {
+pub(super) struct Delivery {
     pub(super) head_sent: bool,
     pub(super) chunked: bool,
-    pub(super) cutter: EventCutter,
+    pub(super) splitter: EventSplitter,
 }
 
 /// An upstream chosen for an attempt.
@@ -58,9 +58,9 @@
     /// When it had started when it was chosen, in Unix milliseconds by its own clock; 0 if it does not tell.
     pub(super) started_at_ms: u64,
     /// Whether the count of all instances has given it a turn there.
-    pub(super) has_turn: bool,
+    pub(super) has_limit_grant: bool,
     /// The run's number, where engines have dispatchers.
-    pub(super) run: Option<RunId>,
+    pub(super) run_id: Option<RunId>,
 }
 
 impl Target {
@@ -78,7 +78,7 @@
     pub(super) fn may_have_run(&self) -> bool {
         !matches!(
             self,
-            Self::NotRun(_) | Self::NotSent | Self::Unwanted | Self::Denied(_)
+            Self::NotRun(_) | Self::NotSent | Self::NotPermitted | Self::Denied(_)
         )
     }
 
@@ -88,12 +88,12 @@
             Self::CallerGone => "caller gone",
             Self::NotRun(_) => "not run",
             Self::NotSent => "not sent",
-            Self::Unwanted => "unwanted",
+            Self::NotPermitted => "unwanted",
             Self::Denied(_) => "denied",
             Self::Broken => "broken",
             Self::Failed(_) => "failed",
             Self::TimedOut => "timed out",
-            Self::Ending => "ended by the stop",
+            Self::Stopping => "ended by the stop",
         }
     }
 }
--- a/crates/instance/src/forward/destination.rs
+++ b/crates/instance/src/forward/destination.rs
@@ -1,6 +1,6 @@
 //! Where a request goes by the configuration in force.
 
-use super::access::{Access, Denied, NO_KEY};
+use super::access::{Access, Denial, UNKNOWN_KEY};
 use super::{RETRY_AFTER_MS, not_run};
 use crate::http1::{Connection, RequestHead};
 use crate::reply::Refusal;
@@ -14,11 +14,11 @@
 /// When a caller may come back to an instance that knows no configuration yet.
 const START_RETRY_MS: u64 = 1_500;
 /// Part of its time that a request may wait for the first configuration.
-const START_PART: f64 = 0.3;
+const START_WAIT_RATIO: f64 = 0.3;
 /// Longest such wait.
-const START_WAIT: Duration = Duration::from_secs(1);
+const MAX_START_WAIT: Duration = Duration::from_secs(1);
 /// Pause between two looks whether the configuration has come.
-const START_STEP: Duration = Duration::from_millis(30);
+const START_POLL_INTERVAL: Duration = Duration::from_millis(30);
 /// Where a request goes by the configuration.
 #[derive(Debug)]
 pub(super) struct Destination {
@@ -30,7 +30,7 @@
 
 /// A stable number for a request, by which it takes its part of a split route: the
 /// same request always takes the same backend.
-pub(super) fn draw(id: &str) -> u64 {
+pub(super) fn request_hash(id: &str) -> u64 {
     fnv1a(0, id)
 }
 
@@ -52,19 +52,19 @@
     head: &RequestHead,
     facts: &RequestFacts,
     arrived_at: Instant,
-) -> Result<Destination, Denied> {
-    let unrouted = |refusal| Denied {
+) -> Result<Destination, Denial> {
+    let unrouted = |refusal| Denial {
         refusal,
         end: "refused before a route was known",
     };
-    let table = known_routes(shared, caller, facts, arrived_at);
+    let table = wait_for_routes(shared, caller, facts, arrived_at);
     let table = table.ok_or(unrouted(not_run(START_RETRY_MS)))?;
     let host = host_of(head).ok_or(unrouted(Refusal::Malformed))?;
     let path = head.target.split('?').next().unwrap_or_default();
     let route = table.find(&host, path).cloned();
     let route = route.ok_or(unrouted(Refusal::NoRoute))?;
-    let access = Access::of(&table, &route, facts).ok_or(NO_KEY)?;
-    let service = route.backend(draw(&facts.id)).cloned();
+    let access = Access::look_up(&table, &route, facts).ok_or(UNKNOWN_KEY)?;
+    let service = route.backend(request_hash(&facts.id)).cloned();
     let service = service.ok_or(unrouted(not_run(RETRY_AFTER_MS)))?;
     Ok(Destination {
         access,
@@ -76,7 +76,7 @@
 
 /// The routes, as soon as both they and the upstreams are known. An instance that has
 /// just started waits a moment for them: the store may be about to answer.
-fn known_routes(
+fn wait_for_routes(
     shared: &Shared,
     caller: &mut Connection,
     facts: &RequestFacts,
@@ -86,17 +86,17 @@
         .deadline_ms
         .map(Duration::from_millis)
         .unwrap_or_default();
-    let until = arrived_at + time.mul_f64(START_PART).min(START_WAIT);
+    let until = arrived_at + time.mul_f64(START_WAIT_RATIO).min(MAX_START_WAIT);
     loop {
         // Upstreams that are not known yet cannot be told from none.
-        let knows = shared.can_serve() || (shared.is_stopping() && !shared.is_closed());
+        let knows = shared.can_serve() || (shared.is_stopping() && !shared.is_refusing_requests());
         if knows {
             return shared.routes.load_full();
         }
         if shared.is_stopping() || clock::now() >= until || caller.is_closed() {
             return None;
         }
-        std::thread::sleep(START_STEP);
+        std::thread::sleep(START_POLL_INTERVAL);
     }
 }
 
--- a/crates/instance/src/forward/exchange.rs
+++ b/crates/instance/src/forward/exchange.rs
@@ -4,15 +4,17 @@
 //! upstream may still answer. A stream is passed on as its events come; only whole
 //! events go out, so that another upstream can go on behind the last of them.
 
-use super::door::Permit;
-use super::{After, Attempt, FailedAnswer, Forwarding, Target, UNREAD, after};
+use super::send_permit::SendPermit;
+use super::{
+    Attempt, ConnectionReuse, FailedAnswer, Forwarding, NOT_TAKEN, Target, connection_reuse,
+};
 use crate::http1::{
-    self, AnswerHead, BodyPart, BodyReader, Connection, HttpError, Wrote, encode_head,
+    self, AnswerHead, BodyPart, BodyReader, Connection, HttpError, WriteOutcome, encode_head,
 };
 use crate::pool;
 use crate::relay;
-use crate::reply::{self, WRITE_TIME};
-use crate::shared::Held;
+use crate::reply::{self, WRITE_TIMEOUT};
+use crate::shared::MemoryReservation;
 use crate::words::{self, Heard};
 use passway_serving::headers::Headers;
 use passway_serving::ports::{AnswerFacts, Stamp};
@@ -23,25 +25,25 @@
 use std::io::ErrorKind;
 
 /// Time to connect to an upstream; a round trip takes a few milliseconds.
-const CONNECT_TIME: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// A stream that may go on elsewhere does so after a pause of so many times its goal
 /// for pauses, if nothing else is heard of its upstream either.
-const SILENT_GAPS: u64 = 3;
+const SILENCE_GAP_MULTIPLE: u64 = 3;
 /// Shortest such pause.
 const MIN_SILENCE: Duration = Duration::from_millis(800);
 /// A request that may run once goes over a connection that has rested at most this long.
-const FRESH_REST: Duration = Duration::from_millis(900);
+const MAX_IDLE_RUN_ONCE: Duration = Duration::from_millis(900);
 /// Any other request goes over a connection however long it has rested.
-const ANY_REST: Duration = Duration::from_mins(10);
+const MAX_IDLE_REPEATABLE: Duration = Duration::from_mins(10);
 /// Largest answer that is held back until it is whole.
 const MAX_WHOLE_BYTES: usize = 1 << 20;
 /// A caller that takes nothing of its answer for so long does not read it: a little less than the connection itself
 /// bears that.
-const UNREAD_TIME: Duration = Duration::from_millis(3_500);
+const CALLER_STALL_TIMEOUT: Duration = Duration::from_millis(3_500);
 /// Pause between two looks whether there is room for an answer.
-const ROOM_STEP: Duration = Duration::from_millis(20);
+const MEMORY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Answers of earlier requests that are left out before a connection is given up.
-const MAX_SURPLUS_ANSWERS: usize = 2;
+const MAX_STALE_ANSWERS: usize = 2;
 /// Status of an upstream that does not have what the request is for (RFC 9110:
 /// Misdirected Request).
 const MISDIRECTED: u16 = 421;
@@ -50,22 +52,22 @@
     /// Sends the request over a rested or a new connection.
     pub(super) fn exchange(&mut self, target: &Target) -> Attempt {
         let longest = if self.route.kind.may_run_again() {
-            ANY_REST
+            MAX_IDLE_REPEATABLE
         } else {
-            FRESH_REST
+            MAX_IDLE_RUN_ONCE
         };
         let now = clock::now();
         if let Some(kept) = self.shared.pool.take(&target.id, longest, now) {
             let attempt = self.exchange_over(target, kept);
             if matches!(attempt, Attempt::Broken | Attempt::TimedOut) {
                 // The others that rest may be as dead as this one was.
-                self.shared.pool.forget(&target.id);
+                self.shared.pool.close_idle(&target.id);
             }
             if !matches!(attempt, Attempt::NotSent) {
                 return attempt;
             }
         }
-        match Connection::connect(target.address, CONNECT_TIME) {
+        match Connection::connect(target.address, CONNECT_TIMEOUT) {
             Ok(connection) => self.exchange_over(target, connection),
             Err(_) => Attempt::NotSent,
         }
@@ -73,34 +75,34 @@
 
     /// Until when to wait before it is looked whether the upstream is silent. Only a
     /// stream that may go on elsewhere is looked at; any other ends by its own times.
-    fn step_until(&self) -> Instant {
+    fn next_silence_check_at(&self) -> Instant {
         let may_move = self.route.kind == RequestKind::Stream { resumable: true }
             && self.runs + 1 < self.route.attempts;
         if !may_move {
             return self.deadline_at;
         }
-        let step = Duration::from_millis(self.route.gap_goal_ms * SILENT_GAPS);
+        let step = Duration::from_millis(self.route.gap_goal_ms * SILENCE_GAP_MULTIPLE);
         self.deadline_at.min(clock::now() + step.max(MIN_SILENCE))
     }
 
     /// Whether the upstream is silent for longer than is usual and another one can go on: it
     /// is chosen, and a repeat is left, before this one is given up.
-    fn is_silent(&mut self, target: &Target) -> bool {
+    fn can_leave_silent_upstream(&mut self, target: &Target) -> bool {
         let now = clock::now();
         if !self.shared.upstreams().is_silent(&target.id, now)
-            || now < self.usual_until()
-            || !self.shared.retries().has_spare(&self.service, now)
+            || now < self.usual_first_byte_at()
+            || !self.shared.retry_budget().has_spare(&self.service, now)
         {
             return false;
         }
-        self.question = self.shared.dispatch.next_run();
+        self.run_id = self.shared.dispatch.next_run_id();
         let next = self.choose(now).ok();
-        self.next = next.and_then(|next| self.with_turn(next));
-        self.next.is_some()
+        self.next_target = next.and_then(|next| self.with_limit_grant(next));
+        self.next_target.is_some()
     }
 
     /// Until when it is usual that nothing has come yet; past once something has.
-    fn usual_until(&self) -> Instant {
+    fn usual_first_byte_at(&self) -> Instant {
         if self.delivered.head_sent {
             return self.attempt_at;
         }
@@ -109,7 +111,7 @@
         self.attempt_at + usual
     }
 
-    fn heard(&self, target: &Target) {
+    fn record_activity(&self, target: &Target) {
         let now = clock::now();
         self.shared.upstreams().heard(&target.id, now);
     }
@@ -121,7 +123,7 @@
             deadline_ms: relay::millis(left),
             workspace: self.access.mark.clone(),
             urgency: self.is_engine.then_some(self.priority().min(9)),
-            last_event: self.delivered.cutter.last_id().map(str::to_owned),
+            last_event: self.delivered.splitter.last_id().map(str::to_owned),
         };
         let mut headers = self.shared.vocabulary.forwarded(&self.head.headers, &stamp);
         let has_body =
@@ -140,17 +142,17 @@
         if let Err(denied) = self.check_access() {
             return Attempt::Denied(denied);
         }
-        let Some(permit) = self.permit(target) else {
-            return Attempt::Unwanted;
+        let Some(permit) = self.acquire_send_permit(target) else {
+            return Attempt::NotPermitted;
         };
         let wrote = match self.send(target, permit, &mut upstream) {
             Ok(wrote) => wrote,
             Err(ended) => return ended,
         };
-        match self.read_own_head(target, &mut upstream) {
+        match self.read_matching_head(target, &mut upstream) {
             Ok((head, facts)) => {
-                let whole = wrote == Wrote::Whole;
-                self.answered(target, upstream, &head, &facts, whole)
+                let whole = wrote == WriteOutcome::Whole;
+                self.handle_answer(target, upstream, &head, &facts, whole)
             }
             Err(ended) => ended,
         }
@@ -160,16 +162,16 @@
     fn send(
         &mut self,
         target: &Target,
-        _permit: Permit,
+        _permit: SendPermit,
         upstream: &mut Connection,
-    ) -> Result<Wrote, Attempt> {
+    ) -> Result<WriteOutcome, Attempt> {
         let bytes = self.request_bytes(target);
         let until = self.deadline_at;
         let wrote = http1::write_all(upstream, &bytes, true, Some(self.caller), until);
         wrote.map_err(|error| match error {
             HttpError::WatchedClosed => Attempt::CallerGone,
             HttpError::TimedOut => Attempt::TimedOut,
-            HttpError::Ending => Attempt::Ending,
+            HttpError::Stopping => Attempt::Stopping,
             HttpError::NothingWritten => Attempt::NotSent,
             // A part may have arrived; an upstream runs only whole requests, but
             // what was written last may have been the end of one.
@@ -178,18 +180,18 @@
     }
 
     /// Reads answers until one belongs to this request, and returns its head.
-    fn read_own_head(
+    fn read_matching_head(
         &mut self,
         target: &Target,
         upstream: &mut Connection,
     ) -> Result<(AnswerHead, AnswerFacts), Attempt> {
-        for _ in 0..=MAX_SURPLUS_ANSWERS {
+        for _ in 0..=MAX_STALE_ANSWERS {
             let head = self.read_head(target, upstream)?;
-            self.heard(target);
+            self.record_activity(target);
             let vocabulary = &self.shared.vocabulary;
             let facts = vocabulary.answer(head.status, &head.headers, &target.id);
             if facts.id.as_deref().is_none_or(|id| id == self.facts.id) {
-                self.hear_words(target, &facts);
+                self.apply_signals(target, &facts);
                 if self.route.kind.is_stream() && !facts.not_run {
                     let after = clock::since(self.attempt_at);
                     let mut usual = self.shared.usual_times();
@@ -205,7 +207,7 @@
 
     /// Takes in what an answer to this request says of its upstream. One that names no request may be
     /// anybody's, and one of another incarnation says nothing of the upstream that was asked.
-    fn hear_words(&self, target: &Target, facts: &AnswerFacts) {
+    fn apply_signals(&self, target: &Target, facts: &AnswerFacts) {
         if facts.other_incarnation || facts.id.is_none() {
             return;
         }
@@ -225,15 +227,15 @@
         upstream: &mut Connection,
     ) -> Result<AnswerHead, Attempt> {
         loop {
-            let step = self.step_until();
+            let step = self.next_silence_check_at();
             match http1::read_answer_head(upstream, Some(self.caller), step) {
                 Ok(head) => return Ok(head),
                 Err(HttpError::WatchedClosed) => return Err(Attempt::CallerGone),
-                Err(HttpError::Ending) => return Err(Attempt::Ending),
+                Err(HttpError::Stopping) => return Err(Attempt::Stopping),
                 Err(HttpError::TimedOut) if clock::now() >= self.deadline_at => {
                     return Err(Attempt::TimedOut);
                 }
-                Err(HttpError::TimedOut) if !self.is_silent(target) => {}
+                Err(HttpError::TimedOut) if !self.can_leave_silent_upstream(target) => {}
                 Err(_) => return Err(Attempt::Broken),
             }
         }
@@ -246,15 +248,15 @@
         };
         let until = self.deadline_at;
         match body.read_whole(upstream, MAX_WHOLE_BYTES, Some(self.caller), until) {
-            Ok(_) if body.reusable => Ok(()),
+            Ok(_) if body.is_reusable => Ok(()),
             Err(HttpError::WatchedClosed) => Err(Attempt::CallerGone),
-            Err(HttpError::Ending) => Err(Attempt::Ending),
+            Err(HttpError::Stopping) => Err(Attempt::Stopping),
             Ok(_) | Err(_) => Err(Attempt::Broken),
         }
     }
 
     /// Decides what an answer to this request means, and passes it on if it counts.
-    fn answered(
+    fn handle_answer(
         &mut self,
         target: &Target,
         mut upstream: Connection,
@@ -265,36 +267,38 @@
         let Ok(mut body) = BodyReader::of_answer(head, &self.head.method) else {
             return Attempt::Broken;
         };
-        body.reusable &= request_whole;
+        body.is_reusable &= request_whole;
         let is_success = (200..300).contains(&head.status);
         let encoded = head.headers.has("content-encoding");
         if is_success && (!facts.vouched || encoded || facts.id.is_none()) {
             return Attempt::Broken;
         }
         if is_success && self.route.kind.is_stream() {
-            return self.pass_stream(target, upstream, head, body);
+            return self.deliver_stream(target, upstream, head, body);
         }
         let until = self.deadline_at;
-        let Some(mut room) = self.room_for_answer(body.announced().min(MAX_WHOLE_BYTES)) else {
+        let Some(mut room) =
+            self.reserve_answer_memory(body.announced_bytes().min(MAX_WHOLE_BYTES))
+        else {
             return Attempt::TimedOut;
         };
         let read = body.read_whole(&mut upstream, MAX_WHOLE_BYTES, Some(self.caller), until);
         let bytes = match read {
             Ok(bytes) => bytes,
             Err(HttpError::WatchedClosed) => return Attempt::CallerGone,
-            Err(HttpError::Ending) if !facts.not_run => return Attempt::Ending,
+            Err(HttpError::Stopping) if !facts.not_run => return Attempt::Stopping,
             Err(HttpError::TimedOut) if !facts.not_run => return Attempt::TimedOut,
             Err(_) if !facts.not_run => return Attempt::Broken,
             Err(_) => Vec::new(),
         };
         // One without a length counts as it turned out to be, beyond the bound too.
-        room.set_bytes(bytes.len());
-        self.keep(target, upstream, head, &body);
+        room.resize(bytes.len());
+        self.return_to_pool(target, upstream, head, &body);
         if facts.not_run {
-            return self.refused(target, head, facts);
+            return self.handle_refusal(target, head, facts);
         }
         if is_success {
-            return Attempt::Answered(self.pass_whole(head, &bytes));
+            return Attempt::Answered(self.deliver_whole(head, &bytes));
         }
         if !facts.vouched {
             return Attempt::Broken;
@@ -307,29 +311,29 @@
 
     /// Room for an answer that is held whole, as soon as those that other callers have not read leave any; its upstream
     /// waits meanwhile. `None` once the request's time is over.
-    fn room_for_answer(&mut self, bytes: usize) -> Option<Held> {
+    fn reserve_answer_memory(&mut self, bytes: usize) -> Option<MemoryReservation> {
         loop {
-            if let Some(room) = self.shared.hold_answer(bytes) {
+            if let Some(room) = self.shared.reserve_answer(bytes) {
                 return Some(room);
             }
             if clock::now() >= self.deadline_at || self.caller.is_closed() {
                 return None;
             }
-            std::thread::sleep(ROOM_STEP);
+            std::thread::sleep(MEMORY_POLL_INTERVAL);
         }
     }
 
     /// The upstream has not run the request; what that tells of the upstream.
-    fn refused(&self, target: &Target, head: &AnswerHead, facts: &AnswerFacts) -> Attempt {
+    fn handle_refusal(&self, target: &Target, head: &AnswerHead, facts: &AnswerFacts) -> Attempt {
         if facts.other_incarnation {
-            self.shared.pool.forget(&target.id);
+            self.shared.pool.close_idle(&target.id);
             return Attempt::NotRun(Outcome::Unreachable);
         }
         if head.status == MISDIRECTED
-            && let Some(wish) = self.wish()
+            && let Some(model_ref) = self.model_ref()
         {
             let now = clock::now();
-            self.shared.upstreams().absent(&target.id, wish, now);
+            self.shared.upstreams().absent(&target.id, model_ref, now);
             return Attempt::NotRun(Outcome::Unknown);
         }
         if self
@@ -345,14 +349,14 @@
     }
 
     /// Keeps the upstream's connection if it may carry another request.
-    fn keep(
+    fn return_to_pool(
         &self,
         target: &Target,
         mut upstream: Connection,
         head: &AnswerHead,
         body: &BodyReader,
     ) {
-        if !body.reusable || !body.is_done() || !upstream.is_clean() {
+        if !body.is_reusable || !body.is_done() || !upstream.is_clean() {
             return;
         }
         let named = head.headers.text("keep-alive").and_then(|text| {
@@ -360,7 +364,7 @@
             let mut timeout = parts.filter_map(|part| part.trim().strip_prefix("timeout="));
             timeout.find_map(|seconds| seconds.parse().ok())
         });
-        let rest = pool::rest_time(named);
+        let rest = pool::idle_ttl(named);
         let now = clock::now();
         self.shared.pool.put(&target.id, upstream, rest, now);
     }
@@ -374,12 +378,12 @@
     }
 
     fn write(&mut self, bytes: &[u8]) -> Result<(), HttpError> {
-        let first_ms = self.held_ms();
+        let first_ms = self.elapsed_ms();
         self.record.first_ms.get_or_insert(first_ms);
         // A ready answer is delivered, late too.
-        let until = self.deadline_at.max(clock::now() + WRITE_TIME);
-        let written = http1::write_while_read(self.caller, bytes, UNREAD_TIME, until);
-        self.record.is_unread |= match &written {
+        let until = self.deadline_at.max(clock::now() + WRITE_TIMEOUT);
+        let written = http1::write_until_stalled(self.caller, bytes, CALLER_STALL_TIMEOUT, until);
+        self.record.is_stalled |= match &written {
             Err(HttpError::TimedOut) => true,
             // The connection itself has waited for that.
             Err(HttpError::Io(error)) => error.kind() == ErrorKind::TimedOut,
@@ -389,7 +393,7 @@
     }
 
     /// Passes on an answer that is whole.
-    pub(super) fn pass_whole(&mut self, head: &AnswerHead, body: &[u8]) -> After {
+    pub(super) fn deliver_whole(&mut self, head: &AnswerHead, body: &[u8]) -> ConnectionReuse {
         let mut headers = self.answer_headers(head);
         let bodyless = head.is_bodyless(&self.head.method);
         if !bodyless {
@@ -402,14 +406,14 @@
         self.record.status = head.status;
         self.record.end = "answered";
         let written = self.write(&bytes);
-        if self.record.is_unread {
-            self.record.end = UNREAD;
+        if self.record.is_stalled {
+            self.record.end = NOT_TAKEN;
         }
-        after(written.is_ok() && !self.close_after)
+        connection_reuse(written.is_ok() && !self.close_after)
     }
 
     /// Passes on a stream, event by event.
-    fn pass_stream(
+    fn deliver_stream(
         &mut self,
         target: &Target,
         mut upstream: Connection,
@@ -420,25 +424,30 @@
         let mut received = Vec::new();
         let mut events = Vec::new();
         loop {
-            let part = self.next_part(target, &mut upstream, &mut body, &mut received);
+            let part = self.read_stream_part(target, &mut upstream, &mut body, &mut received);
             let ended = match part {
                 Ok(part) => part == BodyPart::End,
                 Err(ended) => return ended,
             };
-            self.heard(target);
+            self.record_activity(target);
             events.clear();
-            if self.delivered.cutter.add(&received, &mut events).is_err() {
-                self.delivered.cutter.drop_partial();
+            if self
+                .delivered
+                .splitter
+                .push(&received, &mut events)
+                .is_err()
+            {
+                self.delivered.splitter.drop_partial();
                 return Attempt::Broken;
             }
             if ended {
-                events.extend(self.delivered.cutter.take_rest());
+                events.extend(self.delivered.splitter.take_remainder());
             }
-            let out = self.framed(std::mem::take(&mut opening), &events, ended);
+            let out = self.frame_for_caller(std::mem::take(&mut opening), &events, ended);
             if !out.is_empty() {
                 self.delivered.head_sent = true;
                 // No other answer can be given any more.
-                self.caller.end_with_streams();
+                self.caller.mark_streaming();
                 self.record.status = head.status;
                 if self.write(&out).is_err() {
                     return Attempt::CallerGone;
@@ -446,9 +455,9 @@
             }
             if ended {
                 self.record.end = "answered";
-                self.keep(target, upstream, head, &body);
+                self.return_to_pool(target, upstream, head, &body);
                 let keep = self.delivered.chunked && !self.close_after;
-                return Attempt::Answered(after(keep));
+                return Attempt::Answered(connection_reuse(keep));
             }
         }
     }
@@ -467,7 +476,7 @@
     }
 
     /// Reads the next part of a stream, for as long as the upstream is not silent.
-    fn next_part(
+    fn read_stream_part(
         &mut self,
         target: &Target,
         upstream: &mut Connection,
@@ -476,17 +485,17 @@
     ) -> Result<BodyPart, Attempt> {
         loop {
             received.clear();
-            let until = self.step_until();
-            match body.next(upstream, received, Some(self.caller), until) {
+            let until = self.next_silence_check_at();
+            match body.read_part(upstream, received, Some(self.caller), until) {
                 Ok(part) => return Ok(part),
                 Err(HttpError::WatchedClosed) => return Err(Attempt::CallerGone),
-                Err(HttpError::Ending) => return Err(Attempt::Ending),
+                Err(HttpError::Stopping) => return Err(Attempt::Stopping),
                 Err(HttpError::TimedOut) if clock::now() >= self.deadline_at => {
                     return Err(Attempt::TimedOut);
                 }
-                Err(HttpError::TimedOut) if !self.is_silent(target) => {}
+                Err(HttpError::TimedOut) if !self.can_leave_silent_upstream(target) => {}
                 Err(_) => {
-                    self.delivered.cutter.drop_partial();
+                    self.delivered.splitter.drop_partial();
                     return Err(Attempt::Broken);
                 }
             }
@@ -494,7 +503,7 @@
     }
 
     /// `opening` followed by `events`, framed for the caller.
-    fn framed(&self, opening: Vec<u8>, events: &[u8], ended: bool) -> Vec<u8> {
+    fn frame_for_caller(&self, opening: Vec<u8>, events: &[u8], ended: bool) -> Vec<u8> {
         let mut out = opening;
         if self.delivered.chunked && !events.is_empty() {
             out.extend(reply::chunk(events));
--- a/crates/instance/src/forward/refusing.rs
+++ b/crates/instance/src/forward/refusal.rs
@@ -1,8 +1,8 @@
 //! The answer to a request when nothing more can be tried.
 
-use super::access::Denied;
+use super::access::Denial;
 use super::attempt::FailedAnswer;
-use super::{After, Forwarding, RETRY_AFTER_MS, after, not_run};
+use super::{ConnectionReuse, Forwarding, RETRY_AFTER_MS, connection_reuse, not_run};
 use crate::poison::Trial;
 use crate::relay::millis;
 use crate::reply::{self, Refusal};
@@ -11,11 +11,11 @@
 
 /// When a caller may come back whose request may crash upstreams: what broke off under it has started
 /// again by then, or has proved to live.
-const HELD_RETRY_MS: u64 = 2_000;
+const SUSPECT_RETRY_MS: u64 = 2_000;
 
 impl Forwarding<'_> {
     /// The last answer, when nothing more can be tried.
-    pub(super) fn give_up(&mut self, failed: Option<Box<FailedAnswer>>) -> After {
+    pub(super) fn answer_failure(&mut self, failed: Option<Box<FailedAnswer>>) -> ConnectionReuse {
         if self.delivered.head_sent {
             // A stream that breaks off must not look whole.
             self.record.end = if self.record.cut_by_stop {
@@ -26,18 +26,21 @@
             if !self.delivered.chunked {
                 self.caller.reset_when_closed();
             }
-            return After::Close;
+            return ConnectionReuse::Close;
         }
         if let Some(failed) = failed {
-            return self.pass_whole(&failed.head, &failed.body);
+            return self.deliver_whole(&failed.head, &failed.body);
         }
         let refused_for = self.refused_for();
-        let has_turn = self.trial.as_ref().is_some_and(Trial::is_granted);
-        let is_held = self.standing != Standing::Free && !has_turn;
+        let has_turn = self.isolated_run.as_ref().is_some_and(Trial::is_granted);
+        let is_held = self.suspicion != Standing::Free && !has_turn;
         let refusal = if self.runs == 0 {
             // What crashes engines is not run before it is forgotten.
-            let model_ms = self.comes_ms.or(self.turn_ms).unwrap_or(RETRY_AFTER_MS);
-            let held_ms = if is_held { HELD_RETRY_MS } else { model_ms };
+            let model_ms = self
+                .model_ready_ms
+                .or(self.upstream_available_ms)
+                .unwrap_or(RETRY_AFTER_MS);
+            let held_ms = if is_held { SUSPECT_RETRY_MS } else { model_ms };
             not_run(refused_for.map_or(held_ms, millis))
         } else if clock::now() >= self.deadline_at {
             Refusal::TimedOut
@@ -50,24 +53,24 @@
             "refused as crashing upstreams"
         } else if is_held {
             "refused, it may crash upstreams"
-        } else if self.comes_ms.is_some() {
+        } else if self.model_ready_ms.is_some() {
             "refused, its model comes too late"
-        } else if self.turn_ms.is_some() {
+        } else if self.upstream_available_ms.is_some() {
             "refused, its upstreams take no more"
         } else {
             "refused"
         };
-        self.refuse(Denied { refusal, end })
+        self.refuse(Denial { refusal, end })
     }
 
     /// Refuses the request.
-    pub(super) fn refuse(&mut self, denied: Denied) -> After {
-        let Denied { refusal, end } = denied;
+    pub(super) fn refuse(&mut self, denied: Denial) -> ConnectionReuse {
+        let Denial { refusal, end } = denied;
         self.record.status = refusal.code();
         self.record.end = end;
         let vocabulary = &*self.shared.vocabulary;
         let close = self.close_after;
         let done = reply::refuse(self.caller, vocabulary, &self.facts.id, refusal, close);
-        after(done.is_ok() && !close)
+        connection_reuse(done.is_ok() && !close)
     }
 }
--- a/crates/instance/src/forward/door.rs
+++ b/crates/instance/src/forward/send_permit.rs
@@ -9,16 +9,16 @@
 
 /// Leave to send a request to an upstream once, now.
 #[derive(Debug)]
-pub(super) struct Permit(());
+pub(super) struct SendPermit(());
 
 impl Forwarding<'_> {
     /// Lets a request through to an upstream; `None` if the upstream does not want it.
-    pub(super) fn permit(&self, target: &Target) -> Option<Permit> {
+    pub(super) fn acquire_send_permit(&self, target: &Target) -> Option<SendPermit> {
         let now = clock::now();
         let mut upstreams = self.shared.upstreams();
-        let has_turn = target.has_turn || upstreams.limit_per_s(&target.id, now).is_none();
+        let has_turn = target.has_limit_grant || upstreams.limit_per_s(&target.id, now).is_none();
         let may_go = has_turn && upstreams.admits(&target.id, &self.access.allowed);
         let wants = may_go && upstreams.let_through(&target.id, target.started_at_ms, now);
-        wants.then_some(Permit(()))
+        wants.then_some(SendPermit(()))
     }
 }
--- a/crates/instance/src/forward/suspect.rs
+++ b/crates/instance/src/forward/suspect.rs
@@ -31,17 +31,17 @@
     }
 
     /// A run broke off: if the upstream has crashed, the request may be why.
-    pub(super) fn run_broke(&mut self, target: &Target, start: UpstreamStart) {
-        if let Some(trial) = &mut self.trial {
+    pub(super) fn handle_broken_run(&mut self, target: &Target, start: UpstreamStart) {
+        if let Some(trial) = &mut self.isolated_run {
             trial.broke();
         }
         let has_crashed = self.has_crashed(target);
         let ran_ms = millis_since(self.attempt_at, clock::now());
         log::info!(target: REQUEST_TARGET, request = self.facts.id, digest:% = self.digest(),
-            upstream:% = target.id, crashed = has_crashed, ran_ms = ran_ms, standing:? = self.standing;
+            upstream:% = target.id, crashed = has_crashed, ran_ms = ran_ms, standing:? = self.suspicion;
             "a run broke off");
         if !has_crashed {
-            self.doubt(target, &start, false);
+            self.watch_for_crash(target, &start, false);
             return;
         }
         let (digest, sent_at) = (self.digest(), self.attempt_at);
@@ -54,7 +54,7 @@
     /// its port does not tell: under a supervisor it stays open, and a machine that went dark says nothing.
     ///
     /// Plain upstreams tell nothing of their start, and reset connections beyond those that they take.
-    pub(super) fn doubt(&self, target: &Target, start: &UpstreamStart, silent: bool) {
+    pub(super) fn watch_for_crash(&self, target: &Target, start: &UpstreamStart, silent: bool) {
         if !self.is_engine || self.shared.upstreams().is_draining(&target.id) {
             return;
         }
@@ -67,32 +67,32 @@
     }
 
     /// Whether the request may run now, as far as upstreams tell that broke off under it.
-    pub(super) fn may_run_beside_doubt(&mut self) -> bool {
+    pub(super) fn may_run_as_suspect(&mut self) -> bool {
         let poison = &self.shared.poison;
-        self.standing = if poison.is_empty() {
+        self.suspicion = if poison.is_empty() {
             Standing::Free
         } else {
             poison.standing(self.digest())
         };
-        match self.standing {
+        match self.suspicion {
             Standing::Free => true,
             Standing::Held => false,
-            Standing::Alone => self.may_run_alone(),
+            Standing::Alone => self.may_run_isolated(),
         }
     }
 
     /// Whether the request has its turn among those like it. Nothing but the counter's word gives it one.
-    fn may_run_alone(&mut self) -> bool {
+    fn may_run_isolated(&mut self) -> bool {
         let digest = self.digest();
         let left = self.deadline_at.saturating_duration_since(clock::now());
         let trial = self
-            .trial
+            .isolated_run
             .get_or_insert_with(|| Trial::new(self.shared, digest));
         trial.ask(left) == Asked::Granted
     }
 
     /// A run has ended with an answer, so the request does not crash what runs it.
-    pub(super) fn run_answered(&self) {
+    pub(super) fn handle_answered_run(&self) {
         let poison = &self.shared.poison;
         if poison.is_empty() {
             return;
@@ -111,7 +111,7 @@
         match Connection::connect(target.address, REFUSAL_TIME) {
             Ok(connection) => {
                 // It lives, and the connection serves the next request.
-                let rest = pool::rest_time(None);
+                let rest = pool::idle_ttl(None);
                 let pool = &self.shared.pool;
                 pool.put(&target.id, connection, rest, clock::now());
                 false
--- a/crates/instance/src/forward/waiting.rs
+++ b/crates/instance/src/forward/waiting.rs
@@ -1,100 +1,104 @@
 //! Waiting for an upstream and choosing it.
 
-use super::{Forwarding, Target, draw};
-use crate::dispatch::Question;
+use super::{Forwarding, Target, request_hash};
+use crate::dispatch::EngineQuery;
 use crate::relay::{millis, millis_since};
-use crate::shared::{Need, Shared};
+use crate::shared::{ReportEvent, Shared};
 use passway_serving::upstreams::{Choice, ModelRef, Wanted};
 use passway_types::clock;
 use passway_types::prelude::*;
 
 /// Longest time between two looks whether a waiting request's caller is still there.
-const WAIT_STEP: Duration = Duration::from_millis(200);
+const CALLER_POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// Longest time between two looks whether a full upstream has room.
-const FULL_STEP: Duration = Duration::from_millis(50);
+const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Part of its time that a request may wait for an upstream before it is refused.
-const WAIT_PART: f64 = 0.45;
+const WAIT_RATIO: f64 = 0.45;
 /// Part of its goal after which the most urgent kind of request is due.
-const URGENT_PART: f64 = 0.5;
+const URGENT_GOAL_RATIO: f64 = 0.5;
 
 impl Forwarding<'_> {
     /// Until when the request may wait for an upstream if its time ends at a moment.
     pub(super) fn wait_until(&self, ends_at: Instant) -> Instant {
         let whole = ends_at.saturating_duration_since(self.arrived_at);
         let patience = Duration::from_millis(self.route.patience_ms());
-        self.arrived_at + whole.min(patience).mul_f64(WAIT_PART)
+        self.arrived_at + whole.min(patience).mul_f64(WAIT_RATIO)
     }
 
     /// Waits for an upstream that can take the request.
-    pub(super) fn find_upstream(&mut self, may_wait: bool) -> Option<Target> {
-        let mut told: Option<ToldWait> = None;
+    pub(super) fn wait_for_upstream(&mut self, may_wait: bool) -> Option<Target> {
+        let mut told: Option<ReportedWait> = None;
         loop {
             if self.refused_for().is_some() {
                 return None;
             }
             let now = clock::now();
-            if !self.may_run_beside_doubt() {
-                if !self.wait_held(now) {
+            if !self.may_run_as_suspect() {
+                if !self.wait_on_hold(now) {
                     return None;
                 }
                 continue;
             }
-            if let Some(next) = self.next.take() {
+            if let Some(next) = self.next_target.take() {
                 return Some(next);
             }
             self.shared.metrics.choice();
-            let seen = self.shared.changes_seen();
+            let seen = self.shared.upstream_change_count();
             let choice = match self.choose(now) {
-                Ok(target) => match self.with_turn(target) {
+                Ok(target) => match self.with_limit_grant(target) {
                     Some(target) => return Some(target),
-                    None if !self.has_asked_enough(now) => continue,
+                    None if !self.has_used_grant_requests(now) => continue,
                     None => Choice::Absent,
                 },
                 Err(choice) => choice,
             };
-            let turn_at = self.turn_at(now);
+            let turn_at = self.next_available_at(now);
             if choice == Choice::Absent
                 && turn_at.is_none()
                 && may_wait
                 && self.record.offers == 0
-                && let Some(comes_ms) = self.comes_too_late(now)
+                && let Some(comes_ms) = self.late_model_ready_ms(now)
             {
-                self.comes_ms = Some(comes_ms);
+                self.model_ready_ms = Some(comes_ms);
                 return None;
             }
             // A stop shortens the request's time, and what it waits must leave time to run.
-            let stop_at = self.shared.ends_at().unwrap_or(self.deadline_at);
+            let stop_at = self.shared.waits_end_at().unwrap_or(self.deadline_at);
             let wait_until = self.wait_until(self.deadline_at.min(stop_at));
             let is_absent = choice == Choice::Absent;
-            self.turn_ms = turn_at
+            self.upstream_available_ms = turn_at
                 .filter(|_| is_absent)
                 .map(|at| millis_since(now, at));
-            if now >= wait_until || !may_wait || self.shared.is_ending() {
+            if now >= wait_until || !may_wait || self.shared.should_end_waits() {
                 self.record.cut_by_stop = now < self.wait_until(self.deadline_at);
                 return None;
             }
-            if is_absent && self.comes_in_vain(wait_until, now) {
-                self.tell_missed(wait_until);
+            if is_absent && self.is_wait_hopeless(wait_until, now) {
+                self.report_refused_wait(wait_until);
                 return None;
             }
             if is_absent
                 && told.is_none()
-                && let Some(wish) = self.wish()
+                && let Some(model_ref) = self.model_ref()
             {
-                told = Some(ToldWait::begin(
+                told = Some(ReportedWait::begin(
                     self.shared,
                     &self.service,
-                    wish,
+                    model_ref,
                     wait_until,
                 ));
             }
             // Each turn of this loop waits: requests for a service that has no upstream left
             // must not take the processor from all others.
-            let longest = if is_absent { WAIT_STEP } else { FULL_STEP };
+            let longest = if is_absent {
+                CALLER_POLL_INTERVAL
+            } else {
+                CAPACITY_POLL_INTERVAL
+            };
             let look_at = turn_at.map_or(wait_until, |at| at.min(wait_until));
             let step = longest.min(look_at - now);
-            if is_absent || !self.shared.dispatch.is_used() {
-                self.shared.wait_for_upstreams(seen, step);
+            if is_absent || !self.shared.dispatch.is_enabled() {
+                self.shared.wait_for_upstream_change(seen, step);
             } else {
                 // A slot is free when the dispatcher says so, whatever changes here.
                 std::thread::sleep(step);
@@ -112,20 +116,21 @@
 
     /// Waits a little for what tells whether the request crashes upstreams; false once it has waited for
     /// as long as it may.
-    fn wait_held(&mut self, now: Instant) -> bool {
-        let stop_at = self.shared.ends_at().unwrap_or(self.deadline_at);
+    fn wait_on_hold(&mut self, now: Instant) -> bool {
+        let stop_at = self.shared.waits_end_at().unwrap_or(self.deadline_at);
         let wait_until = self.wait_until(self.deadline_at.min(stop_at));
-        let may_wait = now < wait_until && !self.shared.is_ending() && !self.caller.is_closed();
+        let may_wait =
+            now < wait_until && !self.shared.should_end_waits() && !self.caller.is_closed();
         if may_wait {
-            std::thread::sleep(FULL_STEP.min(wait_until - now));
+            std::thread::sleep(CAPACITY_POLL_INTERVAL.min(wait_until - now));
         }
         may_wait
     }
 
     /// When its model can be there at the earliest, in milliseconds, if that is known to be later than
     /// the request may wait. The holder counts it as waiting as if it did, since others will ask.
-    fn comes_too_late(&self, now: Instant) -> Option<u64> {
-        let model_ref = self.wish()?;
+    fn late_model_ready_ms(&self, now: Instant) -> Option<u64> {
+        let model_ref = self.model_ref()?;
         let load_time = self.load_time()?;
         let wait_until = self.wait_until(self.deadline_at);
         let comes_at = now + load_time;
@@ -136,13 +141,13 @@
             return None;
         }
         drop(upstreams);
-        self.tell_missed(wait_until);
+        self.report_refused_wait(wait_until);
         Some(millis(load_time))
     }
 
     /// How long the request's model takes from the weight store.
     pub(super) fn load_time(&self) -> Option<Duration> {
-        let model_ref = self.wish()?;
+        let model_ref = self.model_ref()?;
         let table = self.shared.routes.load();
         let pool = table.as_ref()?.services.get(&self.service)?.pool.as_ref()?;
         let load_ms = pool.models.named(&model_ref.model)?.load_ms;
@@ -150,11 +155,11 @@
     }
 
     /// Tells the holder that the request is refused, which would have waited for its model.
-    fn tell_missed(&self, wait_until: Instant) {
-        if let Some(model_ref) = self.wish() {
-            self.shared.tell(Need::Missed {
+    fn report_refused_wait(&self, wait_until: Instant) {
+        if let Some(model_ref) = self.model_ref() {
+            self.shared.report(ReportEvent::RefusedAsTooLate {
                 service: self.service.clone(),
-                wish: model_ref.clone(),
+                model_ref: model_ref.clone(),
                 until: wait_until,
             });
         }
@@ -164,21 +169,21 @@
     pub(super) fn wanted(&self) -> Wanted<'_> {
         Wanted {
             service: &self.service,
-            model_ref: self.wish(),
+            model_ref: self.model_ref(),
             hall: &self.shared.settings.hall,
             allowed: &self.access.allowed,
-            drawn: draw(&self.facts.id),
+            drawn: request_hash(&self.facts.id),
         }
     }
 
     /// The upstream for the next attempt, or why there is none now.
     pub(super) fn choose(&self, now: Instant) -> Result<Target, Choice> {
-        let drawn = draw(&self.facts.id).wrapping_add(self.runs.into());
-        let closed = self.closed_to_it(now);
+        let drawn = request_hash(&self.facts.id).wrapping_add(self.runs.into());
+        let closed = self.excluded_upstreams(now);
         let dispatch = &self.shared.dispatch;
-        let told = self.wish().and_then(|model_ref| {
-            let question = Question {
-                id: self.question,
+        let told = self.model_ref().and_then(|model_ref| {
+            let question = EngineQuery {
+                run_id: self.run_id,
                 service: &self.service,
                 model_ref,
                 tried: &closed,
@@ -187,7 +192,7 @@
                 is_urgent: self.priority() == 0,
                 allowed: &self.access.allowed,
             };
-            dispatch.ask(self.shared, &question)
+            dispatch.query_engine(self.shared, &question)
         });
         if let Some(told) = told {
             return match told.choice {
@@ -195,8 +200,8 @@
                     started_at_ms: self.shared.upstreams().started_at_ms(&id),
                     id,
                     address,
-                    has_turn: false,
-                    run: told.run,
+                    has_limit_grant: false,
+                    run_id: told.run_id,
                 }),
                 none => Err(none),
             };
@@ -209,11 +214,13 @@
         let is_open = |id: &UpstreamId| !closed.contains(id);
         match upstreams.choose_by(wanted, is_open, None, now) {
             Choice::Send { id, address } => Ok(Target {
-                run: self.wish().and_then(|_| dispatch.unasked(&id)),
+                run_id: self
+                    .model_ref()
+                    .and_then(|_| dispatch.record_direct_run(&id)),
                 started_at_ms: upstreams.started_at_ms(&id),
                 id,
                 address,
-                has_turn: false,
+                has_limit_grant: false,
             }),
             none => Err(none),
         }
@@ -224,7 +231,7 @@
     fn due_at(&self) -> Instant {
         let goal = Duration::from_millis(self.route.goal_ms);
         let part = if self.priority() == 0 {
-            URGENT_PART
+            URGENT_GOAL_RATIO
         } else {
             1.0
         };
@@ -233,32 +240,37 @@
 }
 
 /// The holder of the right to order counts a request as waiting while this lives.
-struct ToldWait<'a> {
+struct ReportedWait<'a> {
     shared: &'a Shared,
     service: ServiceName,
-    wish: ModelRef,
+    model_ref: ModelRef,
 }
 
-impl<'a> ToldWait<'a> {
-    fn begin(shared: &'a Shared, service: &ServiceName, wish: &ModelRef, until: Instant) -> Self {
-        shared.tell(Need::Waits {
+impl<'a> ReportedWait<'a> {
+    fn begin(
+        shared: &'a Shared,
+        service: &ServiceName,
+        model_ref: &ModelRef,
+        until: Instant,
+    ) -> Self {
+        shared.report(ReportEvent::WaitStarted {
             service: service.clone(),
-            wish: wish.clone(),
+            model_ref: model_ref.clone(),
             until,
         });
         Self {
             shared,
             service: service.clone(),
-            wish: wish.clone(),
+            model_ref: model_ref.clone(),
         }
     }
 }
 
-impl Drop for ToldWait<'_> {
+impl Drop for ReportedWait<'_> {
     fn drop(&mut self) {
-        self.shared.tell(Need::WaitEnds {
+        self.shared.report(ReportEvent::WaitEnded {
             service: self.service.clone(),
-            wish: self.wish.clone(),
+            model_ref: self.model_ref.clone(),
         });
     }
 }
--- a/crates/instance/src/freshness.rs
+++ b/crates/instance/src/freshness.rs
@@ -5,7 +5,7 @@
 //! once a second, and others if the holder does not answer or knows no better. The holder's answer
 //! also shows that it can be asked what workspaces may use.
 
-use crate::questions::Questions;
+use crate::queries::PendingQueries;
 use crate::relay::{millis, millis_since};
 use crate::shared::Shared;
 use passway_process::logging::json::DECISION_TARGET;
@@ -39,7 +39,7 @@
     proved: Condvar,
     /// A request needs a proof.
     wanted: Condvar,
-    asked: Questions<VersionTold>,
+    asked: PendingQueries<VersionTold>,
     /// When the holder of the right to order answered last.
     holder_answered_at: Mutex<Option<Instant>>,
 }
@@ -116,7 +116,7 @@
 
     /// Takes in the answer to a question of this instance.
     pub fn answered(&self, told: VersionTold) {
-        self.asked.answered(told.id, told);
+        self.asked.deliver_answer(told.id, told);
     }
 
     /// Asks an instance; whether it could prove anything.
@@ -126,7 +126,7 @@
         let ask = Body::VersionAsk(VersionAsk { id });
         let told = self
             .asked
-            .ask(id, || shared.dispatch.send(address, ask.clone()));
+            .send_and_wait(id, || shared.dispatch.send(address, ask.clone()));
         let Some(told) = told.filter(|told| told.version > 0) else {
             return false;
         };
@@ -146,7 +146,7 @@
     /// Asks the holder, and others if that does not help.
     fn ask_around(&self, shared: &Shared, bound: Duration) {
         let me = &shared.settings.instance;
-        let holder = shared.right().and_then(|right| right.holder());
+        let holder = shared.leadership().and_then(|right| right.holder());
         let answers = holder
             .as_ref()
             .is_some_and(|holder| holder.instance == *me || self.ask(shared, holder.address));
@@ -180,7 +180,7 @@
     fn run(&self, shared: &Shared) {
         let mut permitted = true;
         loop {
-            let bound = shared.revocation();
+            let bound = shared.revocation_bound();
             if let Some(bound) = bound {
                 let permits = self.permits(bound);
                 if permits != permitted {
--- a/crates/instance/src/holder.rs
+++ b/crates/instance/src/holder.rs
@@ -343,7 +343,7 @@
             let instances = self.listeners.count() + 1;
             let instances = self.instances.shared_by(instances, now);
             if let Some(instances) = instances {
-                self.shared.use_instances(instances);
+                self.shared.set_instance_count(instances);
             }
             self.ask_candidates(now);
             self.tell_members();
@@ -419,7 +419,7 @@
             self.told_limits.clear();
             self.told_leaving.clear();
             self.roster = Roster::default();
-            self.dispatchers = self.shared.dispatch.list();
+            self.dispatchers = self.shared.dispatch.dispatcher_list();
             // Whoever heard the news from here asks the store now.
             for number in self.listeners.end() {
                 if let Some(outbox) = self.peers.remove(&number) {
@@ -450,7 +450,7 @@
             let took = clock::since(now);
             // Whatever else it has to do, the thread plans for half of its time at most.
             self.plan_at = clock::now() + took.clamp(Duration::ZERO, LONGEST_PLAN_PAUSE);
-            self.shared.metrics.planned(took);
+            self.shared.metrics.planning_pass(took);
             self.log_refused_models();
             self.tell_doubtful(now);
             for action in actions {
@@ -484,7 +484,7 @@
         upstreams.forget_closing();
         self.shared.poison.look();
         let entries = upstreams.entries().cloned();
-        let doubtful = self.shared.doubtful_engines();
+        let doubtful = self.shared.unconfirmed_engines();
         self.planner.begin_term(entries, &doubtful, clock::now());
         for (id, _, word) in upstreams.limit_words() {
             self.planner.set_limit(id, word.per_s);
@@ -501,7 +501,7 @@
         let carry_out = move || {
             let input = match action {
                 Action::Order(order) => {
-                    let answer = control::give(&shared, &*engines, &right, fence, &order);
+                    let answer = control::send_order(&shared, &*engines, &right, fence, &order);
                     Input::Answered(order, answer)
                 }
                 Action::Ask { engine, address } => {
@@ -509,7 +509,7 @@
                         started_at_ms: shared.upstreams().started_at_ms(&engine),
                         upstream: engine.clone(),
                     };
-                    let report = control::report(&shared, &*engines, &start, address);
+                    let report = control::query_report(&shared, &*engines, &start, address);
                     Input::Reported(engine, report)
                 }
             };
--- a/crates/instance/src/http1.rs
+++ b/crates/instance/src/http1.rs
@@ -13,7 +13,7 @@
     AnswerHead, MAX_ANSWER_HEAD_BYTES, RequestHead, encode_head, read_answer_head,
     read_request_head,
 };
-pub use socket::{Connection, Filled, Wrote, write_all, write_while_read};
+pub use socket::{Connection, ReadOutcome, WriteOutcome, write_all, write_until_stalled};
 
 use std::io;
 
@@ -35,7 +35,7 @@
     /// The watched connection was closed meanwhile.
     WatchedClosed,
     /// The process is about to end.
-    Ending,
+    Stopping,
 }
 
 impl From<io::Error> for HttpError {
--- a/crates/instance/src/http1/body.rs
+++ b/crates/instance/src/http1/body.rs
@@ -38,7 +38,7 @@
     /// Bytes of the trailer that were left out.
     trailer_bytes: usize,
     /// Whether the connection may carry another message when the body has ended.
-    pub reusable: bool,
+    pub is_reusable: bool,
 }
 
 /// What came of a body.
@@ -97,7 +97,7 @@
         Ok(Self {
             framing,
             trailer_bytes: 0,
-            reusable: true,
+            is_reusable: true,
         })
     }
 
@@ -121,12 +121,12 @@
         Ok(Self {
             framing,
             trailer_bytes: 0,
-            reusable: head.is_1_1 && !says_close && framing != Framing::Connection,
+            is_reusable: head.is_1_1 && !says_close && framing != Framing::Connection,
         })
     }
 
     /// The bytes that it says it has; 0 if it does not say.
-    pub fn announced(&self) -> usize {
+    pub fn announced_bytes(&self) -> usize {
         match self.framing {
             Framing::Length(length) => usize::try_from(length).unwrap_or(usize::MAX),
             _ => 0,
@@ -139,10 +139,14 @@
     }
 
     /// Moves what has come of the body to `out`; false if nothing could be moved.
-    fn take(&mut self, connection: &mut Connection, out: &mut Vec<u8>) -> Result<bool, HttpError> {
+    fn decode_buffered(
+        &mut self,
+        connection: &mut Connection,
+        out: &mut Vec<u8>,
+    ) -> Result<bool, HttpError> {
         let mut moved = false;
         loop {
-            let bytes = connection.unused();
+            let bytes = connection.buffered();
             match self.framing {
                 Framing::Done => return Ok(true),
                 Framing::Length(left) | Framing::Chunk(left) => {
@@ -152,7 +156,7 @@
                         return Ok(moved);
                     }
                     out.extend_from_slice(&bytes[..count]);
-                    connection.advance(count);
+                    connection.consume(count);
                     moved = true;
                     let left = left - u64::try_from(count).unwrap_or(left);
                     self.framing = match (self.framing, left) {
@@ -169,16 +173,16 @@
                     if &bytes[..2] != b"\r\n" {
                         return Err(HttpError::Malformed("a chunk without its end"));
                     }
-                    connection.advance(2);
+                    connection.consume(2);
                     self.framing = Framing::ChunkHead;
                 }
                 Framing::ChunkHead => match httparse::parse_chunk_size(bytes) {
                     Ok(httparse::Status::Complete((length, 0))) => {
-                        connection.advance(length);
+                        connection.consume(length);
                         self.framing = Framing::Trailer;
                     }
                     Ok(httparse::Status::Complete((length, size))) => {
-                        connection.advance(length);
+                        connection.consume(length);
                         self.framing = Framing::Chunk(size);
                     }
                     Ok(httparse::Status::Partial) if bytes.len() > MAX_LINE_BYTES => {
@@ -196,7 +200,7 @@
                     let Some(end) = end else {
                         return Ok(moved);
                     };
-                    connection.advance(length);
+                    connection.consume(length);
                     self.trailer_bytes += length;
                     if end == 0 {
                         self.framing = Framing::Done;
@@ -208,7 +212,7 @@
                     }
                     out.extend_from_slice(bytes);
                     let count = bytes.len();
-                    connection.advance(count);
+                    connection.consume(count);
                     moved = true;
                 }
             }
@@ -220,7 +224,7 @@
     /// # Errors
     /// If the body breaks off or is late, a chunk's line or the trailer is too large, or a
     /// connection breaks.
-    pub fn next(
+    pub fn read_part(
         &mut self,
         connection: &mut Connection,
         out: &mut Vec<u8>,
@@ -229,7 +233,7 @@
     ) -> Result<BodyPart, HttpError> {
         loop {
             let before = out.len();
-            self.take(connection, out)?;
+            self.decode_buffered(connection, out)?;
             if out.len() > before {
                 return Ok(BodyPart::Bytes);
             }
@@ -264,7 +268,9 @@
             let length = usize::try_from(length).unwrap_or(usize::MAX);
             body.reserve_exact(length.min(max_bytes));
         }
-        while self.next(connection, &mut body, watched.as_deref_mut(), until)? == BodyPart::Bytes {
+        while self.read_part(connection, &mut body, watched.as_deref_mut(), until)?
+            == BodyPart::Bytes
+        {
             if body.len() > max_bytes {
                 return Err(HttpError::TooLarge);
             }
--- a/crates/instance/src/http1/head.rs
+++ b/crates/instance/src/http1/head.rs
@@ -105,16 +105,16 @@
     idle_until: Instant,
     header_time: Duration,
 ) -> Result<Option<RequestHead>, HttpError> {
-    if connection.unused().is_empty() && !read_more(connection, None, idle_until)? {
+    if connection.buffered().is_empty() && !read_more(connection, None, idle_until)? {
         return Ok(None);
     }
     let until = clock::now() + header_time;
     loop {
-        if let Some((head, length)) = parse_request(connection.unused())? {
-            connection.advance(length);
+        if let Some((head, length)) = parse_request(connection.buffered())? {
+            connection.consume(length);
             return Ok(Some(head));
         }
-        if connection.unused().len() >= max_bytes {
+        if connection.buffered().len() >= max_bytes {
             return Err(HttpError::TooLarge);
         }
         if !read_more(connection, None, until)? {
@@ -133,14 +133,14 @@
     until: Instant,
 ) -> Result<AnswerHead, HttpError> {
     loop {
-        if let Some((head, length)) = parse_answer(connection.unused())? {
-            connection.advance(length);
+        if let Some((head, length)) = parse_answer(connection.buffered())? {
+            connection.consume(length);
             if head.status >= 200 {
                 return Ok(head);
             }
             continue;
         }
-        if connection.unused().len() >= MAX_ANSWER_HEAD_BYTES {
+        if connection.buffered().len() >= MAX_ANSWER_HEAD_BYTES {
             return Err(HttpError::TooLarge);
         }
         if !read_more(connection, watched.as_deref_mut(), until)? {
--- a/crates/instance/src/http1/socket.rs
+++ b/crates/instance/src/http1/socket.rs
@@ -4,7 +4,7 @@
 //! caller ends when the caller has left.
 
 use super::HttpError;
-use crate::ending::Endings;
+use crate::stop_signal::StopSignals;
 use passway_types::clock;
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use std::io::{self, ErrorKind, Read, Write};
@@ -15,19 +15,19 @@
 /// Bytes read at one time.
 const READ_BYTES: usize = 16 << 10;
 /// Unacknowledged bytes end a caller's connection after this time.
-const USER_TIMEOUT_MS: u32 = 4_000;
+const CALLER_USER_TIMEOUT_MS: u32 = 4_000;
 /// The same towards an upstream: less than the 2 s after which nothing new may reach
 /// one that leaves, and enough for three lost segments in a row.
-const UPSTREAM_TIMEOUT_MS: u32 = 1_500;
+const UPSTREAM_USER_TIMEOUT_MS: u32 = 1_500;
 
 /// Longest wait on behalf of a caller before the time is compared again: the system's waits do
 /// not count that a machine was suspended, and an answer at a route's time-out may come 0.5 s
 /// late (users' pages). An engine sends events far more often, so this wakes hardly anybody.
-const WAKE_STEP: Duration = Duration::from_millis(300);
+const MAX_POLL_DURATION: Duration = Duration::from_millis(300);
 
 /// What one read gave.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Filled {
+pub enum ReadOutcome {
     /// Bytes.
     Bytes,
     /// Nothing yet.
@@ -41,14 +41,14 @@
 pub struct Connection {
     stream: TcpStream,
     buffer: Vec<u8>,
-    used: usize,
-    ended: bool,
+    consumed: usize,
+    is_ended: bool,
     /// Whether the other end has taken nothing for so long that the system ended the connection.
     has_timed_out: bool,
     /// End waits for bytes that concern this connection.
-    endings: Option<Arc<Endings>>,
+    stop_signals: Option<Arc<StopSignals>>,
     /// Whether a stream goes out, which only the later ending ends.
-    streams: bool,
+    is_streaming: bool,
 }
 
 impl Connection {
@@ -59,15 +59,15 @@
     pub fn new(stream: TcpStream) -> io::Result<Self> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
-        rustix::net::sockopt::set_tcp_user_timeout(&stream, USER_TIMEOUT_MS)?;
+        rustix::net::sockopt::set_tcp_user_timeout(&stream, CALLER_USER_TIMEOUT_MS)?;
         Ok(Self {
             stream,
             buffer: Vec::new(),
-            used: 0,
-            ended: false,
+            consumed: 0,
+            is_ended: false,
             has_timed_out: false,
-            endings: None,
-            streams: false,
+            stop_signals: None,
+            is_streaming: false,
         })
     }
 
@@ -78,7 +78,7 @@
     pub fn connect(address: SocketAddr, timeout: Duration) -> io::Result<Self> {
         let connection = Self::new(TcpStream::connect_timeout(&address, timeout)?)?;
         let stream = &connection.stream;
-        rustix::net::sockopt::set_tcp_user_timeout(stream, UPSTREAM_TIMEOUT_MS)?;
+        rustix::net::sockopt::set_tcp_user_timeout(stream, UPSTREAM_USER_TIMEOUT_MS)?;
         // Closing takes back what has not arrived: a request that was given up must
         // not reach an upstream seconds later.
         rustix::net::sockopt::set_socket_linger(stream, Some(Duration::ZERO))?;
@@ -87,14 +87,14 @@
 
     /// Waits for bytes, on this connection or on one that is waited for on its behalf, end
     /// with the ending of answers. Writing to this connection does not.
-    pub fn end_with(&mut self, endings: Arc<Endings>) {
-        self.endings = Some(endings);
-        self.streams = false;
+    pub fn set_stop_signals(&mut self, endings: Arc<StopSignals>) {
+        self.stop_signals = Some(endings);
+        self.is_streaming = false;
     }
 
     /// From now on such waits end with the ending of streams.
-    pub fn end_with_streams(&mut self) {
-        self.streams = true;
+    pub fn mark_streaming(&mut self) {
+        self.is_streaming = true;
     }
 
     /// Resets the connection when it is closed, so that what has gone out does not look
@@ -107,16 +107,16 @@
     }
 
     /// Bytes that were read and not used.
-    pub fn unused(&self) -> &[u8] {
-        &self.buffer[self.used..]
+    pub fn buffered(&self) -> &[u8] {
+        &self.buffer[self.consumed..]
     }
 
     /// Marks bytes as used.
-    pub fn advance(&mut self, count: usize) {
-        self.used += count;
-        if self.used == self.buffer.len() {
+    pub fn consume(&mut self, count: usize) {
+        self.consumed += count;
+        if self.consumed == self.buffer.len() {
             self.buffer.clear();
-            self.used = 0;
+            self.consumed = 0;
         }
     }
 
@@ -124,13 +124,13 @@
     ///
     /// # Errors
     /// The socket's error.
-    pub fn fill(&mut self) -> io::Result<Filled> {
-        if self.ended {
-            return Ok(Filled::End);
+    pub fn read_available(&mut self) -> io::Result<ReadOutcome> {
+        if self.is_ended {
+            return Ok(ReadOutcome::End);
         }
-        if self.used > 0 {
-            self.buffer.drain(..self.used);
-            self.used = 0;
+        if self.consumed > 0 {
+            self.buffer.drain(..self.consumed);
+            self.consumed = 0;
         }
         let start = self.buffer.len();
         self.buffer.resize(start + READ_BYTES, 0);
@@ -143,14 +143,14 @@
         }
         match read {
             Ok(0) => {
-                self.ended = true;
-                Ok(Filled::End)
+                self.is_ended = true;
+                Ok(ReadOutcome::End)
             }
-            Ok(_) => Ok(Filled::Bytes),
+            Ok(_) => Ok(ReadOutcome::Bytes),
             Err(error)
                 if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) =>
             {
-                Ok(Filled::Nothing)
+                Ok(ReadOutcome::Nothing)
             }
             Err(error) => {
                 self.has_timed_out |= error.kind() == ErrorKind::TimedOut;
@@ -167,15 +167,18 @@
     /// Whether nothing has come and the other end still stands: the connection may
     /// be used for another request.
     pub fn is_clean(&mut self) -> bool {
-        self.unused().is_empty() && matches!(self.fill(), Ok(Filled::Nothing))
+        self.buffered().is_empty() && matches!(self.read_available(), Ok(ReadOutcome::Nothing))
     }
 
     /// Whether the other end has closed; bytes that came are kept.
     pub fn is_closed(&mut self) -> bool {
-        if !self.unused().is_empty() {
-            return self.ended;
+        if !self.buffered().is_empty() {
+            return self.is_ended;
         }
-        !matches!(self.fill(), Ok(Filled::Nothing | Filled::Bytes))
+        !matches!(
+            self.read_available(),
+            Ok(ReadOutcome::Nothing | ReadOutcome::Bytes)
+        )
     }
 
     /// Closes both directions.
@@ -188,14 +191,14 @@
     /// unread bytes resets the connection, and a reset can destroy the answer before the
     /// other end reads it. What still comes is dropped, until the other end closes or `until`.
     pub fn close_after_answer(&mut self, until: Instant) {
-        self.endings = None;
+        self.stop_signals = None;
         if self.stream.shutdown(Shutdown::Write).is_err() {
             // The other end closed first.
             return;
         }
         loop {
-            let unused = self.unused().len();
-            self.advance(unused);
+            let unused = self.buffered().len();
+            self.consume(unused);
             if !matches!(read_more(self, None, until), Ok(true)) {
                 return;
             }
@@ -215,17 +218,17 @@
 /// The endings of the caller for whom a wait for bytes goes on, and whether it gets a stream.
 /// A wait that only writes goes on: what it writes may be the answer that the ending itself
 /// brings about.
-fn endings_of(
+fn stop_signals_for(
     connection: &Connection,
     flags: PollFlags,
     watched: Option<&Connection>,
-) -> Option<(Arc<Endings>, bool)> {
+) -> Option<(Arc<StopSignals>, bool)> {
     if !flags.contains(PollFlags::IN) {
         return None;
     }
     let caller = watched.unwrap_or(connection);
-    let endings = caller.endings.clone();
-    endings.map(|endings| (endings, caller.streams))
+    let endings = caller.stop_signals.clone();
+    endings.map(|endings| (endings, caller.is_streaming))
 }
 
 /// Waits until `connection` can go on in one of the `flags`, the watched one is closed, or
@@ -238,14 +241,14 @@
 ) -> Result<PollFlags, HttpError> {
     let is_for_caller = watched.is_some();
     let longest = if is_for_caller {
-        WAKE_STEP
+        MAX_POLL_DURATION
     } else {
         Duration::MAX
     };
     let timeout = remaining(until, longest)?;
-    let endings = endings_of(connection, flags, watched.as_deref());
+    let endings = stop_signals_for(connection, flags, watched.as_deref());
     // Bytes of a next request say nothing about the caller's leaving.
-    let watched = watched.filter(|watched| watched.unused().is_empty());
+    let watched = watched.filter(|watched| watched.buffered().is_empty());
     let mut polled = vec![PollFd::new(&connection.stream, flags)];
     if let Some(watched) = &watched {
         polled.push(PollFd::new(&watched.stream, PollFlags::IN));
@@ -271,7 +274,7 @@
     }
     // What is ready goes on; it needs no more waiting.
     if is_ending && ready.is_empty() {
-        return Err(HttpError::Ending);
+        return Err(HttpError::Stopping);
     }
     Ok(ready)
 }
@@ -283,10 +286,10 @@
     until: Instant,
 ) -> Result<bool, HttpError> {
     loop {
-        match connection.fill()? {
-            Filled::Bytes => return Ok(true),
-            Filled::End => return Ok(false),
-            Filled::Nothing => {
+        match connection.read_available()? {
+            ReadOutcome::Bytes => return Ok(true),
+            ReadOutcome::End => return Ok(false),
+            ReadOutcome::Nothing => {
                 wait(connection, PollFlags::IN, watched.as_deref_mut(), until)?;
             }
         }
@@ -297,7 +300,7 @@
 ///
 /// # Errors
 /// If it does not read, the time runs out or the connection breaks.
-pub fn write_while_read(
+pub fn write_until_stalled(
     connection: &mut Connection,
     bytes: &[u8],
     pause: Duration,
@@ -324,7 +327,7 @@
 
 /// Whether a whole message was written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Wrote {
+pub enum WriteOutcome {
     /// All of it.
     Whole,
     /// The other end began to answer before it had taken all.
@@ -341,7 +344,7 @@
     stop_at_answer: bool,
     mut watched: Option<&mut Connection>,
     until: Instant,
-) -> Result<Wrote, HttpError> {
+) -> Result<WriteOutcome, HttpError> {
     let mut written = 0;
     while written < bytes.len() {
         match connection.stream.write(&bytes[written..]) {
@@ -354,12 +357,12 @@
                 }
                 let ready = wait(connection, flags, watched.as_deref_mut(), until)?;
                 if stop_at_answer && ready.contains(PollFlags::IN) {
-                    return Ok(Wrote::AnsweredEarly);
+                    return Ok(WriteOutcome::AnsweredEarly);
                 }
             }
             Err(_) if written == 0 => return Err(HttpError::NothingWritten),
             Err(error) => return Err(error.into()),
         }
     }
-    Ok(Wrote::Whole)
+    Ok(WriteOutcome::Whole)
 }
--- a/crates/instance/src/keeper.rs
+++ b/crates/instance/src/keeper.rs
@@ -3,7 +3,7 @@
 //! The holder of the right to order counts what workspaces use, what goes to upstreams in need and what runs alone, for
 //! as long as its term lasts by its own clock: there are never two that count.
 
-use crate::questions::Questions;
+use crate::queries::PendingQueries;
 use crate::relay::millis;
 use crate::shared::Shared;
 use passway_serving::allotment::{Keeper, QuotaBounds, Ruling};
@@ -66,7 +66,7 @@
 /// This instance's questions to the keeper.
 #[derive(Debug, Default)]
 pub struct KeeperLink {
-    asked: Questions<UseTold>,
+    asked: PendingQueries<UseTold>,
     silent: Mutex<Option<Silent>>,
 }
 
@@ -78,13 +78,13 @@
     pub fn ask(&self, shared: &Shared, ask: &UseAsk) -> Result<UseTold, Unruled> {
         let ruling = self.ruling(shared, ask);
         if let Err(unruled) = ruling {
-            shared.metrics.unruled(unruled);
+            shared.metrics.unanswered_query(unruled);
         }
         ruling
     }
 
     fn ruling(&self, shared: &Shared, ask: &UseAsk) -> Result<UseTold, Unruled> {
-        let holder = shared.right().and_then(|right| right.holder());
+        let holder = shared.leadership().and_then(|right| right.holder());
         let holder = holder.ok_or(Unruled::NoHolder)?;
         let settings = &shared.settings;
         if holder.instance == settings.instance {
@@ -99,7 +99,7 @@
         let address = holder.address;
         let told = self
             .asked
-            .ask(ask.id, || shared.dispatch.send(address, body.clone()));
+            .send_and_wait(ask.id, || shared.dispatch.send(address, body.clone()));
         let ruling = told.ok_or(Unruled::Silent).and_then(of_keeper);
         if let Err(cause) = ruling {
             let pause = match cause {
@@ -117,7 +117,7 @@
 
     /// Takes in the answer to a question of this instance.
     pub fn answered(&self, told: UseTold) {
-        self.asked.answered(told.id, told);
+        self.asked.deliver_answer(told.id, told);
     }
 }
 
@@ -131,7 +131,7 @@
 
 /// Answers an instance's question; only the keeper rules.
 pub fn rule(shared: &Shared, from: SocketAddr, ask: &UseAsk) -> UseTold {
-    let Some(fence) = shared.right().and_then(|right| right.term()) else {
+    let Some(fence) = shared.leadership().and_then(|right| right.term()) else {
         return UseTold {
             id: ask.id,
             ..UseTold::default()
@@ -142,7 +142,7 @@
     } else if ask.upstream.is_empty() {
         shared.allotments.rule(shared, fence, from, ask)
     } else {
-        shared.limits.rule(shared, fence, from, ask)
+        shared.limits.decide(shared, fence, from, ask)
     }
 }
 
--- a/crates/instance/src/lib.rs
+++ b/crates/instance/src/lib.rs
@@ -14,19 +14,18 @@
 //!   questions to engines; [`limits`]: keeping upstreams in need to what they take.
 //! * [`poison`]: requests that crash upstreams, as they are known, told and kept.
 //! * [`freshness`]: how new the configuration is for sure; [`allotments`]: what workspaces may use;
-//!   [`questions`] to other instances.
+//!   [`queries`] to other instances.
 //! * [`metrics`]: counters for `/metrics`.
 //! * [`health`]: whether the store answers.
 //! * [`relay`]: the store's news by way of the holder, [`news`] as they travel, [`packing`] of
 //!   large values; [`listeners`]: who hears it from the holder, [`feed_log`] what there is to tell.
-//! * [`lifecycle`] starts and stops; [`ending`] wakes what still waits at a stop.
+//! * [`lifecycle`] starts and stops; [`stop_signal`] wakes what still waits at a stop.
 
 pub mod allotments;
 pub mod callers;
 pub mod candidates;
 pub mod control;
 pub mod dispatch;
-pub mod ending;
 pub mod events;
 pub mod feed_log;
 pub mod feeds;
@@ -45,13 +44,14 @@
 pub mod packing;
 pub mod poison;
 pub mod pool;
-pub mod questions;
+pub mod queries;
 pub mod ready;
 pub mod relay;
 pub mod reply;
 pub mod report;
 pub mod right;
 pub mod shared;
+pub mod stop_signal;
 pub mod words;
 
 pub use lifecycle::{Instance, Surroundings};
--- a/crates/instance/src/lifecycle.rs
+++ b/crates/instance/src/lifecycle.rs
@@ -19,18 +19,18 @@
 use std::net::SocketAddr;
 
 /// Time that the balancer needs to notice that an instance is not ready: two questions, a second apart.
-const BALANCER_TIME: Duration = Duration::from_millis(2_600);
+const BALANCER_NOTICE_DELAY: Duration = Duration::from_millis(2_600);
 /// Time kept back of the grace at a stop: the last log lines take 200 ms, and the process
 /// has a quarter of a core.
 const GRACE_RESERVE: Duration = Duration::from_millis(600);
 /// Time before that for the answers to whatever still waits. Refusing 400 requests took less
 /// than 20 ms of one core, which is 0.8 s on an instance that has a fortieth of one; such an
 /// instance holds some tens. Upstreams keep five sixths of the usual grace of 8 s.
-const ANSWER_TIME: Duration = Duration::from_millis(600);
+const ANSWER_WINDOW: Duration = Duration::from_millis(600);
 /// Time for cut streams to close and to be logged, out of the reserve.
-const CUT_TIME: Duration = Duration::from_millis(100);
+const STREAM_CUT_WINDOW: Duration = Duration::from_millis(100);
 /// Pause between two looks whether requests are in progress at a stop.
-const STOP_STEP: Duration = Duration::from_millis(50);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The place an instance runs in.
 pub struct Surroundings {
@@ -74,7 +74,7 @@
         let shared = Arc::new(Shared::new(settings, surroundings.vocabulary, needs));
         let settings = &shared.settings;
         let right = Arc::new(Right::new(&shared));
-        shared.set_right(right.clone());
+        shared.set_leadership(right.clone());
         let ready_address = ready::listen(&shared, &right, settings.ready_address)?;
         let callers = callers::listen(&shared, settings.callers_address)?;
         let (relay, [configuration_tap, upstream_tap]) = Relay::new();
@@ -156,29 +156,29 @@
     }
 
     /// Instances that it could announce a term to, itself among them.
-    pub fn known_members(&self) -> usize {
+    pub fn known_member_count(&self) -> usize {
         self.shared.members().len()
     }
 
     /// How many instances dispatch for engines, as far as this one was told.
-    pub fn dispatchers(&self) -> usize {
-        self.shared.dispatch.list().len()
+    pub fn dispatcher_count(&self) -> usize {
+        self.shared.dispatch.dispatcher_list().len()
     }
 
     /// Whether a request for a service could be sent a second time now: a process that has
     /// just started must first come to its part of the fleet's allowance.
-    pub fn may_repeat(&self, service: &str) -> bool {
+    pub fn has_spare_retry(&self, service: &str) -> bool {
         let now = clock::now();
-        self.shared.retries().has_spare(&service.into(), now)
+        self.shared.retry_budget().has_spare(&service.into(), now)
     }
 
     /// How many other instances it knows.
-    pub fn other_instances(&self) -> usize {
+    pub fn other_instance_count(&self) -> usize {
         self.shared.other_instances().len()
     }
 
     /// The configuration's version in force.
-    pub fn version(&self) -> Option<Revision> {
+    pub fn config_version(&self) -> Option<Revision> {
         self.shared
             .routes
             .load()
@@ -188,7 +188,7 @@
 
     /// Uses settings that have changed. Names and addresses stay until the next start.
     pub fn reload(&self, settings: &InstanceSettings) {
-        self.shared.use_bounds(settings.bounds);
+        self.shared.apply_bounds(settings.bounds);
     }
 
     /// Takes nothing new and finishes what is in progress, within the grace. What cannot
@@ -198,18 +198,20 @@
         let begun_at = clock::now();
         let grace = self.shared.bounds.load().grace;
         let stopped_at = begun_at + grace.saturating_sub(GRACE_RESERVE);
-        let ends_at = begun_at + grace.saturating_sub(GRACE_RESERVE + ANSWER_TIME);
-        self.shared.stop(ends_at);
+        let ends_at = begun_at + grace.saturating_sub(GRACE_RESERVE + ANSWER_WINDOW);
+        self.shared.begin_stop(ends_at);
         self.right.release();
-        let closed_at = ends_at.min(begun_at + BALANCER_TIME);
+        let closed_at = ends_at.min(begun_at + BALANCER_NOTICE_DELAY);
         wait_until(closed_at, || false);
-        self.shared.close();
+        self.shared.refuse_requests();
         wait_until(ends_at, || self.shared.in_progress() == 0);
-        self.callers.end();
-        wait_until(stopped_at, || self.callers.open() == 0);
+        self.callers.end_waits();
+        wait_until(stopped_at, || self.callers.open_connections() == 0);
         self.callers.cut_streams();
-        wait_until(stopped_at + CUT_TIME, || self.callers.open() == 0);
-        log::info!(in_progress = self.shared.in_progress(), open = self.callers.open(); "stopped");
+        wait_until(stopped_at + STREAM_CUT_WINDOW, || {
+            self.callers.open_connections() == 0
+        });
+        log::info!(in_progress = self.shared.in_progress(), open = self.callers.open_connections(); "stopped");
     }
 }
 
@@ -220,6 +222,6 @@
         if left.is_zero() || holds() {
             return;
         }
-        std::thread::sleep(left.min(STOP_STEP));
+        std::thread::sleep(left.min(STOP_POLL_INTERVAL));
     }
 }
--- a/crates/instance/src/limits.rs
+++ b/crates/instance/src/limits.rs
@@ -14,13 +14,13 @@
 
 /// Whether a request may go to an upstream in need.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Turn {
+pub enum LimitDecision {
     /// Now.
-    Now,
+    Granted,
     /// Not before this time has passed.
-    After(Duration),
+    RetryAfter(Duration),
     /// Nobody counts, and this instance's share is spent.
-    Unknown,
+    Undecided,
 }
 
 /// This instance's part in keeping upstreams to their limits.
@@ -32,7 +32,12 @@
 
 impl Limits {
     /// Whether a request may go to an upstream that takes so many a second.
-    pub fn ask(&self, shared: &Shared, upstream: &UpstreamId, per_s: f64) -> Turn {
+    pub fn request_grant(
+        &self,
+        shared: &Shared,
+        upstream: &UpstreamId,
+        per_s: f64,
+    ) -> LimitDecision {
         let ask = UseAsk {
             id: rand::random(),
             upstream: upstream.to_string(),
@@ -40,25 +45,30 @@
             rate_per_s: per_s,
             ..UseAsk::default()
         };
-        match shared.keeper.ask(shared, &ask) {
-            Ok(told) if told.verdict() == UseVerdict::Granted => Turn::Now,
-            Ok(told) => Turn::After(Duration::from_millis(told.retry_after_ms)),
-            Err(_) => self.share(shared, upstream, per_s),
+        match shared.coordinator.ask(shared, &ask) {
+            Ok(told) if told.verdict() == UseVerdict::Granted => LimitDecision::Granted,
+            Ok(told) => LimitDecision::RetryAfter(Duration::from_millis(told.retry_after_ms)),
+            Err(_) => self.take_local_share(shared, upstream, per_s),
         }
     }
 
-    fn share(&self, shared: &Shared, upstream: &UpstreamId, per_s: f64) -> Turn {
-        let instances = shared.instances();
+    fn take_local_share(
+        &self,
+        shared: &Shared,
+        upstream: &UpstreamId,
+        per_s: f64,
+    ) -> LimitDecision {
+        let instances = shared.instance_count();
         let mut kept = self.shares.lock().unwrap_or_else(PoisonError::into_inner);
         if kept.take(upstream, per_s, instances, rand::random(), clock::now()) {
-            Turn::Now
+            LimitDecision::Granted
         } else {
-            Turn::Unknown
+            LimitDecision::Undecided
         }
     }
 
     /// Answers an instance's question, in a term of this instance.
-    pub fn rule(&self, shared: &Shared, fence: Fence, from: SocketAddr, ask: &UseAsk) -> UseTold {
+    pub fn decide(&self, shared: &Shared, fence: Fence, from: SocketAddr, ask: &UseAsk) -> UseTold {
         let upstream = UpstreamId::from(ask.upstream.as_str());
         // A word that one of the two has not heard yet is the newer one; which, is not known here.
         let known = shared.upstreams().limit_per_s(&upstream, clock::now());
--- a/crates/instance/src/metrics.rs
+++ b/crates/instance/src/metrics.rs
@@ -3,7 +3,7 @@
 
 use crate::allotments::Decision;
 use crate::keeper::Unruled;
-use crate::limits::Turn;
+use crate::limits::LimitDecision;
 use passway_types::prelude::*;
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode;
@@ -36,7 +36,7 @@
 
 /// What an upstream says of itself.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct WordLabels {
+struct SignalLabels {
     word: &'static str,
 }
 
@@ -61,9 +61,9 @@
 
 /// What holds at the moment of a look.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Standing {
+pub struct GaugeValues {
     /// Whether this instance has the right to order.
-    pub holds_right: bool,
+    pub holds_leadership: bool,
     /// The configuration's version in force; 0 if none is.
     pub config_version: u64,
     /// Requests whose answer is not complete.
@@ -87,7 +87,7 @@
 /// The metrics of an instance.
 pub struct Metrics {
     registry: Registry,
-    ended: Family<EndLabels, Counter>,
+    requests_ended: Family<EndLabels, Counter>,
     attempts: Family<OutcomeLabels, Counter>,
     orders: Family<OutcomeLabels, Counter>,
     choices: Counter,
@@ -99,7 +99,7 @@
     model_wait: Histogram,
     first_byte: Histogram,
     planning: Histogram,
-    holds_right: Gauge,
+    holds_leadership: Gauge,
     config_version: Gauge,
     in_progress: Gauge,
     store_answers: Gauge,
@@ -108,10 +108,10 @@
     limited_upstreams: Gauge,
     leaving_upstreams: Gauge,
     resting_upstreams: Gauge,
-    rests: Counter,
-    unusable_words: Family<WordLabels, Counter>,
-    turns: Family<OutcomeLabels, Counter>,
-    unruled: Family<CauseLabels, Counter>,
+    backoffs_requested: Counter,
+    unusable_signals: Family<SignalLabels, Counter>,
+    limit_decisions: Family<OutcomeLabels, Counter>,
+    unanswered_queries: Family<CauseLabels, Counter>,
 }
 
 impl fmt::Debug for Metrics {
@@ -120,7 +120,7 @@
     }
 }
 
-fn times() -> Histogram {
+fn duration_histogram() -> Histogram {
     Histogram::new(exponential_buckets(FIRST_BUCKET_S, 2.0, BUCKETS))
 }
 
@@ -128,7 +128,7 @@
     fn default() -> Self {
         let mut metrics = Self {
             registry: Registry::with_prefix("passway_instance"),
-            ended: Family::default(),
+            requests_ended: Family::default(),
             attempts: Family::default(),
             orders: Family::default(),
             choices: Counter::default(),
@@ -137,10 +137,10 @@
             workspaces: Family::default(),
             named_workspaces: Mutex::default(),
             configuration_age: Gauge::default(),
-            model_wait: times(),
-            first_byte: times(),
-            planning: times(),
-            holds_right: Gauge::default(),
+            model_wait: duration_histogram(),
+            first_byte: duration_histogram(),
+            planning: duration_histogram(),
+            holds_leadership: Gauge::default(),
             config_version: Gauge::default(),
             in_progress: Gauge::default(),
             store_answers: Gauge::default(),
@@ -149,10 +149,10 @@
             limited_upstreams: Gauge::default(),
             leaving_upstreams: Gauge::default(),
             resting_upstreams: Gauge::default(),
-            rests: Counter::default(),
-            unusable_words: Family::default(),
-            turns: Family::default(),
-            unruled: Family::default(),
+            backoffs_requested: Counter::default(),
+            unusable_signals: Family::default(),
+            limit_decisions: Family::default(),
+            unanswered_queries: Family::default(),
         };
         metrics.register();
         metrics
@@ -162,7 +162,7 @@
 impl Metrics {
     fn register(&mut self) {
         let registry = &mut self.registry;
-        let ended = self.ended.clone();
+        let ended = self.requests_ended.clone();
         registry.register("requests", "Requests by how they ended", ended);
         let attempts = self.attempts.clone();
         registry.register("attempts", "Attempts at upstreams by outcome", attempts);
@@ -187,7 +187,9 @@
             let _zero = self.orders.get_or_create(&OutcomeLabels { outcome });
         }
         for outcome in ["now", "later", "unknown"] {
-            let _zero = self.turns.get_or_create(&OutcomeLabels { outcome });
+            let _zero = self
+                .limit_decisions
+                .get_or_create(&OutcomeLabels { outcome });
         }
         let seconds = Unit::Seconds;
         let wait = self.model_wait.clone();
@@ -199,7 +201,7 @@
         let planning = self.planning.clone();
         let help = "Time of a pass in which the holder decides what engines load";
         registry.register_with_unit("planning", help, seconds, planning);
-        let gauge = self.holds_right.clone();
+        let gauge = self.holds_leadership.clone();
         registry.register("holds_right", "1 while this instance may order", gauge);
         let gauge = self.config_version.clone();
         registry.register("config_version", "Configuration in force", gauge);
@@ -216,14 +218,16 @@
         let gauge = self.limited_upstreams.clone();
         let help = "Upstreams that name how many requests a second they take";
         registry.register("limited_upstreams", help, gauge);
-        let turns = self.turns.clone();
+        let turns = self.limit_decisions.clone();
         let help = "Requests for a turn at an upstream that names a limit, by answer";
         registry.register("limited_turns", help, turns);
         for unruled in [Unruled::NoHolder, Unruled::Silent, Unruled::NotKeeper] {
             let cause = unruled.name();
-            let _zero = self.unruled.get_or_create(&CauseLabels { cause });
+            let _zero = self
+                .unanswered_queries
+                .get_or_create(&CauseLabels { cause });
         }
-        let unruled = self.unruled.clone();
+        let unruled = self.unanswered_queries.clone();
         let help = "Questions to the instance that counts for all that were left without a ruling";
         registry.register("unruled_questions", help, unruled);
         let gauge = self.leaving_upstreams.clone();
@@ -233,21 +237,23 @@
         let gauge = self.resting_upstreams.clone();
         let help = "Upstreams that have asked this instance for rest";
         registry.register("resting_upstreams", help, gauge);
-        let rests = self.rests.clone();
+        let rests = self.backoffs_requested.clone();
         let help = "Answers that ask this instance for rest";
         registry.register("rests", help, rests);
         for word in ["limit", "leaving", "rest", "hall"] {
-            let _zero = self.unusable_words.get_or_create(&WordLabels { word });
+            let _zero = self.unusable_signals.get_or_create(&SignalLabels { word });
         }
-        let unusable = self.unusable_words.clone();
+        let unusable = self.unusable_signals.clone();
         let help =
             "Words of upstreams of themselves, and of operators on halls, that cannot be used";
         registry.register("unusable_words", help, unusable);
     }
 
     /// Counts a request that has ended.
-    pub fn ended(&self, end: &'static str, status: u16) {
-        self.ended.get_or_create(&EndLabels { end, status }).inc();
+    pub fn request_ended(&self, end: &'static str, status: u16) {
+        self.requests_ended
+            .get_or_create(&EndLabels { end, status })
+            .inc();
     }
 
     /// Counts an attempt at an upstream.
@@ -268,31 +274,35 @@
     }
 
     /// Counts what a request was told that asked for a turn at an upstream in need.
-    pub fn turn(&self, turn: Turn) {
-        let outcome = match turn {
-            Turn::Now => "now",
-            Turn::After(_) => "later",
-            Turn::Unknown => "unknown",
+    pub fn limit_decision(&self, limit_decision: LimitDecision) {
+        let outcome = match limit_decision {
+            LimitDecision::Granted => "now",
+            LimitDecision::RetryAfter(_) => "later",
+            LimitDecision::Undecided => "unknown",
         };
-        self.turns.get_or_create(&OutcomeLabels { outcome }).inc();
+        self.limit_decisions
+            .get_or_create(&OutcomeLabels { outcome })
+            .inc();
     }
 
     /// Counts a question to the instance that counts for all on which nobody ruled.
-    pub fn unruled(&self, unruled: Unruled) {
-        let cause = unruled.name();
-        self.unruled.get_or_create(&CauseLabels { cause }).inc();
+    pub fn unanswered_query(&self, unanswered_query: Unruled) {
+        let cause = unanswered_query.name();
+        self.unanswered_queries
+            .get_or_create(&CauseLabels { cause })
+            .inc();
     }
 
     /// Counts a word of an upstream of itself that cannot be read.
-    pub fn unusable_word(&self, word: &'static str) {
-        self.unusable_words
-            .get_or_create(&WordLabels { word })
+    pub fn unusable_signal(&self, word: &'static str) {
+        self.unusable_signals
+            .get_or_create(&SignalLabels { word })
             .inc();
     }
 
     /// Counts an answer that asks this instance for rest.
-    pub fn rest(&self) {
-        self.rests.inc();
+    pub fn backoff_requested(&self) {
+        self.backoffs_requested.inc();
     }
 
     /// Counts a version of the configuration that cannot be used.
@@ -301,17 +311,17 @@
     }
 
     /// Counts what a workspace's allotment said to a request.
-    pub fn workspace(&self, workspace: &WorkspaceName, decision: Decision) {
+    pub fn workspace_request(&self, workspace_request: &WorkspaceName, decision: Decision) {
         let named = self.named_workspaces.lock();
         let mut named = named.unwrap_or_else(PoisonError::into_inner);
         if named.len() < MAX_WORKSPACES {
-            named.insert(workspace.clone());
+            named.insert(workspace_request.clone());
         }
-        let is_named = named.contains(workspace);
+        let is_named = named.contains(workspace_request);
         drop(named);
         let labels = WorkspaceLabels {
             workspace: if is_named {
-                workspace
+                workspace_request
             } else {
                 OTHER_WORKSPACES
             }
@@ -341,14 +351,14 @@
     }
 
     /// Records how long a pass of the planner took.
-    pub fn planned(&self, took: Duration) {
+    pub fn planning_pass(&self, took: Duration) {
         self.planning.observe(took.as_secs_f64());
     }
 
     /// The text that `/metrics` answers.
-    pub fn text(&self, standing: &Standing) -> String {
+    pub fn encode_text(&self, standing: &GaugeValues) -> String {
         let number = |count: u64| i64::try_from(count).unwrap_or(i64::MAX);
-        self.holds_right.set(standing.holds_right.into());
+        self.holds_leadership.set(standing.holds_leadership.into());
         self.config_version.set(number(standing.config_version));
         let age_ms = standing
             .configuration_age
--- a/crates/instance/src/poison.rs
+++ b/crates/instance/src/poison.rs
@@ -9,7 +9,7 @@
 
 use crate::relay::millis_since;
 use crate::right::Right;
-use crate::shared::{Need, Shared};
+use crate::shared::{ReportEvent, Shared};
 use alone::{Alone, digest_of};
 pub use alone::{Asked, Trial};
 use crossbeam::channel::{Receiver, Sender, TrySendError, bounded};
@@ -141,7 +141,7 @@
         Self::doubt(shared, digest, start, sent_at, address);
         let now = clock::now();
         if lock(&shared.poison.list).note_break(start, now, now) {
-            shared.tell(Need::Broke(start.clone(), now));
+            shared.report(ReportEvent::StartBroken(start.clone(), now));
             shared.upstreams().doubt(&start.upstream, now);
         }
     }
@@ -222,7 +222,7 @@
                     .send(address, Body::Suspects(suspects.clone()));
             }
         }
-        shared.tell(Need::Suspect(news));
+        shared.report(ReportEvent::Suspect(news));
     }
 
     /// Joins in what the holder or the store tells. Returns the requests that were told, as they are known now.
--- a/crates/instance/src/poison/alone.rs
+++ b/crates/instance/src/poison/alone.rs
@@ -98,7 +98,7 @@
             run_ms: millis(longest),
             ..UseAsk::default()
         };
-        match self.shared.keeper.ask(&self.shared, &ask) {
+        match self.shared.coordinator.ask(&self.shared, &ask) {
             Ok(told) if told.verdict() == UseVerdict::Granted => Asked::Granted,
             Ok(_) => {
                 self.is_perhaps_granted = false;
@@ -122,7 +122,7 @@
 
     fn give_back(&self) {
         let shared = &self.shared;
-        let Some(holder) = shared.right().and_then(|right| right.holder()) else {
+        let Some(holder) = shared.leadership().and_then(|right| right.holder()) else {
             return;
         };
         let back = UseBack {
--- a/crates/instance/src/poison/watch.rs
+++ b/crates/instance/src/poison/watch.rs
@@ -117,11 +117,11 @@
     while found.is_none() && clock::since(broke_at) < OPEN_TIME {
         std::thread::sleep(pause);
         pause = ASK_PAUSE;
-        if control::rests(shared, &start.upstream) {
+        if control::is_backing_off(shared, &start.upstream) {
             continue;
         }
         let since_break = clock::since(broke_at);
-        let report = control::report(shared, engines, start, address);
+        let report = control::query_report(shared, engines, start, address);
         found = if let Some(report) = report {
             verdict(start, report.started_at_ms, since_break)
         } else {
@@ -143,7 +143,9 @@
                 }
             }
         }
-        Some(Verdict::Ended { before_ms }) => shared.upstream_ended(&start.upstream, before_ms),
+        Some(Verdict::Ended { before_ms }) => {
+            shared.record_ended_starts(&start.upstream, before_ms)
+        }
         None => {}
     }
 }
--- a/crates/instance/src/ready.rs
+++ b/crates/instance/src/ready.rs
@@ -1,7 +1,7 @@
 //! The balancer's question whether this instance takes callers, and `/metrics` beside it.
 
 use crate::http1::{self, Connection, HttpError};
-use crate::metrics::Standing;
+use crate::metrics::GaugeValues;
 use crate::right::Right;
 use crate::shared::Shared;
 use anyhow::{Context, Result};
@@ -14,9 +14,9 @@
 /// Largest head of a question.
 const MAX_HEAD_BYTES: usize = 8 << 10;
 /// Longest rest of the balancer's connection.
-const REST: Duration = Duration::from_secs(10);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time for a question to arrive or an answer to leave.
-const STEP: Duration = Duration::from_secs(1);
+const IO_TIMEOUT: Duration = Duration::from_secs(1);
 /// Stack of a connection's thread.
 const STACK_BYTES: usize = 128 << 10;
 
@@ -48,14 +48,14 @@
     Ok(bound)
 }
 
-fn standing(shared: &Shared, right: &Right) -> Standing {
+fn gauge_values(shared: &Shared, right: &Right) -> GaugeValues {
     let routes = shared.routes.load();
     let upstreams = shared.upstreams();
     let (limited_upstreams, leaving_upstreams) = (upstreams.limited(), upstreams.leaving().count());
     let resting_upstreams = upstreams.resting(clock::now()).count();
     drop(upstreams);
-    Standing {
-        holds_right: right.fence().is_some(),
+    GaugeValues {
+        holds_leadership: right.fence().is_some(),
         config_version: routes.as_ref().map_or(0, |table| table.version),
         in_progress: shared.in_progress(),
         store_answers: !shared.store_health.is_failing(),
@@ -70,14 +70,15 @@
 
 fn answer(shared: &Shared, right: &Right, mut connection: Connection) -> Result<(), HttpError> {
     loop {
-        let idle_until = clock::now() + REST;
-        let head = http1::read_request_head(&mut connection, MAX_HEAD_BYTES, idle_until, STEP)?;
+        let idle_until = clock::now() + IDLE_TIMEOUT;
+        let head =
+            http1::read_request_head(&mut connection, MAX_HEAD_BYTES, idle_until, IO_TIMEOUT)?;
         let Some(head) = head else {
             return Ok(());
         };
         let close = head.headers.connection_says("close") || !head.is_1_1;
         let body = if head.target == METRICS_PATH {
-            shared.metrics.text(&standing(shared, right))
+            shared.metrics.encode_text(&gauge_values(shared, right))
         } else {
             String::new()
         };
@@ -89,7 +90,7 @@
         let closing = if close { "Connection: close\r\n" } else { "" };
         let length = body.len();
         let bytes = format!("HTTP/1.1 {status}\r\nContent-Length: {length}\r\n{closing}\r\n{body}");
-        let until = clock::now() + STEP;
+        let until = clock::now() + IO_TIMEOUT;
         http1::write_all(&mut connection, bytes.as_bytes(), false, None, until)?;
         if close {
             return Ok(());
--- a/crates/instance/src/reply.rs
+++ b/crates/instance/src/reply.rs
@@ -7,7 +7,7 @@
 use passway_types::prelude::*;
 
 /// Time for a caller to take an answer that is ready.
-pub const WRITE_TIME: Duration = Duration::from_secs(5);
+pub const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// An answer that no upstream gave.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -87,7 +87,7 @@
         headers.push("Connection", "close");
     }
     let bytes = encode_head(&format!("HTTP/1.1 {status} {reason}"), &headers);
-    let until = clock::now() + WRITE_TIME;
+    let until = clock::now() + WRITE_TIMEOUT;
     http1::write_all(caller, &bytes, false, None, until)?;
     Ok(())
 }
--- a/crates/instance/src/report.rs
+++ b/crates/instance/src/report.rs
@@ -4,7 +4,7 @@
 use crate::poison;
 use crate::relay::Relay;
 use crate::right::Right;
-use crate::shared::{Need, Shared};
+use crate::shared::{ReportEvent, Shared};
 use crate::words;
 use crossbeam::channel::{Receiver, RecvTimeoutError};
 use passway_process::dial::{Dialed, Dialer};
@@ -34,7 +34,12 @@
 type Link = Arc<Mutex<Option<Outbox>>>;
 
 /// Reports for as long as the process lives.
-pub fn start(shared: &Arc<Shared>, right: &Arc<Right>, relay: &Arc<Relay>, needs: Receiver<Need>) {
+pub fn start(
+    shared: &Arc<Shared>,
+    right: &Arc<Right>,
+    relay: &Arc<Relay>,
+    needs: Receiver<ReportEvent>,
+) {
     let reporter = Reporter {
         shared: shared.clone(),
         right: right.clone(),
@@ -110,7 +115,7 @@
 }
 
 impl Reporter {
-    fn run(mut self, needs: &Receiver<Need>) {
+    fn run(mut self, needs: &Receiver<ReportEvent>) {
         let mut report_at = clock::now() + REPORT_PAUSE;
         loop {
             let left = report_at.saturating_duration_since(clock::now());
@@ -171,31 +176,33 @@
         }
     }
 
-    fn take(&mut self, need: Need) {
+    fn take(&mut self, need: ReportEvent) {
         match need {
-            Need::Waits {
+            ReportEvent::WaitStarted {
                 service,
-                wish,
+                model_ref,
                 until,
-            } => self.wait_begins(key(service, wish), until),
-            Need::WaitEnds { service, wish } => self.wait_ends(key(service, wish)),
-            Need::Missed {
+            } => self.wait_begins(key(service, model_ref), until),
+            ReportEvent::WaitEnded { service, model_ref } => {
+                self.wait_ends(key(service, model_ref))
+            }
+            ReportEvent::RefusedAsTooLate {
                 service,
-                wish,
+                model_ref,
                 until,
             } => {
-                let key = key(service, wish);
+                let key = key(service, model_ref);
                 self.missed.push((until, key.clone()));
                 self.wait_begins(key, until);
             }
-            Need::Suspect(suspect) => self.suspects.push(suspect),
-            Need::Broke(start, at) => self.breaks.push((start, at)),
-            Need::Word(upstream) => {
+            ReportEvent::Suspect(suspect) => self.suspects.push(suspect),
+            ReportEvent::StartBroken(start, at) => self.breaks.push((start, at)),
+            ReportEvent::SignalsChanged(upstream) => {
                 self.words.insert(upstream);
             }
             // It is a reason to look, which follows in any case.
-            Need::HolderReached => {}
-            Need::Taken { service, wish } => {
+            ReportEvent::HolderConnected => {}
+            ReportEvent::RequestAccepted { service, model_ref } => {
                 let now = clock::now();
                 while self
                     .recent
@@ -204,7 +211,7 @@
                 {
                     self.recent.pop_front();
                 }
-                let key = key(service, wish);
+                let key = key(service, model_ref);
                 self.recent.push_back((now, key.clone()));
                 *self.taken.entry(key).or_default() += 1;
             }
@@ -246,7 +253,7 @@
                     *link = Some(outbox);
                     is_new.store(true, Ordering::Release);
                     drop(link);
-                    shared.tell(Need::HolderReached);
+                    shared.report(ReportEvent::HolderConnected);
                 }
                 Dialed::Disconnected => {
                     *link = None;
@@ -255,11 +262,11 @@
                 Dialed::Received(Body::News(news)) => {
                     if let Some(instances) = usize::try_from(news.instances).ok().filter(|n| *n > 0)
                     {
-                        shared.use_instances(instances);
+                        shared.set_instance_count(instances);
                     }
                     if news.sent_ms > 0 {
                         let doubtful = news.doubtful.iter().map(|id| id.as_str().into());
-                        shared.set_doubtful_engines(doubtful.collect());
+                        shared.set_unconfirmed_engines(doubtful.collect());
                     }
                     relay.heard(news);
                     drop(link);
@@ -284,7 +291,7 @@
                     drop(link);
                     let list = members::decode(&told).into_iter();
                     let list = list.map(|(instance, address)| Candidate { instance, address });
-                    shared.dispatch.set(list.collect());
+                    shared.dispatch.set_dispatchers(list.collect());
                 }
                 Dialed::Received(Body::Suspects(told)) => {
                     drop(link);
@@ -457,5 +464,5 @@
         upstreams.set_placement(&placement.engine, models.collect(), closing.collect());
     }
     drop(upstreams);
-    shared.upstreams_changed();
+    shared.notify_upstreams_changed();
 }
--- a/crates/instance/src/right.rs
+++ b/crates/instance/src/right.rs
@@ -8,7 +8,7 @@
 use crate::holder::{FeedNews, Input};
 use crate::poison;
 use crate::relay::{Tap, millis};
-use crate::shared::{Need, Shared};
+use crate::shared::{ReportEvent, Shared};
 use crossbeam::channel::Sender;
 use passway_process::logging::json::DECISION_TARGET;
 use passway_serving::ports::{
@@ -401,7 +401,7 @@
             }
             StoreChange::Removed { key, .. } if key == poison::KEY => {
                 for suspect in self.shared.poison.removed_from_store() {
-                    self.shared.tell(Need::Suspect(suspect));
+                    self.shared.report(ReportEvent::Suspect(suspect));
                 }
             }
             StoreChange::Removed { key, .. } if key == HOLDER_KEY => {
--- a/crates/instance/src/ending.rs
+++ b/crates/instance/src/stop_signal.rs
@@ -12,9 +12,9 @@
 
 /// Set once, and never taken back.
 #[derive(Debug)]
-pub struct Ending(OwnedFd);
+pub struct StopSignal(OwnedFd);
 
-impl Ending {
+impl StopSignal {
     /// Not set yet.
     ///
     /// # Errors
@@ -34,27 +34,27 @@
 
 /// Both moments of a stop.
 #[derive(Debug)]
-pub struct Endings {
+pub struct StopSignals {
     /// Ends waits for answers of which nothing has gone out.
-    pub answers: Ending,
+    pub answers: StopSignal,
     /// Ends streams.
-    pub streams: Ending,
+    pub streams: StopSignal,
 }
 
-impl Endings {
+impl StopSignals {
     /// Neither is set yet.
     ///
     /// # Errors
     /// If the process has no descriptors left.
     pub fn new() -> io::Result<Self> {
         Ok(Self {
-            answers: Ending::new()?,
-            streams: Ending::new()?,
+            answers: StopSignal::new()?,
+            streams: StopSignal::new()?,
         })
     }
 }
 
-impl AsFd for Ending {
+impl AsFd for StopSignal {
     fn as_fd(&self) -> BorrowedFd<'_> {
         self.0.as_fd()
     }
--- a/crates/instance/src/words.rs
+++ b/crates/instance/src/words.rs
@@ -4,7 +4,7 @@
 //! upstream takes, and that it leaves. What an upstream wants from this instance alone stays here.
 
 use crate::relay::{millis, millis_since};
-use crate::shared::{Need, Shared};
+use crate::shared::{ReportEvent, Shared};
 use passway_process::logging::json::DECISION_TARGET;
 use passway_serving::limits::{LimitWord, NamedLimit};
 use passway_serving::poison::UpstreamStart;
@@ -39,11 +39,11 @@
 pub fn hear(shared: &Shared, heard: Heard<'_>) {
     let Heard { start, words, .. } = heard;
     for word in words.unusable() {
-        shared.metrics.unusable_word(word);
+        shared.metrics.unusable_signal(word);
     }
     hear_limit(shared, heard);
     if words.leaving == NamedLeaving::Leaves && leaves(shared, start) {
-        shared.tell(Need::Word(start.upstream.clone()));
+        shared.report(ReportEvent::SignalsChanged(start.upstream.clone()));
     }
     match words.rest {
         NamedRest::For(rest) if !rest.is_zero() => rests(shared, start, rest),
@@ -66,7 +66,7 @@
         heard_at: clock::now(),
     };
     if note_limit(shared, heard.start, word) {
-        shared.tell(Need::Word(heard.start.upstream.clone()));
+        shared.report(ReportEvent::SignalsChanged(heard.start.upstream.clone()));
     }
 }
 
@@ -78,7 +78,7 @@
     drop(upstreams);
     if is_news {
         log::info!(target: DECISION_TARGET, upstream:% = start.upstream; "an upstream says that it leaves");
-        shared.upstreams_changed();
+        shared.notify_upstreams_changed();
     }
     is_news
 }
@@ -86,7 +86,7 @@
 /// An upstream wants nothing from this instance for some time.
 fn rests(shared: &Shared, start: &UpstreamStart, rest: Duration) {
     let rest = rest.min(Duration::from_millis(LONGEST_REST_MS));
-    let instances = u32::try_from(shared.instances()).unwrap_or(u32::MAX);
+    let instances = u32::try_from(shared.instance_count()).unwrap_or(u32::MAX);
     let spread = SPREAD_PER_INSTANCE
         .saturating_mul(instances)
         .min(MOST_SPREAD);
@@ -97,9 +97,9 @@
     }
     upstreams.note_rest(&start.upstream, until);
     drop(upstreams);
-    shared.upstreams_changed();
-    shared.tell(Need::Word(start.upstream.clone()));
-    shared.metrics.rest();
+    shared.notify_upstreams_changed();
+    shared.report(ReportEvent::SignalsChanged(start.upstream.clone()));
+    shared.metrics.backoff_requested();
     log::info!(target: DECISION_TARGET, upstream:% = start.upstream, rest_ms = millis(rest); "an upstream asks for rest");
 }
 
@@ -116,7 +116,7 @@
         if word.per_s.is_none() {
             shared.limits.retain(shared);
         }
-        shared.upstreams_changed();
+        shared.notify_upstreams_changed();
     }
     has_changed
 }
--- a/tests/all/closed_halls.rs
+++ b/tests/all/closed_halls.rs
@@ -1,8 +1,8 @@
 //! Halls to which a request may not go: those that operators have emptied, and those of other regions than bind its
 //! route or its workspace.
 
+use crate::cluster::{self, ask, request, settings, start_with, until};
 use crate::saying::SayingServer;
-use crate::site::{self, ask, request, settings, start_with, until};
 use passway_serving::halls::AllowedRegions;
 use passway_serving::ports::{Directory, StoredValue};
 use passway_serving::upstreams::{Choice, UpstreamEntry, UpstreamTable, Wanted};
@@ -39,11 +39,11 @@
 /// many.
 #[test]
 fn emptied_hall_gets_nothing() {
-    let store = site::store(&[]);
+    let store = cluster::store(&[]);
     let (here, there) = (SayingServer::start(), SayingServer::start());
     list_in(&store, "i-0", here.address(), "hall0");
     list_in(&store, "i-1", there.address(), "hall1");
-    let instance = site::ready("one", &store);
+    let instance = cluster::start_ready("one", &store);
     let address = instance.callers_address();
     // A word without a value, and one on a hall that nobody knows, which closes nothing else.
     store.put_bytes("op/evacuate/hall0", b"");
@@ -69,7 +69,7 @@
 /// The store turns the instance away after the word was heard: the hall stays closed.
 #[test]
 fn closed_while_store_is_away() {
-    let store = site::store(&[]);
+    let store = cluster::store(&[]);
     let (here, there) = (SayingServer::start(), SayingServer::start());
     list_in(&store, "i-0", here.address(), "hall0");
     list_in(&store, "i-1", there.address(), "hall1");
--- a/tests/all/site.rs
+++ b/tests/all/cluster.rs
@@ -125,7 +125,7 @@
 }
 
 /// Starts an instance and waits until it is ready.
-pub fn ready(name: &str, store: &MetadataStandIn) -> Instance {
+pub fn start_ready(name: &str, store: &MetadataStandIn) -> Instance {
     let instance = start(name, store);
     until("readiness", || instance.is_ready());
     instance
--- a/tests/all/cold_upstreams.rs
+++ b/tests/all/cold_upstreams.rs
@@ -1,13 +1,13 @@
 //! Upstreams that are cold from their start get no more than they bear, over all instances.
 
+use crate::cluster::{self, ask, request, until};
 use crate::saying::SayingServer;
-use crate::site::{self, ask, request, until};
 use passway_serving::upstreams::{ColdBound, UpstreamEntry, UpstreamTable};
 use passway_standins::platform::documents::{configuration, plain_entry};
 use passway_types::prelude::*;
 use serde_json::json;
 
-const BOUND: ColdBound = ColdBound {
+const COLD_BOUND: ColdBound = ColdBound {
     per_s: 8.0,
     time: Duration::from_secs(3),
 };
@@ -35,19 +35,19 @@
     let at = |ms| now + Duration::from_millis(ms);
     let mut table = UpstreamTable::new("hall0".into());
     table.update(entry(1, None), now);
-    table.set_cold_bounds([("plain".into(), BOUND)].into());
+    table.set_cold_bounds([("plain".into(), COLD_BOUND)].into());
     assert_eq!(table.limit_per_s("i-0", now), None);
     // It may become cold at any moment, which others are told; each later word of the same is not.
     assert!(table.update(entry(2, Some(at(2_000))), now));
     assert!(!table.update(entry(3, Some(at(2_100))), at(500)));
-    assert_eq!(table.limit_per_s("i-0", at(2_000)), Some(BOUND.per_s));
+    assert_eq!(table.limit_per_s("i-0", at(2_000)), Some(COLD_BOUND.per_s));
     assert_eq!(table.limit_per_s("i-0", at(2_100)), None);
     // One of a hall that is given back may be cold without having said so.
     table.set_emptied(["hall0".into()].into(), at(2_200));
     assert_eq!(table.limit_per_s("i-0", at(2_200)), None);
     table.set_emptied([].into(), at(2_300));
     table.update(entry(4, None), at(2_400));
-    assert_eq!(table.limit_per_s("i-0", at(5_200)), Some(BOUND.per_s));
+    assert_eq!(table.limit_per_s("i-0", at(5_200)), Some(COLD_BOUND.per_s));
     assert_eq!(table.limit_per_s("i-0", at(5_300)), None);
     // A configuration without a bound.
     table.update(entry(5, Some(at(9_000))), at(6_000));
@@ -59,16 +59,16 @@
 #[test]
 fn bounded_over_instances() {
     let mut document = configuration(1, &[]);
-    document["services"][0]["cold_per_s"] = json!(BOUND.per_s);
+    document["services"][0]["cold_per_s"] = json!(COLD_BOUND.per_s);
     document["services"][0]["cold_start_s"] = json!(30.0);
-    let store = site::store(&[]);
+    let store = cluster::store(&[]);
     store.put("op/config", &document);
     let server = SayingServer::start();
     let mut cold = plain_entry(server.address());
     cold["cold_left_ms"] = json!(30_000);
     cold["slots"] = json!(64);
     store.put("servers/i-0", &cold);
-    let instances = ["one", "two", "three"].map(|name| site::ready(name, &store));
+    let instances = ["one", "two", "three"].map(|name| cluster::start_ready(name, &store));
     until("a holder", || store.get("passway/holder").is_some());
     let callers: Vec<_> = (0..30)
         .map(|number| {
--- a/tests/all/config_memory.rs
+++ b/tests/all/config_memory.rs
@@ -8,7 +8,7 @@
 //! listener got here: 20 MB for one that is slow, while one that comes late was cut off, since
 //! what is kept does not fit into the largest frame.
 
-use crate::site::{self, configuration, until};
+use crate::cluster::{self, configuration, until};
 use passway_instance::Instance;
 use passway_standins::platform::caller::HOST;
 use passway_wire::message::{News, Subscribe};
@@ -98,8 +98,8 @@
 
 #[test]
 fn newest_version_only() {
-    let store = site::store(&["m0"]);
-    let instance = site::ready("one", &store);
+    let store = cluster::store(&["m0"]);
+    let instance = cluster::start_ready("one", &store);
     until("the right to order", || instance.fence().is_some());
     let (slow, late) = std::thread::scope(|scope| {
         // One that takes versions more slowly than they come, as over a full link.
@@ -107,7 +107,7 @@
         until("its coming", || instance.knows_member("slow"));
         for version in 2..=VERSIONS {
             store.put("op/config", &large(version));
-            until("the version", || instance.version() == Some(version));
+            until("the version", || instance.config_version() == Some(version));
         }
         store.put("op/end", &json!({}));
         let slow = slow.join().expect("a listener");
--- a/tests/all/config_way.rs
+++ b/tests/all/config_way.rs
@@ -9,8 +9,8 @@
 //! its own knowledge was. Proved by the first two tests, in which the other way is open; the
 //! others are ways that were found shut when the mend was looked at.
 
+use crate::cluster::until;
 use crate::followed::{ToldStore, beat, followed, shared, word};
-use crate::site::until;
 use bytes::Bytes;
 use passway_instance::relay::{CONFIGURATION, FEEDS, Relay, Tap};
 use passway_serving::ports::{Listing, StoreChange, StoreError, StoredValue, WatchAnswer};
--- a/tests/all/dispatch_way.rs
+++ b/tests/all/dispatcher_queries.rs
@@ -1,8 +1,8 @@
 //! An instance asks the dispatcher of an engine, and is one itself; the test plays the holder
 //! of the right to order, which tells who dispatches, and the other end of each question.
 
+use crate::cluster::{self, PATIENCE, stream, until};
 use crate::holder_link::{Holder, subscription};
-use crate::site::{self, PATIENCE, stream, until};
 use passway_instance::Instance;
 use passway_standins::platform::model_server::{Faults, ModelServer};
 use passway_standins::platform::store::MetadataStandIn;
@@ -11,7 +11,7 @@
 use passway_wire::{Body, Link};
 use std::net::{SocketAddr, UdpSocket};
 
-struct World {
+struct TestBed {
     _store: MetadataStandIn,
     servers: [ModelServer; 2],
     instance: Instance,
@@ -23,12 +23,12 @@
 
 /// An instance before two engines with m0, told that `dispatchers` decide, where `None` stands
 /// for the instance itself.
-fn world(dispatchers: &[Option<SocketAddr>]) -> World {
-    let store = site::store(&["m0"]);
+fn test_bed(dispatchers: &[Option<SocketAddr>]) -> TestBed {
+    let store = cluster::store(&["m0"]);
     let holder = Holder::begin(&store);
     let server = |id| ModelServer::start(&store, id, "engines", 2, &["m0"], &[]);
     let servers = [server("i-0"), server("i-1")];
-    let instance = site::ready("one", &store);
+    let instance = cluster::start_ready("one", &store);
     let (link, mut reader) = holder.accept();
     let address = subscription(&mut reader).expect("a subscription").address;
     let address: SocketAddr = address.parse().expect("an address");
@@ -43,9 +43,9 @@
     };
     link.send(Body::Dispatchers(told)).expect("sent");
     until("dispatchers", || {
-        instance.dispatchers() == dispatchers.len()
+        instance.dispatcher_count() == dispatchers.len()
     });
-    World {
+    TestBed {
         _store: store,
         servers,
         instance,
@@ -55,7 +55,7 @@
     }
 }
 
-impl World {
+impl TestBed {
     fn send(&self, body: Dispatch) {
         let bytes = Datagram::bytes(Some(body));
         self.socket.send_to(&bytes, self.address).expect("sent");
@@ -72,7 +72,7 @@
     }
 
     /// The instance's answer to a question.
-    fn ask(&self, id: u64) -> Grant {
+    fn query(&self, id: u64) -> Grant {
         self.send(Dispatch::Ask(Ask {
             id,
             service: "engines".into(),
@@ -89,28 +89,28 @@
 }
 
 /// Slots of one engine, as [`ModelServer`] says of itself.
-fn granted_until_full(world: &World) -> Vec<Grant> {
-    let grants = (0..100).map(|id| world.ask(id));
+fn fill_all_slots(world: &TestBed) -> Vec<Grant> {
+    let grants = (0..100).map(|id| world.query(id));
     grants
         .take_while(|grant| grant.verdict() == Verdict::Go)
         .collect()
 }
 
 #[test]
-fn each_slot_once() {
-    let world = world(&[None]);
-    let grants = granted_until_full(&world);
+fn grants_each_slot_once() {
+    let world = test_bed(&[None]);
+    let grants = fill_all_slots(&world);
     let on_first = grants.iter().filter(|grant| grant.engine == "i-0").count();
     assert_eq!(2 * on_first, grants.len(), "both as full as each other");
     // A question that comes twice has the same answer.
-    assert_eq!(world.ask(0), grants[0]);
+    assert_eq!(world.query(0), grants[0]);
     // A slot is free again once its run is over.
-    assert_eq!(world.ask(500).verdict(), Verdict::Full);
+    assert_eq!(world.query(500).verdict(), Verdict::Full);
     world.send(Dispatch::Ended(Ended {
         id: 0,
         outcome: RunOutcome::Answered.into(),
     }));
-    let grant = world.ask(501);
+    let grant = world.query(501);
     assert_eq!(
         (grant.verdict(), &grant.engine),
         (Verdict::Go, &grants[0].engine)
@@ -130,11 +130,11 @@
 
 /// Another instance says again and again that all slots of i-0 are taken: once what was granted
 /// before has lapsed, only the other engine is granted.
-fn other_engine_alone(world: &World, running: &[u8]) {
+fn wait_until_only_second_granted(world: &TestBed, running: &[u8]) {
     let other = UdpSocket::bind("127.0.0.1:0").expect("bind");
     until("slots of one engine alone", || {
         other.send_to(running, world.address).expect("sent");
-        let grant = world.ask(1_000);
+        let grant = world.query(1_000);
         if grant.verdict() != Verdict::Go {
             return false;
         }
@@ -145,9 +145,9 @@
 
 /// Runs that others speak of take slots, though this dispatcher has not granted them.
 #[test]
-fn others_runs_count() {
-    let world = world(&[None]);
-    let all = granted_until_full(&world).len();
+fn reported_runs_take_slots() {
+    let world = test_bed(&[None]);
+    let all = fill_all_slots(&world).len();
     let slots = u64::try_from(all / 2).expect("small");
     let runs = (0..slots).map(|id| passway_wire::dispatch::RunHere {
         id,
@@ -158,14 +158,14 @@
     };
     // What was granted here lapses, since nobody speaks of it.
     let bytes = Datagram::bytes(Some(Dispatch::Running(running)));
-    other_engine_alone(&world, &bytes);
+    wait_until_only_second_granted(&world, &bytes);
 }
 
 /// Names may be long: a word of several kilobytes is read whole.
 #[test]
-fn long_words_read() {
-    let world = world(&[None]);
-    let all = granted_until_full(&world).len();
+fn long_datagram_read() {
+    let world = test_bed(&[None]);
+    let all = fill_all_slots(&world).len();
     let slots = u64::try_from(all / 2).expect("small");
     let run = |id, engine: &str| passway_wire::dispatch::RunHere {
         id,
@@ -179,14 +179,14 @@
     };
     let bytes = Datagram::bytes(Some(Dispatch::Running(running)));
     assert!(bytes.len() > 4_096);
-    other_engine_alone(&world, &bytes);
+    wait_until_only_second_granted(&world, &bytes);
 }
 
 #[test]
-fn goes_where_told() {
+fn request_follows_grant() {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("bind");
     let address = socket.local_addr().expect("an address");
-    let world = world(&[Some(address)]);
+    let world = test_bed(&[Some(address)]);
     let caller = world.instance.callers_address();
     let asking = std::thread::spawn(move || stream(caller, "chat", "c1", "m0"));
     let mut bytes = [0; 1_500];
@@ -225,7 +225,7 @@
 fn silent_dispatcher() {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("bind");
     let address = socket.local_addr().expect("an address");
-    let world = world(&[Some(address)]);
+    let world = test_bed(&[Some(address)]);
     for number in 0..3 {
         let id = format!("c{number}");
         let answer = stream(world.instance.callers_address(), "chat", &id, "m0");
@@ -237,19 +237,19 @@
 
 /// Bytes that are no message change nothing.
 #[test]
-fn other_bytes() {
-    let world = world(&[None]);
+fn invalid_datagrams_ignored() {
+    let world = test_bed(&[None]);
     for bytes in [&b""[..], b"\xff\xff\xff\xff", &[8; 1_400]] {
         world.socket.send_to(bytes, world.address).expect("sent");
     }
-    assert_eq!(world.ask(1).verdict(), Verdict::Go);
+    assert_eq!(world.query(1).verdict(), Verdict::Go);
 }
 
 /// An engine in need is named last by its dispatcher, and gets nothing that nobody counts; others carry its
 /// requests.
 #[test]
-fn engine_in_need() {
-    let world = world(&[None]);
+fn limited_engine_avoided() {
+    let world = test_bed(&[None]);
     world.servers[0].set_faults(Faults {
         limit_per_s: Some(1.0),
         ..Faults::default()
@@ -269,7 +269,7 @@
 }
 
 /// A dispatcher that grants the first engine to whoever asks, whatever it is told.
-fn stubborn_dispatcher() -> SocketAddr {
+fn fixed_dispatcher() -> SocketAddr {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("bind");
     let address = socket.local_addr().expect("an address");
     std::thread::spawn(move || {
@@ -290,8 +290,8 @@
 }
 
 /// A grant by somebody who has not heard an engine's word sends nothing there.
-fn granted_against_word(faults: Faults) {
-    let world = world(&[Some(stubborn_dispatcher())]);
+fn grant_against_signal(faults: Faults) {
+    let world = test_bed(&[Some(fixed_dispatcher())]);
     let address = world.instance.callers_address();
     let send = |id: &str| stream(address, "chat", id, "m0").status;
     assert_eq!(send("before"), 200);
@@ -305,16 +305,16 @@
 }
 
 #[test]
-fn granted_and_leaving() {
-    granted_against_word(Faults {
+fn grant_for_leaving_engine() {
+    grant_against_signal(Faults {
         leaves: true,
         ..Faults::default()
     });
 }
 
 #[test]
-fn granted_and_resting() {
-    granted_against_word(Faults {
+fn grant_for_engine_in_backoff() {
+    grant_against_signal(Faults {
         rest_s: Some(60.0),
         ..Faults::default()
     });
--- a/tests/all/fleet_start.rs
+++ b/tests/all/fleet_start.rs
@@ -72,7 +72,7 @@
     let mut planner = Planner::new(USUAL_LOAD_WINDOW, PolicyName::Balanced.policy());
     let value = StoredValue {
         key: "op/config".into(),
-        value: crate::site::configuration(1, &["m0", "m1", "m2"])
+        value: crate::cluster::configuration(1, &["m0", "m1", "m2"])
             .to_string()
             .into(),
         revision: 1,
--- a/tests/all/followed.rs
+++ b/tests/all/followed.rs
@@ -1,6 +1,6 @@
 //! A feed that follows a store of which a test says what it answers.
 
-use crate::site;
+use crate::cluster;
 use crossbeam::channel;
 use passway_instance::feeds::{Feed, follow};
 use passway_instance::relay::{CONFIGURATION, FEEDS, Tap};
@@ -94,7 +94,7 @@
     // The reporting thread is not there; what is told to it goes nowhere.
     let (needs, _needed) = channel::unbounded();
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
-    let settings = site::settings("one", nowhere);
+    let settings = cluster::settings("one", nowhere);
     Arc::new(Shared::new(settings, Box::new(PlatformHeaders), needs))
 }
 
--- a/tests/all/foreign_entries.rs
+++ b/tests/all/foreign_entries.rs
@@ -1,7 +1,7 @@
 //! Entries that something else wrote where upstreams keep themselves name no upstream to use;
 //! the others hold, and an upstream whose entry comes back is used again.
 
-use crate::site::{self, until};
+use crate::cluster::{self, until};
 use passway_serving::ports::{Directory, StoredValue};
 use passway_serving::upstreams::UpstreamEntry;
 use passway_types::prelude::*;
@@ -140,18 +140,18 @@
 
 /// What callers get of the plain service: its status.
 fn status(instance: &passway_instance::Instance, id: &str) -> u16 {
-    let request = site::request("GET", "/read/", id, "", "");
-    let answer = site::ask(instance.callers_address(), &request);
+    let request = cluster::request("GET", "/read/", id, "", "");
+    let answer = cluster::ask(instance.callers_address(), &request);
     answer.expect("an answer").status
 }
 
 #[test]
 fn others_hold() {
-    let store = site::store(&["m0"]);
-    let (one, two) = (site::plain_server(), site::plain_server());
-    site::list_plain(&store, "i-0", one.address, "ready");
-    site::list_plain(&store, "i-1", two.address, "ready");
-    let instance = site::ready("one", &store);
+    let store = cluster::store(&["m0"]);
+    let (one, two) = (cluster::plain_server(), cluster::plain_server());
+    cluster::list_plain(&store, "i-0", one.address, "ready");
+    cluster::list_plain(&store, "i-1", two.address, "ready");
+    let instance = cluster::start_ready("one", &store);
     // Something else writes over one of them, in every way, and beside them.
     let spoilt: [&[u8]; 4] = [b"", b"\xff\xfe{", b"{\"service\": 3}", b"[1, 2]"];
     for (number, bytes) in spoilt.into_iter().enumerate() {
@@ -164,7 +164,7 @@
         assert!(all, "the other one holds");
         one.received().len() == before
     });
-    site::list_plain(&store, "i-0", one.address, "ready");
+    cluster::list_plain(&store, "i-0", one.address, "ready");
     let before = one.received().len();
     let mut number = 0;
     until("it is used again", || {
@@ -178,16 +178,16 @@
 /// that the upstream itself will tell, does not pass for its newest word.
 #[test]
 fn foreign_service() {
-    let store = site::store(&["m0"]);
-    let server = site::plain_server();
-    site::list_plain(&store, "i-0", server.address, "ready");
-    let instance = site::ready("one", &store);
+    let store = cluster::store(&["m0"]);
+    let server = cluster::plain_server();
+    cluster::list_plain(&store, "i-0", server.address, "ready");
+    let instance = cluster::start_ready("one", &store);
     assert_eq!(status(&instance, "a0"), 200);
     let foreign = json!({"service": "nobodys", "address": "127.0.0.1:9", "zone": "hall0",
         "version": "v1", "slots": 6, "state": "draining", "sequence": u64::MAX,
         "cold_left_ms": 0});
     store.put("servers/i-0", &foreign);
     until("it is left out", || status(&instance, "a1") == 503);
-    site::list_plain(&store, "i-0", server.address, "ready");
+    cluster::list_plain(&store, "i-0", server.address, "ready");
     until("it is used again", || status(&instance, "a2") == 200);
 }
--- a/tests/all/planned_stops.rs
+++ b/tests/all/graceful_stops.rs
@@ -6,7 +6,7 @@
 //! request could have waited for longer than the grace lasted; 7.6 s after the signal
 //! the process ended, and its caller's connection closed with no answer.
 
-use crate::site::{Caller, PATIENCE, configuration, list_plain, plain_server, request, until};
+use crate::cluster::{Caller, PATIENCE, configuration, list_plain, plain_server, request, until};
 use passway_standins::platform::model_server::{Faults, ModelServer};
 use passway_standins::platform::program::{Output, Program, ProgramPlan};
 use passway_standins::platform::raw::{RawServer, Step};
@@ -46,7 +46,7 @@
 }
 
 /// Waits for the process's end.
-fn ended(mut program: Program) {
+fn wait_for_exit(mut program: Program) {
     let code = program.child.wait().expect("wait").code();
     assert_eq!(code, Some(0));
 }
@@ -87,7 +87,7 @@
     // It was never sent on, and its caller may send it elsewhere.
     assert_eq!((answer.status, answer.whole), (503, true));
     assert!(answer.header("retry-after").is_some(), "{}", answer.head);
-    ended(program);
+    wait_for_exit(program);
 }
 
 /// A plain server that takes requests and answers none.
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn unanswered_request_told() {
+fn unanswered_request_reported_lost() {
     let store = patient_store(&[]);
     let server = silent_server();
     list_plain(&store, "i-0", server.address, "ready");
@@ -114,7 +114,7 @@
         assert_eq!((answer.status, answer.whole), (502, true));
         assert!(answer.header("request-id").is_some(), "{}", answer.head);
     }
-    ended(program);
+    wait_for_exit(program);
     assert_eq!(server.received().len(), 2, "sent on again at the stop");
 }
 
@@ -138,12 +138,12 @@
         assert_eq!((answer.status, answer.whole), (503, true));
         assert_eq!(caller.receive(), None);
     }
-    ended(program);
+    wait_for_exit(program);
     assert_eq!(server.received(), []);
 }
 
 #[test]
-fn resting_connection_closed() {
+fn idle_connection_closed() {
     let store = patient_store(&[]);
     let server = plain_server();
     list_plain(&store, "i-0", server.address, "ready");
@@ -167,7 +167,7 @@
     assert!(matches!(answer.status, 200 | 503), "{}", answer.head);
     assert_eq!(answer.header("connection"), Some("close"));
     assert!(matches!(resting.stream.read(&mut [0; 1]), Ok(0)));
-    ended(program);
+    wait_for_exit(program);
 }
 
 /// An engine whose next stream falls silent before its end.
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn cut_stream_shows() {
+fn cut_stream_incomplete() {
     let store = patient_store(&["m0"]);
     let engine = silent_engine(&store);
     let program = start("stream", &store);
@@ -193,11 +193,11 @@
     // Its beginning has gone out; it must not look complete.
     assert_eq!((answer.status, answer.whole), (200, false));
     assert!(!answer.body.is_empty());
-    ended(program);
+    wait_for_exit(program);
 }
 
 #[test]
-fn unframed_stream_shows() {
+fn unframed_stream_reset() {
     let store = patient_store(&["m0"]);
     let engine = silent_engine(&store);
     let program = start("unframed", &store);
@@ -211,5 +211,5 @@
     let rest = caller.stream.read_to_end(&mut Vec::new());
     let error = rest.expect_err("looks complete");
     assert_eq!(error.kind(), ErrorKind::ConnectionReset);
-    ended(program);
+    wait_for_exit(program);
 }
