--- a/tests/all/holder_heard.rs
+++ b/tests/all/holder_heard.rs
@@ -1,6 +1,6 @@
 //! An instance that is cut off from the store hears of a new holder from that holder.
 
-use crate::site::{self, until};
+use crate::cluster::{self, until};
 use passway_serving::tenure::{Holder, Tenure, TenureLimits};
 use passway_standins::platform::store::Faults;
 use passway_types::prelude::*;
@@ -43,12 +43,12 @@
 /// The right changes hands while one instance reaches the others and not the store.
 #[test]
 fn cut_instance_follows() {
-    let store = site::store(&["m0"]);
+    let store = cluster::store(&["m0"]);
     let ways = [store.serve_way(), store.serve_way(), store.serve_way()];
     let names = ["one", "two", "three"];
     let instances = names.iter().zip(&ways);
     let instances: Vec<_> = instances
-        .map(|(name, way)| site::start_at(name, way.address()))
+        .map(|(name, way)| cluster::start_at(name, way.address()))
         .collect();
     for instance in &instances {
         until("readiness", || instance.is_ready());
@@ -64,7 +64,7 @@
     until("all members known", || {
         instances
             .iter()
-            .all(|instance| instance.known_members() == 3)
+            .all(|instance| instance.known_member_count() == 3)
     });
     ways[cut].set_faults(Faults {
         refuses: Some(503),
@@ -90,9 +90,9 @@
 /// it is cut off. It is made once, so it must count when the cut is noticed.
 #[test]
 fn early_word_kept() {
-    let store = site::store(&["m0"]);
+    let store = cluster::store(&["m0"]);
     let way = store.serve_way();
-    let instance = site::start_at("one", way.address());
+    let instance = cluster::start_at("one", way.address());
     until("readiness", || instance.is_ready());
     until("the right", || instance.fence().is_some());
     // The term begins with the write's answer; the key is seen by the feed, a moment later.
@@ -123,8 +123,8 @@
 /// Instances that are gone for good do not stay on the list.
 #[test]
 fn gone_member_forgotten() {
-    let store = site::store(&["m0"]);
-    let instances = ["one", "two"].map(|name| site::ready(name, &store));
+    let store = cluster::store(&["m0"]);
+    let instances = ["one", "two"].map(|name| cluster::start_ready(name, &store));
     let holds = |number: &usize| instances[*number].fence().is_some();
     let mut first = None;
     until("a holder", || {
@@ -132,7 +132,7 @@
         first.is_some()
     });
     let first = first.expect("a holder");
-    let all_know = |members| instances.iter().all(|i| i.known_members() == members);
+    let all_know = |members| instances.iter().all(|i| i.known_member_count() == members);
     until("both known", || all_know(2));
     let holder = instances[first].holder().expect("itself");
     let (link, _reader) = Link::connect(holder.address, Duration::from_secs(5)).expect("a link");
@@ -155,10 +155,10 @@
 /// that is cut off from the store and comes back to it by itself, without an announcement.
 #[test]
 fn same_holder_again() {
-    let store = site::store(&["m0"]);
+    let store = cluster::store(&["m0"]);
     let holder = crate::holder_link::Holder::begin(&store);
     let way = store.serve_way();
-    let instance = site::start_at("one", way.address());
+    let instance = cluster::start_at("one", way.address());
     until("readiness", || instance.is_ready());
     let (link, mut reader) = holder.accept();
     assert!(crate::holder_link::subscription(&mut reader).is_some());
--- a/tests/all/holder_link.rs
+++ b/tests/all/holder_link.rs
@@ -4,8 +4,8 @@
 //! again and again; a new one waited for the pause that the old one had begun; a word that
 //! could not be read was made up for by the store alone.
 
+use crate::cluster::{self, PATIENCE, until};
 use crate::followed::{beat, word};
-use crate::site::{self, PATIENCE, until};
 use passway_instance::Instance;
 use passway_instance::relay::{CONFIGURATION, FEEDS, Relay};
 use passway_standins::platform::store::{Faults, MetadataStandIn};
@@ -61,9 +61,9 @@
 }
 
 fn listener() -> (MetadataStandIn, Holder, Instance) {
-    let store = site::store(&["m0"]);
+    let store = cluster::store(&["m0"]);
     let holder = Holder::begin(&store);
-    let instance = site::ready("one", &store);
+    let instance = cluster::start_ready("one", &store);
     (store, holder, instance)
 }
 
@@ -152,10 +152,10 @@
 /// whom it has heard, tells it everything.
 #[test]
 fn successor_tells_all() {
-    let store = site::store(&["m0"]);
+    let store = cluster::store(&["m0"]);
     let way = store.serve_way();
     let holder = Holder::begin(&store);
-    let instance = site::start_at("one", way.address());
+    let instance = cluster::start_at("one", way.address());
     let (link, mut reader) = holder.accept();
     let known = subscription(&mut reader).expect("a subscription").known;
     assert!(known.iter().all(|revision| *revision > 0));
@@ -163,7 +163,7 @@
         refuses: Some(503),
         ..Faults::default()
     });
-    let value = site::configuration(9, &["m0"]).to_string();
+    let value = cluster::configuration(9, &["m0"]).to_string();
     let word = News {
         values: vec![NewsValue {
             key: "op/config".into(),
@@ -174,15 +174,15 @@
         ..word(known[CONFIGURATION], known[CONFIGURATION] + 100)
     };
     link.send(Body::News(word)).expect("sent");
-    until("the version", || instance.version() == Some(9));
+    until("the version", || instance.config_version() == Some(9));
 }
 
 /// All others read another fencing number than the holder had: the store counts each key that a transaction writes,
 /// and the holder's key was not the last.
 #[test]
 fn fence_is_revision_of_key() {
-    let store = site::store(&[]);
-    let instance = site::ready("one", &store);
+    let store = cluster::store(&[]);
+    let instance = cluster::start_ready("one", &store);
     until("the right to order", || instance.fence().is_some());
     assert_eq!(instance.fence(), Some(store.revision_of("passway/holder")));
 }
--- a/tests/all/resting_connections.rs
+++ b/tests/all/idle_connections.rs
@@ -2,23 +2,23 @@
 //! over go although nothing is sent to their upstream any more.
 
 use passway_instance::http1::Connection;
-use passway_instance::pool::{ConnectionPool, MAX_RESTING_IN_ALL};
+use passway_instance::pool::{ConnectionPool, MAX_IDLE};
 use passway_types::prelude::*;
 use std::net::{TcpListener, TcpStream};
 
 /// Time that a connection may rest.
-const REST: Duration = Duration::from_secs(2);
+const IDLE_TTL: Duration = Duration::from_secs(2);
 /// Connections of each upstream.
-const EACH: usize = 8;
+const PER_UPSTREAM: usize = 8;
 
 /// Upstreams with connections, and their other ends.
-struct Rested {
+struct PoolWithPeers {
     pool: ConnectionPool,
     listener: TcpListener,
     others: Vec<TcpStream>,
 }
 
-impl Rested {
+impl PoolWithPeers {
     fn new() -> Self {
         Self {
             pool: ConnectionPool::default(),
@@ -29,14 +29,14 @@
 
     fn put(&mut self, upstream: usize, now: Instant) {
         let address = self.listener.local_addr().expect("the address");
-        let connection = Connection::connect(address, REST).expect("connecting");
+        let connection = Connection::connect(address, IDLE_TTL).expect("connecting");
         self.others
             .push(self.listener.accept().expect("accepting").0);
-        self.pool.put(&id(upstream), connection, REST, now);
+        self.pool.put(&id(upstream), connection, IDLE_TTL, now);
     }
 
     /// Connections whose other end does not see them closed.
-    fn open(&self) -> usize {
+    fn open_count(&self) -> usize {
         let is_open = |other: &&TcpStream| {
             other.set_nonblocking(true).expect("non-blocking");
             let read = other.peek(&mut [0]);
@@ -51,31 +51,31 @@
 }
 
 #[test]
-fn bounded_in_all() {
-    let mut rested = Rested::new();
+fn total_is_bounded() {
+    let mut rested = PoolWithPeers::new();
     let now = Instant::now();
-    let surplus = 4 * EACH;
-    let upstreams = (MAX_RESTING_IN_ALL + surplus) / EACH;
-    for number in 0..upstreams * EACH {
+    let surplus = 4 * PER_UPSTREAM;
+    let upstreams = (MAX_IDLE + surplus) / PER_UPSTREAM;
+    for number in 0..upstreams * PER_UPSTREAM {
         rested.put(number % upstreams, now);
     }
-    assert_eq!(rested.open(), MAX_RESTING_IN_ALL);
+    assert_eq!(rested.open_count(), MAX_IDLE);
     // A place that becomes free is taken again.
-    rested.pool.forget(&id(0));
-    let left = rested.open();
-    assert!(left < MAX_RESTING_IN_ALL, "{left}");
+    rested.pool.close_idle(&id(0));
+    let left = rested.open_count();
+    assert!(left < MAX_IDLE, "{left}");
     rested.put(upstreams, now);
-    assert_eq!(rested.open(), left + 1);
-    assert!(rested.pool.take(&id(upstreams), REST, now).is_some());
+    assert_eq!(rested.open_count(), left + 1);
+    assert!(rested.pool.take(&id(upstreams), IDLE_TTL, now).is_some());
 }
 
 #[test]
-fn ended_rest_goes() {
-    let mut rested = Rested::new();
+fn expired_connections_closed() {
+    let mut rested = PoolWithPeers::new();
     let now = Instant::now();
-    for upstream in 0..EACH {
+    for upstream in 0..PER_UPSTREAM {
         rested.put(upstream, now);
     }
-    rested.put(EACH, now + 2 * REST);
-    assert_eq!(rested.open(), 1);
+    rested.put(PER_UPSTREAM, now + 2 * IDLE_TTL);
+    assert_eq!(rested.open_count(), 1);
 }
--- a/tests/all/instance_metrics.rs
+++ b/tests/all/instance_metrics.rs
@@ -1,7 +1,7 @@
 //! Metrics of an instance on the users' platform, against its page.
 
-use crate::closed_site::{KEY, closed};
-use crate::site::{self, ask, list_plain, plain_server, request, until};
+use crate::cluster::{self, ask, list_plain, plain_server, request, until};
+use crate::keyed_cluster::{KEY, keyed_configuration};
 use passway_standins::platform::documents::workspace;
 use passway_standins::platform::store::MetadataStandIn;
 use std::collections::BTreeSet;
@@ -17,10 +17,13 @@
 #[test]
 fn scrape_matches_page() {
     let store = MetadataStandIn::default();
-    store.put("op/config", &closed(1, &[workspace("alpha", &[KEY], 1e6)]));
+    store.put(
+        "op/config",
+        &keyed_configuration(1, &[workspace("alpha", &[KEY], 1e6)]),
+    );
     let server = plain_server();
     list_plain(&store, "i-0", server.address, "ready");
-    let instance = site::ready("one", &store);
+    let instance = cluster::start_ready("one", &store);
     until("the right to order", || instance.fence().is_some());
     let head = format!("Authorization: Token {KEY}\r\n");
     for path in ["/read/", "/read/", "/nowhere/"] {
--- a/tests/all/closed_site.rs
+++ b/tests/all/keyed_cluster.rs
@@ -1,6 +1,6 @@
 //! An instance whose routes ask for keys, with bounds as the settings file gives them.
 
-use crate::site::{self, ask, configuration, request};
+use crate::cluster::{self, ask, configuration, request};
 use passway_instance::Instance;
 use passway_serving::ports::InstanceSettings;
 use passway_standins::platform::documents::with_workspaces;
@@ -11,7 +11,7 @@
 pub const KEY: &str = "k1-asnmgkcuyj8pjbvk9m68";
 
 /// A version with workspaces, and a public route `open` beside the closed ones.
-pub fn closed(version: u64, workspaces: &[Value]) -> Value {
+pub fn keyed_configuration(version: u64, workspaces: &[Value]) -> Value {
     let mut document = with_workspaces(configuration(version, &["m0"]), workspaces);
     let mut open = document["routes"][0].clone();
     open["name"] = "open".into();
@@ -35,14 +35,14 @@
 }
 
 /// Starts an instance with bounds and waits until it is ready.
-pub fn ready(name: &str, store: SocketAddr, bounds: &str) -> Instance {
-    let instance = site::start_with(settings(name, store, bounds));
-    site::until("readiness", || instance.is_ready());
+pub fn start_ready(name: &str, store: SocketAddr, bounds: &str) -> Instance {
+    let instance = cluster::start_with(settings(name, store, bounds));
+    cluster::until("readiness", || instance.is_ready());
     instance
 }
 
 /// What a request with the key is answered, by status and `Retry-After`.
-pub fn status(instance: &Instance, path: &str, id: &str) -> (u16, Option<f64>) {
+pub fn status_with_key(instance: &Instance, path: &str, id: &str) -> (u16, Option<f64>) {
     let head = format!("Authorization: Token {KEY}\r\n");
     let bytes = request("GET", path, id, &head, "");
     let answer = ask(instance.callers_address(), &bytes).expect("an answer");
--- a/tests/all/large_answers.rs
+++ b/tests/all/large_store_answers.rs
@@ -14,9 +14,9 @@
 /// Pieces in which an answer comes.
 const PIECES: usize = 12;
 /// Pause before each.
-const PIECE_PAUSE: Duration = Duration::from_millis(100);
+const PIECE_DELAY: Duration = Duration::from_millis(100);
 /// Longer than a connection to the store may rest.
-const REST: Duration = Duration::from_millis(1_100);
+const IDLE_DURATION: Duration = Duration::from_millis(1_100);
 
 /// Answers every call with an empty list, in pieces.
 fn answer(mut stream: TcpStream, pause: Duration) {
@@ -50,17 +50,17 @@
 
 #[test]
 fn slow_list_is_read() {
-    let (address, _) = store(PIECE_PAUSE);
+    let (address, _) = store(PIECE_DELAY);
     let listing = MetadataStore::new(address).list("op/").expect("a list");
     assert_eq!(listing.revision, 7);
 }
 
 #[test]
-fn rested_connection_unused() {
+fn idle_connection_not_reused() {
     let (address, connections) = store(Duration::ZERO);
     let store = MetadataStore::new(address);
     store.list("op/").expect("a list");
-    std::thread::sleep(REST);
+    std::thread::sleep(IDLE_DURATION);
     store.list("op/").expect("a list");
     assert_eq!(connections.load(Ordering::Relaxed), 2);
 }
--- a/tests/all/hopeless_waits.rs
+++ b/tests/all/late_models.rs
@@ -3,7 +3,7 @@
 //! The pattern: 705 rare models of which 83 lie on no engine's disk; the weight store brings two in ten
 //! seconds, and a request for one of the others waited 3.6 s for nothing, 311 of 3,705 on a calm day.
 
-use crate::site::{self, stream, until};
+use crate::cluster::{self, stream, until};
 use passway_instance::Instance;
 use passway_serving::halls::AllowedRegions;
 use passway_serving::upstreams::{ResidentModel, UpstreamEntry, UpstreamTable};
@@ -14,22 +14,22 @@
 
 /// An instance before an engine that has one model, one on its disk, and one nowhere; a load
 /// from the weight store takes a minute.
-fn place() -> (MetadataStandIn, ModelServer, Instance) {
+fn start() -> (MetadataStandIn, ModelServer, Instance) {
     let store = MetadataStandIn::default();
-    let mut document = site::configuration(1, &["m0", "m1", "m2"]);
+    let mut document = cluster::configuration(1, &["m0", "m1", "m2"]);
     let models = &mut document["services"][1]["engine"]["models"];
     for model in models.as_array_mut().expect("models") {
         model["load_time_s"] = 60.0.into();
     }
     store.put("op/config", &document);
     let engine = ModelServer::start(&store, "i-0", "engines", 2, &["m0"], &["m1"]);
-    let instance = site::ready("one", &store);
+    let instance = cluster::start_ready("one", &store);
     (store, engine, instance)
 }
 
 #[test]
-fn told_when_it_comes() {
-    let (_store, _engine, instance) = place();
+fn refusal_gives_load_time() {
+    let (_store, _engine, instance) = start();
     let address = instance.callers_address();
     let answer = stream(address, "chat", "id1", "m2");
     assert_eq!(answer.status, 503);
@@ -37,8 +37,8 @@
 }
 
 #[test]
-fn waits_for_what_is_near() {
-    let (_store, _engine, instance) = place();
+fn waits_for_cached_model() {
+    let (_store, _engine, instance) = start();
     let address = instance.callers_address();
     assert_eq!(stream(address, "chat", "id1", "m0").status, 200);
     until("the right to order", || instance.fence().is_some());
@@ -47,7 +47,7 @@
 
 /// What has stood on an engine has left a copy there, whoever told of it.
 #[test]
-fn copies_are_remembered() {
+fn unloaded_model_stays_cached() {
     let (service, m0) = ("engines".into(), "m0".into());
     let mut table = UpstreamTable::new("hall0".into());
     assert!(
--- a/tests/all/leaving_upstreams.rs
+++ b/tests/all/leaving_upstreams.rs
@@ -1,8 +1,8 @@
 //! Upstreams that say in their answers that they leave get nothing more from whoever has heard it.
 
+use crate::cluster::{self, ask, list_plain, request, stream, until};
 use crate::saying::{Saying, SayingServer};
 use crate::scrape::metrics;
-use crate::site::{self, ask, list_plain, request, stream, until};
 use passway_instance::Instance;
 use passway_standins::platform::documents::plain_entry;
 use passway_standins::platform::model_server::{Faults, ModelServer};
@@ -10,21 +10,21 @@
 use passway_types::prelude::*;
 
 /// After this an upstream whose entry is missing is forgotten.
-const GONE_TIME: Duration = Duration::from_secs(4);
+const REMOVAL_DELAY: Duration = Duration::from_secs(4);
 /// Within this an instance has heard of an entry.
-const HEARD_TIME: Duration = Duration::from_secs(1);
+const PROPAGATION_DELAY: Duration = Duration::from_secs(1);
 
-fn leaves(status: u16) -> Saying {
+fn leaving_signal(status: u16) -> Saying {
     Saying::line(status, "Server-Leaving: 1")
 }
 
 /// Instances before servers that are all listed as ready.
-fn before(servers: &[&SayingServer], names: &[&str]) -> (MetadataStandIn, Vec<Instance>) {
-    let store = site::store(&[]);
+fn start(servers: &[&SayingServer], names: &[&str]) -> (MetadataStandIn, Vec<Instance>) {
+    let store = cluster::store(&[]);
     for (number, server) in servers.iter().enumerate() {
         list_plain(&store, &format!("i-{number}"), server.address(), "ready");
     }
-    let instances = names.iter().map(|name| site::ready(name, &store));
+    let instances = names.iter().map(|name| cluster::start_ready(name, &store));
     let instances = instances.collect();
     (store, instances)
 }
@@ -42,13 +42,13 @@
 /// Requests reached an engine seconds after it had said in an answer that it leaves: its entry, which said
 /// nothing yet since the store was away, was all that counted.
 #[test]
-fn word_in_answer() {
+fn leaving_signal_in_answer() {
     let (leaving, staying) = (SayingServer::start(), SayingServer::start());
-    let (_store, instances) = before(&[&leaving, &staying], &["one"]);
+    let (_store, instances) = start(&[&leaving, &staying], &["one"]);
     for (path, ids) in [("/read/", "read"), ("/pay/", "pay")] {
         leaving.says(Saying::nothing());
         let before = leaving.count();
-        leaving.says(leaves(200));
+        leaving.says(leaving_signal(200));
         let statuses = send(&instances[0], path, ids, 60);
         assert!(statuses.iter().all(|status| *status == 200));
         assert!(
@@ -61,11 +61,11 @@
 
 /// Whatever an answer is, its word counts: a refusal, a failure, one of a request that may run once.
 #[test]
-fn word_in_any_answer() {
+fn leaving_signal_in_any_answer() {
     for status in [200, 404, 429, 500, 503] {
         let (leaving, staying) = (SayingServer::start(), SayingServer::start());
-        let (_store, instances) = before(&[&leaving, &staying], &["one"]);
-        leaving.says(leaves(status));
+        let (_store, instances) = start(&[&leaving, &staying], &["one"]);
+        leaving.says(leaving_signal(status));
         send(&instances[0], "/read/", "id", 40);
         assert_eq!(leaving.count(), 1, "{status}");
     }
@@ -73,11 +73,11 @@
 
 /// The word stands on a stream's head, and the stream goes on to its end.
 #[test]
-fn word_on_stream() {
-    let store = site::store(&["m0"]);
+fn leaving_signal_on_stream() {
+    let store = cluster::store(&["m0"]);
     let engine = |id| ModelServer::start(&store, id, "engines", 2, &["m0"], &[]);
     let (leaving, staying) = (engine("i-0"), engine("i-1"));
-    let instance = site::ready("one", &store);
+    let instance = cluster::start_ready("one", &store);
     leaving.set_faults(Faults {
         leaves: true,
         ..Faults::default()
@@ -97,15 +97,15 @@
 
 /// One instance hears it, and none sends anything more.
 #[test]
-fn told_to_all() {
+fn leaving_reaches_all_instances() {
     let (leaving, staying) = (SayingServer::start(), SayingServer::start());
-    let (store, instances) = before(&[&leaving, &staying], &["one", "two", "three"]);
-    leaving.says(leaves(200));
+    let (store, instances) = start(&[&leaving, &staying], &["one", "two", "three"]);
+    leaving.says(leaving_signal(200));
     send(&instances[0], "/read/", "first", 40);
     assert_eq!(leaving.count(), 1);
     until("all know", || instances.iter().all(knows));
     // One that comes later is told when it connects.
-    let later = site::ready("four", &store);
+    let later = cluster::start_ready("four", &store);
     until("it knows", || knows(&later));
     for instance in instances.iter().chain([&later]) {
         send(instance, "/read/", "then", 20);
@@ -120,16 +120,16 @@
 /// While the store is away entries lapse and come back as they were, without the word; a new start of the
 /// upstream under its id is another one.
 #[test]
-fn final_for_a_start() {
+fn leaving_is_final_for_a_start() {
     let (leaving, staying) = (SayingServer::start(), SayingServer::start());
-    let (store, instances) = before(&[&leaving, &staying], &["one"]);
-    leaving.says(leaves(200));
+    let (store, instances) = start(&[&leaving, &staying], &["one"]);
+    leaving.says(leaving_signal(200));
     send(&instances[0], "/read/", "first", 40);
     assert_eq!(leaving.count(), 1);
     store.remove("servers/i-0");
-    std::thread::sleep(GONE_TIME);
+    std::thread::sleep(REMOVAL_DELAY);
     list_plain(&store, "i-0", leaving.address(), "ready");
-    std::thread::sleep(HEARD_TIME);
+    std::thread::sleep(PROPAGATION_DELAY);
     send(&instances[0], "/read/", "back", 40);
     assert_eq!(leaving.count(), 1);
     leaving.says(Saying::nothing());
@@ -144,12 +144,12 @@
 
 /// Only the one that leaves has the model: it comes elsewhere although no entry says so.
 #[test]
-fn model_comes_elsewhere() {
-    let store = site::store(&["m0"]);
+fn model_loads_elsewhere() {
+    let store = cluster::store(&["m0"]);
     let engine =
         |id, models: &[&str]| ModelServer::start(&store, id, "engines", 2, models, &["m0"]);
     let (leaving, staying) = (engine("i-0", &["m0"]), engine("i-1", &[]));
-    let instance = site::ready("one", &store);
+    let instance = cluster::start_ready("one", &store);
     until("the right to order", || instance.fence().is_some());
     leaving.set_faults(Faults {
         leaves: true,
--- a/tests/all/limit_words.rs
+++ b/tests/all/limit_signals.rs
@@ -1,7 +1,7 @@
 //! What upstreams say about how much they take: how it is read, and which of two words counts.
 
+use crate::cluster::{self, ask, list_plain, request, until};
 use crate::scrape::metrics;
-use crate::site::{self, ask, list_plain, request, until};
 use passway_serving::headers::Headers;
 use passway_serving::limits::{LimitWord, NamedLimit};
 use passway_serving::ports::Vocabulary;
@@ -41,7 +41,7 @@
 }
 
 /// A word whose request was sent after so many milliseconds, and whose answer came after so many.
-fn word(begun_at: Instant, per_s: Option<f64>, sent_ms: u64, heard_ms: u64) -> LimitWord {
+fn signal(begun_at: Instant, per_s: Option<f64>, sent_ms: u64, heard_ms: u64) -> LimitWord {
     LimitWord {
         per_s,
         sent_at: begun_at + Duration::from_millis(sent_ms),
@@ -50,9 +50,9 @@
 }
 
 #[test]
-fn newer_word_counts() {
+fn newer_signal_wins() {
     let begun_at = passway_types::clock::now();
-    let at = |per_s, sent_ms, heard_ms| word(begun_at, per_s, sent_ms, heard_ms);
+    let at = |per_s, sent_ms, heard_ms| signal(begun_at, per_s, sent_ms, heard_ms);
     let known = at(Some(2.0), 100, 200);
     // Said after the other was heard, whatever it says.
     assert!(at(None, 200, 210).replaces(&known));
@@ -68,7 +68,7 @@
 }
 
 /// What a server says next: the header's line, or none.
-fn saying_server(lines: &'static [&'static str]) -> RawServer {
+fn signalling_server(lines: &'static [&'static str]) -> RawServer {
     RawServer::start(move |received| {
         let id = received.header("request-id").unwrap_or_default();
         let line = lines.get(received.number).copied().unwrap_or_default();
@@ -81,12 +81,12 @@
 
 /// A limit holds for as long as the upstream says so, and a word that cannot be read ends nothing.
 #[test]
-fn heard_in_answers() {
+fn received_in_answers() {
     let lines = &["", "Server-Limit: 400\r\n", "Server-Limit: x\r\n", ""];
-    let server = saying_server(lines);
-    let store = site::store(&[]);
+    let server = signalling_server(lines);
+    let store = cluster::store(&[]);
     list_plain(&store, "i-0", server.address, "ready");
-    let instance = site::ready("one", &store);
+    let instance = cluster::start_ready("one", &store);
     let scrape = || metrics(&instance);
     for (number, limited) in [0, 1, 1, 0].into_iter().enumerate() {
         let bytes = request("GET", "/read/", &format!("id{number}"), "", "");
--- a/tests/all/limited_upstreams.rs
+++ b/tests/all/limited_upstreams.rs
@@ -10,10 +10,10 @@
 //! 160 requests in four seconds. That each instance heeds the word alone would not have been enough: the sum
 //! over all counts, so one of them counts for all.
 
+use crate::cluster::{self, Caller, ask, list_plain, request, stream, until};
 use crate::holder_link::Holder;
 use crate::saying::{Saying, SayingServer};
 use crate::scrape::metrics;
-use crate::site::{self, Caller, ask, list_plain, request, stream, until};
 use passway_instance::Instance;
 use passway_standins::platform::model_server::{Faults, ModelServer};
 use passway_standins::platform::store::MetadataStandIn;
@@ -26,15 +26,15 @@
 /// What may arrive beyond one and a half times the limit.
 const SLACK: f64 = 5.0;
 /// From the first word on until it counts.
-const CONTACT: Duration = Duration::from_secs(3);
+const PROPAGATION_DELAY: Duration = Duration::from_secs(3);
 
-fn name_limit(server: &SayingServer, per_s: Option<f64>) {
+fn advertise_limit(server: &SayingServer, per_s: Option<f64>) {
     let line = per_s.map_or_else(String::new, |per_s| format!("Server-Limit: {per_s}"));
     server.says(Saying::line(200, line));
 }
 
 /// Most arrivals in one of the spans that begin at a moment or later.
-fn most_in_window(arrivals: &[Instant], from: Instant) -> u32 {
+fn max_in_window(arrivals: &[Instant], from: Instant) -> u32 {
     let spans = arrivals.iter().filter(|at| **at >= from).map(|begin| {
         let within = |at: &&Instant| *at >= begin && **at < *begin + WINDOW;
         arrivals.iter().filter(within).count()
@@ -42,8 +42,8 @@
     u32::try_from(spans.max().unwrap_or(0)).expect("a count")
 }
 
-fn kept(arrivals: &[Instant], from: Instant, per_s: f64) {
-    let most = f64::from(most_in_window(arrivals, from));
+fn assert_within_limit(arrivals: &[Instant], from: Instant, per_s: f64) {
+    let most = f64::from(max_in_window(arrivals, from));
     let allowed = 1.5 * per_s * WINDOW.as_secs_f64() + SLACK;
     assert!(most <= allowed, "{most} in a window, allowed {allowed}");
 }
@@ -59,7 +59,7 @@
         let is_over: Arc<AtomicBool> = Arc::default();
         let threads = instances.iter().enumerate().map(|(number, instance)| {
             let (address, is_over) = (instance.callers_address(), is_over.clone());
-            std::thread::spawn(move || ask_on(address, path, number, &is_over))
+            std::thread::spawn(move || request_loop(address, path, number, &is_over))
         });
         let threads = threads.collect();
         Self { is_over, threads }
@@ -75,7 +75,7 @@
     }
 }
 
-fn ask_on(address: SocketAddr, path: &str, caller: usize, is_over: &AtomicBool) -> Vec<u16> {
+fn request_loop(address: SocketAddr, path: &str, caller: usize, is_over: &AtomicBool) -> Vec<u16> {
     let mut connection = Caller::connect(address);
     let mut statuses = Vec::new();
     for number in 0.. {
@@ -92,58 +92,63 @@
 }
 
 /// Three instances before servers of one service.
-fn site(servers: &[SayingServer]) -> (MetadataStandIn, Vec<Instance>) {
-    let store = site::store(&[]);
+fn cluster(servers: &[SayingServer]) -> (MetadataStandIn, Vec<Instance>) {
+    let store = cluster::store(&[]);
     for (number, server) in servers.iter().enumerate() {
         list_plain(&store, &format!("i-{number}"), server.address(), "ready");
     }
     let names = ["one", "two", "three"];
-    let instances = names.map(|name| site::ready(name, &store));
+    let instances = names.map(|name| cluster::start_ready(name, &store));
     (store, instances.into())
 }
 
 /// Lets a server name a limit while callers ask for long enough that it counts. Returns what they got.
-fn play(instances: &[Instance], server: &SayingServer, path: &'static str, per_s: f64) -> Vec<u16> {
+fn run_with_limit(
+    instances: &[Instance],
+    server: &SayingServer,
+    path: &'static str,
+    per_s: f64,
+) -> Vec<u16> {
     let callers = Callers::start(instances, path);
     std::thread::sleep(Duration::from_secs(1));
-    name_limit(server, Some(per_s));
+    advertise_limit(server, Some(per_s));
     let named_at = Instant::now();
-    std::thread::sleep(CONTACT + WINDOW + Duration::from_secs(1));
+    std::thread::sleep(PROPAGATION_DELAY + WINDOW + Duration::from_secs(1));
     let statuses = callers.end();
-    kept(&server.arrivals(), named_at + CONTACT, per_s);
+    assert_within_limit(&server.arrivals(), named_at + PROPAGATION_DELAY, per_s);
     statuses
 }
 
 /// The others carry what one does not take, and callers notice nothing.
-fn one_of_three(path: &'static str) {
+fn limits_one_of_three(path: &'static str) {
     let servers = [
         SayingServer::start(),
         SayingServer::start(),
         SayingServer::start(),
     ];
-    let (_store, instances) = site(&servers);
+    let (_store, instances) = cluster(&servers);
     let begun_at = Instant::now();
-    let statuses = play(&instances, &servers[0], path, 1.1);
+    let statuses = run_with_limit(&instances, &servers[0], path, 1.1);
     assert!(statuses.iter().all(|status| *status == 200));
     // What it takes it gets, or nobody would hear that it is in need no more.
-    assert!(most_in_window(&servers[0].arrivals(), begun_at + CONTACT) > 0);
+    assert!(max_in_window(&servers[0].arrivals(), begun_at + PROPAGATION_DELAY) > 0);
 }
 
 #[test]
 fn repeatable_requests() {
-    one_of_three("/read/");
+    limits_one_of_three("/read/");
 }
 
 #[test]
 fn once_only_requests() {
-    one_of_three("/pay/");
+    limits_one_of_three("/pay/");
 }
 
 /// One request through one instance is enough for all of them to know.
 #[test]
-fn told_to_all() {
+fn limit_reaches_all_instances() {
     let servers = [SayingServer::start()];
-    let (store, instances) = site(&servers);
+    let (store, instances) = cluster(&servers);
     let limited = |instance: &Instance| {
         metrics(instance).contains("\npassway_instance_limited_upstreams 1\n")
     };
@@ -152,13 +157,13 @@
         let answer = ask(instances[0].callers_address(), &bytes);
         answer.expect("an answer").status
     };
-    name_limit(&servers[0], Some(50.0));
+    advertise_limit(&servers[0], Some(50.0));
     assert_eq!(read("first"), 200);
     until("all know", || instances.iter().all(limited));
     // One that comes later is told when it connects.
-    let later = site::ready("four", &store);
+    let later = cluster::start_ready("four", &store);
     until("it knows", || limited(&later));
-    name_limit(&servers[0], None);
+    advertise_limit(&servers[0], None);
     until("it ends", || read("more") == 200 && !limited(&instances[0]));
     until("all know that", || !instances.iter().any(limited));
     until("it knows that", || !limited(&later));
@@ -167,17 +172,17 @@
 /// A limit that falls to a tenth counts as it is now, and one that ends is over although others carry
 /// everything meanwhile.
 #[test]
-fn comes_and_goes() {
+fn limit_changes_and_ends() {
     let servers = [SayingServer::start(), SayingServer::start()];
-    let (_store, instances) = site(&servers);
-    name_limit(&servers[0], Some(20.0));
+    let (_store, instances) = cluster(&servers);
+    advertise_limit(&servers[0], Some(20.0));
     let callers = Callers::start(&instances, "/read/");
-    std::thread::sleep(CONTACT);
-    name_limit(&servers[0], Some(2.0));
+    std::thread::sleep(PROPAGATION_DELAY);
+    advertise_limit(&servers[0], Some(2.0));
     let named_at = Instant::now();
-    std::thread::sleep(CONTACT + WINDOW + Duration::from_secs(1));
-    kept(&servers[0].arrivals(), named_at + CONTACT, 2.0);
-    name_limit(&servers[0], None);
+    std::thread::sleep(PROPAGATION_DELAY + WINDOW + Duration::from_secs(1));
+    assert_within_limit(&servers[0].arrivals(), named_at + PROPAGATION_DELAY, 2.0);
+    advertise_limit(&servers[0], None);
     let arrived = servers[0].arrivals().len();
     until("as much as before", || {
         servers[0].arrivals().len() > arrived + 100
@@ -188,15 +193,15 @@
 /// Where nobody else serves, callers are told at once when to come back, each server gets what it takes, and
 /// nothing that it does not take is counted against it.
 #[test]
-fn all_in_need() {
+fn all_upstreams_limited() {
     let servers = [SayingServer::start(), SayingServer::start()];
-    let (_store, instances) = site(&servers);
+    let (_store, instances) = cluster(&servers);
     for server in &servers {
-        name_limit(server, Some(3.0));
+        advertise_limit(server, Some(3.0));
     }
     let callers = Callers::start(&instances, "/pay/");
     let named_at = Instant::now();
-    std::thread::sleep(CONTACT + WINDOW + Duration::from_secs(1));
+    std::thread::sleep(PROPAGATION_DELAY + WINDOW + Duration::from_secs(1));
     // More at a time than the two take before their waits are over.
     let address = instances[0].callers_address();
     let askers = (0..40).map(|number| {
@@ -218,12 +223,12 @@
     let statuses = callers.end();
     assert!(statuses.iter().all(|status| [200, 503].contains(status)));
     for server in &servers {
-        kept(&server.arrivals(), named_at + CONTACT, 3.0);
-        assert!(most_in_window(&server.arrivals(), named_at + CONTACT) >= 3);
+        assert_within_limit(&server.arrivals(), named_at + PROPAGATION_DELAY, 3.0);
+        assert!(max_in_window(&server.arrivals(), named_at + PROPAGATION_DELAY) >= 3);
     }
     // Both take anything again, and get it.
     for server in &servers {
-        name_limit(server, None);
+        advertise_limit(server, None);
     }
     let arrived = servers.each_ref().map(|server| server.arrivals().len());
     let mut ids = 0..;
@@ -239,17 +244,17 @@
 /// Streams that break off at one engine go on at the one in need as often as it takes requests.
 #[test]
 fn resumed_streams() {
-    let store = site::store(&["m0"]);
+    let store = cluster::store(&["m0"]);
     let engine = |id| ModelServer::start(&store, id, "engines", 2, &["m0"], &[]);
     let (needy, breaking) = (engine("i-0"), engine("i-1"));
-    let instances = ["one", "two"].map(|name| site::ready(name, &store));
+    let instances = ["one", "two"].map(|name| cluster::start_ready(name, &store));
     needy.set_faults(Faults {
         limit_per_s: Some(1.0),
         ..Faults::default()
     });
     let begun_at = Instant::now();
     let mut asked = 0;
-    while begun_at.elapsed() < CONTACT + WINDOW + Duration::from_secs(1) {
+    while begun_at.elapsed() < PROPAGATION_DELAY + WINDOW + Duration::from_secs(1) {
         breaking.set_faults(Faults {
             cuts_after: Some(2),
             ..Faults::default()
@@ -258,20 +263,20 @@
         stream(address, "chat", &format!("id{asked}"), "m0");
         asked += 1;
     }
-    kept(&needy.run_at(), begun_at + CONTACT, 1.0);
+    assert_within_limit(&needy.run_at(), begun_at + PROPAGATION_DELAY, 1.0);
     assert!(needy.run_at().len() > 1);
 }
 
 /// Nobody counts, and the instance was never told how many there are: the upstream in need gets nothing
 /// more, and callers are refused, not held until their time is over.
 #[test]
-fn nobody_counts() {
+fn no_coordinator() {
     let servers = [SayingServer::start()];
-    let store = site::store(&[]);
+    let store = cluster::store(&[]);
     list_plain(&store, "i-0", servers[0].address(), "ready");
     let _silent = Holder::begin(&store);
-    let instance = site::ready("one", &store);
-    name_limit(&servers[0], Some(1.0));
+    let instance = cluster::start_ready("one", &store);
+    advertise_limit(&servers[0], Some(1.0));
     let statuses = (0..4).map(|number| {
         let bytes = request("GET", "/read/", &format!("id{number}"), "", "");
         ask(instance.callers_address(), &bytes)
--- a/tests/all/log_lines.rs
+++ b/tests/all/log_lines.rs
@@ -1,7 +1,7 @@
 //! Logs of instances on the users' platform: their volume, a reader that does not read,
 //! and a request's story out of them.
 
-use crate::site::{self, Answer, Caller, ask, list_plain, plain_server, request, until};
+use crate::cluster::{self, Answer, Caller, ask, list_plain, plain_server, request, until};
 use expect_test::expect;
 use passway_ctl::commands::trace;
 use passway_process::logging::volume::{LineClass, VolumeBound};
@@ -64,7 +64,7 @@
 
 /// An instance whose lines nobody reads, beside a plain server; it has answered once.
 fn unread(name: &str) -> Program {
-    let store = site::store(&[]);
+    let store = cluster::store(&[]);
     let server = plain_server();
     list_plain(&store, "i-0", server.address, "ready");
     let arguments = ["--log-level", "debug", "--log-lines-per-s", "1000000"];
--- a/tests/all/model_orders.rs
+++ b/tests/all/model_orders.rs
@@ -1,7 +1,7 @@
 //! Models come to where they are asked for, by one holder's orders.
 
+use crate::cluster::{self, stream, until};
 use crate::planned::{Planned, resident};
-use crate::site::{self, stream, until};
 use passway_serving::ports::{EngineReport, OrderAction, OrderAnswer};
 use passway_serving::upstreams::{ModelRef, ResidentModel};
 use passway_standins::platform::model_server::{EVENTS, Faults, ModelServer, event};
@@ -13,9 +13,9 @@
 
 #[test]
 fn rare_model_comes() {
-    let store = site::store(&["m0", "m1", "m2"]);
+    let store = cluster::store(&["m0", "m1", "m2"]);
     let server = ModelServer::start(&store, "i-0", "engines", 2, &["m0", "m1"], &["m2"]);
-    let instance = site::ready("one", &store);
+    let instance = cluster::start_ready("one", &store);
     until("the right to order", || instance.fence().is_some());
     let answer = stream(instance.callers_address(), "report", "r1", "m2");
     assert_eq!((answer.status, answer.whole), (200, true));
@@ -28,9 +28,9 @@
 
 #[test]
 fn adapter_comes() {
-    let store = site::store(&["m0"]);
+    let store = cluster::store(&["m0"]);
     let server = ModelServer::start(&store, "i-0", "engines", 2, &["m0"], &[]);
-    let instance = site::ready("one", &store);
+    let instance = cluster::start_ready("one", &store);
     until("the right to order", || instance.fence().is_some());
     for adapter in ["a1", "a2", "a3", "a1"] {
         let answer = stream(
@@ -57,9 +57,9 @@
 
 #[test]
 fn lost_order_answer() {
-    let store = site::store(&["m0", "m1", "m2"]);
+    let store = cluster::store(&["m0", "m1", "m2"]);
     let server = ModelServer::start(&store, "i-0", "engines", 2, &["m0", "m1"], &["m2"]);
-    let instance = site::ready("one", &store);
+    let instance = cluster::start_ready("one", &store);
     until("the right to order", || instance.fence().is_some());
     server.set_faults(Faults {
         loses_answer: true,
@@ -73,11 +73,11 @@
 
 #[test]
 fn stream_resumes() {
-    let store = site::store(&["m0"]);
+    let store = cluster::store(&["m0"]);
     let one = ModelServer::start(&store, "i-0", "engines", 2, &["m0"], &[]);
     let two = ModelServer::start(&store, "i-1", "engines", 2, &["m0"], &[]);
-    let instance = site::ready("one", &store);
-    until("a repeat to spend", || instance.may_repeat("engines"));
+    let instance = cluster::start_ready("one", &store);
+    until("a repeat to spend", || instance.has_spare_retry("engines"));
     for server in [&one, &two] {
         server.set_faults(Faults {
             cuts_after: Some(2),
@@ -95,9 +95,9 @@
 
 #[test]
 fn broken_stream_not_whole() {
-    let store = site::store(&["m0"]);
+    let store = cluster::store(&["m0"]);
     let server = ModelServer::start(&store, "i-0", "engines", 2, &["m0"], &[]);
-    let instance = site::ready("one", &store);
+    let instance = cluster::start_ready("one", &store);
     server.set_faults(Faults {
         cuts_after: Some(2),
         ..Faults::default()
@@ -110,9 +110,12 @@
 
 #[test]
 fn one_holder_at_a_time() {
-    let store = site::store(&["m0", "m1", "m2", "m3"]);
+    let store = cluster::store(&["m0", "m1", "m2", "m3"]);
     let server = ModelServer::start(&store, "i-0", "engines", 2, &["m0", "m1"], &["m2", "m3"]);
-    let instances = [site::ready("one", &store), site::ready("two", &store)];
+    let instances = [
+        cluster::start_ready("one", &store),
+        cluster::start_ready("two", &store),
+    ];
     until("a holder", || instances.iter().any(|i| i.fence().is_some()));
     let first = instances
         .iter()
@@ -296,11 +299,11 @@
 
 #[test]
 fn silent_server_left() {
-    let store = site::store(&["m0"]);
+    let store = cluster::store(&["m0"]);
     let one = ModelServer::start(&store, "i-0", "engines", 2, &["m0"], &[]);
     let two = ModelServer::start(&store, "i-1", "engines", 2, &["m0"], &[]);
-    let instance = site::ready("one", &store);
-    until("a repeat to spend", || instance.may_repeat("engines"));
+    let instance = cluster::start_ready("one", &store);
+    until("a repeat to spend", || instance.has_spare_retry("engines"));
     // Whichever is first falls silent after two events; its connection stays open.
     for server in [&one, &two] {
         server.set_faults(Faults {
@@ -354,9 +357,9 @@
 #[test]
 fn silent_server_kept() {
     // Nobody else has the model: its silence ends nothing sooner.
-    let store = site::store(&["m0"]);
+    let store = cluster::store(&["m0"]);
     let server = ModelServer::start(&store, "i-0", "engines", 2, &["m0"], &[]);
-    let instance = site::ready("one", &store);
+    let instance = cluster::start_ready("one", &store);
     server.set_faults(Faults {
         pause_after: Some(2),
         ..Faults::default()
--- a/tests/all/outage_terms.rs
+++ b/tests/all/outage_terms.rs
@@ -1,6 +1,6 @@
 //! The holder of the right to order goes on while nobody reaches the store.
 
-use crate::site::{self, until};
+use crate::cluster::{self, until};
 use passway_standins::platform::model_server::ModelServer;
 use passway_standins::platform::store::{Faults, MetadataStandIn};
 use passway_types::prelude::*;
@@ -18,13 +18,13 @@
 }
 
 fn plays_outage(faults: Faults) {
-    let store = site::store(&["m0", "m1", "m2", "m3"]);
+    let store = cluster::store(&["m0", "m1", "m2", "m3"]);
     let server = ModelServer::start(&store, "i-0", "engines", 2, &["m0", "m1"], &["m2", "m3"]);
     let address = store.serve();
     let instances = ["one", "two", "three"].map(|name| {
-        let mut settings = site::settings(name, address);
+        let mut settings = cluster::settings(name, address);
         settings.bounds.shortest_lease = LEASE;
-        site::start_with(settings)
+        cluster::start_with(settings)
     });
     for instance in &instances {
         until("readiness", || instance.is_ready());
@@ -34,13 +34,13 @@
     until("a list of candidates", || lists_candidates(&store));
     let first = (0..3).find(holds).expect("a holder");
     let other = instances[(first + 1) % 3].callers_address();
-    assert_eq!(site::stream(other, "report", "r1", "m2").status, 200);
+    assert_eq!(cluster::stream(other, "report", "r1", "m2").status, 200);
 
     store.set_faults(faults);
     std::thread::sleep(LONG_OUTAGE);
     // The model stands nowhere, so somebody must order, and nobody can ask the store.
-    assert_eq!(site::stream(other, "report", "r2", "m3").status, 200);
-    assert_eq!(site::stream(other, "report", "r3", "m0").status, 200);
+    assert_eq!(cluster::stream(other, "report", "r2", "m3").status, 200);
+    assert_eq!(cluster::stream(other, "report", "r3", "m0").status, 200);
     let holders = (0..3).filter(holds).count();
     assert!(holders <= 1, "{holders} holders");
 
@@ -48,7 +48,7 @@
     until("a holder by the store's word", || {
         store.get("passway/holder").is_some() && (0..3).any(|number| holds(&number))
     });
-    assert_eq!(site::stream(other, "report", "r4", "m2").status, 200);
+    assert_eq!(cluster::stream(other, "report", "r4", "m2").status, 200);
     assert_eq!(server.over_limit(), 0);
 }
 
--- a/tests/all/pass_through.rs
+++ b/tests/all/pass_through.rs
@@ -1,6 +1,6 @@
 //! Requests and answers pass through whole and unchanged, or not at all.
 
-use crate::site::{self, Caller, ask, list_plain, request, until};
+use crate::cluster::{self, Caller, ask, list_plain, request, until};
 use passway_instance::Instance;
 use passway_standins::platform::caller::HOST;
 use passway_standins::platform::model_server::{Faults, ModelServer};
@@ -29,12 +29,12 @@
 }
 
 /// An instance before servers of scripted bytes.
-fn before(servers: &[&RawServer]) -> (MetadataStandIn, Instance) {
-    let store = site::store(&[]);
+fn start(servers: &[&RawServer]) -> (MetadataStandIn, Instance) {
+    let store = cluster::store(&[]);
     for (number, server) in servers.iter().enumerate() {
         list_plain(&store, &format!("i-{number}"), server.address, "ready");
     }
-    let instance = site::ready("one", &store);
+    let instance = cluster::start_ready("one", &store);
     (store, instance)
 }
 
@@ -45,7 +45,7 @@
 #[test]
 fn byte_for_byte() {
     let server = answering();
-    let (_store, instance) = before(&[&server]);
+    let (_store, instance) = start(&[&server]);
     let more = "X-One: a  b\r\nX-Two: 1\r\nX-Two: 2\r\nCookie: k=v\r\n";
     let bytes = request("PUT", "/read/a%20b/../c?q=%41&&r", "id1", more, "b\0dy");
     let answer = ask(instance.callers_address(), &bytes).expect("an answer");
@@ -74,9 +74,9 @@
 }
 
 #[test]
-fn own_headers_dropped() {
+fn internal_headers_dropped() {
     let server = answering();
-    let (_store, instance) = before(&[&server]);
+    let (_store, instance) = start(&[&server]);
     let forged = "Hold: 1\r\nPin-Ms: 9\r\nKv-Backup: 1\r\nkv-from: 2\r\nExpect-Instance: x\r\nConnection: X-Gone\r\nX-Gone: 1\r\n";
     ask(
         instance.callers_address(),
@@ -99,7 +99,7 @@
 #[test]
 fn chunked_body() {
     let server = answering();
-    let (_store, instance) = before(&[&server]);
+    let (_store, instance) = start(&[&server]);
     let bytes = format!(
         "POST /read/ HTTP/1.1\r\nHost: {HOST}:80\r\nRequest-Id: c\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n"
     );
@@ -113,7 +113,7 @@
 #[test]
 fn smuggling_refused() {
     let server = answering();
-    let (_store, instance) = before(&[&server]);
+    let (_store, instance) = start(&[&server]);
     let framings = [
         "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
         "Content-Length: 3\r\nContent-Length: 4\r\n",
@@ -136,9 +136,9 @@
 }
 
 #[test]
-fn half_sent_not_passed() {
+fn half_sent_not_forwarded() {
     let server = answering();
-    let (_store, instance) = before(&[&server]);
+    let (_store, instance) = start(&[&server]);
     let mut caller = Caller::connect(instance.callers_address());
     let bytes = request("POST", "/pay/", "h", "", "whole body");
     caller.send(&bytes[..bytes.len() - 4]);
@@ -154,7 +154,7 @@
 #[test]
 fn no_route() {
     let server = answering();
-    let (_store, instance) = before(&[&server]);
+    let (_store, instance) = start(&[&server]);
     let answer = ask(
         instance.callers_address(),
         &request("GET", "/none/", "n", "", ""),
@@ -164,12 +164,12 @@
 }
 
 #[test]
-fn short_body_not_whole() {
+fn short_body_not_delivered() {
     let server = RawServer::start(|received| {
         let answer = whole(received, "0123456789");
         vec![send(&answer[..answer.len() - 3]), Step::Close]
     });
-    let (_store, instance) = before(&[&server]);
+    let (_store, instance) = start(&[&server]);
     let answer = ask(
         instance.callers_address(),
         &request("POST", "/pay/", "p", "", ""),
@@ -180,9 +180,9 @@
 }
 
 #[test]
-fn garbage_is_no_answer() {
+fn invalid_answer_not_delivered() {
     let server = RawServer::start(|_| vec![send("SSH-2.0-x\r\n\r\n"), Step::Close]);
-    let (_store, instance) = before(&[&server]);
+    let (_store, instance) = start(&[&server]);
     let answer = ask(
         instance.callers_address(),
         &request("POST", "/pay/", "p", "", ""),
@@ -192,14 +192,14 @@
 }
 
 #[test]
-fn unsealed_success() {
+fn unsealed_success_not_delivered() {
     let server = RawServer::start(|received| {
         let id = id_of(received);
         vec![send(format!(
             "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nContent-Length: 2\r\n\r\nno"
         ))]
     });
-    let (_store, instance) = before(&[&server]);
+    let (_store, instance) = start(&[&server]);
     let answer = ask(
         instance.callers_address(),
         &request("POST", "/pay/", "p", "", ""),
@@ -208,12 +208,12 @@
 }
 
 #[test]
-fn surplus_never_passed() {
+fn surplus_answer_not_delivered() {
     let server = RawServer::start(|received| {
         let surplus = "HTTP/1.1 200 OK\r\nRequest-Id: x\r\nResponse-Seal: x\r\nContent-Length: 5\r\n\r\nwrong";
         vec![send(whole(received, "mine") + surplus)]
     });
-    let (_store, instance) = before(&[&server]);
+    let (_store, instance) = start(&[&server]);
     for number in 0..6 {
         let bytes = request("GET", "/read/", &format!("id{number}"), "", "");
         let answer = ask(instance.callers_address(), &bytes).expect("an answer");
@@ -229,7 +229,7 @@
         let late = "HTTP/1.1 200 OK\r\nRequest-Id: old\r\nResponse-Seal: s\r\nContent-Length: 3\r\n\r\nold";
         vec![send(late.to_owned() + &whole(received, "mine"))]
     });
-    let (_store, instance) = before(&[&server]);
+    let (_store, instance) = start(&[&server]);
     let answer = ask(
         instance.callers_address(),
         &request("POST", "/pay/", "p", "", ""),
@@ -248,7 +248,7 @@
             "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Seal: s\r\nContent-Length: 1\r\n\r\ny"
         ))]
     });
-    let (_store, instance) = before(&[&server]);
+    let (_store, instance) = start(&[&server]);
     let body = "x".repeat(60_000);
     let answer = ask(
         instance.callers_address(),
@@ -259,12 +259,12 @@
 }
 
 #[test]
-fn not_run_goes_elsewhere() {
+fn not_run_tried_elsewhere() {
     let full = RawServer::start(|received| vec![send(not_run(received))]);
     let fine = answering();
-    let (_store, instance) = before(&[&full, &fine]);
+    let (_store, instance) = start(&[&full, &fine]);
     for number in 0..4 {
-        until("a repeat to spend", || instance.may_repeat("plain"));
+        until("a repeat to spend", || instance.has_spare_retry("plain"));
         let bytes = request("POST", "/pay/", &format!("id{number}"), "", "");
         let answer = ask(instance.callers_address(), &bytes);
         assert_eq!(answer.map(|answer| answer.status), Some(200));
@@ -273,9 +273,9 @@
 }
 
 #[test]
-fn refused_with_hint() {
+fn refusal_has_retry_after() {
     let full = RawServer::start(|received| vec![send(not_run(received))]);
-    let (_store, instance) = before(&[&full]);
+    let (_store, instance) = start(&[&full]);
     let answer = ask(
         instance.callers_address(),
         &request("POST", "/pay/", "p", "", ""),
@@ -287,10 +287,10 @@
 }
 
 #[test]
-fn once_only_runs_once() {
+fn run_once_not_repeated() {
     let breaks = || RawServer::start(|_| vec![Step::Close]);
     let (one, two) = (breaks(), breaks());
-    let (_store, instance) = before(&[&one, &two]);
+    let (_store, instance) = start(&[&one, &two]);
     let answer = ask(
         instance.callers_address(),
         &request("POST", "/pay/", "p", "", "x"),
@@ -300,12 +300,12 @@
 }
 
 #[test]
-fn repeatable_runs_again() {
+fn repeatable_is_repeated() {
     let breaks = RawServer::start(|_| vec![Step::Close]);
     let fine = answering();
-    let (_store, instance) = before(&[&breaks, &fine]);
+    let (_store, instance) = start(&[&breaks, &fine]);
     for number in 0..4 {
-        until("a repeat to spend", || instance.may_repeat("plain"));
+        until("a repeat to spend", || instance.has_spare_retry("plain"));
         let bytes = request("GET", "/read/", &format!("id{number}"), "", "");
         let answer = ask(instance.callers_address(), &bytes);
         assert_eq!(answer.map(|answer| answer.status), Some(200));
@@ -313,14 +313,14 @@
 }
 
 #[test]
-fn failure_unchanged() {
+fn failure_delivered_unchanged() {
     let server = RawServer::start(|received| {
         let id = id_of(received);
         vec![send(format!(
             "HTTP/1.1 500 Oh\r\nRequest-Id: {id}\r\nResponse-Seal: f\r\nContent-Length: 3\r\n\r\nbad"
         ))]
     });
-    let (_store, instance) = before(&[&server]);
+    let (_store, instance) = start(&[&server]);
     let answer = ask(
         instance.callers_address(),
         &request("POST", "/pay/", "p", "", ""),
@@ -333,7 +333,7 @@
 #[test]
 fn caller_leaves() {
     let server = RawServer::start(|_| vec![Step::Pause(Duration::from_mins(1))]);
-    let (_store, instance) = before(&[&server]);
+    let (_store, instance) = start(&[&server]);
     let mut caller = Caller::connect(instance.callers_address());
     caller.send(&request("GET", "/read/", "g", "", ""));
     until("the request", || server.received().len() == 1);
@@ -343,9 +343,9 @@
 }
 
 #[test]
-fn kept_connections() {
+fn connections_reused() {
     let server = answering();
-    let (_store, instance) = before(&[&server]);
+    let (_store, instance) = start(&[&server]);
     let mut caller = Caller::connect(instance.callers_address());
     for number in 0..5 {
         caller.send(&request("POST", "/pay/", &format!("id{number}"), "", "x"));
@@ -357,7 +357,7 @@
 }
 
 #[test]
-fn stop_finishes() {
+fn stop_finishes_requests() {
     let (release, released) = crossbeam::channel::bounded::<()>(0);
     let server = RawServer::start(move |received| {
         if id_of(received) == "p" {
@@ -366,7 +366,7 @@
         }
         vec![send(whole(received, "done"))]
     });
-    let (_store, instance) = before(&[&server]);
+    let (_store, instance) = start(&[&server]);
     let address = instance.callers_address();
     let mut kept = Caller::connect(address);
     let mut resting = Caller::connect(address);
@@ -402,14 +402,14 @@
 }
 
 #[test]
-fn unframed_break_shows() {
-    let store = site::store(&["m0"]);
+fn unframed_break_resets() {
+    let store = cluster::store(&["m0"]);
     let engine = ModelServer::start(&store, "e0", "engines", 1, &["m0"], &[]);
     engine.set_faults(Faults {
         cuts_after: Some(2),
         ..Faults::default()
     });
-    let instance = site::ready("one", &store);
+    let instance = cluster::start_ready("one", &store);
     let mut caller = Caller::connect(instance.callers_address());
     let head = "Host: shop.example\r\nRequest-Id: u\r\nModel: m0\r\nContent-Length: 0\r\n";
     caller.send(format!("POST /report/ HTTP/1.0\r\n{head}\r\n").as_bytes());
@@ -419,13 +419,13 @@
 }
 
 #[test]
-fn abandoned_is_reset() {
+fn abandoned_request_reset() {
     // A reset takes back what has not arrived; a plain close would send it on.
     let listener = std::net::TcpListener::bind(("127.0.0.1", 0)).expect("binding");
-    let store = site::store(&[]);
+    let store = cluster::store(&[]);
     let address = listener.local_addr().expect("an address");
     list_plain(&store, "i-0", address, "ready");
-    let instance = site::ready("one", &store);
+    let instance = cluster::start_ready("one", &store);
     let mut caller = Caller::connect(instance.callers_address());
     caller.send(&request("POST", "/pay/", "p", "", "x"));
     let (mut late, _) = listener.accept().expect("a connection");
@@ -438,7 +438,7 @@
 #[test]
 fn missing_headers() {
     let server = answering();
-    let (_store, instance) = before(&[&server]);
+    let (_store, instance) = start(&[&server]);
     // No host: no route can be found, and nothing is held afterwards.
     let bytes = b"GET /read/ HTTP/1.1\r\nRequest-Id: n\r\n\r\n";
     let answer = ask(instance.callers_address(), bytes);
--- a/tests/all/placement_faults/engine.rs
+++ b/tests/all/placement_faults/engine.rs
@@ -9,7 +9,7 @@
 use passway_types::prelude::*;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Models that fit on an engine, and adapters, as `site::configuration` says.
+/// Models that fit on an engine, and adapters, as `cluster::configuration` says.
 const PLACES: usize = 2;
 const ADAPTER_PLACES: usize = 2;
 /// How old a report's state is.
--- a/tests/all/placement_faults/matter.rs
+++ b/tests/all/placement_faults/matter.rs
@@ -1,6 +1,6 @@
 //! What a run is about: its models and its configuration.
 
-use crate::site;
+use crate::cluster;
 use passway_serving::ports::{Directory, StoredValue};
 use passway_serving::routes::RouteTable;
 use passway_users_platform::PlatformDirectory;
@@ -31,7 +31,7 @@
     }
 
     pub(super) fn table(self) -> RouteTable {
-        let mut file = site::configuration(1, self.models());
+        let mut file = cluster::configuration(1, self.models());
         if self == Self::Ceiling {
             file["services"][1]["engine"]["loads_per_s"] = LOADS_PER_S.into();
         }
--- a/tests/all/planned.rs
+++ b/tests/all/planned.rs
@@ -1,6 +1,6 @@
 //! A planner with one engine, in virtual time.
 
-use crate::site::{self, PATIENCE};
+use crate::cluster::{self, PATIENCE};
 use passway_serving::placement::policy::PolicyName;
 use passway_serving::placement::{Action, PlannedOrder, Planner, USUAL_LOAD_WINDOW, Waiters};
 use passway_serving::ports::{Directory, EngineReport, OrderAnswer, StoredValue};
@@ -55,7 +55,7 @@
     pub fn new() -> Self {
         let value = StoredValue {
             key: "op/config".into(),
-            value: site::configuration(1, &["m0", "m1", "m2", "m3"])
+            value: cluster::configuration(1, &["m0", "m1", "m2", "m3"])
                 .to_string()
                 .into(),
             revision: 1,
--- a/tests/all/platform_soak.rs
+++ b/tests/all/platform_soak.rs
@@ -4,7 +4,7 @@
 //! `PASSWAY_SOAK_STEPS` sets its length, `PASSWAY_SOAK_SEED` the seed. What must hold is
 //! judged from the stand-ins' ledgers and the callers' answers, never from times.
 
-use crate::site::{self, ask, list_plain, request, until};
+use crate::cluster::{self, ask, list_plain, request, until};
 use crate::support::from_environment;
 use passway_instance::Instance;
 use passway_standins::platform::model_server::{self, EVENTS, ModelServer, event};
@@ -97,14 +97,14 @@
 }
 
 fn start_two(store: &MetadataStandIn) -> [Instance; 2] {
-    ["one", "two"].map(|name| site::ready(name, store))
+    ["one", "two"].map(|name| cluster::start_ready(name, store))
 }
 
 #[test]
 fn random_faults() {
     let steps = from_environment("PASSWAY_SOAK_STEPS", DEFAULT_STEPS);
     let mut rng = ChaCha8Rng::seed_from_u64(from_environment("PASSWAY_SOAK_SEED", 1));
-    let store = site::store(&MODELS);
+    let store = cluster::store(&MODELS);
     let plains = [plain(), plain()];
     for (number, server) in plains.iter().enumerate() {
         list_plain(&store, &format!("p-{number}"), server.address, "ready");
@@ -133,7 +133,7 @@
             let which = rng.random_range(0..2);
             instances[which].stop();
             store.set_faults(Faults::default());
-            instances[which] = site::ready(["one", "two"][which], &store);
+            instances[which] = cluster::start_ready(["one", "two"][which], &store);
         }
         for part in 0..4 {
             let number = step * 4 + part;
--- a/tests/all/poison_late_ports.rs
+++ b/tests/all/poison_late_ports.rs
@@ -1,6 +1,6 @@
 //! Requests that crash engines whose ports close a little after their connections.
 
-use crate::site::{self, ask, request, until};
+use crate::cluster::{self, ask, request, until};
 use passway_standins::platform::model_server::{Faults, ModelServer, Models};
 use passway_types::prelude::*;
 use std::io::{Read, Write};
@@ -59,7 +59,7 @@
 /// forgotten.
 #[test]
 fn end_seen_later() {
-    let store = site::store(&["m0"]);
+    let store = cluster::store(&["m0"]);
     let engines = (0..8).map(|number| {
         let models = Models {
             places: 1,
@@ -75,7 +75,7 @@
         engine
     });
     let engines: Vec<_> = engines.collect();
-    let instance = site::ready("one", &store);
+    let instance = cluster::start_ready("one", &store);
     let mut ids = 0..;
     until("it is refused", || {
         let id = format!("p{:?}", ids.next());
--- a/tests/all/poison_open_ports.rs
+++ b/tests/all/poison_open_ports.rs
@@ -5,7 +5,7 @@
 //! if nothing counted crashes, and a fifth of all other requests failed. Cause: the only evidence of a
 //! crash was a port that refuses a connection right after the break.
 
-use crate::site::{self, ask, configuration, request, until};
+use crate::cluster::{self, ask, configuration, request, until};
 use passway_instance::Instance;
 use passway_standins::platform::model_server::{Faults, ModelServer};
 use passway_standins::platform::store::MetadataStandIn;
@@ -42,7 +42,7 @@
 }
 
 fn world() -> World {
-    let store = site::store(&["m0"]);
+    let store = cluster::store(&["m0"]);
     store.put("op/config", &with_repeatable(configuration(1, &["m0"])));
     let engines = (0..10).map(|number| {
         let id = format!("i-{number}");
@@ -56,9 +56,9 @@
         engine
     });
     let engines = engines.collect();
-    let instances = ["one", "two", "three"].map(|name| site::ready(name, &store));
+    let instances = ["one", "two", "three"].map(|name| cluster::start_ready(name, &store));
     for instance in &instances {
-        until("a repeat to spend", || instance.may_repeat("engines"));
+        until("a repeat to spend", || instance.has_spare_retry("engines"));
     }
     World {
         _store: store,
--- a/tests/all/poison_requests.rs
+++ b/tests/all/poison_requests.rs
@@ -7,7 +7,7 @@
 //! that one input does was judged by each arrival alone. What proved it: the lines of the broken runs
 //! carry the same digest of caller, path and body under different ids, with one run and a living engine each.
 
-use crate::site::{self, Answer, Caller, ask, request, until};
+use crate::cluster::{self, Answer, Caller, ask, request, until};
 use passway_instance::Instance;
 use passway_standins::platform::caller::HOST;
 use passway_standins::platform::model_server::{Faults, ModelServer};
@@ -22,7 +22,7 @@
 
 /// A store and engines that all have the model and crash on [`POISON`].
 fn engines(count: usize) -> (MetadataStandIn, Vec<ModelServer>) {
-    let store = site::store(&["m0"]);
+    let store = cluster::store(&["m0"]);
     let engines = (0..count).map(|number| {
         let id = format!("i-{number}");
         let engine = ModelServer::start(&store, &id, "engines", 1, &["m0"], &[]);
@@ -73,8 +73,8 @@
 
 fn crashes_three(route: &str) {
     let (store, engines) = engines(8);
-    let instance = site::ready("one", &store);
-    until("a repeat to spend", || instance.may_repeat("engines"));
+    let instance = cluster::start_ready("one", &store);
+    until("a repeat to spend", || instance.has_spare_retry("engines"));
     for number in 0..engines.len() {
         send(&instance, route, &format!("p{number}"), POISON);
         let other = send(&instance, "chat", &format!("o{number}"), "{}");
@@ -91,7 +91,7 @@
 #[test]
 fn known_at_other_instances() {
     let (store, engines) = engines(8);
-    let instances = ["one", "two"].map(|name| site::ready(name, &store));
+    let instances = ["one", "two"].map(|name| cluster::start_ready(name, &store));
     for number in 0..MOST_ENDS {
         send(&instances[0], "report", &format!("p{number}"), POISON);
     }
@@ -109,7 +109,7 @@
 #[test]
 fn known_from_other_addresses() {
     let (store, engines) = engines(8);
-    let instance = site::ready("one", &store);
+    let instance = cluster::start_ready("one", &store);
     for last in 1..=8 {
         let from = SocketAddr::from(([127, 0, 0, last], 0));
         let to = instance.callers_address();
@@ -125,13 +125,13 @@
 #[test]
 fn two_crashes_kept() {
     let (store, engines) = engines(8);
-    let before = site::ready("one", &store);
+    let before = cluster::start_ready("one", &store);
     for number in 0..2 {
         send(&before, "report", &format!("p{number}"), POISON);
     }
     until("it is kept", || store.get("passway/poison").is_some());
     before.stop();
-    let after = site::ready("two", &store);
+    let after = cluster::start_ready("two", &store);
     for number in 0..3 {
         send(&after, "report", &format!("q{number}"), POISON);
     }
@@ -142,7 +142,7 @@
 #[test]
 fn cleared_by_operator() {
     let (store, engines) = engines(8);
-    let instances = ["one", "two"].map(|name| site::ready(name, &store));
+    let instances = ["one", "two"].map(|name| cluster::start_ready(name, &store));
     for number in 0..MOST_ENDS {
         send(&instances[0], "report", &format!("p{number}"), POISON);
     }
@@ -155,7 +155,7 @@
     }
     for instance in &instances {
         // The engines that have crashed are still listed.
-        until("a repeat to spend", || instance.may_repeat("engines"));
+        until("a repeat to spend", || instance.has_spare_retry("engines"));
         assert_eq!(send(instance, "report", "p", POISON).status, 200);
     }
 }
@@ -163,14 +163,14 @@
 #[test]
 fn known_after_restarts() {
     let (store, engines) = engines(8);
-    let before = site::ready("one", &store);
+    let before = cluster::start_ready("one", &store);
     for number in 0..MOST_ENDS {
         send(&before, "report", &format!("p{number}"), POISON);
     }
     until("it is kept", || store.get("passway/poison").is_some());
     before.stop();
     // Nobody is left who knows it, and it is the first request of all.
-    let after = site::ready("two", &store);
+    let after = cluster::start_ready("two", &store);
     assert_eq!(send(&after, "report", "p", POISON).status, 503);
     assert_eq!(ended(&engines), MOST_ENDS);
 }
@@ -183,7 +183,7 @@
     let names = [
         "one", "two", "three", "four", "five", "six", "seven", "eight",
     ];
-    let instances = names.map(|name| site::ready(name, &store));
+    let instances = names.map(|name| cluster::start_ready(name, &store));
     for number in 0..MOST_ENDS - 1 {
         send(&instances[0], "report", &format!("p{number}"), POISON);
     }
--- a/tests/all/poison_turns.rs
+++ b/tests/all/poison_turns.rs
@@ -1,7 +1,7 @@
 //! After two crashes a request runs one at a time over all instances, by the word of the one that counts for all.
 
+use crate::cluster::{self, Answer, PATIENCE, ask, request, until};
 use crate::holder_link::{Holder, subscription};
-use crate::site::{self, Answer, PATIENCE, ask, request, until};
 use passway_instance::Instance;
 use passway_standins::platform::model_server::{Faults, ModelServer};
 use passway_standins::platform::store::MetadataStandIn;
@@ -54,7 +54,7 @@
 
 impl World {
     fn new() -> Self {
-        let store = site::store(&["m0"]);
+        let store = cluster::store(&["m0"]);
         let counter = UdpSocket::bind("127.0.0.1:0").expect("a port");
         counter
             .set_read_timeout(Some(PATIENCE))
@@ -62,7 +62,7 @@
         let address = counter.local_addr().expect("an address");
         store.put_bytes("passway/holder", format!("played {address}").as_bytes());
         let engines = engines(&store);
-        let instance = site::ready("one", &store);
+        let instance = cluster::start_ready("one", &store);
         let world = Self {
             store,
             engines,
@@ -142,13 +142,13 @@
 /// way of the holder alone, which may be slow or gone.
 #[test]
 fn told_without_holder() {
-    let store = site::store(&["m0"]);
+    let store = cluster::store(&["m0"]);
     let engines = engines(&store);
     let holder = Holder::begin(&store);
-    let one = site::ready("one", &store);
+    let one = cluster::start_ready("one", &store);
     let (link, mut reader) = holder.accept();
     subscription(&mut reader).expect("one listens");
-    let two = site::ready("two", &store);
+    let two = cluster::start_ready("two", &store);
     let (_link, mut reader) = holder.accept();
     let address = subscription(&mut reader).expect("two listens").address;
     let member = Member {
@@ -159,7 +159,7 @@
         members: vec![member],
     };
     link.send(Body::Members(members)).expect("sent");
-    until("two is known", || one.other_instances() == 1);
+    until("two is known", || one.other_instance_count() == 1);
     for id in ["p0", "p1"] {
         assert_eq!(send(&one, id).status, 502);
     }
--- a/tests/all/received_orders.rs
+++ b/tests/all/received_orders.rs
@@ -2,8 +2,8 @@
 //! believes: the fault runs (`placement_faults`) draw such cases, these are the causes one by
 //! one. A calm day at 256 engines had one, 3.6 s after the right to order had changed hands.
 
+use crate::cluster::{self, PATIENCE};
 use crate::planned::{Planned, entry, plain, resident};
-use crate::site::{self, PATIENCE};
 use passway_serving::placement::{Action, PlannedOrder};
 use passway_serving::ports::{Directory, EngineReport, OrderAction, OrderAnswer, StoredValue};
 use passway_serving::upstreams::{ModelRef, UpstreamEntry};
@@ -38,7 +38,7 @@
 #[test]
 fn loading_model_counts() {
     let mut planned = Planned::new();
-    let mut file = site::configuration(1, &["m0", "m1", "m2", "m3"]);
+    let mut file = cluster::configuration(1, &["m0", "m1", "m2", "m3"]);
     // Two models leave half of an adapter's room.
     file["services"][1]["engine"]["weights_mb"] = 140.5.into();
     let value = StoredValue {
--- a/tests/all/relay_gap.rs
+++ b/tests/all/relay_gap.rs
@@ -1,7 +1,7 @@
 //! What the holder's news leave out is read from the store, however long that takes.
 
+use crate::cluster::until;
 use crate::followed::{ToldStore, beat, followed, shared, word};
-use crate::site::until;
 use bytes::Bytes;
 use passway_instance::feed_log::FeedLog;
 use passway_instance::news::Told;
--- a/tests/all/resting_upstreams.rs
+++ b/tests/all/resting_upstreams.rs
@@ -1,7 +1,7 @@
 //! Upstreams that turn an instance away and ask it for rest get nothing from it meanwhile.
 
+use crate::cluster::{self, Answer, ask, list_plain, request, stream, until};
 use crate::saying::{Saying, SayingServer};
-use crate::site::{self, Answer, ask, list_plain, request, stream, until};
 use passway_instance::Instance;
 use passway_serving::upstreams::{UpstreamEntry, UpstreamTable};
 use passway_standins::platform::model_server::{Faults, ModelServer};
@@ -12,7 +12,7 @@
     Saying::line(503, format!("Retry-After: {time_s}"))
 }
 
-const REST: Duration = Duration::from_secs(2);
+const IDLE_DURATION: Duration = Duration::from_secs(2);
 /// What is on its way when an upstream asks for rest.
 const ON_ITS_WAY: Duration = Duration::from_millis(500);
 
@@ -22,10 +22,10 @@
 fn nothing_within_rest() {
     for path in ["/read/", "/pay/"] {
         let server = SayingServer::start();
-        let store = site::store(&[]);
+        let store = cluster::store(&[]);
         list_plain(&store, "i-0", server.address(), "ready");
-        let instance = site::ready("one", &store);
-        server.says(rests(REST.as_secs_f64()));
+        let instance = cluster::start_ready("one", &store);
+        server.says(rests(IDLE_DURATION.as_secs_f64()));
         let address = instance.callers_address();
         let callers = (0..6).map(|number| {
             std::thread::spawn(move || {
@@ -44,15 +44,15 @@
             assert!([200, 503].contains(&status));
         }
         let arrivals = server.arrivals();
-        let rest = arrivals[0] + ON_ITS_WAY..arrivals[0] + REST;
+        let rest = arrivals[0] + ON_ITS_WAY..arrivals[0] + IDLE_DURATION;
         let within = arrivals.iter().filter(|at| rest.contains(at)).count();
         assert_eq!(within, 0, "{path}");
     }
 }
 
 /// An instance before servers that are all ready.
-fn before(servers: &[&SayingServer]) -> (MetadataStandIn, Instance) {
-    let store = site::store(&[]);
+fn start_with_servers(servers: &[&SayingServer]) -> (MetadataStandIn, Instance) {
+    let store = cluster::store(&[]);
     for (number, server) in servers.iter().enumerate() {
         list_plain(&store, &format!("i-{number}"), server.address(), "ready");
     }
@@ -62,9 +62,9 @@
 
 /// An instance whose requests may be offered again as often as they like.
 fn start(store: &MetadataStandIn) -> Instance {
-    let mut settings = site::settings("one", store.serve());
+    let mut settings = cluster::settings("one", store.serve());
     settings.bounds.retry.ratio = 100.0;
-    let instance = site::start_with(settings);
+    let instance = cluster::start_with(settings);
     until("readiness", || instance.is_ready());
     instance
 }
@@ -79,7 +79,7 @@
 #[test]
 fn refused_at_once() {
     let server = SayingServer::start();
-    let (_store, instance) = before(&[&server]);
+    let (_store, instance) = start_with_servers(&[&server]);
     server.says(rests(30.0));
     for number in 0..5 {
         let answer = get(&instance, &format!("id{number}"));
@@ -95,7 +95,7 @@
 #[test]
 fn served_after_rest() {
     let server = SayingServer::start();
-    let (_store, instance) = before(&[&server]);
+    let (_store, instance) = start_with_servers(&[&server]);
     server.says(rests(0.6));
     let address = instance.callers_address();
     let waiting = std::thread::spawn(move || {
@@ -115,8 +115,8 @@
 #[test]
 fn others_carry() {
     let (resting, other) = (SayingServer::start(), SayingServer::start());
-    let (_store, instance) = before(&[&resting, &other]);
-    resting.says(rests(REST.as_secs_f64()));
+    let (_store, instance) = start_with_servers(&[&resting, &other]);
+    resting.says(rests(IDLE_DURATION.as_secs_f64()));
     let begun_at = Instant::now();
     let mut ids = 0..;
     until("the refusal", || {
@@ -125,7 +125,7 @@
         resting.count() == 1
     });
     resting.says(Saying::nothing());
-    while begun_at.elapsed() < REST.saturating_sub(ON_ITS_WAY) {
+    while begun_at.elapsed() < IDLE_DURATION.saturating_sub(ON_ITS_WAY) {
         let id = format!("id{:?}", ids.next());
         assert_eq!(get(&instance, &id).status, 200);
     }
@@ -180,7 +180,7 @@
 #[test]
 fn one_at_a_time_after_rest() {
     let server = SayingServer::start();
-    let (_store, instance) = before(&[&server]);
+    let (_store, instance) = start_with_servers(&[&server]);
     server.says(rests(0.7));
     let address = instance.callers_address();
     let callers = (0..10).map(|number| {
@@ -209,7 +209,7 @@
 /// An engine wants nothing, no order and no question either, from an instance that it has turned away.
 #[test]
 fn no_orders_within_rest() {
-    let store = site::store(&["m0", "m1", "m2"]);
+    let store = cluster::store(&["m0", "m1", "m2"]);
     let engine = ModelServer::start(&store, "i-0", "engines", 2, &["m0"], &["m1", "m2"]);
     let instance = start(&store);
     until("the right to order", || instance.fence().is_some());
--- a/tests/all/retry_terms.rs
+++ b/tests/all/retry_terms.rs
@@ -1,15 +1,15 @@
 //! Repeats while the right to order is lost and taken again all the time.
 
-use crate::site::{self, PATIENCE};
+use crate::cluster::{self, PATIENCE};
 use passway_serving::retry::InstanceCount;
 use passway_standins::platform::store::{Faults, MetadataStandIn};
 use passway_types::prelude::*;
 
 /// Longer than the lease of the tests' instances, and short of what a term needs to know how many instances there are.
-const HALF: Duration = Duration::from_millis(1_300);
+const HALF_PERIOD: Duration = Duration::from_millis(1_300);
 
 /// Has the store refuse all calls, or answer them again.
-fn refuse(store: &MetadataStandIn, refuses: bool) {
+fn set_store_refusing(store: &MetadataStandIn, refuses: bool) {
     store.set_faults(Faults {
         refuses: refuses.then_some(503),
         ..Faults::default()
@@ -20,14 +20,14 @@
 /// beginning, and none ever said how many share the allowance.
 #[test]
 fn short_terms_count_together() {
-    let store = site::store(&["m0"]);
-    let instance = site::ready("one", &store);
+    let store = cluster::store(&["m0"]);
+    let instance = cluster::start_ready("one", &store);
     let limit_at = Instant::now() + PATIENCE;
     for refuses in [true, false].into_iter().cycle() {
-        refuse(&store, refuses);
-        let until = Instant::now() + HALF;
+        set_store_refusing(&store, refuses);
+        let until = Instant::now() + HALF_PERIOD;
         while Instant::now() < until {
-            if instance.may_repeat("engines") {
+            if instance.has_spare_retry("engines") {
                 return;
             }
             std::thread::sleep(Duration::from_millis(10));
@@ -38,7 +38,7 @@
 
 /// Whoever shares with those that have not come back yet must not be told that it shares with few.
 #[test]
-fn most_count_until_back() {
+fn previous_count_kept_until_reconnect() {
     let now = Instant::now();
     let at = |ms| now + Duration::from_millis(ms);
     let mut count = InstanceCount::begin(now);
--- a/tests/all/scrape.rs
+++ b/tests/all/scrape.rs
@@ -1,6 +1,6 @@
 //! Metrics of an instance.
 
-use crate::site::ask;
+use crate::cluster::ask;
 use passway_instance::Instance;
 
 /// An instance's metrics, as they are scraped.
--- a/tests/all/silent_connections.rs
+++ b/tests/all/silent_connections.rs
@@ -10,12 +10,12 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 /// Calls that are under way at one time, each on a connection of its own.
-const AT_ONCE: usize = 3;
+const CONCURRENT_CALLS: usize = 3;
 /// Longest time that a link may take to notice that its peer is silent, in milliseconds.
-const MOST_SILENCE_MS: u32 = 2_000;
+const MAX_SILENCE_MS: u32 = 2_000;
 
 /// Whether the connection has brought a request, read to its end.
-fn is_asked(stream: &mut TcpStream) -> bool {
+fn read_request(stream: &mut TcpStream) -> bool {
     let mut bytes = Vec::new();
     let mut chunk = [0; 1_024];
     while !bytes.windows(4).any(|four| four == b"\r\n\r\n") {
@@ -33,16 +33,16 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
     let address = listener.local_addr().expect("address");
     let old_are_silent = old_are_silent.clone();
-    let together = Arc::new(Barrier::new(AT_ONCE));
+    let together = Arc::new(Barrier::new(CONCURRENT_CALLS));
     std::thread::spawn(move || {
         for (number, stream) in listener.incoming().enumerate() {
             let mut stream = stream.expect("a connection");
             let old_are_silent = old_are_silent.clone();
             let together = together.clone();
             std::thread::spawn(move || {
-                let is_old = number < AT_ONCE;
+                let is_old = number < CONCURRENT_CALLS;
                 let mut is_first = is_old;
-                while is_asked(&mut stream) {
+                while read_request(&mut stream) {
                     if is_old && old_are_silent.load(Ordering::Acquire) {
                         continue;
                     }
@@ -61,11 +61,11 @@
 }
 
 #[test]
-fn one_lost_call_to_store() {
+fn silence_costs_one_store_call() {
     let old_are_silent = Arc::new(AtomicBool::new(false));
     let store = MetadataStore::new(store(&old_are_silent));
     std::thread::scope(|scope| {
-        for _ in 0..AT_ONCE {
+        for _ in 0..CONCURRENT_CALLS {
             scope.spawn(|| assert_eq!(store.renew_lease(1), Ok(true)));
         }
     });
@@ -81,5 +81,5 @@
     let address = listener.local_addr().expect("address");
     let (link, _reader) = Link::connect(address, Duration::from_secs(5)).expect("a link");
     let limit_ms = link.silence_limit_ms().expect("an option");
-    assert!((1..=MOST_SILENCE_MS).contains(&limit_ms), "{limit_ms} ms");
+    assert!((1..=MAX_SILENCE_MS).contains(&limit_ms), "{limit_ms} ms");
 }
--- a/tests/all/slow_readers.rs
+++ b/tests/all/slow_readers.rs
@@ -1,10 +1,10 @@
 //! Callers that do not read their answers and do not send their bodies hold little, end with a cause, and cost nobody else
 //! anything.
 
+use crate::cluster::{self, ask, request, until};
 use crate::followed::shared;
 use crate::scrape::metrics;
-use crate::site::{self, ask, request, until};
-use passway_instance::shared::MAX_HELD_BODIES_BYTES;
+use passway_instance::shared::MAX_RESERVED_BYTES;
 use passway_standins::platform::caller::HOST;
 use passway_standins::platform::documents::plain_entry;
 use passway_standins::platform::raw::{RawServer, Step};
@@ -15,12 +15,12 @@
 use std::net::{SocketAddr, TcpStream};
 
 /// Half-read answers, and half-sent bodies.
-const SLOW: usize = 400;
+const SLOW_CALLERS: usize = 400;
 /// Far more than the buffers of a connection take whose caller has little room.
 const EVENTS: usize = 300;
 const EVENT_BYTES: usize = 4 << 10;
 /// Room for what a caller has not read.
-const ROOM_BYTES: usize = 4 << 10;
+const RECEIVE_BUFFER_BYTES: usize = 4 << 10;
 
 /// An engine whose streams have more than a megabyte.
 fn engine() -> RawServer {
@@ -39,7 +39,7 @@
 /// Sends on a connection that has little room for what comes back.
 fn send(address: SocketAddr, bytes: &[u8]) -> TcpStream {
     let socket = socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket");
-    set_socket_recv_buffer_size(&socket, ROOM_BYTES).expect("a size");
+    set_socket_recv_buffer_size(&socket, RECEIVE_BUFFER_BYTES).expect("a size");
     connect(&socket, &address).expect("a connection");
     let mut stream = TcpStream::from(socket);
     stream.write_all(bytes).expect("sent");
@@ -48,18 +48,18 @@
 
 /// A stream whose caller did not read held its engine until the request's time was over.
 #[test]
-fn others_are_served() {
-    let (engine, server) = (engine(), site::plain_server());
-    let store = site::store(&["m0"]);
+fn other_callers_served() {
+    let (engine, server) = (engine(), cluster::plain_server());
+    let store = cluster::store(&["m0"]);
     let mut listed = plain_entry(engine.address);
     listed["service"] = json!("engines");
     listed["slots"] = json!(1_000);
     listed["models"] = json!([{"name": "m0", "version": 1, "adapters": []}]);
     store.put("servers/i-e", &listed);
-    site::list_plain(&store, "i-0", server.address, "ready");
-    let instance = site::ready("one", &store);
+    cluster::list_plain(&store, "i-0", server.address, "ready");
+    let instance = cluster::start_ready("one", &store);
     let address = instance.callers_address();
-    let unread: Vec<_> = (0..SLOW)
+    let unread: Vec<_> = (0..SLOW_CALLERS)
         .map(|number| {
             let bytes = request(
                 "POST",
@@ -74,13 +74,16 @@
     let half = format!(
         "POST /pay/ HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: half\r\nContent-Length: 60000\r\n\r\nhalf"
     );
-    let half_sent: Vec<_> = (0..SLOW).map(|_| send(address, half.as_bytes())).collect();
+    let half_sent: Vec<_> = (0..SLOW_CALLERS)
+        .map(|_| send(address, half.as_bytes()))
+        .collect();
     for number in 0..60 {
         let bytes = request("GET", "/read/", &format!("p{number}"), "", "");
         assert_eq!(ask(address, &bytes).expect("an answer").status, 200);
     }
     until("the engine's streams are let go", || {
-        engine.ended().len() >= SLOW && metrics(&instance).contains("not taken by its caller")
+        engine.ended().len() >= SLOW_CALLERS
+            && metrics(&instance).contains("not taken by its caller")
     });
     drop((unread, half_sent));
 }
@@ -89,11 +92,11 @@
 #[test]
 fn answers_are_bounded() {
     let shared = shared();
-    let bodies = shared.hold_body(MAX_HELD_BODIES_BYTES).expect("room");
-    let most = MAX_HELD_BODIES_BYTES >> 20;
-    let answers: Vec<_> = (0..most).map(|_| shared.hold_answer(1 << 20)).collect();
+    let bodies = shared.reserve_body(MAX_RESERVED_BYTES).expect("room");
+    let most = MAX_RESERVED_BYTES >> 20;
+    let answers: Vec<_> = (0..most).map(|_| shared.reserve_answer(1 << 20)).collect();
     assert!(answers.iter().all(Option::is_some));
-    assert!(shared.hold_answer(1 << 20).is_none());
+    assert!(shared.reserve_answer(1 << 20).is_none());
     drop((bodies, answers));
-    assert!(shared.hold_answer(1 << 20).is_some());
+    assert!(shared.reserve_answer(1 << 20).is_some());
 }
--- a/tests/all/slow_renewals.rs
+++ b/tests/all/slow_renewals.rs
@@ -1,6 +1,6 @@
 //! A store that answers, and takes long to.
 
-use crate::site::{self, until};
+use crate::cluster::{self, until};
 use passway_standins::platform::proxy::{Proxy, WayFaults};
 use passway_types::prelude::*;
 
@@ -13,13 +13,13 @@
 /// for longer than a second, and nothing that needs an order or a count was served.
 #[test]
 fn right_is_kept() {
-    let store = site::store(&[]);
+    let store = cluster::store(&[]);
     let way = Proxy::start(store.serve());
     way.set_faults(WayFaults {
         delay: DELAY,
         ..WayFaults::default()
     });
-    let instance = site::start_at("one", way.address);
+    let instance = cluster::start_at("one", way.address);
     let mut kept = None;
     until("a term that lasts", || {
         let now = Instant::now();
--- a/tests/all/store_feeds.rs
+++ b/tests/all/store_feeds.rs
@@ -1,18 +1,18 @@
 //! What the store tells is in force soon and never reverts, through its faults.
 
-use crate::site::{self, ask, configuration, list_plain, plain_server, request, until};
+use crate::cluster::{self, ask, configuration, list_plain, plain_server, request, until};
 use passway_standins::platform::store::Faults;
 use passway_types::prelude::*;
 use serde_json::json;
 
 #[test]
 fn garbage_store() {
-    let store = site::store(&[]);
+    let store = cluster::store(&[]);
     store.set_faults(Faults {
         talks_garbage: true,
         ..Faults::default()
     });
-    let instance = site::start("one", &store);
+    let instance = cluster::start("one", &store);
     until("calls", || store.calls().values().sum::<u64>() > 4);
     assert!(!instance.is_ready());
     let answer = ask(
@@ -37,31 +37,31 @@
 
 #[test]
 fn unusable_configuration() {
-    let store = site::store(&[]);
-    let instance = site::ready("one", &store);
+    let store = cluster::store(&[]);
+    let instance = cluster::start_ready("one", &store);
     store.put("op/config", &json!({"version": 2, "routes": "none"}));
     store.put("op/other", &json!({"version": 9}));
     let mut third = configuration(3, &[]);
     third["a_new_field"] = json!({"ignored": true});
     store.put("op/config", &third);
-    until("the third version", || instance.version() == Some(3));
+    until("the third version", || instance.config_version() == Some(3));
 }
 
 #[test]
 fn never_reverts() {
-    let store = site::store(&[]);
-    let instance = site::ready("one", &store);
+    let store = cluster::store(&[]);
+    let instance = cluster::start_ready("one", &store);
     store.put("op/config", &configuration(7, &[]));
-    until("version 7", || instance.version() == Some(7));
+    until("version 7", || instance.config_version() == Some(7));
     store.put("op/config", &configuration(4, &[]));
     store.put("op/config", &configuration(8, &[]));
-    until("version 8", || instance.version() == Some(8));
+    until("version 8", || instance.config_version() == Some(8));
 }
 
 #[test]
 fn history_forgotten() {
-    let store = site::store(&[]);
-    let instance = site::ready("one", &store);
+    let store = cluster::store(&[]);
+    let instance = cluster::start_ready("one", &store);
     store.set_faults(Faults {
         refuses: Some(503),
         ..Faults::default()
@@ -69,15 +69,15 @@
     store.put("op/config", &configuration(2, &[]));
     store.forget_history();
     store.set_faults(Faults::default());
-    until("version 2", || instance.version() == Some(2));
+    until("version 2", || instance.config_version() == Some(2));
 }
 
 #[test]
 fn serves_through_outage() {
-    let store = site::store(&[]);
+    let store = cluster::store(&[]);
     let server = plain_server();
     list_plain(&store, "i-0", server.address, "ready");
-    let instance = site::ready("one", &store);
+    let instance = cluster::start_ready("one", &store);
     for faults in [
         Faults {
             refuses: Some(503),
@@ -108,10 +108,10 @@
 
 #[test]
 fn leaving_gets_nothing_new() {
-    let store = site::store(&[]);
+    let store = cluster::store(&[]);
     let (leaving, staying) = (plain_server(), plain_server());
     list_plain(&store, "i-0", leaving.address, "ready");
-    let instance = site::ready("one", &store);
+    let instance = cluster::start_ready("one", &store);
     assert!(
         ask(
             instance.callers_address(),
--- a/tests/all/endless_input.rs
+++ b/tests/all/unbounded_input.rs
@@ -1,20 +1,20 @@
 //! Input that does not end is bounded: lines of chunks and trailers of a request's body, refused
 //! by an answer, and an event of an upstream's stream, which breaks the attempt.
 
-use crate::site::{self, Answer, Caller, list_plain, plain_server};
-use passway_instance::events::EventCutter;
+use crate::cluster::{self, Answer, Caller, list_plain, plain_server};
+use passway_instance::events::EventSplitter;
 use passway_standins::platform::caller::HOST;
 
 /// More than any line of a chunked body may have, and little enough to be read whole before
 /// the answer comes, so that the connection is not reset.
-const LONG: usize = 20 << 10;
+const LONG_BYTES: usize = 20 << 10;
 
 /// The answer to a chunked body that goes on until its bytes end.
 fn answer_to(body: &[u8]) -> Option<Answer> {
-    let store = site::store(&[]);
+    let store = cluster::store(&[]);
     let server = plain_server();
     list_plain(&store, "i-0", server.address, "ready");
-    let instance = site::ready("n", &store);
+    let instance = cluster::start_ready("n", &store);
     let mut caller = Caller::connect(instance.callers_address());
     let head = format!(
         "POST /read/ HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: r\r\nDeadline-Ms: 8000\r\n\
@@ -28,7 +28,7 @@
 #[test]
 fn long_chunk_line() {
     let mut body = b"2;".to_vec();
-    body.resize(LONG, b'x');
+    body.resize(LONG_BYTES, b'x');
     let answer = answer_to(&body).expect("an answer");
     assert_eq!(answer.status, 413);
 }
@@ -37,7 +37,7 @@
 fn long_trailer() {
     let mut body = b"2\r\nhi\r\n0\r\n".to_vec();
     // Short lines, so that it is their sum that is bounded.
-    while body.len() < LONG {
+    while body.len() < LONG_BYTES {
         body.extend_from_slice(b"a: b\r\n");
     }
     let answer = answer_to(&body).expect("an answer");
@@ -53,14 +53,14 @@
 
 #[test]
 fn endless_event() {
-    let mut cutter = EventCutter::default();
+    let mut cutter = EventSplitter::default();
     let part = [b'x'; 16 << 10];
     let mut passed_on = Vec::new();
     for _ in 0..256 {
         // Whoever reads the stream ends it once this is refused.
-        let _ = cutter.add(&part, &mut passed_on);
+        let _ = cutter.push(&part, &mut passed_on);
     }
     assert!(passed_on.is_empty());
-    let kept = cutter.take_rest().len();
+    let kept = cutter.take_remainder().len();
     assert!(kept <= 2 << 20, "{kept} bytes of one event");
 }
--- a/tests/all/upstream_words.rs
+++ b/tests/all/upstream_words.rs
@@ -1,8 +1,8 @@
 //! What upstreams say of themselves in the heads of their answers: how each word is read, and from where.
 
+use crate::cluster::{self, ask, list_plain, request, until};
 use crate::saying::{Saying, SayingServer};
 use crate::scrape::metrics;
-use crate::site::{self, ask, list_plain, request, until};
 use passway_serving::headers::Headers;
 use passway_serving::ports::Vocabulary;
 use passway_serving::words::{NamedLeaving, NamedRest, UpstreamWords};
@@ -75,9 +75,9 @@
         status: 503,
         lines: "Server-Leaving: 1\r\nRetry-After: 60\r\nServer-Limit: x\r\n".to_owned(),
     });
-    let store = site::store(&[]);
+    let store = cluster::store(&[]);
     list_plain(&store, "i-0", server.address(), "ready");
-    let instance = site::ready("one", &store);
+    let instance = cluster::start_ready("one", &store);
     let shows = |line: &str| metrics(&instance).contains(line);
     assert!(shows("\npassway_instance_leaving_upstreams 0\n"));
     assert!(shows("\npassway_instance_resting_upstreams 0\n"));
--- a/tests/all/waiting_requests.rs
+++ b/tests/all/waiting_requests.rs
@@ -1,14 +1,14 @@
 //! A request that waits for an upstream costs its instance next to nothing.
 
-use crate::site::{self, ask, list_plain, plain_server, request, until};
+use crate::cluster::{self, ask, list_plain, plain_server, request, until};
 use passway_instance::Instance;
 
 /// Choices of an upstream that one waiting request may make: one every 40 ms over the
 /// longest wait of the route, and some when upstreams change.
-const MOST_CHOICES: u64 = 400;
+const MAX_CHOICES: u64 = 400;
 
 /// Choices that an instance has made so far.
-fn choices(instance: &Instance) -> u64 {
+fn choice_count(instance: &Instance) -> u64 {
     let question = b"GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
     let text = ask(instance.ready_address(), question)
         .expect("metrics")
@@ -20,21 +20,21 @@
 }
 
 #[test]
-fn absent_plain_service() {
-    let store = site::store(&[]);
+fn absent_service_costs_little() {
+    let store = cluster::store(&[]);
     let server = plain_server();
     list_plain(&store, "i-0", server.address, "ready");
-    let instance = site::ready("one", &store);
+    let instance = cluster::start_ready("one", &store);
     store.remove("servers/i-0");
     until("its leaving", || {
         let bytes = request("GET", "/read/", "before", "", "");
         let answer = ask(instance.callers_address(), &bytes).expect("an answer");
         answer.status == 503
     });
-    let before = choices(&instance);
+    let before = choice_count(&instance);
     let bytes = request("GET", "/read/", "alone", "", "");
     let answer = ask(instance.callers_address(), &bytes).expect("an answer");
     assert_eq!(answer.status, 503);
-    let made = choices(&instance) - before;
-    assert!(made <= MOST_CHOICES, "{made} choices for one request");
+    let made = choice_count(&instance) - before;
+    assert!(made <= MAX_CHOICES, "{made} choices for one request");
 }
--- a/tests/all/workspace_allotments.rs
+++ b/tests/all/workspace_allotments.rs
@@ -1,7 +1,7 @@
 //! A workspace uses what it may over all instances, and not more.
 
-use crate::closed_site::{KEY, closed, ready, status};
-use crate::site::{list_plain, plain_server, until};
+use crate::cluster::{list_plain, plain_server, until};
+use crate::keyed_cluster::{KEY, keyed_configuration, start_ready, status_with_key};
 use passway_instance::Instance;
 use passway_standins::platform::documents::workspace;
 use passway_standins::platform::raw::{RawServer, Step};
@@ -16,14 +16,19 @@
 
 fn store(server: &RawServer) -> MetadataStandIn {
     let store = MetadataStandIn::default();
-    store.put("op/config", &closed(1, &[workspace("alpha", &[KEY], RATE)]));
+    store.put(
+        "op/config",
+        &keyed_configuration(1, &[workspace("alpha", &[KEY], RATE)]),
+    );
     list_plain(&store, "i-0", server.address, "ready");
     store
 }
 
 /// Once the keeper answers.
 fn kept(instance: &Instance) {
-    until("a keeper", || status(instance, "/read/", "first").0 == 200);
+    until("a keeper", || {
+        status_with_key(instance, "/read/", "first").0 == 200
+    });
 }
 
 #[test]
@@ -32,9 +37,9 @@
     let store = store(&server);
     let address = store.serve();
     let instances = [
-        ready("one", address, BOUNDS),
-        ready("two", address, BOUNDS),
-        ready("three", address, BOUNDS),
+        start_ready("one", address, BOUNDS),
+        start_ready("two", address, BOUNDS),
+        start_ready("three", address, BOUNDS),
     ];
     instances.iter().for_each(kept);
     // A keeper begins with a nearly empty bucket, since it does not know what was used before.
@@ -43,7 +48,7 @@
     let mut granted = 0.0;
     let mut refused = 0;
     for number in 0..120 {
-        match status(&instances[number % 3], "/read/", &format!("id{number}")) {
+        match status_with_key(&instances[number % 3], "/read/", &format!("id{number}")) {
             (200, _) => granted += PLAIN_TOKENS,
             (429, Some(retry_after_s)) => {
                 assert!(retry_after_s > 0.0);
@@ -71,14 +76,14 @@
         vec![Step::Send(text.into_bytes())]
     });
     let store = store(&server);
-    let instance = ready("one", store.serve(), BOUNDS);
+    let instance = start_ready("one", store.serve(), BOUNDS);
     kept(&instance);
     // Four times what it may use at once.
     for number in 0..40 {
-        let (code, _) = status(&instance, "/pay/", &format!("shed{number}"));
+        let (code, _) = status_with_key(&instance, "/pay/", &format!("shed{number}"));
         assert_eq!(code, 503);
     }
-    assert_eq!(status(&instance, "/pay/", "id").0, 200);
+    assert_eq!(status_with_key(&instance, "/pay/", "id").0, 200);
 }
 
 /// A keeper begins with what the one before has left, and takes that out of the store first.
@@ -87,12 +92,12 @@
     let server = plain_server();
     let store = store(&server);
     store.put_bytes("passway/half-full", b"alpha");
-    let instance = ready("one", store.serve(), BOUNDS);
+    let instance = start_ready("one", store.serve(), BOUNDS);
     until("what was left is taken", || {
         store.get("passway/half-full").as_deref() == Some(b"")
     });
     // Half of the burst, whatever more comes meanwhile.
-    let half = (0..5).map(|number| status(&instance, "/read/", &format!("id{number}")).0);
+    let half = (0..5).map(|number| status_with_key(&instance, "/read/", &format!("id{number}")).0);
     assert_eq!(half.collect::<Vec<_>>(), [200; 5]);
     // Once the bucket is full it is told so again.
     until("it is told", || {
@@ -105,10 +110,13 @@
 fn unlimited() {
     let server = plain_server();
     let store = store(&server);
-    store.put("op/config", &closed(2, &[workspace("alpha", &[KEY], 0.0)]));
-    let instance = ready("one", store.serve(), BOUNDS);
+    store.put(
+        "op/config",
+        &keyed_configuration(2, &[workspace("alpha", &[KEY], 0.0)]),
+    );
+    let instance = start_ready("one", store.serve(), BOUNDS);
     for number in 0..60 {
-        let (code, _) = status(&instance, "/read/", &format!("id{number}"));
+        let (code, _) = status_with_key(&instance, "/read/", &format!("id{number}"));
         assert_eq!(code, 200);
     }
 }
--- a/tests/all/workspace_keys.rs
+++ b/tests/all/workspace_keys.rs
@@ -1,7 +1,7 @@
 //! A key opens closed routes, stays here, and names its workspace to the upstream.
 
-use crate::closed_site::{self, KEY};
-use crate::site::{self, ask, list_plain, plain_server, request, until};
+use crate::cluster::{self, ask, list_plain, plain_server, request, until};
+use crate::keyed_cluster::{self, KEY};
 use passway_instance::Instance;
 use passway_standins::platform::documents::workspace;
 use passway_standins::platform::raw::{RawServer, Received};
@@ -16,7 +16,7 @@
         workspace("alpha", keys, 0.0),
         workspace("beta", &[OTHER_KEY], 0.0),
     ];
-    closed_site::closed(version, &workspaces)
+    keyed_cluster::keyed_configuration(version, &workspaces)
 }
 
 struct Place {
@@ -30,7 +30,7 @@
     store.put("op/config", &closed(1, &[KEY]));
     let server = plain_server();
     list_plain(&store, "i-0", server.address, "ready");
-    let instance = site::ready("one", &store);
+    let instance = cluster::start_ready("one", &store);
     Place {
         store,
         server,
@@ -111,7 +111,9 @@
     let place = place();
     assert_eq!(place.status("/read/", "id1", &with(KEY)), 200);
     place.store.put("op/config", &closed(2, &["another"]));
-    until("the new version", || place.instance.version() == Some(2));
+    until("the new version", || {
+        place.instance.config_version() == Some(2)
+    });
     assert_eq!(place.status("/read/", "id2", &with(KEY)), 401);
     assert_eq!(place.status("/read/", "id3", &with("another")), 200);
     assert_eq!(place.received("id3").header("tenant"), Some("alpha"));
@@ -139,17 +141,17 @@
     place.store.put("op/config", &nobody);
     place.store.put("op/config", &closed(30, &[KEY]));
     until("a version that can be used", || {
-        place.instance.version() == Some(30)
+        place.instance.config_version() == Some(30)
     });
     assert_eq!(place.status("/read/", "id1", &with(KEY)), 200);
 }
 
 #[test]
 fn without_workspaces() {
-    let store = site::store(&[]);
+    let store = cluster::store(&[]);
     let server = plain_server();
     list_plain(&store, "i-0", server.address, "ready");
-    let instance = site::ready("one", &store);
+    let instance = cluster::start_ready("one", &store);
     let bytes = request("GET", "/read/", "id1", &with(KEY), "");
     let answer = ask(instance.callers_address(), &bytes).expect("an answer");
     assert_eq!(answer.status, 200);
@@ -171,7 +173,7 @@
         "zone": "hall0", "version": "v1", "slots": 6, "state": "ready", "sequence": 1,
         "cold_left_ms": 0, "models": [{"name": "m0", "adapters": []}]});
     store.put("servers/i-0", &entry);
-    let instance = site::ready("one", &store);
+    let instance = cluster::start_ready("one", &store);
     // The routes of the stand-in's configuration have rank 1.
     for (id, key, rank) in [("id1", KEY, "0"), ("id2", OTHER_KEY, "1")] {
         let head = format!("{}Model: m0\r\n", with(key));
--- a/tests/all/workspace_revocation.rs
+++ b/tests/all/workspace_revocation.rs
@@ -1,7 +1,7 @@
 //! A key that was taken away stops in time also where nothing is heard of that.
 
-use crate::closed_site::{KEY, closed, ready, settings, status};
-use crate::site::{self, list_plain, plain_server, until};
+use crate::cluster::{self, list_plain, plain_server, until};
+use crate::keyed_cluster::{KEY, keyed_configuration, settings, start_ready, status_with_key};
 use passway_standins::platform::documents::workspace;
 use passway_standins::platform::store::{Faults, MetadataStandIn};
 use passway_types::prelude::*;
@@ -13,7 +13,10 @@
 
 fn store() -> MetadataStandIn {
     let store = MetadataStandIn::default();
-    store.put("op/config", &closed(1, &[workspace("alpha", &[KEY], 0.0)]));
+    store.put(
+        "op/config",
+        &keyed_configuration(1, &[workspace("alpha", &[KEY], 0.0)]),
+    );
     store
 }
 
@@ -31,22 +34,24 @@
     let store = store();
     let server = plain_server();
     list_plain(&store, "i-0", server.address, "ready");
-    let instance = ready("one", store.serve(), BOUNDS);
-    assert_eq!(status(&instance, "/read/", "id1").0, 200);
+    let instance = start_ready("one", store.serve(), BOUNDS);
+    assert_eq!(status_with_key(&instance, "/read/", "id1").0, 200);
     store.set_faults(silent());
     let silent_at = Instant::now();
     // Any question before that may have been answered.
     until("the bound", || silent_at.elapsed() > BOUND);
-    let (code, retry_after) = status(&instance, "/read/", "id2");
+    let (code, retry_after) = status_with_key(&instance, "/read/", "id2");
     assert_eq!(code, 503);
     assert!(retry_after.is_some());
     assert!(!instance.is_ready());
-    assert_eq!(status(&instance, "/open/", "id3").0, 200);
+    assert_eq!(status_with_key(&instance, "/open/", "id3").0, 200);
     let ran = server.received();
     let ran = ran.iter().filter_map(|one| one.header("request-id"));
     assert_eq!(ran.collect::<Vec<_>>(), ["id1", "id3"]);
     store.set_faults(Faults::default());
-    until("service", || status(&instance, "/read/", "id4").0 == 200);
+    until("service", || {
+        status_with_key(&instance, "/read/", "id4").0 == 200
+    });
     until("readiness", || instance.is_ready());
 }
 
@@ -56,21 +61,26 @@
     let store = store();
     let server = plain_server();
     list_plain(&store, "i-0", server.address, "ready");
-    let holder = ready("one", store.serve(), BOUNDS);
+    let holder = start_ready("one", store.serve(), BOUNDS);
     until("the right", || holder.fence().is_some());
     let way = store.serve_way();
-    let other = ready("two", way.address(), BOUNDS);
+    let other = start_ready("two", way.address(), BOUNDS);
     way.set_faults(Faults {
         refuses: Some(503),
         ..Faults::default()
     });
     // Its own proof of before is too old by then.
     std::thread::sleep(2 * BOUND);
-    until("service", || status(&other, "/read/", "id1").0 == 200);
+    until("service", || {
+        status_with_key(&other, "/read/", "id1").0 == 200
+    });
     // And hears by the same way that the key is taken away.
-    store.put("op/config", &closed(2, &[workspace("alpha", &["k"], 0.0)]));
-    until("the new version", || other.version() == Some(2));
-    assert_eq!(status(&other, "/read/", "id2").0, 401);
+    store.put(
+        "op/config",
+        &keyed_configuration(2, &[workspace("alpha", &["k"], 0.0)]),
+    );
+    until("the new version", || other.config_version() == Some(2));
+    assert_eq!(status_with_key(&other, "/read/", "id2").0, 401);
 }
 
 /// Without such a bound an instance serves on.
@@ -79,10 +89,10 @@
     let store = store();
     let server = plain_server();
     list_plain(&store, "i-0", server.address, "ready");
-    let instance = ready("one", store.serve(), "revoke_ms = 100");
+    let instance = start_ready("one", store.serve(), "revoke_ms = 100");
     store.set_faults(silent());
     std::thread::sleep(BOUND);
-    assert_eq!(status(&instance, "/read/", "id1").0, 200);
+    assert_eq!(status_with_key(&instance, "/read/", "id1").0, 200);
 }
 
 /// One that hears the holder and cannot ask anybody by datagram asks the store instead.
@@ -92,7 +102,7 @@
     let server = plain_server();
     list_plain(&store, "i-0", server.address, "ready");
     let address = store.serve();
-    let holder = ready("one", address, BOUNDS);
+    let holder = start_ready("one", address, BOUNDS);
     until("the right", || holder.fence().is_some());
     // The instance takes the same port for connections, which must not be another test's.
     let taken = std::iter::repeat_with(|| UdpSocket::bind("127.0.0.1:0").expect("a port"));
@@ -103,11 +113,15 @@
     let taken = free.next().expect("a port that nobody listens on");
     let mut settings = settings("two", address, BOUNDS);
     settings.peer_address = taken.local_addr().expect("an address");
-    let other = site::start_with(settings);
+    let other = cluster::start_with(settings);
     until("readiness", || other.is_ready());
     std::thread::sleep(2 * BOUND);
-    until("service", || status(&other, "/read/", "id1").0 == 200);
+    until("service", || {
+        status_with_key(&other, "/read/", "id1").0 == 200
+    });
     // And it stays so: each proof is followed by the next.
     std::thread::sleep(2 * BOUND);
-    until("service", || status(&other, "/read/", "id2").0 == 200);
+    until("service", || {
+        status_with_key(&other, "/read/", "id2").0 == 200
+    });
 }
--- a/tests/all/workspace_secrets.rs
+++ b/tests/all/workspace_secrets.rs
@@ -1,7 +1,7 @@
 //! Keys are secrets: nothing that an instance writes shows one.
 
-use crate::closed_site::{KEY, closed};
-use crate::site::{ask, list_plain, plain_server, request, until};
+use crate::cluster::{ask, list_plain, plain_server, request, until};
+use crate::keyed_cluster::{KEY, keyed_configuration};
 use passway_serving::workspaces::KeyDigest;
 use passway_standins::platform::documents::workspace;
 use passway_standins::platform::program::{Output, Program, ProgramPlan};
@@ -20,7 +20,10 @@
 #[test]
 fn logs_and_metrics() {
     let store = MetadataStandIn::default();
-    store.put("op/config", &closed(1, &[workspace("alpha", &[KEY], 1e6)]));
+    store.put(
+        "op/config",
+        &keyed_configuration(1, &[workspace("alpha", &[KEY], 1e6)]),
+    );
     let server = plain_server();
     list_plain(&store, "i-0", server.address, "ready");
     let log = std::env::temp_dir().join(format!("passway-secrets-{}", std::process::id()));
@@ -53,9 +56,9 @@
         workspace("alpha", &[KEY], 0.0),
         workspace("beta", &[KEY], 0.0),
     ];
-    store.put("op/config", &closed(2, &twice));
+    store.put("op/config", &keyed_configuration(2, &twice));
     refused(1);
-    let mut wrong = closed(3, &[workspace("alpha", &[KEY], 0.0)]);
+    let mut wrong = keyed_configuration(3, &[workspace("alpha", &[KEY], 0.0)]);
     wrong["tenants"][0]["api_keys"] = json!([KEY, {"key": KEY}]);
     store.put("op/config", &wrong);
     refused(2);
@@ -81,7 +84,7 @@
 #[test]
 fn debug_output() {
     use passway_serving::ports::{Directory, StoredValue};
-    let document = closed(1, &[workspace("alpha", &[KEY], 0.0)]);
+    let document = keyed_configuration(1, &[workspace("alpha", &[KEY], 0.0)]);
     let value = StoredValue {
         key: "op/config".into(),
         value: document.to_string().into_bytes().into(),
--- a/tests/suspended/caller.rs
+++ b/tests/suspended/caller.rs
@@ -1,7 +1,7 @@
 //! Requests whose time went by.
 
 use crate::alone;
-use crate::site::{self, Caller, ask, list_plain, plain_server, request, stream, until};
+use crate::cluster::{self, Caller, ask, list_plain, plain_server, request, stream, until};
 use passway_standins::platform::model_server::ModelServer;
 use passway_standins::platform::raw::{RawServer, Step};
 use passway_types::clock;
@@ -13,15 +13,15 @@
 fn answered_in_time() {
     let _alone = alone();
     let hour = Duration::from_hours(1);
-    let store = site::store(&[]);
-    let mut configuration = site::configuration(2, &[]);
+    let store = cluster::store(&[]);
+    let mut configuration = cluster::configuration(2, &[]);
     for route in configuration["routes"].as_array_mut().expect("routes") {
         route["timeout_ms"] = u64::try_from(hour.as_millis()).expect("a number").into();
     }
     store.put("op/config", &configuration);
     let silent = RawServer::start(move |_| vec![Step::Pause(hour)]);
     list_plain(&store, "i-0", silent.address, "ready");
-    let instance = site::ready("one", &store);
+    let instance = cluster::start_ready("one", &store);
     let mut caller = Caller::connect(instance.callers_address());
     let bytes = String::from_utf8(request("POST", "/pay/", "p", "", "x")).expect("text");
     let bytes = bytes.replace("Deadline-Ms: 8000", "Deadline-Ms: 3600000");
@@ -36,11 +36,11 @@
 #[test]
 fn served_after() {
     let _alone = alone();
-    let store = site::store(&["m0"]);
+    let store = cluster::store(&["m0"]);
     let _engine = ModelServer::start(&store, "i-0", "engines", 1, &["m0"], &[]);
     let plain = plain_server();
     list_plain(&store, "i-1", plain.address, "ready");
-    let instance = site::ready("one", &store);
+    let instance = cluster::start_ready("one", &store);
     let address = instance.callers_address();
     for number in 0..3 {
         let pay = request("POST", "/pay/", &format!("p{number}"), "", "x");
--- a/tests/suspended/dispatcher.rs
+++ b/tests/suspended/dispatcher.rs
@@ -1,7 +1,7 @@
 //! The dispatcher of engines.
 
 use crate::alone;
-use crate::site::{self, PATIENCE, until};
+use crate::cluster::{self, PATIENCE, until};
 use passway_standins::platform::model_server::ModelServer;
 use passway_types::clock;
 use passway_types::prelude::*;
@@ -36,12 +36,12 @@
 #[test]
 fn old_runs_lapse() {
     let _alone = alone();
-    let store = site::store(&["m0"]);
+    let store = cluster::store(&["m0"]);
     let _engine = ModelServer::start(&store, "i-0", "engines", 1, &["m0"], &[]);
     let holder = TcpListener::bind("127.0.0.1:0").expect("bind");
     let address = holder.local_addr().expect("address");
     store.put_bytes("passway/holder", format!("played {address}").as_bytes());
-    let instance = site::ready("one", &store);
+    let instance = cluster::start_ready("one", &store);
     let (link, mut reader) = Link::from_stream(holder.accept().expect("a link").0).expect("a link");
     let dispatcher = loop {
         if let Some(Body::Subscribe(subscribe)) = reader.receive().expect("a message") {
@@ -56,7 +56,7 @@
         members: vec![member],
     };
     link.send(Body::Dispatchers(members)).expect("sent");
-    until("a dispatcher", || instance.dispatchers() == 1);
+    until("a dispatcher", || instance.dispatcher_count() == 1);
     let dispatcher: SocketAddr = dispatcher.parse().expect("an address");
     let socket = UdpSocket::bind("127.0.0.1:0").expect("bind");
     socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
--- a/tests/suspended/holder.rs
+++ b/tests/suspended/holder.rs
@@ -1,7 +1,7 @@
 //! The holder of the right to order.
 
 use crate::alone;
-use crate::site::{self, until};
+use crate::cluster::{self, until};
 use passway_standins::platform::store::Faults;
 use passway_types::clock;
 use passway_types::prelude::*;
@@ -10,9 +10,9 @@
 #[test]
 fn orders_nothing() {
     let _alone = alone();
-    let store = site::store(&["m0"]);
+    let store = cluster::store(&["m0"]);
     let way = store.serve_way();
-    let instance = site::start_at("one", way.address());
+    let instance = cluster::start_at("one", way.address());
     until("the right to order", || instance.fence().is_some());
     way.set_faults(Faults {
         refuses: Some(503),
--- a/tests/suspended/keys.rs
+++ b/tests/suspended/keys.rs
@@ -1,8 +1,8 @@
 //! A key that was taken away while the machine was suspended.
 
 use crate::alone;
-use crate::closed_site::{KEY, closed, ready, status};
-use crate::site::{list_plain, plain_server, until};
+use crate::cluster::{list_plain, plain_server, until};
+use crate::keyed_cluster::{KEY, keyed_configuration, start_ready, status_with_key};
 use passway_standins::platform::documents::workspace;
 use passway_standins::platform::store::{Faults, MetadataStandIn};
 use passway_types::clock;
@@ -13,19 +13,24 @@
 fn asks_before_it_serves() {
     let _alone = alone();
     let store = MetadataStandIn::default();
-    store.put("op/config", &closed(1, &[workspace("alpha", &[KEY], 0.0)]));
+    store.put(
+        "op/config",
+        &keyed_configuration(1, &[workspace("alpha", &[KEY], 0.0)]),
+    );
     let server = plain_server();
     list_plain(&store, "i-0", server.address, "ready");
     let bounds = "strict_revoke = true\nrevoke_ms = 5000";
-    let instance = ready("one", store.serve(), bounds);
-    assert_eq!(status(&instance, "/read/", "id1").0, 200);
+    let instance = start_ready("one", store.serve(), bounds);
+    assert_eq!(status_with_key(&instance, "/read/", "id1").0, 200);
     store.set_faults(Faults {
         refuses: Some(503),
         ..Faults::default()
     });
     clock::play_suspension(Duration::from_secs(6));
-    assert_eq!(status(&instance, "/read/", "id2").0, 503);
+    assert_eq!(status_with_key(&instance, "/read/", "id2").0, 503);
     assert_eq!(server.received().len(), 1);
     store.set_faults(Faults::default());
-    until("service", || status(&instance, "/read/", "id3").0 == 200);
+    until("service", || {
+        status_with_key(&instance, "/read/", "id3").0 == 200
+    });
 }
--- a/tests/suspended/main.rs
+++ b/tests/suspended/main.rs
@@ -3,11 +3,11 @@
 //!
 //! The clock is the process's, so the tests run one after the other ([`alone`]).
 
-#[path = "../all/site.rs"]
-mod site;
+#[path = "../all/cluster.rs"]
+mod cluster;
 
-#[path = "../all/closed_site.rs"]
-mod closed_site;
+#[path = "../all/keyed_cluster.rs"]
+mod keyed_cluster;
 
 mod caller;
 mod dispatcher;
--- a/tests/suspended/stopped.rs
+++ b/tests/suspended/stopped.rs
@@ -1,7 +1,7 @@
 //! A process that is stopped and goes on: what it waited for is still to come.
 
 use crate::alone;
-use crate::site::PATIENCE;
+use crate::cluster::PATIENCE;
 use passway_wire::message::PromiseWanted;
 use passway_wire::{Body, Link};
 use std::net::TcpListener;
