--- a/crates/instance/src/dispatch.rs
+++ b/crates/instance/src/dispatch.rs
@@ -1,8 +1,9 @@
-//! Asking dispatchers for engines, and being one: datagrams on the port for other instances.
+//! Datagram queries to dispatchers for engines, and the dispatcher's side of these queries.
 //!
-//! An answer that does not come within 60 ms is not waited for: the request goes by
-//! what this instance has sent itself, and the next ones ask another dispatcher for a while. So
-//! a dispatcher that dies, freezes or is cut off costs a request that moment and nothing else.
+//! A request waits at most 60 ms for a dispatcher's answer. Without one the instance chooses by the
+//! load that it has sent itself, and the next requests ask another dispatcher for a while. A
+//! dispatcher that crashes, freezes or is disconnected therefore costs a request no more than this
+//! wait.
 
 use crate::keeper;
 use crate::queries::PendingQueries;
@@ -23,62 +24,63 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Dispatchers that are asked for one attempt before it waits.
+/// Dispatchers that are queried for one attempt before the request waits.
 const MAX_DISPATCHERS_ASKED: usize = 2;
-/// Largest datagram that is read: what UDP carries.
+/// Largest datagram that is read: the maximum payload of UDP.
 const MAX_DATAGRAM_BYTES: usize = 65_507;
-/// Runs that are told in one: with names of usual length, of some 15 bytes, what goes over any
-/// link in one piece (1,400 bytes); with longer ones it goes in several.
+/// Runs reported in one datagram. With names of the usual 15 bytes a datagram of this size fits
+/// into one packet on any link (1,400 bytes); with longer names IP fragments it.
 const RUNS_PER_DATAGRAM: usize = 40;
 
-/// Longest time to or since a due moment that is told: far over any request's patience.
+/// Largest distance between a due time and now that is accepted from another instance: far longer
+/// than any request's time limit.
 const MAX_DUE_MS: u64 = 600_000;
 
-/// A run of this instance that its dispatcher knows, or will hear of.
+/// A run of this instance that its dispatcher knows about or will be informed of.
 #[derive(Debug, Clone)]
 struct LocalRun {
     engine: UpstreamId,
-    /// Who granted it; `None` if it was sent without asking.
+    /// The dispatcher that granted the run; `None` if the request was sent without a grant.
     granted_by: Option<SocketAddr>,
 }
 
-/// What a request is told.
+/// The dispatchers' answer for a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DispatchAnswer {
-    /// Where it goes.
+    /// The engine that was granted, or why there is none.
     pub choice: Choice,
-    /// The number of the run, if it goes.
+    /// The id of the run, if an engine was granted.
     pub run_id: Option<RunId>,
 }
 
-/// A request's question.
+/// A request's query for an engine.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineQuery<'a> {
-    /// The attempt's number, from [`Dispatch::next_run`]; the same when it asks again.
+    /// The attempt's id, from [`Dispatch::next_run_id`]; a repeated query keeps the id.
     pub run_id: RunId,
     /// The service.
     pub service: &'a ServiceName,
-    /// What it needs.
+    /// The model, and the adapter if any, that the request needs.
     pub model_ref: &'a ModelRef,
-    /// Engines where it has been.
+    /// Engines that the request does not go to.
     pub tried: &'a [UpstreamId],
-    /// A number of the request's own.
+    /// Hash of the request's id.
     pub drawn: u64,
-    /// When it must begin to be in time.
+    /// When the request must begin to run to meet its latency goal.
     pub due_at: Instant,
-    /// Whether engines let it in before all others that wait.
+    /// Whether engines admit the request before all other waiting requests.
     pub is_urgent: bool,
-    /// The regions in which it may be served.
+    /// The regions in which the request may be served.
     pub allowed: &'a AllowedRegions,
 }
 
-/// Time until a moment in milliseconds; below 0 if it is past.
+/// Time until `due_at` in milliseconds; negative if it has passed.
 fn due_in_ms(due_at: Instant, now: Instant) -> i64 {
     let ms = |time: Duration| i64::try_from(time.as_millis()).unwrap_or(i64::MAX);
     ms(due_at.saturating_duration_since(now)) - ms(now.saturating_duration_since(due_at))
 }
 
-/// The moment that is so many milliseconds away.
+/// The instant that is `due_in_ms` milliseconds away.
 fn instant_from_due_ms(due_in_ms: i64, now: Instant) -> Instant {
     let away = Duration::from_millis(due_in_ms.unsigned_abs().min(MAX_DUE_MS));
     let moment = if due_in_ms < 0 {
@@ -89,16 +91,16 @@
     moment.unwrap_or(now)
 }
 
-/// The instance's part in dispatching.
+/// Client and server of the dispatch protocol.
 #[derive(Debug)]
 pub struct Dispatch {
     own_address: SocketAddr,
-    /// `None` if the port is taken: the instance then goes by what it sees itself.
+    /// `None` if the port is taken: the instance then chooses engines by its own state.
     socket: Option<UdpSocket>,
     dispatchers: Mutex<Dispatchers>,
     run_book: Mutex<RunBook>,
     waiting_line: Mutex<WaitingLine>,
-    /// Attempts that wait for an answer.
+    /// Queries that wait for an answer.
     pending_queries: PendingQueries<Grant>,
     runs: Mutex<HashMap<RunId, LocalRun>>,
     next_run_id: AtomicU64,
@@ -123,25 +125,25 @@
             waiting_line: Mutex::default(),
             pending_queries: PendingQueries::default(),
             runs: Mutex::default(),
-            // Numbers of a process before this one are not used again.
+            // A random start avoids reusing ids of an earlier process.
             next_run_id: AtomicU64::new(rand::random()),
         }
     }
 
-    /// Uses another list of dispatchers.
+    /// Replaces the list of dispatchers.
     pub fn set_dispatchers(&self, list: Vec<Candidate>) {
         log::info!(dispatchers = list.len(); "dispatchers");
         lock(&self.dispatchers).set(list);
-        // The thread that answers looks again.
+        // Wakes the receiving thread, so that it applies the new list.
         self.send(self.own_address, None);
     }
 
-    /// Who dispatches for engines.
+    /// The instances that dispatch for engines.
     pub fn dispatcher_list(&self) -> Vec<Candidate> {
         lock(&self.dispatchers).list().to_vec()
     }
 
-    /// Whether engines have dispatchers.
+    /// Whether there are dispatchers and this instance can reach them.
     pub fn is_enabled(&self) -> bool {
         self.socket.is_some() && !lock(&self.dispatchers).is_empty()
     }
@@ -150,7 +152,7 @@
         lock(&self.dispatchers).of_engine(engine, clock::now())
     }
 
-    /// Sends a datagram. One that cannot be sent is lost like any other.
+    /// Sends a datagram. One that cannot be sent counts as lost.
     pub fn send(&self, to: SocketAddr, body: impl Into<Option<Body>>) {
         if let Some(socket) = &self.socket
             && let Err(error) = socket.send_to(&Datagram::bytes(body.into()), to)
@@ -159,7 +161,8 @@
         }
     }
 
-    /// An engine for a request; `None` if nobody tells, so that it goes by what is seen here.
+    /// Queries dispatchers for an engine. `None` without a usable answer: the request then chooses
+    /// by this instance's own state.
     pub fn query_engine(
         &self,
         shared: &Shared,
@@ -223,7 +226,9 @@
                 Verdict::Absent => {}
             }
         }
-        // That none of them knows what stands there by what is heard here is told soon.
+        // If all dispatchers answer `Absent` although this instance knows engines with the model,
+        // the dispatchers have not received the placement yet, and the request chooses by this
+        // instance's state.
         let is_told = choice == Choice::Full || engines.is_empty();
         is_told.then_some(DispatchAnswer {
             choice,
@@ -231,7 +236,7 @@
         })
     }
 
-    /// The engine that was granted, if it is known here.
+    /// Records a granted run; `None` if this instance does not know the engine.
     fn accept_grant(
         &self,
         shared: &Shared,
@@ -254,7 +259,7 @@
         })
     }
 
-    /// One question and its answer; `None` without one.
+    /// Sends one query to a dispatcher; `None` without an answer.
     fn query_dispatcher(&self, shared: &Shared, dispatcher: SocketAddr, ask: Ask) -> Option<Grant> {
         if dispatcher == self.own_address {
             return Some(self.answer_query(shared, self.own_address, &ask));
@@ -265,12 +270,12 @@
             .send_and_wait(id, || self.send(dispatcher, body.clone()))
     }
 
-    /// A number for an attempt.
+    /// The id for a new attempt.
     pub fn next_run_id(&self) -> RunId {
         self.next_run_id.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// A request goes to an engine without having asked; the run's number.
+    /// Records a run that is sent to an engine without a grant, and returns its id.
     pub fn record_direct_run(&self, engine: &UpstreamId) -> Option<RunId> {
         if !self.is_enabled() {
             return None;
@@ -284,7 +289,7 @@
         Some(id)
     }
 
-    /// A run of this instance is over.
+    /// Reports the end of a run of this instance to its dispatcher.
     pub fn run_ended(&self, shared: &Shared, id: RunId, outcome: Outcome) {
         let run = lock(&self.runs).remove(&id);
         let Some(LocalRun { engine, granted_by }) = run else {
@@ -304,7 +309,7 @@
         }
     }
 
-    /// Answers a question, as the dispatcher.
+    /// Answers a query as the dispatcher.
     fn answer_query(&self, shared: &Shared, from: SocketAddr, ask: &Ask) -> Grant {
         let key = RunKey {
             instance: from,
@@ -316,7 +321,7 @@
             engine: engine.to_owned(),
         };
         let now = clock::now();
-        // The order of locks: the upstreams before the book.
+        // Lock order: the upstreams before the run book.
         let upstreams = shared.upstreams();
         let mut book = lock(&self.run_book);
         if let Some(engine) = book.engine_of(key) {
@@ -376,7 +381,7 @@
         }
     }
 
-    /// A run is over, as its dispatcher hears.
+    /// Records, as the dispatcher, that a run has ended.
     fn record_run_end(&self, shared: &Shared, from: SocketAddr, ended: &Ended) {
         let key = RunKey {
             instance: from,
@@ -388,14 +393,15 @@
         }
     }
 
-    /// Takes in a datagram.
+    /// Handles a received datagram.
     fn handle_datagram(&self, shared: &Shared, from: SocketAddr, body: Body) {
         match body {
             Body::Ask(ask) => {
                 let grant = self.answer_query(shared, from, &ask);
                 self.send(from, Body::Grant(grant));
             }
-            // One that comes late, or twice, is of no use: the run ends by not being told.
+            // A late or duplicate grant is dropped. The dispatcher's entry for its run expires,
+            // because this instance does not report the run.
             Body::Grant(grant) => self.pending_queries.deliver_answer(grant.id, grant),
             Body::Ended(ended) => self.record_run_end(shared, from, &ended),
             Body::Running(running) => {
@@ -427,8 +433,8 @@
         }
     }
 
-    /// Tells dispatchers what runs on their engines, so that they know it although they have
-    /// just begun, or an end was lost.
+    /// Reports to dispatchers which runs are on their engines, so that they know them although they
+    /// have just started or an end was lost.
     fn announce_runs(&self, shared: &Shared) {
         let runs = lock(&self.runs).clone();
         let mut by_dispatcher: HashMap<SocketAddr, Vec<RunHere>> = HashMap::new();
@@ -455,7 +461,7 @@
         }
     }
 
-    /// Hears others for as long as the process lives.
+    /// Starts the thread that receives datagrams for as long as the process runs.
     pub fn start(shared: &Arc<Shared>) {
         let shared = shared.clone();
         std::thread::spawn(move || shared.dispatch.run(&shared));
@@ -469,7 +475,8 @@
         let mut refresh_at = clock::now();
         loop {
             let now = clock::now();
-            // Without dispatchers nothing is due by time: a datagram tells when there are some.
+            // Without dispatchers nothing is due periodically: a datagram wakes the thread when the
+            // list changes.
             let pause = self.is_enabled().then(|| {
                 if now >= refresh_at {
                     refresh_at = now + REFRESH_PAUSE;
@@ -484,7 +491,7 @@
                 log::warn!(error:% = error; "a time-out cannot be set");
             }
             let Ok((length, from)) = socket.recv_from(&mut bytes) else {
-                // The time is over, or a datagram of before was refused by a dead port.
+                // The read timed out, or an earlier datagram was refused by a closed port.
                 continue;
             };
             if let Some(body) = Datagram::read(&bytes[..length]) {
--- a/crates/instance/src/forward.rs
+++ b/crates/instance/src/forward.rs
@@ -1,15 +1,16 @@
-//! One request: the loop over attempts, giving up.
+//! Handling of one request: the loop over attempts, and the answer if all fail.
 //!
-//! * [`destination`]: its route and service. [`access`]: whether it may go.
-//! * [`waiting`]: waiting for an upstream and choosing it.
-//! * [`refusal`]: the answer when nothing more can be tried.
-//! * [`attempt`], [`exchange`]: what happens within one attempt. [`suspect`]: whether the
-//!   request crashes what runs it. [`limits`]: a turn at upstreams in need. [`send_permit`]: the last look
-//!   before a request leaves.
+//! * [`destination`] finds the route and service, [`access`] checks whether the request is
+//!   admitted.
+//! * [`waiting`] waits for an upstream and chooses it.
+//! * [`refusal`] writes the answer when nothing more can be tried.
+//! * [`attempt`] and [`exchange`] are one attempt. [`suspect`] tracks whether the request crashes
+//!   its upstreams. [`limits`] requests grants at limited upstreams. [`send_permit`] is the last
+//!   check before a request is sent.
 //!
-//! What an attempt tells decides what may follow. A request that was not run may go
-//! to another upstream whatever its kind. One that may have run goes to another only
-//! if its kind allows it, and is never refused as "not run".
+//! The outcome of an attempt decides what may follow. A request that was not run may go to another
+//! upstream whatever its kind. One that may have run goes to another upstream only if its kind
+//! allows that, and is never refused as "not run".
 
 mod access;
 mod attempt;
@@ -40,23 +41,23 @@
 use passway_types::prelude::*;
 use std::cell::OnceCell;
 
-/// When a refused caller may come back, where nothing better is known.
+/// Default `Retry-After` of a refusal, in milliseconds.
 pub const RETRY_AFTER_MS: u64 = 500;
-/// How a request ends whose answer its caller does not take.
+/// End of a request whose caller does not read the answer, for logs and metrics.
 const NOT_TAKEN: &str = "not taken by its caller";
-/// Most times that one request is offered to upstreams.
+/// Largest number of attempts at upstreams for one request.
 const MAX_OFFERS: u32 = 6;
 
 /// Whether the caller's connection may carry another request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionReuse {
-    /// It may.
+    /// The connection stays open.
     Keep,
-    /// It must be closed.
+    /// The connection must be closed.
     Close,
 }
 
-/// One request on its way.
+/// A request in progress.
 pub struct Forwarding<'a> {
     shared: &'a Arc<Shared>,
     caller: &'a mut Connection,
@@ -67,55 +68,57 @@
     service: ServiceName,
     is_engine: bool,
     access: Access,
-    /// What it counts towards its workspace's allotment, once that was taken.
+    /// The cost charged to the workspace's allotment, until it is released.
     charged_cost: Option<f64>,
-    /// Whether an upstream may have run it.
+    /// Whether an upstream may have run the request.
     may_have_run: bool,
     arrived_at: Instant,
     deadline_at: Instant,
     close_after: bool,
     delivered: Delivery,
     tried: Vec<UpstreamId>,
-    /// Upstreams in need that do not take the request yet.
+    /// Upstreams that do not accept the request yet.
     deferred: Vec<DeferredUpstream>,
-    /// When the first of those does, in milliseconds, if only they have what it needs.
+    /// Milliseconds until the first of `deferred` accepts the request, if no other upstream has the
+    /// model.
     upstream_available_ms: Option<u64>,
     runs: u32,
-    /// The number under which the next attempt asks for an engine.
+    /// The id for the next query to a dispatcher.
     run_id: RunId,
     /// When the attempt in progress began.
     attempt_at: Instant,
-    /// Where the request goes on, chosen before an upstream that is silent was left.
+    /// The upstream for the next attempt, chosen before a silent upstream was left.
     next_target: Option<Target>,
-    /// Whether it may run while upstreams that broke off under it may have ended.
+    /// Whether the request may run although upstreams that broke off while they ran it may have
+    /// crashed.
     suspicion: Standing,
-    /// Its turn to run alone among those like it, once it has asked for one.
+    /// The permit to run isolated, once the request has asked for one.
     isolated_run: Option<Trial>,
-    /// When its model can be there at the earliest, in milliseconds, if that is too late for it.
+    /// Milliseconds until the model can be loaded, if that is too late for the request.
     model_ready_ms: Option<u64>,
-    /// What it asks for, once that was computed.
+    /// Digest of the request's content, once computed.
     digest: OnceCell<RequestDigest>,
     record: RequestLog,
 }
 
-/// What the line about the request's end tells beside its facts.
+/// Values for the log line and the metrics at the end of the request.
 #[derive(Debug, Default)]
 struct RequestLog {
-    /// Times that it was offered to an upstream.
+    /// Number of attempts at upstreams.
     offers: u32,
-    /// The last of them.
+    /// The upstream of the last attempt.
     upstream: Option<UpstreamId>,
-    /// Time until the first offer, in milliseconds.
+    /// Time until the first attempt, in milliseconds.
     waited_ms: Option<u64>,
-    /// Time until the first bytes of the answer went out, in milliseconds.
+    /// Time until the first bytes of the answer were sent, in milliseconds.
     first_ms: Option<u64>,
-    /// The status that the caller got; 0 if none.
+    /// The status sent to the caller; 0 if none.
     status: u16,
-    /// How it ended.
+    /// How the request ended.
     end: &'static str,
-    /// Whether its caller has taken nothing of the answer for long.
+    /// Whether the caller has stopped reading its answer.
     is_stalled: bool,
-    /// Whether a stop of this instance left it less time than it had.
+    /// Whether a stop of this instance shortened the request's time.
     cut_by_stop: bool,
 }
 
@@ -128,7 +131,7 @@
     }
 }
 
-/// Answers one request whose head and body have been read.
+/// Forwards one request whose head and body have been read, and answers the caller.
 pub fn serve(
     shared: &Arc<Shared>,
     caller: &mut Connection,
@@ -204,7 +207,7 @@
         self.facts.wish.as_ref().filter(|_| self.is_engine)
     }
 
-    /// Serves the request and says how it ended.
+    /// Runs the request to its end and records how it ended.
     fn serve(mut self) -> ConnectionReuse {
         let after = self.run_attempts();
         self.release_allotment();
@@ -299,7 +302,7 @@
                     self.record.cut_by_stop = true;
                     return self.answer_failure(failed);
                 }
-                // What is full now may have room in a moment.
+                // An upstream that was full may have free capacity by now.
                 Attempt::NotRun(Outcome::Shed) => self.tried.clear(),
                 Attempt::NotRun(_) | Attempt::NotSent | Attempt::NotPermitted => {}
                 Attempt::Broken => {
@@ -345,7 +348,7 @@
         attempt
     }
 
-    /// One attempt, and what it tells of the upstream.
+    /// Makes one attempt, and returns what the upstream's state learns from it.
     fn run_attempt(&mut self, target: &Target) -> (Attempt, Outcome) {
         if self.caller.is_closed() {
             return (Attempt::CallerGone, Outcome::Unknown);
--- a/crates/instance/src/forward/access.rs
+++ b/crates/instance/src/forward/access.rs
@@ -1,5 +1,5 @@
-//! Whether a request may go: its key, how sure it is that the key still holds, and its workspace's
-//! allotment.
+//! Whether a request is admitted: its key, the proof that the key is still valid, and its
+//! workspace's allotment.
 
 use super::{Forwarding, RETRY_AFTER_MS, not_run};
 use crate::allotments::Decision;
@@ -12,25 +12,25 @@
 use passway_types::clock;
 use passway_types::prelude::*;
 
-/// Longest wait for a proof that the configuration is the newest: a question to another instance
-/// and a second one elsewhere.
+/// Longest wait for a proof that the configuration is current: time for a query to one instance and
+/// a second query to another.
 const PROOF_TIMEOUT: Duration = Duration::from_millis(150);
-/// When a caller may come back to an instance that cannot prove its configuration: at once, since
-/// it meets another one then, which most likely can.
+/// `Retry-After` of an instance that cannot prove its configuration, in milliseconds. It is short
+/// because the retry most likely reaches another instance, which can.
 const UNPROVEN_RETRY_MS: u64 = 50;
-/// Pause before it is looked again for a keeper of allotments.
+/// Interval between two attempts to reach the coordinator of allotments.
 const COORDINATOR_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why a request may not go.
+/// Why a request is not admitted.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Denial {
-    /// What its caller is told.
+    /// The answer to the caller.
     pub refusal: Refusal,
-    /// The same for logs and metrics.
+    /// The reason for logs and metrics.
     pub end: &'static str,
 }
 
-/// A caller without a key that the configuration knows.
+/// The request has no key that the configuration knows.
 pub(super) const UNKNOWN_KEY: Denial = Denial {
     refusal: Refusal::NoKey,
     end: "refused without a key that is known",
@@ -42,21 +42,21 @@
     end: "refused, the configuration may be old",
 };
 
-/// Whose request it is, and whether that matters.
+/// The workspace of a request, and whether the request needs one.
 #[derive(Debug, Clone)]
 pub(super) struct Access {
-    /// The workspace that holds its key.
+    /// The workspace that the request's key belongs to.
     pub workspace: Option<Arc<Workspace>>,
-    /// What upstreams are told.
+    /// The workspace header for upstreams.
     pub mark: WorkspaceMark,
-    /// The regions in which it may be served, by its route and its workspace.
+    /// The regions in which the request may be served, by its route and its workspace.
     pub allowed: AllowedRegions,
-    /// Whether it may go only with a key that holds.
+    /// Whether the request requires a valid key.
     needs_key: bool,
 }
 
 impl Access {
-    /// Looks a request's key up; `None` if its route is closed to it.
+    /// Looks up the request's key; `None` if the route requires a key and this one is not known.
     pub fn look_up(table: &RouteTable, route: &Route, facts: &RequestFacts) -> Option<Self> {
         let Some(workspaces) = &table.workspaces else {
             return Some(Self {
@@ -84,7 +84,7 @@
 }
 
 impl Forwarding<'_> {
-    /// The rank of the request: its workspace's goes before its route's.
+    /// The priority of the request; its workspace's priority overrides its route's.
     pub(super) fn priority(&self) -> u8 {
         let workspace = self.access.workspace.as_ref();
         let own = workspace.and_then(|workspace| workspace.priority);
@@ -105,7 +105,7 @@
         self.charge_allotment()
     }
 
-    /// Takes what the request counts from its workspace's allotment.
+    /// Charges the request's cost to its workspace's allotment.
     fn charge_allotment(&mut self) -> Result<(), Denial> {
         let Some(workspace) = self.access.workspace.clone() else {
             return Ok(());
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Gives back what the request counted, if it has not run and never will.
+    /// Releases the charged cost if the request has not run and never will.
     pub(super) fn release_allotment(&mut self) {
         if let Some(cost) = self.charged_cost.take_if(|_| !self.may_have_run)
             && let Some(workspace) = &self.access.workspace
@@ -150,12 +150,13 @@
         }
     }
 
-    /// Looks again whether the request may go, the last thing before it is sent.
+    /// Checks the access again directly before the request is sent.
     pub(super) fn check_access(&self) -> Result<(), Denial> {
         if !self.access.needs_key {
             return Ok(());
         }
-        // The proof before the table: one that came later may belong to a version without the key.
+        // Checks the proof before loading the table: a proof that arrives later may belong to a
+        // newer version without the key.
         let bound = self.shared.revocation_bound();
         if bound.is_some_and(|bound| !self.shared.configuration_age.permits(bound)) {
             return Err(UNPROVEN_CONFIGURATION);
--- a/crates/instance/src/forward/attempt.rs
+++ b/crates/instance/src/forward/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at an upstream: where it goes, how it ended, what of its answer went out.
+//! One attempt at an upstream: its target, its outcome, and what was delivered of its answer.
 
 use super::ConnectionReuse;
 use super::access::Denial;
@@ -13,36 +13,36 @@
 /// How one attempt ended.
 #[derive(Debug)]
 pub(super) enum Attempt {
-    /// The caller has the answer.
+    /// The answer was delivered to the caller.
     Answered(ConnectionReuse),
-    /// The caller left, or its connection broke.
+    /// The caller closed its connection, or the connection broke.
     CallerGone,
-    /// The upstream has not run it and never will.
+    /// The upstream has not run the request and never will.
     NotRun(Outcome),
-    /// No connection could be made, so nothing of it was sent.
+    /// No connection could be made, so nothing was sent.
     NotSent,
-    /// The upstream has said meanwhile that it does not want it; nothing of it was sent.
+    /// The upstream no longer admits the request; nothing was sent.
     NotPermitted,
-    /// It may have run; the answer broke off or was no answer.
+    /// The upstream may have run the request; its answer broke off or was invalid.
     Broken,
-    /// The upstream failed and says so.
+    /// The upstream answered with a failure that it vouches for.
     Failed(Box<FailedAnswer>),
-    /// It may not go, or not any more; nothing of it was sent.
+    /// The request is not admitted, or no longer; nothing was sent.
     Denied(Denial),
-    /// The time is over.
+    /// The deadline has passed.
     TimedOut,
-    /// The process is about to end; the request may have run.
+    /// The process is about to exit; the upstream may have run the request.
     Stopping,
 }
 
-/// A failure that an upstream vouches for, kept in case nobody does better.
+/// A failure that an upstream vouches for, kept in case no other upstream answers better.
 #[derive(Debug)]
 pub(super) struct FailedAnswer {
     pub(super) head: AnswerHead,
     pub(super) body: Vec<u8>,
 }
 
-/// What has gone to the caller, over all attempts.
+/// What has been delivered to the caller, over all attempts.
 #[derive(Debug, Default)]
 pub(super) struct Delivery {
     pub(super) head_sent: bool,
@@ -55,16 +55,18 @@
 pub(super) struct Target {
     pub(super) id: UpstreamId,
     pub(super) address: SocketAddr,
-    /// When it had started when it was chosen, in Unix milliseconds by its own clock; 0 if it does not tell.
+    /// When the upstream had started at the time of the choice, in Unix milliseconds by its own
+    /// clock; 0 if it does not report its start.
     pub(super) started_at_ms: u64,
-    /// Whether the count of all instances has given it a turn there.
+    /// Whether the coordinator, or the local share, has granted the request at this limited
+    /// upstream.
     pub(super) has_limit_grant: bool,
-    /// The run's number, where engines have dispatchers.
+    /// The id of the run, where engines have dispatchers.
     pub(super) run_id: Option<RunId>,
 }
 
 impl Target {
-    /// The start of the upstream that was chosen.
+    /// The start of the upstream at the time of the choice.
     pub(super) fn start(&self) -> UpstreamStart {
         UpstreamStart {
             upstream: self.id.clone(),
@@ -74,7 +76,7 @@
 }
 
 impl Attempt {
-    /// Whether an upstream may have run the request.
+    /// Whether the upstream may have run the request.
     pub(super) fn may_have_run(&self) -> bool {
         !matches!(
             self,
--- a/crates/instance/src/forward/destination.rs
+++ b/crates/instance/src/forward/destination.rs
@@ -1,4 +1,4 @@
-//! Where a request goes by the configuration in force.
+//! The route and service of a request by the configuration in effect.
 
 use super::access::{Access, Denial, UNKNOWN_KEY};
 use super::{RETRY_AFTER_MS, not_run};
@@ -11,15 +11,15 @@
 use passway_types::clock;
 use passway_types::prelude::*;
 
-/// When a caller may come back to an instance that knows no configuration yet.
+/// `Retry-After` of an instance without a configuration, in milliseconds.
 const START_RETRY_MS: u64 = 1_500;
-/// Part of its time that a request may wait for the first configuration.
+/// Fraction of its time that a request may wait for the first configuration.
 const START_WAIT_RATIO: f64 = 0.3;
-/// Longest such wait.
+/// Longest wait for the first configuration.
 const MAX_START_WAIT: Duration = Duration::from_secs(1);
-/// Pause between two looks whether the configuration has come.
+/// Interval between two checks for the first configuration.
 const START_POLL_INTERVAL: Duration = Duration::from_millis(30);
-/// Where a request goes by the configuration.
+/// Route, service and access of a request.
 #[derive(Debug)]
 pub(super) struct Destination {
     pub(super) route: Arc<Route>,
@@ -28,13 +28,13 @@
     pub(super) access: Access,
 }
 
-/// A stable number for a request, by which it takes its part of a split route: the
-/// same request always takes the same backend.
+/// A stable hash of a request's id, which chooses the backend of a split route: the same request
+/// always goes to the same backend.
 pub(super) fn request_hash(id: &str) -> u64 {
     fnv1a(0, id)
 }
 
-/// The host that a request names, without its port; `None` unless it names just one.
+/// The host in the request's head, without its port; `None` unless there is exactly one.
 pub(super) fn host_of(head: &RequestHead) -> Option<String> {
     let mut hosts = head.headers.all("host");
     let host = std::str::from_utf8(hosts.next()?).ok()?;
@@ -45,7 +45,10 @@
     Some(name.to_ascii_lowercase())
 }
 
-/// The route and service of a request; the error is what its caller is told.
+/// Finds the route and service of a request.
+///
+/// # Errors
+/// The refusal for the caller if there is no route or the request has no access.
 pub(super) fn find_destination(
     shared: &Shared,
     caller: &mut Connection,
@@ -74,8 +77,8 @@
     })
 }
 
-/// The routes, as soon as both they and the upstreams are known. An instance that has
-/// just started waits a moment for them: the store may be about to answer.
+/// The routes, as soon as both they and the upstreams are known. An instance that has just started
+/// waits briefly for them, because the store may be about to answer.
 fn wait_for_routes(
     shared: &Shared,
     caller: &mut Connection,
@@ -88,7 +91,7 @@
         .unwrap_or_default();
     let until = arrived_at + time.mul_f64(START_WAIT_RATIO).min(MAX_START_WAIT);
     loop {
-        // Upstreams that are not known yet cannot be told from none.
+        // Before the first list, a service without upstreams looks like one with unknown upstreams.
         let knows = shared.can_serve() || (shared.is_stopping() && !shared.is_refusing_requests());
         if knows {
             return shared.routes.load_full();
--- a/crates/instance/src/forward/exchange.rs
+++ b/crates/instance/src/forward/exchange.rs
@@ -1,8 +1,8 @@
-//! One attempt: sending the request to one upstream, reading its answer, passing it on.
+//! One attempt: sending the request to one upstream, reading its answer, delivering it.
 //!
-//! An answer that is no stream is held back until it is whole, so that another
-//! upstream may still answer. A stream is passed on as its events come; only whole
-//! events go out, so that another upstream can go on behind the last of them.
+//! An answer that is not a stream is buffered until it is complete, so that another upstream may
+//! still answer instead. A stream is delivered as its events arrive. Only complete events are
+//! delivered, so that another upstream can resume after the last of them.
 
 use super::send_permit::SendPermit;
 use super::{
@@ -26,30 +26,30 @@
 
 /// Time to connect to an upstream; a round trip takes a few milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// A stream that may go on elsewhere does so after a pause of so many times its goal
-/// for pauses, if nothing else is heard of its upstream either.
+/// A resumable stream moves to another upstream after a silence of this many times its route's goal
+/// for gaps, if the upstream is silent towards all other requests as well.
 const SILENCE_GAP_MULTIPLE: u64 = 3;
-/// Shortest such pause.
+/// Shortest silence after which a stream moves.
 const MIN_SILENCE: Duration = Duration::from_millis(800);
-/// A request that may run once goes over a connection that has rested at most this long.
+/// Longest idle time of a pooled connection for a request that may run only once.
 const MAX_IDLE_RUN_ONCE: Duration = Duration::from_millis(900);
-/// Any other request goes over a connection however long it has rested.
+/// Longest idle time of a pooled connection for any other request.
 const MAX_IDLE_REPEATABLE: Duration = Duration::from_mins(10);
-/// Largest answer that is held back until it is whole.
+/// Largest answer that is buffered whole.
 const MAX_WHOLE_BYTES: usize = 1 << 20;
-/// A caller that takes nothing of its answer for so long does not read it: a little less than the connection itself
-/// bears that.
+/// A caller that reads nothing of its answer for this long is given up. Slightly shorter than the
+/// user timeout of the connection itself.
 const CALLER_STALL_TIMEOUT: Duration = Duration::from_millis(3_500);
-/// Pause between two looks whether there is room for an answer.
+/// Interval between two checks for memory for an answer.
 const MEMORY_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Answers of earlier requests that are left out before a connection is given up.
+/// Answers to earlier requests that are skipped before a connection is given up.
 const MAX_STALE_ANSWERS: usize = 2;
-/// Status of an upstream that does not have what the request is for (RFC 9110:
-/// Misdirected Request).
+/// Status of an upstream that does not have the model of the request (RFC 9110: Misdirected
+/// Request).
 const MISDIRECTED: u16 = 421;
 
 impl Forwarding<'_> {
-    /// Sends the request over a rested or a new connection.
+    /// Sends the request over a pooled or a new connection.
     pub(super) fn exchange(&mut self, target: &Target) -> Attempt {
         let longest = if self.route.kind.may_run_again() {
             MAX_IDLE_REPEATABLE
@@ -60,7 +60,7 @@
         if let Some(kept) = self.shared.pool.take(&target.id, longest, now) {
             let attempt = self.exchange_over(target, kept);
             if matches!(attempt, Attempt::Broken | Attempt::TimedOut) {
-                // The others that rest may be as dead as this one was.
+                // The other idle connections may be as dead as this one.
                 self.shared.pool.close_idle(&target.id);
             }
             if !matches!(attempt, Attempt::NotSent) {
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Until when to wait before it is looked whether the upstream is silent. Only a
-    /// stream that may go on elsewhere is looked at; any other ends by its own times.
+    /// Until when to wait before the next check whether the upstream is silent. Only a stream that
+    /// may move to another upstream is checked; any other request ends by its own deadline.
     fn next_silence_check_at(&self) -> Instant {
         let may_move = self.route.kind == RequestKind::Stream { resumable: true }
             && self.runs + 1 < self.route.attempts;
@@ -85,8 +85,8 @@
         self.deadline_at.min(clock::now() + step.max(MIN_SILENCE))
     }
 
-    /// Whether the upstream is silent for longer than is usual and another one can go on: it
-    /// is chosen, and a repeat is left, before this one is given up.
+    /// Whether the upstream has been silent for longer than usual and another one can go on. The
+    /// next upstream is chosen, and a retry must be left, before this one is given up.
     fn can_leave_silent_upstream(&mut self, target: &Target) -> bool {
         let now = clock::now();
         if !self.shared.upstreams().is_silent(&target.id, now)
@@ -101,7 +101,7 @@
         self.next_target.is_some()
     }
 
-    /// Until when it is usual that nothing has come yet; past once something has.
+    /// By when the first byte usually arrives; in the past once the answer's head was delivered.
     fn usual_first_byte_at(&self) -> Instant {
         if self.delivered.head_sent {
             return self.attempt_at;
@@ -137,7 +137,7 @@
         bytes
     }
 
-    /// Sends the request over `upstream` and deals with the answer to it.
+    /// Sends the request over `upstream` and handles the answer.
     fn exchange_over(&mut self, target: &Target, mut upstream: Connection) -> Attempt {
         if let Err(denied) = self.check_access() {
             return Attempt::Denied(denied);
@@ -158,7 +158,10 @@
         }
     }
 
-    /// Writes the request; the error says how the attempt ended.
+    /// Writes the request.
+    ///
+    /// # Errors
+    /// The outcome of the attempt, if it cannot be written.
     fn send(
         &mut self,
         target: &Target,
@@ -173,8 +176,8 @@
             HttpError::TimedOut => Attempt::TimedOut,
             HttpError::Stopping => Attempt::Stopping,
             HttpError::NothingWritten => Attempt::NotSent,
-            // A part may have arrived; an upstream runs only whole requests, but
-            // what was written last may have been the end of one.
+            // A part may have arrived. An upstream runs only complete requests, but the last bytes
+            // written may have been the end of this one.
             _ => Attempt::Broken,
         })
     }
@@ -199,14 +202,14 @@
                 }
                 return Ok((head, facts));
             }
-            // An answer to an earlier request: what follows may be ours.
+            // An answer to an earlier request; the next one may belong to this request.
             self.skip_body(upstream, &head)?;
         }
         Err(Attempt::Broken)
     }
 
-    /// Takes in what an answer to this request says of its upstream. One that names no request may be
-    /// anybody's, and one of another incarnation says nothing of the upstream that was asked.
+    /// Applies the upstream's signals in an answer to this request. An answer without a request id
+    /// may belong to any request, and one of another incarnation says nothing about the target.
     fn apply_signals(&self, target: &Target, facts: &AnswerFacts) {
         if facts.other_incarnation || facts.id.is_none() {
             return;
@@ -220,7 +223,7 @@
         words::hear(self.shared, heard);
     }
 
-    /// Reads the next answer's head, for as long as the upstream is not silent.
+    /// Reads the next answer's head, unless the upstream falls silent.
     fn read_head(
         &mut self,
         target: &Target,
@@ -241,7 +244,7 @@
         }
     }
 
-    /// Reads the body of another request's answer and drops it.
+    /// Reads and drops the body of an answer to another request.
     fn skip_body(&mut self, upstream: &mut Connection, head: &AnswerHead) -> Result<(), Attempt> {
         let Ok(mut body) = BodyReader::of_answer(head, &self.head.method) else {
             return Err(Attempt::Broken);
@@ -255,7 +258,7 @@
         }
     }
 
-    /// Decides what an answer to this request means, and passes it on if it counts.
+    /// Decides what an answer to this request means, and delivers it if it is final.
     fn handle_answer(
         &mut self,
         target: &Target,
@@ -291,7 +294,7 @@
             Err(_) if !facts.not_run => return Attempt::Broken,
             Err(_) => Vec::new(),
         };
-        // One without a length counts as it turned out to be, beyond the bound too.
+        // An answer without a length is counted at its actual length, even beyond the bound.
         room.resize(bytes.len());
         self.return_to_pool(target, upstream, head, &body);
         if facts.not_run {
@@ -309,8 +312,8 @@
         }))
     }
 
-    /// Room for an answer that is held whole, as soon as those that other callers have not read leave any; its upstream
-    /// waits meanwhile. `None` once the request's time is over.
+    /// Waits for memory to buffer an answer; the upstream's connection waits meanwhile. `None` once
+    /// the deadline has passed or the caller has left.
     fn reserve_answer_memory(&mut self, bytes: usize) -> Option<MemoryReservation> {
         loop {
             if let Some(room) = self.shared.reserve_answer(bytes) {
@@ -323,7 +326,7 @@
         }
     }
 
-    /// The upstream has not run the request; what that tells of the upstream.
+    /// Handles an answer by which the upstream has not run the request.
     fn handle_refusal(&self, target: &Target, head: &AnswerHead, facts: &AnswerFacts) -> Attempt {
         if facts.other_incarnation {
             self.shared.pool.close_idle(&target.id);
@@ -342,13 +345,14 @@
             .closed_until(&target.id, clock::now())
             .is_some()
         {
-            // It has asked for rest, which is no failure, and is not asked again before.
+            // The upstream has asked this instance to back off. That is no failure, and the
+            // instance sends nothing there before the backoff ends.
             return Attempt::NotRun(Outcome::Unknown);
         }
         Attempt::NotRun(Outcome::Shed)
     }
 
-    /// Keeps the upstream's connection if it may carry another request.
+    /// Returns the upstream's connection to the pool if it may carry another request.
     fn return_to_pool(
         &self,
         target: &Target,
@@ -380,19 +384,19 @@
     fn write(&mut self, bytes: &[u8]) -> Result<(), HttpError> {
         let first_ms = self.elapsed_ms();
         self.record.first_ms.get_or_insert(first_ms);
-        // A ready answer is delivered, late too.
+        // A complete answer is delivered even after the deadline.
         let until = self.deadline_at.max(clock::now() + WRITE_TIMEOUT);
         let written = http1::write_until_stalled(self.caller, bytes, CALLER_STALL_TIMEOUT, until);
         self.record.is_stalled |= match &written {
             Err(HttpError::TimedOut) => true,
-            // The connection itself has waited for that.
+            // The connection's own user timeout has expired.
             Err(HttpError::Io(error)) => error.kind() == ErrorKind::TimedOut,
             _ => false,
         };
         written
     }
 
-    /// Passes on an answer that is whole.
+    /// Delivers a complete answer.
     pub(super) fn deliver_whole(&mut self, head: &AnswerHead, body: &[u8]) -> ConnectionReuse {
         let mut headers = self.answer_headers(head);
         let bodyless = head.is_bodyless(&self.head.method);
@@ -412,7 +416,7 @@
         connection_reuse(written.is_ok() && !self.close_after)
     }
 
-    /// Passes on a stream, event by event.
+    /// Delivers a stream, event by event.
     fn deliver_stream(
         &mut self,
         target: &Target,
@@ -446,7 +450,7 @@
             let out = self.frame_for_caller(std::mem::take(&mut opening), &events, ended);
             if !out.is_empty() {
                 self.delivered.head_sent = true;
-                // No other answer can be given any more.
+                // Once the head is out, no other answer can be sent.
                 self.caller.mark_streaming();
                 self.record.status = head.status;
                 if self.write(&out).is_err() {
@@ -475,7 +479,7 @@
         encode_head(&head.status_line(), &headers)
     }
 
-    /// Reads the next part of a stream, for as long as the upstream is not silent.
+    /// Reads the next part of a stream, unless the upstream falls silent.
     fn read_stream_part(
         &mut self,
         target: &Target,
--- a/crates/instance/src/forward/limits.rs
+++ b/crates/instance/src/forward/limits.rs
@@ -1,4 +1,5 @@
-//! Upstreams that do not take a request yet: a turn at one that says how much it takes, and the end of a rest.
+//! Upstreams that do not accept a request yet: those with an advertised limit, for which the
+//! request needs a grant, and those that have asked this instance to back off.
 
 use super::{Forwarding, Target};
 use crate::limits::LimitDecision;
@@ -6,27 +7,27 @@
 use passway_types::clock;
 use passway_types::prelude::*;
 
-/// Pause before an upstream is asked for again for which nobody counts.
+/// Backoff before the next request for a grant when no coordinator answers.
 const UNCOUNTED_BACKOFF: Duration = Duration::from_millis(100);
-/// Shortest pause before an upstream in need is asked for again.
+/// Shortest backoff before the next request for a grant at the same upstream.
 const MIN_BACKOFF: Duration = Duration::from_millis(10);
-/// Upstreams in need that a request asks for a turn before it waits or is refused: each is a question to
-/// the holder, and those that come later are no emptier.
+/// Limited upstreams at which a request asks for a grant before it waits or is refused. Each costs
+/// a query to the coordinator, and later choices have no more free capacity.
 const MAX_GRANT_REQUESTS: usize = 3;
 
-/// An upstream that does not take the request yet.
+/// An upstream that does not accept the request yet.
 #[derive(Debug, Clone)]
 pub(super) struct DeferredUpstream {
     upstream: UpstreamId,
-    /// When it is asked for again.
+    /// When the request may try the upstream again.
     retry_at: Instant,
-    /// Whether it is known that it does then; else nobody counts.
+    /// Whether the upstream is known to accept the request then; false if no coordinator answered.
     is_time_known: bool,
 }
 
 impl Forwarding<'_> {
-    /// The upstream that was chosen for the request, with a turn if it names a limit; `None` if the request's
-    /// turn has not come.
+    /// Acquires a grant for the chosen upstream if it is limited. `None` if the request must wait
+    /// for the grant.
     pub(super) fn with_limit_grant(&mut self, mut target: Target) -> Option<Target> {
         let limit = self
             .shared
@@ -64,13 +65,13 @@
         None
     }
 
-    /// Upstreams in need that do not take the request yet, and that were asked for a turn.
+    /// Limited upstreams that refused a grant and may not be tried again yet.
     fn refused_grants(&self, now: Instant) -> impl Iterator<Item = &DeferredUpstream> {
         self.deferred.iter().filter(move |held| now < held.retry_at)
     }
 
-    /// Upstreams that could serve the request and do not take it yet: those in need, and those that have asked
-    /// this instance for rest.
+    /// Upstreams that could serve the request but do not accept it yet: limited ones without a
+    /// grant, and those that have asked this instance to back off.
     fn deferred_upstreams(&self, now: Instant) -> Vec<DeferredUpstream> {
         let upstreams = self.shared.upstreams();
         let closed = upstreams.closed_to(self.wanted(), now);
@@ -85,28 +86,28 @@
         self.refused_grants(now).cloned().chain(resting).collect()
     }
 
-    /// Upstreams that the request does not go to now: those where it has been, and those that do not take it
-    /// yet.
+    /// Upstreams that the request does not go to now: those already tried, and those that do not
+    /// accept it yet.
     pub(super) fn excluded_upstreams(&self, now: Instant) -> Vec<UpstreamId> {
         let held = self.deferred_upstreams(now).into_iter();
         let held = held.map(|held| held.upstream);
         self.tried.iter().cloned().chain(held).collect()
     }
 
-    /// Whether the request asks no further upstream in need for a turn.
+    /// Whether the request asks no further limited upstream for a grant.
     pub(super) fn has_used_grant_requests(&self, now: Instant) -> bool {
         self.refused_grants(now).count() >= MAX_GRANT_REQUESTS
     }
 
-    /// When the first of the upstreams that do not take the request yet does; `None` if none holds it back.
+    /// When the first of the deferred upstreams accepts the request; `None` if there are none.
     pub(super) fn next_available_at(&self, now: Instant) -> Option<Instant> {
         let held = self.deferred_upstreams(now).into_iter();
         held.map(|held| held.retry_at).min()
     }
 
-    /// Whether the request had better be refused, with when it may come back: only upstreams that do not take
-    /// it yet have what it needs, none does before its wait is over, and what it needs comes to no other one
-    /// by then.
+    /// Whether the request should be refused at once with a `Retry-After`: only deferred upstreams
+    /// have its model, none of them accepts the request before its wait ends, and the model is
+    /// loaded on no other upstream by then.
     pub(super) fn is_wait_hopeless(&self, wait_until: Instant, now: Instant) -> bool {
         let held = self.deferred_upstreams(now);
         let is_late = |held: &DeferredUpstream| held.is_time_known && held.retry_at > wait_until;
@@ -114,7 +115,7 @@
         has_no_turn && !self.can_be_served_elsewhere(wait_until, now)
     }
 
-    /// Whether an engine that takes any requests has the request's model near, or can fetch it in time.
+    /// Whether an engine that accepts requests has the model cached, or can fetch it in time.
     fn can_be_served_elsewhere(&self, wait_until: Instant, now: Instant) -> bool {
         let Some(model_ref) = self.model_ref() else {
             return false;
--- a/crates/instance/src/forward/refusal.rs
+++ b/crates/instance/src/forward/refusal.rs
@@ -9,15 +9,15 @@
 use passway_serving::poison::Standing;
 use passway_types::clock;
 
-/// When a caller may come back whose request may crash upstreams: what broke off under it has started
-/// again by then, or has proved to live.
+/// `Retry-After` of a request that may crash upstreams, in milliseconds. By then an upstream that
+/// broke off has restarted or has proved to be alive.
 const SUSPECT_RETRY_MS: u64 = 2_000;
 
 impl Forwarding<'_> {
-    /// The last answer, when nothing more can be tried.
+    /// Writes the final answer when nothing more can be tried.
     pub(super) fn answer_failure(&mut self, failed: Option<Box<FailedAnswer>>) -> ConnectionReuse {
         if self.delivered.head_sent {
-            // A stream that breaks off must not look whole.
+            // A stream that breaks off must not look complete.
             self.record.end = if self.record.cut_by_stop {
                 "stream cut by the stop"
             } else {
@@ -35,7 +35,7 @@
         let has_turn = self.isolated_run.as_ref().is_some_and(Trial::is_granted);
         let is_held = self.suspicion != Standing::Free && !has_turn;
         let refusal = if self.runs == 0 {
-            // What crashes engines is not run before it is forgotten.
+            // A request that crashes engines is not run until its entry expires.
             let model_ms = self
                 .model_ready_ms
                 .or(self.upstream_available_ms)
--- a/crates/instance/src/forward/send_permit.rs
+++ b/crates/instance/src/forward/send_permit.rs
@@ -1,18 +1,21 @@
-//! The last thing before a request goes to an upstream: whether that still wants it and it may go there.
+//! The last check before a request is sent: whether the upstream still admits it and it may go
+//! there.
 //!
-//! Operators may have emptied its hall, or bound the request to other regions. Whatever a request was before, a first try, a repeat, a stream that goes on elsewhere, one that was granted
-//! by another instance or that has waited for its connection, it is sent by a [`Permit`], and only the door
-//! gives one. What the upstream said of itself since it was chosen counts.
+//! Since the choice, operators may have evacuated the hall or restricted the request to other
+//! regions, and the upstream may have sent new signals. Every request is sent with a
+//! [`SendPermit`], which only this check creates: first attempts, retries, resumed streams, runs
+//! granted by another instance, and requests that have waited for a connection.
 
 use super::{Forwarding, Target};
 use passway_types::clock;
 
-/// Leave to send a request to an upstream once, now.
+/// Permission to send one request to one upstream now.
 #[derive(Debug)]
 pub(super) struct SendPermit(());
 
 impl Forwarding<'_> {
-    /// Lets a request through to an upstream; `None` if the upstream does not want it.
+    /// Checks whether the request may be sent to the upstream; `None` if the upstream does not
+    /// admit it.
     pub(super) fn acquire_send_permit(&self, target: &Target) -> Option<SendPermit> {
         let now = clock::now();
         let mut upstreams = self.shared.upstreams();
--- a/crates/instance/src/forward/suspect.rs
+++ b/crates/instance/src/forward/suspect.rs
@@ -12,7 +12,7 @@
 use std::io::ErrorKind;
 
 impl Forwarding<'_> {
-    /// What the request asks for, whatever its id.
+    /// Digest of the request's content without its id.
     fn digest(&self) -> RequestDigest {
         *self.digest.get_or_init(|| {
             let host = host_of(self.head).unwrap_or_default();
@@ -21,7 +21,7 @@
         })
     }
 
-    /// For how long the request is refused yet, since it crashes what runs it.
+    /// How long the request is still refused because it crashes upstreams.
     pub(super) fn refused_for(&self) -> Option<Duration> {
         let poison = &self.shared.poison;
         if poison.refused() == 0 {
@@ -30,7 +30,7 @@
         poison.refused_for(self.digest())
     }
 
-    /// A run broke off: if the upstream has crashed, the request may be why.
+    /// Handles a run that broke off. If the upstream has crashed, the request becomes a suspect.
     pub(super) fn handle_broken_run(&mut self, target: &Target, start: UpstreamStart) {
         if let Some(trial) = &mut self.isolated_run {
             trial.broke();
@@ -50,10 +50,12 @@
         }
     }
 
-    /// An engine that broke off, or was `silent` until the request's time was over, may have ended although
-    /// its port does not tell: under a supervisor it stays open, and a machine that went dark says nothing.
+    /// Watches for a crash of an engine that broke off, or that was `silent` until the request's
+    /// deadline. Its port alone does not show a crash: under a supervisor the port stays open, and
+    /// a machine that has lost power sends nothing.
     ///
-    /// Plain upstreams tell nothing of their start, and reset connections beyond those that they take.
+    /// Plain upstreams are left out, because they do not report their start and reset connections
+    /// beyond those that they accept.
     pub(super) fn watch_for_crash(&self, target: &Target, start: &UpstreamStart, silent: bool) {
         if !self.is_engine || self.shared.upstreams().is_draining(&target.id) {
             return;
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Whether the request may run now, as far as upstreams tell that broke off under it.
+    /// Whether the request may run now, given the upstreams that broke off while they ran it.
     pub(super) fn may_run_as_suspect(&mut self) -> bool {
         let poison = &self.shared.poison;
         self.suspicion = if poison.is_empty() {
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Whether the request has its turn among those like it. Nothing but the counter's word gives it one.
+    /// Whether the request has the permit to run isolated. Only the coordinator can grant it.
     fn may_run_isolated(&mut self) -> bool {
         let digest = self.digest();
         let left = self.deadline_at.saturating_duration_since(clock::now());
@@ -91,7 +93,7 @@
         trial.ask(left) == Asked::Granted
     }
 
-    /// A run has ended with an answer, so the request does not crash what runs it.
+    /// Handles a run that ended with an answer: the request does not crash its upstreams.
     pub(super) fn handle_answered_run(&self) {
         let poison = &self.shared.poison;
         if poison.is_empty() {
@@ -102,15 +104,15 @@
         }
     }
 
-    /// Whether an upstream that broke off has crashed: nobody listens at its port, and it had not
-    /// said that it leaves. A lost connection and a spoilt answer leave it where it is.
+    /// Whether an upstream that broke off has crashed: its port refuses connections, and it had not
+    /// signalled that it leaves. A lost connection or an invalid answer alone is no crash.
     fn has_crashed(&self, target: &Target) -> bool {
         if self.shared.upstreams().is_draining(&target.id) {
             return false;
         }
         match Connection::connect(target.address, REFUSAL_TIME) {
             Ok(connection) => {
-                // It lives, and the connection serves the next request.
+                // The upstream is alive, and the connection can serve the next request.
                 let rest = pool::idle_ttl(None);
                 let pool = &self.shared.pool;
                 pool.put(&target.id, connection, rest, clock::now());
--- a/crates/instance/src/forward/waiting.rs
+++ b/crates/instance/src/forward/waiting.rs
@@ -8,24 +8,24 @@
 use passway_types::clock;
 use passway_types::prelude::*;
 
-/// Longest time between two looks whether a waiting request's caller is still there.
+/// Longest interval between two checks whether a waiting request's caller is still connected.
 const CALLER_POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// Longest time between two looks whether a full upstream has room.
+/// Longest interval between two checks whether a full upstream has free capacity.
 const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Part of its time that a request may wait for an upstream before it is refused.
+/// Fraction of its time that a request may wait for an upstream before it is refused.
 const WAIT_RATIO: f64 = 0.45;
-/// Part of its goal after which the most urgent kind of request is due.
+/// Fraction of its latency goal after which a request of the most urgent kind is due.
 const URGENT_GOAL_RATIO: f64 = 0.5;
 
 impl Forwarding<'_> {
-    /// Until when the request may wait for an upstream if its time ends at a moment.
+    /// Until when the request may wait for an upstream if its time ends at `ends_at`.
     pub(super) fn wait_until(&self, ends_at: Instant) -> Instant {
         let whole = ends_at.saturating_duration_since(self.arrived_at);
         let patience = Duration::from_millis(self.route.patience_ms());
         self.arrived_at + whole.min(patience).mul_f64(WAIT_RATIO)
     }
 
-    /// Waits for an upstream that can take the request.
+    /// Waits for an upstream that accepts the request.
     pub(super) fn wait_for_upstream(&mut self, may_wait: bool) -> Option<Target> {
         let mut told: Option<ReportedWait> = None;
         loop {
@@ -62,7 +62,7 @@
                 self.model_ready_ms = Some(comes_ms);
                 return None;
             }
-            // A stop shortens the request's time, and what it waits must leave time to run.
+            // A stop shortens the request's time, and the wait must leave time to run.
             let stop_at = self.shared.waits_end_at().unwrap_or(self.deadline_at);
             let wait_until = self.wait_until(self.deadline_at.min(stop_at));
             let is_absent = choice == Choice::Absent;
@@ -88,8 +88,8 @@
                     wait_until,
                 ));
             }
-            // Each turn of this loop waits: requests for a service that has no upstream left
-            // must not take the processor from all others.
+            // Each iteration waits, so that requests for a service without upstreams do not take
+            // the processor from all others.
             let longest = if is_absent {
                 CALLER_POLL_INTERVAL
             } else {
@@ -100,22 +100,23 @@
             if is_absent || !self.shared.dispatch.is_enabled() {
                 self.shared.wait_for_upstream_change(seen, step);
             } else {
-                // A slot is free when the dispatcher says so, whatever changes here.
+                // Only the dispatcher knows when a slot is free; changes in this instance do not
+                // show it.
                 std::thread::sleep(step);
             }
             if is_absent {
-                // Those that were tried may have what is needed again.
+                // The upstreams that were tried may have the model again.
                 self.tried.clear();
             }
             if self.caller.is_closed() {
-                // The caller has left: nobody reads what giving up writes.
+                // The caller has left, and nobody reads a refusal.
                 return None;
             }
         }
     }
 
-    /// Waits a little for what tells whether the request crashes upstreams; false once it has waited for
-    /// as long as it may.
+    /// Waits briefly for news on whether the request crashes upstreams; false once the wait is
+    /// over.
     fn wait_on_hold(&mut self, now: Instant) -> bool {
         let stop_at = self.shared.waits_end_at().unwrap_or(self.deadline_at);
         let wait_until = self.wait_until(self.deadline_at.min(stop_at));
@@ -127,8 +128,9 @@
         may_wait
     }
 
-    /// When its model can be there at the earliest, in milliseconds, if that is known to be later than
-    /// the request may wait. The holder counts it as waiting as if it did, since others will ask.
+    /// Milliseconds until the request's model can be loaded, if that is known to be after the end
+    /// of its wait. The holder counts the request as waiting all the same, because other requests
+    /// for the model will follow.
     fn late_model_ready_ms(&self, now: Instant) -> Option<u64> {
         let model_ref = self.model_ref()?;
         let load_time = self.load_time()?;
@@ -145,7 +147,7 @@
         Some(millis(load_time))
     }
 
-    /// How long the request's model takes from the weight store.
+    /// How long the request's model takes to load from the weight store.
     pub(super) fn load_time(&self) -> Option<Duration> {
         let model_ref = self.model_ref()?;
         let table = self.shared.routes.load();
@@ -154,7 +156,7 @@
         Some(Duration::from_millis(load_ms))
     }
 
-    /// Tells the holder that the request is refused, which would have waited for its model.
+    /// Reports to the holder that the request is refused instead of waiting for its model.
     fn report_refused_wait(&self, wait_until: Instant) {
         if let Some(model_ref) = self.model_ref() {
             self.shared.report(ReportEvent::RefusedAsTooLate {
@@ -176,7 +178,10 @@
         }
     }
 
-    /// The upstream for the next attempt, or why there is none now.
+    /// Chooses the upstream for the next attempt.
+    ///
+    /// # Errors
+    /// Why there is none now.
     pub(super) fn choose(&self, now: Instant) -> Result<Target, Choice> {
         let drawn = request_hash(&self.facts.id).wrapping_add(self.runs.into());
         let closed = self.excluded_upstreams(now);
@@ -226,8 +231,8 @@
         }
     }
 
-    /// When the request must begin to be in time. What is most urgent is due when half of its
-    /// goal is over, so that it goes before what has a like goal.
+    /// When the request must begin to run to meet its goal. The most urgent requests are due at
+    /// half of their goal, so that they go before others with a similar goal.
     fn due_at(&self) -> Instant {
         let goal = Duration::from_millis(self.route.goal_ms);
         let part = if self.priority() == 0 {
@@ -239,7 +244,7 @@
     }
 }
 
-/// The holder of the right to order counts a request as waiting while this lives.
+/// The holder counts a request as waiting until this is dropped.
 struct ReportedWait<'a> {
     shared: &'a Shared,
     service: ServiceName,
--- a/crates/instance/src/lib.rs
+++ b/crates/instance/src/lib.rs
@@ -1,25 +1,29 @@
-//! One instance: a process that takes callers' requests and passes them to upstreams.
+//! One instance: a process that receives callers' requests and forwards them to upstreams.
 //!
-//! Threads block; what they share is in [`shared`]: the configuration behind
-//! read-copy-update, counts as atomics, upstreams and the retry budget behind locks
-//! that are held for one decision at a time. All decisions are in `passway-serving`.
+//! Threads block on I/O. Their shared state is in [`shared`]: the configuration is replaced by
+//! read-copy-update, counts are atomics, and upstreams and the retry budget are behind locks that
+//! are held for one decision at a time. The decisions themselves are in `passway-serving`.
 //!
-//! * [`callers`] takes connections, [`forward`] one request, [`events`] cuts streams.
-//! * [`http1`] and [`pool`] are connections; [`reply`] writes answers.
-//! * [`feeds`] follows the store; [`ready`] answers the balancer.
-//! * [`right`] is the right to order, [`holder`] decides and orders while it has it,
-//!   [`candidates`] are those that may succeed it, [`report`] tells the holder what this
-//!   instance needs.
-//! * [`words`]: what upstreams say of themselves, as it is taken in and told; [`control`]: orders and
-//!   questions to engines; [`limits`]: keeping upstreams in need to what they take.
-//! * [`poison`]: requests that crash upstreams, as they are known, told and kept.
-//! * [`freshness`]: how new the configuration is for sure; [`allotments`]: what workspaces may use;
-//!   [`queries`] to other instances.
-//! * [`metrics`]: counters for `/metrics`.
-//! * [`health`]: whether the store answers.
-//! * [`relay`]: the store's news by way of the holder, [`news`] as they travel, [`packing`] of
-//!   large values; [`listeners`]: who hears it from the holder, [`feed_log`] what there is to tell.
-//! * [`lifecycle`] starts and stops; [`stop_signal`] wakes what still waits at a stop.
+//! * [`callers`] accepts connections, [`forward`] handles one request, [`events`] splits streams
+//!   into events.
+//! * [`http1`] and [`pool`] implement connections; [`reply`] writes the instance's own answers.
+//! * [`feeds`] follows the store; [`ready`] answers the balancer's readiness probe.
+//! * [`right`] holds the leadership, i.e. the right to send orders to engines. [`holder`] plans and
+//!   sends orders while this instance has the leadership, [`candidates`] are the instances that may
+//!   succeed it, and [`report`] sends the holder what this instance needs.
+//! * [`words`] applies and publishes the signals that upstreams send about themselves; [`control`]
+//!   sends orders and queries to engines; [`limits`] keeps limited upstreams within their
+//!   advertised rates.
+//! * [`poison`] detects requests that crash upstreams, publishes them and stores them.
+//! * [`freshness`] proves how recent the configuration is; [`allotments`] enforces the workspaces'
+//!   quotas; [`queries`] are datagram queries to other instances.
+//! * [`metrics`] are the metrics of `/metrics`.
+//! * [`health`] tracks whether the store answers.
+//! * [`relay`] receives the store's updates through the holder, [`news`] encodes these updates, and
+//!   [`packing`] compresses large values; [`listeners`] are the instances that receive updates from
+//!   the holder, and [`feed_log`] is the log of updates to send.
+//! * [`lifecycle`] starts and stops the instance; [`stop_signal`] ends the remaining waits at a
+//!   stop.
 
 pub mod allotments;
 pub mod callers;
--- a/crates/instance/src/limits.rs
+++ b/crates/instance/src/limits.rs
@@ -1,7 +1,8 @@
-//! Keeping upstreams in need to what they say that they take, over all instances.
+//! Keeping limited upstreams within the rates that they advertise, over all instances.
 //!
-//! What upstreams say is told to all ([`crate::words`]). Whoever would send a request to a limited upstream asks the holder, which
-//! counts. Without an answer an instance has a small share, by what it knows of the fleet's size.
+//! The limits are published to all instances ([`crate::words`]). An instance that wants to send a
+//! request to a limited upstream asks the coordinator, which counts for all. Without an answer the
+//! instance uses a small local share, derived from the number of instances that it knows.
 
 use crate::keeper::{self, TermKeeper};
 use crate::shared::Shared;
@@ -12,18 +13,18 @@
 use std::net::SocketAddr;
 use std::sync::{Mutex, PoisonError};
 
-/// Whether a request may go to an upstream in need.
+/// Whether a request may go to a limited upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum LimitDecision {
-    /// Now.
+    /// The request may go now.
     Granted,
-    /// Not before this time has passed.
+    /// The request may not go before this time has passed.
     RetryAfter(Duration),
-    /// Nobody counts, and this instance's share is spent.
+    /// No coordinator answers, and this instance's local share is used up.
     Undecided,
 }
 
-/// This instance's part in keeping upstreams to their limits.
+/// Grants for limited upstreams: this instance's requests and, as the coordinator, its decisions.
 #[derive(Debug, Default)]
 pub struct Limits {
     counter: TermKeeper,
@@ -31,7 +32,7 @@
 }
 
 impl Limits {
-    /// Whether a request may go to an upstream that takes so many a second.
+    /// Requests a grant for one request to an upstream that accepts `per_s` requests a second.
     pub fn request_grant(
         &self,
         shared: &Shared,
@@ -67,10 +68,11 @@
         }
     }
 
-    /// Answers an instance's question, in a term of this instance.
+    /// Decides, as the coordinator in the term `fence`, on another instance's request.
     pub fn decide(&self, shared: &Shared, fence: Fence, from: SocketAddr, ask: &UseAsk) -> UseTold {
         let upstream = UpstreamId::from(ask.upstream.as_str());
-        // A word that one of the two has not heard yet is the newer one; which, is not known here.
+        // If the two instances know different limits, one of them has not received the newer signal
+        // yet. Which one is unknown, so the lower limit applies.
         let known = shared.upstreams().limit_per_s(&upstream, clock::now());
         let per_s = known.map_or(ask.rate_per_s, |known| known.min(ask.rate_per_s));
         let allotment = limits::allotment(per_s);
@@ -80,7 +82,7 @@
         keeper::told(ask, ruling)
     }
 
-    /// Forgets what was counted for upstreams that name no limit any more.
+    /// Removes the counts of upstreams that advertise no limit any more.
     pub fn retain(&self, shared: &Shared) {
         let upstreams = shared.upstreams();
         let now = clock::now();
--- a/crates/instance/src/shared.rs
+++ b/crates/instance/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the threads of an instance share.
+//! State shared by the threads of an instance.
 
 use crate::allotments::Allotments;
 use crate::dispatch::Dispatch;
@@ -28,92 +28,93 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Condvar, Mutex, MutexGuard, OnceLock, PoisonError};
 
-/// What requests tell the thread that knows the holder of the right to order.
+/// Events that request threads send to the thread that reports to the holder ([`crate::report`]).
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReportEvent {
     /// A request waits for a model or adapter.
     WaitStarted {
         /// The service.
         service: ServiceName,
-        /// What it needs.
+        /// The model or adapter that the request needs.
         model_ref: ModelRef,
-        /// When it is of no use any more.
+        /// Until when the request waits.
         until: Instant,
     },
-    /// A request that waited does so no more.
+    /// A waiting request waits no longer.
     WaitEnded {
         /// The service.
         service: ServiceName,
-        /// What it waited for.
+        /// The model or adapter that the request waited for.
         model_ref: ModelRef,
     },
-    /// A request was refused since what it needs comes too late for it; it counts as waiting for as
-    /// long as it would have.
+    /// A request was refused because the model that it needs would be loaded too late. It counts as
+    /// waiting until the end of the wait that it would have had.
     RefusedAsTooLate {
         /// The service.
         service: ServiceName,
-        /// What it needs.
+        /// The model or adapter that the request needs.
         model_ref: ModelRef,
-        /// How long it would have waited.
+        /// Until when the request would have waited.
         until: Instant,
     },
-    /// What became known of a request under which upstreams crashed.
+    /// New knowledge about a request during which upstreams crashed.
     Suspect(Suspect),
-    /// A start of an upstream broke off at a moment and may have ended.
+    /// A start of an upstream broke off a request at this time and may have ended.
     StartBroken(UpstreamStart, Instant),
-    /// An upstream says something else of itself than before.
+    /// The signals of an upstream have changed.
     SignalsChanged(UpstreamId),
-    /// A connection to the holder stands.
+    /// A connection to the holder was established.
     HolderConnected,
-    /// A request for a model was taken, whether it waits or not.
+    /// A request for a model was accepted, whether it waits or not.
     RequestAccepted {
         /// The service.
         service: ServiceName,
-        /// What it needs.
+        /// The model or adapter that the request needs.
         model_ref: ModelRef,
     },
 }
 
-/// Most bytes that the bodies of all requests in progress may have together: a fifth of the
-/// memory of the smallest instance (160 MB).
+/// Largest sum of the bodies of all requests in progress, in bytes, and likewise of all answers
+/// that are buffered whole: a fifth of the memory of the smallest instance (160 MB).
 pub const MAX_RESERVED_BYTES: usize = 32 << 20;
 
-/// An instance that does not hear the keeper of allotments for so long lets callers be sent elsewhere. A
-/// keeper that is lost has a successor before that.
+/// After this time without contact to the coordinator of allotments, an instance reports that it is
+/// not ready, so that the balancer sends callers elsewhere. A lost coordinator is replaced within
+/// it.
 const MAX_COORDINATOR_SILENCE: Duration = Duration::from_secs(2);
 
-/// The state that the threads of an instance share.
+/// State shared by the threads of an instance.
 pub struct Shared {
-    /// The settings that the process started with; addresses and names stay as they are.
+    /// The settings that the process started with; addresses and names never change.
     pub settings: InstanceSettings,
-    /// The bounds in force, which may change while the process runs.
+    /// The bounds in effect, which may change while the process runs.
     pub bounds: ArcSwap<InstanceBounds>,
-    /// The configuration in force; read without a lock.
+    /// The configuration in effect; read without a lock.
     pub routes: ArcSwapOption<RouteTable>,
     /// Whether the store answers.
     pub store_health: StoreHealth,
     /// Counters and histograms.
     pub metrics: Metrics,
-    /// Connections to upstreams that rest.
+    /// Idle connections to upstreams.
     pub pool: ConnectionPool,
-    /// Which engine a request goes to, in a large fleet.
+    /// Queries to dispatchers, which choose engines in a large fleet.
     pub dispatch: Dispatch,
-    /// How new the configuration is for sure.
+    /// How recent the configuration is proved to be.
     pub configuration_age: ConfigurationAge,
-    /// Questions to the instance that counts for all.
+    /// Queries to the coordinator, the instance that counts usage for all.
     pub coordinator: KeeperLink,
-    /// What workspaces may use.
+    /// Allotments of workspaces.
     pub allotments: Allotments,
-    /// What goes to upstreams in need.
+    /// Grants for limited upstreams.
     pub limits: Limits,
     /// Requests that crash upstreams.
     pub poison: Poison,
-    /// The words of callers and upstreams.
+    /// The headers that callers and upstreams use.
     pub vocabulary: Box<dyn Vocabulary>,
     report_events: Sender<ReportEvent>,
     upstreams: Mutex<UpstreamTable>,
     upstreams_changed: Condvar,
-    /// Changes of upstreams so far.
+    /// Number of changes of upstreams since the start.
     upstream_change_count: AtomicU64,
     retry_budget: Mutex<RetryBudget>,
     usual_times: Mutex<UsualTimes>,
@@ -123,18 +124,19 @@
     engines: OnceLock<Arc<dyn Engines>>,
     upstreams_listed: AtomicBool,
     is_stopping: AtomicBool,
-    /// Requests are not taken any more: the balancer has had time to notice the stop.
+    /// Whether new requests are refused: the balancer has had time to notice the stop.
     is_refusing_requests: AtomicBool,
-    /// Whatever still waits is answered now: the process is about to end.
+    /// Whether every request that still waits is answered now, because the process is about to
+    /// exit.
     should_end_waits: AtomicBool,
-    /// The moment at which a stop ends what waits; set when the stop begins.
+    /// When a stop ends the remaining waits; set when the stop begins.
     waits_end_at: OnceLock<Instant>,
     in_progress: AtomicUsize,
-    /// How many instances there are, as the holder told last; 0 if it has not.
+    /// Number of instances in the last message of the holder; 0 before the first.
     instance_count: AtomicUsize,
     /// Bytes of the bodies of requests in progress.
     reserved_body_bytes: AtomicUsize,
-    /// Bytes of the answers that are held whole.
+    /// Bytes of the answers that are buffered whole.
     reserved_answer_bytes: AtomicUsize,
 }
 
@@ -149,7 +151,7 @@
 }
 
 impl Shared {
-    /// Nothing known and nothing in progress.
+    /// State without any knowledge and without requests in progress.
     pub fn new(
         settings: InstanceSettings,
         vocabulary: Box<dyn Vocabulary>,
@@ -199,30 +201,31 @@
         lock(&self.upstreams)
     }
 
-    /// Tells the thread that knows the holder of the right to order.
+    /// Sends an event to the thread that reports to the holder.
     pub fn report(&self, need: ReportEvent) {
-        // The thread that hears it ends only with the process.
+        // The receiving thread ends only with the process.
         let _ = self.report_events.send(need);
     }
 
     /// Wakes requests that wait for an upstream.
     pub fn notify_upstreams_changed(&self) {
         self.upstream_change_count.fetch_add(1, Ordering::AcqRel);
-        // Whoever is about to wait has seen the change, or waits by now and is woken.
+        // After this lock a thread that is about to wait has seen the new count, or it waits
+        // already and is notified.
         drop(self.upstreams());
         self.upstreams_changed.notify_all();
     }
 
-    /// A point in the series of changes of upstreams.
+    /// Number of changes of upstreams, for [`Shared::wait_for_upstream_change`].
     pub fn upstream_change_count(&self) -> u64 {
         self.upstream_change_count.load(Ordering::Acquire)
     }
 
-    /// Waits until upstreams have changed since a point, `most` at the longest.
+    /// Waits until upstreams have changed since the count `seen`, at most for `max_wait`.
     pub fn wait_for_upstream_change(&self, seen: u64, most: Duration) {
         let guard = self.upstreams();
         if self.upstream_change_count() == seen {
-            // The caller looks again in any case.
+            // The caller checks its condition again in any case.
             drop(self.upstreams_changed.wait_timeout(guard, most));
         }
     }
@@ -232,12 +235,12 @@
         lock(&self.retry_budget)
     }
 
-    /// Engines to which an order of the holder may be carried out yet, as it told last.
+    /// Engines to which an order of the holder is unconfirmed, by the holder's last message.
     pub fn unconfirmed_engines(&self) -> BTreeSet<UpstreamId> {
         lock(&self.unconfirmed_engines).clone()
     }
 
-    /// The holder tells to which engines an order has no answer.
+    /// Sets the engines to which an order of the holder has no answer yet.
     pub fn set_unconfirmed_engines(&self, engines: BTreeSet<UpstreamId>) {
         *lock(&self.unconfirmed_engines) = engines;
     }
@@ -247,42 +250,43 @@
         lock(&self.usual_times)
     }
 
-    /// Instances that the holder of the right to order knows, and where they listen.
+    /// Instances that the holder knows, and their addresses.
     pub fn members(&self) -> MutexGuard<'_, Addresses> {
         lock(&self.members)
     }
 
-    /// The right to order, as this instance knows it; `None` while the process starts.
+    /// The leadership as this instance knows it; `None` while the process starts.
     pub fn leadership(&self) -> Option<&Arc<Right>> {
         self.leadership.get()
     }
 
-    /// Sets the right to order, once.
+    /// Sets the leadership, once.
     pub fn set_leadership(&self, right: Arc<Right>) {
-        // A process has one.
+        // Each process has exactly one.
         let _ = self.leadership.set(right);
     }
 
-    /// The control side of engines; `None` while the process starts.
+    /// The control interface of engines; `None` while the process starts.
     pub fn engines(&self) -> Option<Arc<dyn Engines>> {
         self.engines.get().cloned()
     }
 
-    /// Sets the control side of engines, once.
+    /// Sets the control interface of engines, once.
     pub fn set_engines(&self, engines: Arc<dyn Engines>) {
-        // A process has one.
+        // Each process has exactly one.
         let _ = self.engines.set(engines);
     }
 
-    /// Starts of an upstream before a moment in Unix milliseconds, by its own clock, have ended without
-    /// having said so: the requests that broke off there may be why.
+    /// Records that starts of an upstream before `before_ms` ended without a leaving signal.
+    /// `before_ms` is in Unix milliseconds by the upstream's own clock. Requests that broke off
+    /// there become suspects.
     pub fn record_ended_starts(&self, upstream: &str, before_ms: u64) {
         for suspect in self.poison.ended(upstream, before_ms) {
             self.report(ReportEvent::Suspect(suspect));
         }
     }
 
-    /// Where other instances listen, as far as they are known here.
+    /// Addresses of the other instances that this one knows.
     pub fn other_instances(&self) -> Vec<SocketAddr> {
         let dispatchers = self.dispatch.dispatcher_list();
         let dispatchers = dispatchers.into_iter().map(|one| one.address);
@@ -292,8 +296,8 @@
         all.into_iter().collect()
     }
 
-    /// Time within which a key that was taken away must have stopped, if the configuration in
-    /// force has keys and there is such a bound.
+    /// Time within which a revoked key must stop working, if the configuration in effect has keys
+    /// and the bounds set such a time.
     pub fn revocation_bound(&self) -> Option<Duration> {
         let bound = self.bounds.load().revocation?;
         let routes = self.routes.load();
@@ -301,26 +305,26 @@
         has_keys.then_some(bound)
     }
 
-    /// Whether the configuration in force has allotments.
+    /// Whether the configuration in effect has allotments.
     pub fn has_allotments(&self) -> bool {
         let routes = self.routes.load();
         let workspaces = routes.as_ref().and_then(|table| table.workspaces.as_ref());
         workspaces.is_some_and(Workspaces::has_allotments)
     }
 
-    /// Whether the keeper of allotments, if there are any, can be asked.
+    /// Whether the coordinator of allotments can be queried; true without allotments.
     fn is_coordinator_reachable(&self) -> bool {
         let silence = self.configuration_age.holder_silence();
         !self.has_allotments() || silence.is_some_and(|time| time < MAX_COORDINATOR_SILENCE)
     }
 
-    /// Whether the keys that are known here may be acted on.
+    /// Whether the configuration is recent enough to accept the keys in it.
     fn may_accept_keys(&self) -> bool {
         let bound = self.revocation_bound();
         bound.is_none_or(|bound| self.configuration_age.permits(bound))
     }
 
-    /// Uses bounds that have changed.
+    /// Applies changed bounds.
     pub fn apply_bounds(&self, bounds: InstanceBounds) {
         if **self.bounds.load() == bounds {
             return;
@@ -330,7 +334,8 @@
         self.bounds.store(Arc::new(bounds));
     }
 
-    /// Shares the fleet's allowances among so many instances, and some that may join.
+    /// Divides the fleet's allowances by the number of instances and a reserve for those that may
+    /// join.
     pub fn set_instance_count(&self, instances: usize) {
         self.instance_count.store(instances, Ordering::Release);
         let shared_by = instances + instances / 4 + 1;
@@ -338,24 +343,24 @@
         self.store_health.set_instances(instances);
     }
 
-    /// How many instances there are, as the holder told last; 0 if it has not.
+    /// Number of instances in the last message of the holder; 0 before the first.
     pub fn instance_count(&self) -> usize {
         self.instance_count.load(Ordering::Acquire)
     }
 
-    /// The upstreams were listed whole.
+    /// Records that all upstreams have been listed.
     pub fn mark_upstreams_listed(&self) {
         self.upstreams_listed.store(true, Ordering::Release);
     }
 
-    /// Whether callers are served here as well as elsewhere: requests can be served, and those
-    /// with keys too.
+    /// Whether the balancer may send callers to this instance: requests can be served, including
+    /// those with keys and those that charge allotments.
     pub fn is_ready(&self) -> bool {
         self.can_serve() && self.may_accept_keys() && self.is_coordinator_reachable()
     }
 
-    /// Whether requests can be served: the configuration and the upstreams are known, and
-    /// which requests crash them.
+    /// Whether requests can be served: the instance is not stopping and knows the configuration,
+    /// the upstreams and the requests that crash them.
     pub fn can_serve(&self) -> bool {
         !self.is_stopping()
             && self.poison.is_told()
@@ -363,36 +368,36 @@
             && self.routes.load().is_some()
     }
 
-    /// Whether the process is about to end.
+    /// Whether the process is about to exit.
     pub fn is_stopping(&self) -> bool {
         self.is_stopping.load(Ordering::Acquire)
     }
 
-    /// The process is about to end; what still waits at `ends_at` is answered then.
+    /// Begins a stop; requests that still wait at `ends_at` are answered then.
     pub fn begin_stop(&self, ends_at: Instant) {
-        // A second stop changes nothing: the first one's moment has been counted on.
+        // A second stop changes nothing: the time of the first one is already in use.
         let _ = self.waits_end_at.set(ends_at);
         self.is_stopping.store(true, Ordering::Release);
         self.notify_upstreams_changed();
     }
 
-    /// The moment at which a stop ends what still waits, if a stop has begun.
+    /// When a stop ends the remaining waits, if a stop has begun.
     pub fn waits_end_at(&self) -> Option<Instant> {
         self.waits_end_at.get().copied()
     }
 
-    /// Whether whatever still waits is answered now.
+    /// Whether requests that still wait are answered now.
     pub fn should_end_waits(&self) -> bool {
         self.should_end_waits.load(Ordering::Acquire)
     }
 
-    /// Ends requests' waits for an upstream, now and later.
+    /// Ends all current and future waits for an upstream.
     pub fn end_waits(&self) {
         self.should_end_waits.store(true, Ordering::Release);
         self.notify_upstreams_changed();
     }
 
-    /// Whether requests are refused, since they might not end before the process does.
+    /// Whether requests are refused because they might not finish before the process exits.
     pub fn is_refusing_requests(&self) -> bool {
         self.is_refusing_requests.load(Ordering::Acquire)
     }
@@ -402,12 +407,12 @@
         self.is_refusing_requests.store(true, Ordering::Release);
     }
 
-    /// Requests whose answer is not complete.
+    /// Number of requests whose answer is not complete.
     pub fn in_progress(&self) -> usize {
         self.in_progress.load(Ordering::Acquire)
     }
 
-    /// Counts a request in until the guard is dropped.
+    /// Counts a request as in progress until the guard is dropped.
     pub fn count_in_progress(self: &Arc<Self>) -> InProgressGuard {
         self.in_progress.fetch_add(1, Ordering::AcqRel);
         InProgressGuard(self.clone())
@@ -415,14 +420,15 @@
 }
 
 impl Shared {
-    /// Takes room for a request's body; `None` if the bodies of others leave none. One that is
-    /// larger than all may be is let in alone.
+    /// Reserves memory for a request's body; `None` if other bodies leave too little. A body above
+    /// the whole bound is accepted while no other body is reserved.
     pub fn reserve_body(self: &Arc<Self>, bytes: usize) -> Option<MemoryReservation> {
         self.reserve(ReservationKind::Body, bytes)
     }
 
-    /// Takes room for an answer that goes to its caller whole; `None` if those that others have not read leave
-    /// none. One that is larger than all may be is let in alone.
+    /// Reserves memory for an answer that is delivered whole; `None` if answers that other callers
+    /// have not read leave too little. An answer above the whole bound is accepted while no other
+    /// answer is reserved.
     pub fn reserve_answer(self: &Arc<Self>, bytes: usize) -> Option<MemoryReservation> {
         self.reserve(ReservationKind::Answer, bytes)
     }
@@ -444,14 +450,15 @@
     }
 }
 
-/// What room is taken for. Each has its own: requests that hold bodies wait for their answers.
+/// What memory is reserved for. Bodies and answers have separate bounds, because requests hold
+/// their bodies while they wait for memory for their answers.
 #[derive(Debug, Clone, Copy)]
 enum ReservationKind {
     Body,
     Answer,
 }
 
-/// Room for a request's body or its answer, which is free again when this is dropped.
+/// Memory for a request's body or its answer, released on drop.
 #[derive(Debug)]
 pub struct MemoryReservation {
     shared: Arc<Shared>,
@@ -460,8 +467,8 @@
 }
 
 impl MemoryReservation {
-    /// Takes as much room as it needs; whether there is so much. If not, it keeps what
-    /// it has.
+    /// Changes the reservation to `bytes`. Returns false and keeps the old size if there is too
+    /// little memory.
     pub fn resize(&mut self, bytes: usize) -> bool {
         let mine = self.bytes;
         let fits = |all: usize| {
@@ -485,7 +492,7 @@
     }
 }
 
-/// Counts one request as in progress while it lives.
+/// Counts one request as in progress until dropped.
 #[derive(Debug)]
 pub struct InProgressGuard(Arc<Shared>);
 
