--- a/crates/instance/src/callers.rs
+++ b/crates/instance/src/callers.rs
@@ -80,11 +80,11 @@
     let listener = TcpListener::bind(address).with_context(|| format!("binding {address}"))?;
     listener
         .set_nonblocking(true)
-        .context("callers' listener")?;
+        .context("setting the callers' listener to non-blocking")?;
     let callers = Callers {
         address: listener.local_addr().context("the bound address")?,
         shared: shared.clone(),
-        endings: Arc::new(StopSignals::new().context("the signals of the end")?),
+        endings: Arc::new(StopSignals::new().context("creating the stop signals")?),
         open: Arc::default(),
     };
     let serving = ConnectionContext::new(shared, &callers.endings, &callers.open);
@@ -144,7 +144,7 @@
     match poll(&mut polled, None) {
         Ok(_) | Err(rustix::io::Errno::INTR) => {}
         Err(error) => {
-            log::warn!(error:% = error; "cannot wait for connections");
+            log::warn!(error:% = error; "cannot poll for connections");
             std::thread::sleep(ACCEPT_BACKOFF);
         }
     }
--- a/crates/instance/src/dispatch.rs
+++ b/crates/instance/src/dispatch.rs
@@ -65,13 +65,13 @@
     /// Engines that the request does not go to.
     pub tried: &'a [UpstreamId],
     /// Hash of the request's id.
-    pub drawn: u64,
+    pub choice_seed: u64,
     /// When the request must begin to run to meet its latency goal.
     pub due_at: Instant,
     /// Whether engines admit the request before all other waiting requests.
     pub is_urgent: bool,
     /// The regions in which the request may be served.
-    pub allowed: &'a AllowedRegions,
+    pub allowed_regions: &'a AllowedRegions,
 }
 
 /// Time until `due_at` in milliseconds; negative if it has passed.
@@ -82,13 +82,13 @@
 
 /// The instant that is `due_in_ms` milliseconds away.
 fn instant_from_due_ms(due_in_ms: i64, now: Instant) -> Instant {
-    let away = Duration::from_millis(due_in_ms.unsigned_abs().min(MAX_DUE_MS));
-    let moment = if due_in_ms < 0 {
-        now.checked_sub(away)
+    let distance = Duration::from_millis(due_in_ms.unsigned_abs().min(MAX_DUE_MS));
+    let instant = if due_in_ms < 0 {
+        now.checked_sub(distance)
     } else {
-        now.checked_add(away)
+        now.checked_add(distance)
     };
-    moment.unwrap_or(now)
+    instant.unwrap_or(now)
 }
 
 /// Client and server of the dispatch protocol.
@@ -115,7 +115,7 @@
     pub fn bind(own_address: SocketAddr) -> Self {
         let socket = UdpSocket::bind(own_address);
         if let Err(error) = &socket {
-            log::warn!(address:% = own_address, error:% = error; "no port for dispatching; engines are chosen by what is seen here");
+            log::warn!(address:% = own_address, error:% = error; "cannot bind the port for dispatching; this instance chooses engines by its own state");
         }
         Self {
             own_address,
@@ -132,7 +132,7 @@
 
     /// Replaces the list of dispatchers.
     pub fn set_dispatchers(&self, list: Vec<Candidate>) {
-        log::info!(dispatchers = list.len(); "dispatchers");
+        log::info!(dispatchers = list.len(); "list of dispatchers changed");
         lock(&self.dispatchers).set(list);
         // Wakes the receiving thread, so that it applies the new list.
         self.send(self.own_address, None);
@@ -157,17 +157,13 @@
         if let Some(socket) = &self.socket
             && let Err(error) = socket.send_to(&Datagram::bytes(body.into()), to)
         {
-            log::debug!(to:% = to, error:% = error; "a datagram was not sent");
+            log::debug!(to:% = to, error:% = error; "cannot send a datagram");
         }
     }
 
     /// Queries dispatchers for an engine. `None` without a usable answer: the request then chooses
     /// by this instance's own state.
-    pub fn query_engine(
-        &self,
-        shared: &Shared,
-        question: &EngineQuery<'_>,
-    ) -> Option<DispatchAnswer> {
+    pub fn query_engine(&self, shared: &Shared, query: &EngineQuery<'_>) -> Option<DispatchAnswer> {
         if !self.is_enabled() {
             return None;
         }
@@ -176,15 +172,15 @@
             service,
             model_ref,
             tried,
-            drawn,
+            choice_seed,
             ..
-        } = question;
+        } = query;
         let wanted = Wanted {
             service,
             model_ref: Some(model_ref),
             hall: &shared.settings.hall,
-            allowed: question.allowed,
-            drawn,
+            allowed: query.allowed_regions,
+            drawn: choice_seed,
         };
         let mut engines = shared.upstreams().drawn_engines(wanted, now);
         engines.retain(|id| !tried.contains(id));
@@ -194,26 +190,30 @@
             model: model_ref.model.to_string(),
             adapter: model_ref.adapter.as_deref().unwrap_or_default().to_owned(),
             hall: shared.settings.hall.to_string(),
-            drawn,
-            due_in_ms: due_in_ms(question.due_at, now),
-            is_urgent: question.is_urgent,
+            drawn: choice_seed,
+            due_in_ms: due_in_ms(query.due_at, now),
+            is_urgent: query.is_urgent,
             tried: tried.iter().map(ToString::to_string).collect(),
-            regions: question.allowed.names().map(ToString::to_string).collect(),
-            is_bound: question.allowed.bind(),
+            regions: query
+                .allowed_regions
+                .names()
+                .map(ToString::to_string)
+                .collect(),
+            is_bound: query.allowed_regions.bind(),
         };
-        let mut asked = Vec::new();
+        let mut queried = Vec::new();
         let mut choice = Choice::Absent;
         for engine in &engines {
             let dispatcher = self.dispatcher_of(engine)?;
-            if asked.contains(&dispatcher) {
+            if queried.contains(&dispatcher) {
                 continue;
             }
-            if asked.len() >= MAX_DISPATCHERS_ASKED {
+            if queried.len() >= MAX_DISPATCHERS_ASKED {
                 break;
             }
-            asked.push(dispatcher);
+            queried.push(dispatcher);
             let ask = Ask {
-                id: question.run_id,
+                id: query.run_id,
                 ..ask.clone()
             };
             let Some(grant) = self.query_dispatcher(shared, dispatcher, ask) else {
@@ -229,8 +229,8 @@
         // If all dispatchers answer `Absent` although this instance knows engines with the model,
         // the dispatchers have not received the placement yet, and the request chooses by this
         // instance's state.
-        let is_told = choice == Choice::Full || engines.is_empty();
-        is_told.then_some(DispatchAnswer {
+        let is_conclusive = choice == Choice::Full || engines.is_empty();
+        is_conclusive.then_some(DispatchAnswer {
             choice,
             run_id: None,
         })
@@ -240,14 +240,14 @@
     fn accept_grant(
         &self,
         shared: &Shared,
-        by: SocketAddr,
+        dispatcher: SocketAddr,
         grant: &Grant,
     ) -> Option<DispatchAnswer> {
         let engine = UpstreamId::from(grant.engine.as_str());
         let address = shared.upstreams().address_of(&engine)?;
         let run = LocalRun {
             engine: engine.clone(),
-            granted_by: Some(by),
+            granted_by: Some(dispatcher),
         };
         lock(&self.runs).insert(grant.id, run);
         Some(DispatchAnswer {
@@ -323,8 +323,8 @@
         let now = clock::now();
         // Lock order: the upstreams before the run book.
         let upstreams = shared.upstreams();
-        let mut book = lock(&self.run_book);
-        if let Some(engine) = book.engine_of(key) {
+        let mut run_book = lock(&self.run_book);
+        if let Some(engine) = run_book.engine_of(key) {
             return grant(Verdict::Go, engine);
         }
         let adapter = Some(ask.adapter.as_str()).filter(|name| !name.is_empty());
@@ -346,35 +346,35 @@
             drawn: ask.drawn,
         };
         let dispatchers = lock(&self.dispatchers);
-        let is_open = |id: &UpstreamId| {
+        let is_eligible = |id: &UpstreamId| {
             !ask.tried.iter().any(|tried| **tried == **id)
                 && dispatchers.of_engine(id, now) == Some(self.own_address)
         };
-        let runs = |id: &UpstreamId| {
+        let load_of = |id: &UpstreamId| {
             let slots = upstreams.slots_of(id);
-            counted_load(book.load(id), slots, ask.is_urgent)
+            counted_load(run_book.load(id), slots, ask.is_urgent)
         };
-        let choice = upstreams.choose_by(wanted, is_open, Some(&runs), now);
-        let mut line = lock(&self.waiting_line);
+        let choice = upstreams.choose_by(wanted, is_eligible, Some(&load_of), now);
+        let mut waiting_line = lock(&self.waiting_line);
         let waiter = Waiter {
             model_ref: model_ref.clone(),
             due_at: instant_from_due_ms(ask.due_in_ms, now),
         };
         match choice {
             Choice::Send { id, .. } => {
-                let free = upstreams.slots_of(&id).saturating_sub(runs(&id));
+                let free = upstreams.slots_of(&id).saturating_sub(load_of(&id));
                 let could_use = |other: &ModelRef| upstreams.has(&id, other, now);
-                let before = line.before(key, &waiter, could_use, now);
-                if before >= usize::try_from(free).unwrap_or(usize::MAX) {
-                    line.note(key, waiter, now);
+                let waiters_ahead = waiting_line.before(key, &waiter, could_use, now);
+                if waiters_ahead >= usize::try_from(free).unwrap_or(usize::MAX) {
+                    waiting_line.note(key, waiter, now);
                     return grant(Verdict::Full, "");
                 }
-                line.leave(key);
-                book.note(key, &id, now);
+                waiting_line.leave(key);
+                run_book.note(key, &id, now);
                 grant(Verdict::Go, &id)
             }
             Choice::Full => {
-                line.note(key, waiter, now);
+                waiting_line.note(key, waiter, now);
                 grant(Verdict::Full, "")
             }
             Choice::Absent => grant(Verdict::Absent, ""),
@@ -406,23 +406,23 @@
             Body::Ended(ended) => self.record_run_end(shared, from, &ended),
             Body::Running(running) => {
                 let now = clock::now();
-                let mut book = lock(&self.run_book);
+                let mut run_book = lock(&self.run_book);
                 for run in running.runs {
                     let key = RunKey {
                         instance: from,
                         id: run.id,
                     };
-                    book.note(key, &run.engine.as_str().into(), now);
+                    run_book.note(key, &run.engine.as_str().into(), now);
                 }
             }
             Body::VersionAsk(ask) => {
-                let told = shared.configuration_age.told(&ask);
-                self.send(from, Body::VersionTold(told));
+                let answer = shared.configuration_age.told(&ask);
+                self.send(from, Body::VersionTold(answer));
             }
             Body::VersionTold(told) => shared.configuration_age.answered(told),
             Body::UseAsk(ask) => {
-                let told = keeper::rule(shared, from, &ask);
-                self.send(from, Body::UseTold(told));
+                let answer = keeper::rule(shared, from, &ask);
+                self.send(from, Body::UseTold(answer));
             }
             Body::UseTold(told) => shared.coordinator.answered(told),
             Body::UseBack(back) if back.digest.is_empty() => {
@@ -440,17 +440,17 @@
         let mut by_dispatcher: HashMap<SocketAddr, Vec<RunHere>> = HashMap::new();
         for (id, run) in runs {
             if let Some(dispatcher) = self.dispatcher_of(&run.engine) {
-                let here = RunHere {
+                let run_here = RunHere {
                     id,
                     engine: run.engine.to_string(),
                 };
-                by_dispatcher.entry(dispatcher).or_default().push(here);
+                by_dispatcher.entry(dispatcher).or_default().push(run_here);
             }
         }
         for (dispatcher, runs) in by_dispatcher {
-            for part in runs.chunks(RUNS_PER_DATAGRAM) {
+            for chunk in runs.chunks(RUNS_PER_DATAGRAM) {
                 let body = Body::Running(Running {
-                    runs: part.to_vec(),
+                    runs: chunk.to_vec(),
                 });
                 if dispatcher == self.own_address {
                     self.handle_datagram(shared, self.own_address, body);
@@ -477,18 +477,18 @@
             let now = clock::now();
             // Without dispatchers nothing is due periodically: a datagram wakes the thread when the
             // list changes.
-            let pause = self.is_enabled().then(|| {
+            let read_timeout = self.is_enabled().then(|| {
                 if now >= refresh_at {
                     refresh_at = now + REFRESH_PAUSE;
                     self.announce_runs(shared);
                     lock(&self.run_book).expire(now);
                     lock(&self.waiting_line).expire(now);
                 }
-                let left = refresh_at.saturating_duration_since(now);
-                left.max(Duration::from_millis(1))
+                let remaining = refresh_at.saturating_duration_since(now);
+                remaining.max(Duration::from_millis(1))
             });
-            if let Err(error) = socket.set_read_timeout(pause) {
-                log::warn!(error:% = error; "a time-out cannot be set");
+            if let Err(error) = socket.set_read_timeout(read_timeout) {
+                log::warn!(error:% = error; "cannot set the read timeout");
             }
             let Ok((length, from)) = socket.recv_from(&mut bytes) else {
                 // The read timed out, or an earlier datagram was refused by a closed port.
--- a/crates/instance/src/forward.rs
+++ b/crates/instance/src/forward.rs
@@ -74,7 +74,7 @@
     may_have_run: bool,
     arrived_at: Instant,
     deadline_at: Instant,
-    close_after: bool,
+    should_close: bool,
     delivered: Delivery,
     tried: Vec<UpstreamId>,
     /// Upstreams that do not accept the request yet.
@@ -98,7 +98,7 @@
     model_ready_ms: Option<u64>,
     /// Digest of the request's content, once computed.
     digest: OnceCell<RequestDigest>,
-    record: RequestLog,
+    request_log: RequestLog,
 }
 
 /// Values for the log line and the metrics at the end of the request.
@@ -140,7 +140,8 @@
     arrived_at: Instant,
 ) -> ConnectionReuse {
     let facts = shared.vocabulary.request(&head.headers);
-    let close_after = shared.is_stopping() || !head.is_1_1 || head.headers.connection_says("close");
+    let should_close =
+        shared.is_stopping() || !head.is_1_1 || head.headers.connection_says("close");
     let destination = match find_destination(shared, caller, head, &facts, arrived_at) {
         Ok(destination) => destination,
         Err(Denial { refusal, end }) => {
@@ -149,12 +150,12 @@
                 offers = 0, runs = 0, end = end;
                 "request ended");
             let vocabulary = &*shared.vocabulary;
-            let done = reply::refuse(caller, vocabulary, &facts.id, refusal, close_after);
-            return connection_reuse(done.is_ok() && !close_after);
+            let written = reply::refuse(caller, vocabulary, &facts.id, refusal, should_close);
+            return connection_reuse(written.is_ok() && !should_close);
         }
     };
-    let caller_ms = facts.deadline_ms.unwrap_or(u64::MAX);
-    let timeout_ms = caller_ms.min(destination.route.timeout_ms);
+    let caller_deadline_ms = facts.deadline_ms.unwrap_or(u64::MAX);
+    let timeout_ms = caller_deadline_ms.min(destination.route.timeout_ms);
     shared
         .retry_budget()
         .requested(&destination.service, arrived_at);
@@ -172,7 +173,7 @@
         may_have_run: false,
         arrived_at,
         deadline_at: arrived_at + Duration::from_millis(timeout_ms),
-        close_after,
+        should_close,
         delivered: Delivery::default(),
         tried: Vec::new(),
         deferred: Vec::new(),
@@ -185,17 +186,17 @@
         next_target: None,
         model_ready_ms: None,
         digest: OnceCell::new(),
-        record: RequestLog::default(),
+        request_log: RequestLog::default(),
     }
-    .serve()
+    .run()
 }
 
 fn not_run(retry_after_ms: u64) -> Refusal {
     Refusal::NotRun { retry_after_ms }
 }
 
-fn connection_reuse(keep: bool) -> ConnectionReuse {
-    if keep {
+fn connection_reuse(can_reuse: bool) -> ConnectionReuse {
+    if can_reuse {
         ConnectionReuse::Keep
     } else {
         ConnectionReuse::Close
@@ -208,21 +209,21 @@
     }
 
     /// Runs the request to its end and records how it ended.
-    fn serve(mut self) -> ConnectionReuse {
-        let after = self.run_attempts();
+    fn run(mut self) -> ConnectionReuse {
+        let reuse = self.run_attempts();
         self.release_allotment();
         if let Some(run_id) = self.next_target.take().and_then(|unused| unused.run_id) {
             self.shared
                 .dispatch
                 .run_ended(self.shared, run_id, Outcome::Unknown);
         }
-        let record = &self.record;
+        let request_log = &self.request_log;
         let metrics = &self.shared.metrics;
-        metrics.request_ended(record.end, record.status);
-        if let Some(first_ms) = record.first_ms {
+        metrics.request_ended(request_log.end, request_log.status);
+        if let Some(first_ms) = request_log.first_ms {
             metrics.first_byte(Duration::from_millis(first_ms));
         }
-        if let Some(waited_ms) = record.waited_ms.filter(|_| self.is_engine) {
+        if let Some(waited_ms) = request_log.waited_ms.filter(|_| self.is_engine) {
             metrics.model_wait(Duration::from_millis(waited_ms));
         }
         let table = self.shared.routes.load();
@@ -232,17 +233,17 @@
             service:% = self.service, model:% = model_ref.map_or("", |model_ref| &model_ref.model),
             workspace:% = self.access.workspace.as_ref().map_or("", |workspace| &workspace.name),
             adapter:% = model_ref.and_then(|model_ref| model_ref.adapter.as_deref()).unwrap_or(""),
-            upstream:% = record.upstream.as_deref().unwrap_or(""), offers = record.offers,
-            runs = self.runs, status = record.status, end = record.end,
-            waited_ms = record.waited_ms.unwrap_or(0), first_ms = record.first_ms.unwrap_or(0),
+            upstream:% = request_log.upstream.as_deref().unwrap_or(""), offers = request_log.offers,
+            runs = self.runs, status = request_log.status, end = request_log.end,
+            waited_ms = request_log.waited_ms.unwrap_or(0), first_ms = request_log.first_ms.unwrap_or(0),
             took_ms = self.elapsed_ms(), config_version = version;
             "request ended");
-        after
+        reuse
     }
 
     fn run_attempts(&mut self) -> ConnectionReuse {
-        if let Err(denied) = self.admit() {
-            return self.refuse(denied);
+        if let Err(denial) = self.admit() {
+            return self.refuse(denial);
         }
         if let Some(model_ref) = self.model_ref()
             && self.refused_for().is_none()
@@ -254,41 +255,42 @@
         }
         let mut failed: Option<Box<FailedAnswer>> = None;
         for offer in 0..MAX_OFFERS {
-            let first = offer == 0;
+            let is_first = offer == 0;
             let Some(target) = self.wait_for_upstream(failed.is_none()) else {
                 return self.answer_failure(failed);
             };
-            if !first && !self.try_spend_retry() {
+            if !is_first && !self.try_spend_retry() {
                 return self.answer_failure(failed);
             }
             self.tried.push(target.id.clone());
-            self.record.offers += 1;
-            self.record.upstream = Some(target.id.clone());
+            self.request_log.offers += 1;
+            self.request_log.upstream = Some(target.id.clone());
             let waited_ms = self.elapsed_ms();
-            self.record.waited_ms.get_or_insert(waited_ms);
+            self.request_log.waited_ms.get_or_insert(waited_ms);
             let start = target.start();
-            let attempt = self.attempt(&target);
+            let attempt = self.attempt_and_report(&target);
             self.shared.metrics.attempt(attempt.name());
             log::debug!(request = self.facts.id, upstream:% = target.id, offer = offer; "{}", attempt.name());
             self.may_have_run |= attempt.may_have_run();
             match attempt {
-                Attempt::Answered(after) => {
+                Attempt::Answered(reuse) => {
                     self.handle_answered_run();
-                    return after;
+                    return reuse;
                 }
                 Attempt::CallerGone => {
-                    self.record.end = if self.record.is_stalled || self.caller.has_timed_out() {
-                        NOT_TAKEN
-                    } else {
-                        "caller gone"
-                    };
+                    self.request_log.end =
+                        if self.request_log.is_stalled || self.caller.has_timed_out() {
+                            NOT_TAKEN
+                        } else {
+                            "caller gone"
+                        };
                     return ConnectionReuse::Close;
                 }
-                Attempt::Denied(denied) if self.may_have_run => {
-                    log::info!(target: REQUEST_TARGET, request = self.facts.id; "{}", denied.end);
+                Attempt::Denied(denial) if self.may_have_run => {
+                    log::info!(target: REQUEST_TARGET, request = self.facts.id; "{}", denial.end);
                     return self.answer_failure(failed);
                 }
-                Attempt::Denied(denied) => return self.refuse(denied),
+                Attempt::Denied(denial) => return self.refuse(denial),
                 Attempt::TimedOut => {
                     self.runs += 1;
                     let now = clock::now();
@@ -299,7 +301,7 @@
                 }
                 Attempt::Stopping => {
                     self.runs += 1;
-                    self.record.cut_by_stop = true;
+                    self.request_log.cut_by_stop = true;
                     return self.answer_failure(failed);
                 }
                 // An upstream that was full may have free capacity by now.
@@ -335,11 +337,12 @@
     }
 
     fn try_spend_retry(&self) -> bool {
-        let mut retries = self.shared.retry_budget();
-        retries.try_spend(&self.service, clock::now())
+        let mut retry_budget = self.shared.retry_budget();
+        retry_budget.try_spend(&self.service, clock::now())
     }
 
-    fn attempt(&mut self, target: &Target) -> Attempt {
+    /// Makes one attempt, and reports the end of its run to the dispatcher.
+    fn attempt_and_report(&mut self, target: &Target) -> Attempt {
         let (attempt, outcome) = self.run_attempt(target);
         self.run_id = self.shared.dispatch.next_run_id();
         if let Some(run_id) = target.run_id {
--- a/crates/instance/src/forward/access.rs
+++ b/crates/instance/src/forward/access.rs
@@ -50,7 +50,7 @@
     /// The workspace header for upstreams.
     pub mark: WorkspaceMark,
     /// The regions in which the request may be served, by its route and its workspace.
-    pub allowed: AllowedRegions,
+    pub allowed_regions: AllowedRegions,
     /// Whether the request requires a valid key.
     needs_key: bool,
 }
@@ -62,7 +62,7 @@
             return Some(Self {
                 workspace: None,
                 mark: WorkspaceMark::Untouched,
-                allowed: route.allowed.clone(),
+                allowed_regions: route.allowed.clone(),
                 needs_key: false,
             });
         };
@@ -73,9 +73,10 @@
             return None;
         }
         let name = workspace.as_ref().map(|workspace| workspace.name.clone());
-        let own = workspace.as_ref().map(|workspace| &workspace.allowed);
+        let workspace_regions = workspace.as_ref().map(|workspace| &workspace.allowed);
         Some(Self {
-            allowed: own.map_or(route.allowed.clone(), |own| own.and(&route.allowed)),
+            allowed_regions: workspace_regions
+                .map_or(route.allowed.clone(), |regions| regions.and(&route.allowed)),
             workspace,
             mark: WorkspaceMark::Set(name),
             needs_key,
@@ -87,8 +88,8 @@
     /// The priority of the request; its workspace's priority overrides its route's.
     pub(super) fn priority(&self) -> u8 {
         let workspace = self.access.workspace.as_ref();
-        let own = workspace.and_then(|workspace| workspace.priority);
-        own.unwrap_or(self.route.priority)
+        let workspace_priority = workspace.and_then(|workspace| workspace.priority);
+        workspace_priority.unwrap_or(self.route.priority)
     }
 
     /// Admits a request that has just arrived.
@@ -162,11 +163,11 @@
             return Err(UNPROVEN_CONFIGURATION);
         }
         let table = self.shared.routes.load();
-        let now = table
+        let current = table
             .as_ref()
             .and_then(|table| Access::look_up(table, &self.route, &self.facts));
-        match now {
-            Some(now) if now.mark == self.access.mark => Ok(()),
+        match current {
+            Some(current) if current.mark == self.access.mark => Ok(()),
             _ => Err(UNKNOWN_KEY),
         }
     }
--- a/crates/instance/src/forward/destination.rs
+++ b/crates/instance/src/forward/destination.rs
@@ -85,15 +85,16 @@
     facts: &RequestFacts,
     arrived_at: Instant,
 ) -> Option<Arc<RouteTable>> {
-    let time = facts
+    let time_limit = facts
         .deadline_ms
         .map(Duration::from_millis)
         .unwrap_or_default();
-    let until = arrived_at + time.mul_f64(START_WAIT_RATIO).min(MAX_START_WAIT);
+    let until = arrived_at + time_limit.mul_f64(START_WAIT_RATIO).min(MAX_START_WAIT);
     loop {
         // Before the first list, a service without upstreams looks like one with unknown upstreams.
-        let knows = shared.can_serve() || (shared.is_stopping() && !shared.is_refusing_requests());
-        if knows {
+        let is_known =
+            shared.can_serve() || (shared.is_stopping() && !shared.is_refusing_requests());
+        if is_known {
             return shared.routes.load_full();
         }
         if shared.is_stopping() || clock::now() >= until || caller.is_closed() {
--- a/crates/instance/src/forward/exchange.rs
+++ b/crates/instance/src/forward/exchange.rs
@@ -36,7 +36,7 @@
 /// Longest idle time of a pooled connection for any other request.
 const MAX_IDLE_REPEATABLE: Duration = Duration::from_mins(10);
 /// Largest answer that is buffered whole.
-const MAX_WHOLE_BYTES: usize = 1 << 20;
+const MAX_BUFFERED_ANSWER_BYTES: usize = 1 << 20;
 /// A caller that reads nothing of its answer for this long is given up. Slightly shorter than the
 /// user timeout of the connection itself.
 const CALLER_STALL_TIMEOUT: Duration = Duration::from_millis(3_500);
@@ -51,14 +51,14 @@
 impl Forwarding<'_> {
     /// Sends the request over a pooled or a new connection.
     pub(super) fn exchange(&mut self, target: &Target) -> Attempt {
-        let longest = if self.route.kind.may_run_again() {
+        let max_idle = if self.route.kind.may_run_again() {
             MAX_IDLE_REPEATABLE
         } else {
             MAX_IDLE_RUN_ONCE
         };
         let now = clock::now();
-        if let Some(kept) = self.shared.pool.take(&target.id, longest, now) {
-            let attempt = self.exchange_over(target, kept);
+        if let Some(pooled) = self.shared.pool.take(&target.id, max_idle, now) {
+            let attempt = self.exchange_over(target, pooled);
             if matches!(attempt, Attempt::Broken | Attempt::TimedOut) {
                 // The other idle connections may be as dead as this one.
                 self.shared.pool.close_idle(&target.id);
@@ -76,13 +76,14 @@
     /// Until when to wait before the next check whether the upstream is silent. Only a stream that
     /// may move to another upstream is checked; any other request ends by its own deadline.
     fn next_silence_check_at(&self) -> Instant {
-        let may_move = self.route.kind == RequestKind::Stream { resumable: true }
+        let is_movable = self.route.kind == RequestKind::Stream { resumable: true }
             && self.runs + 1 < self.route.attempts;
-        if !may_move {
+        if !is_movable {
             return self.deadline_at;
         }
-        let step = Duration::from_millis(self.route.gap_goal_ms * SILENCE_GAP_MULTIPLE);
-        self.deadline_at.min(clock::now() + step.max(MIN_SILENCE))
+        let silence = Duration::from_millis(self.route.gap_goal_ms * SILENCE_GAP_MULTIPLE);
+        self.deadline_at
+            .min(clock::now() + silence.max(MIN_SILENCE))
     }
 
     /// Whether the upstream has been silent for longer than usual and another one can go on. The
@@ -96,8 +97,8 @@
             return false;
         }
         self.run_id = self.shared.dispatch.next_run_id();
-        let next = self.choose(now).ok();
-        self.next_target = next.and_then(|next| self.with_limit_grant(next));
+        let next_target = self.choose(now).ok();
+        self.next_target = next_target.and_then(|next| self.with_limit_grant(next));
         self.next_target.is_some()
     }
 
@@ -107,8 +108,8 @@
             return self.attempt_at;
         }
         let goal = Duration::from_millis(self.route.goal_ms);
-        let usual = self.shared.usual_times().longest(&self.route.name, goal);
-        self.attempt_at + usual
+        let usual_time = self.shared.usual_times().longest(&self.route.name, goal);
+        self.attempt_at + usual_time
     }
 
     fn record_activity(&self, target: &Target) {
@@ -117,10 +118,10 @@
     }
 
     fn request_bytes(&self, target: &Target) -> Vec<u8> {
-        let left = self.deadline_at.saturating_duration_since(clock::now());
+        let remaining = self.deadline_at.saturating_duration_since(clock::now());
         let stamp = Stamp {
             upstream: target.id.clone(),
-            deadline_ms: relay::millis(left),
+            deadline_ms: relay::millis(remaining),
             workspace: self.access.mark.clone(),
             urgency: self.is_engine.then_some(self.priority().min(9)),
             last_event: self.delivered.splitter.last_id().map(str::to_owned),
@@ -131,30 +132,30 @@
         if has_body {
             headers.push("Content-Length", self.body.len().to_string());
         }
-        let line = format!("{} {} HTTP/1.1", self.head.method, self.head.target);
-        let mut bytes = encode_head(&line, &headers);
+        let first_line = format!("{} {} HTTP/1.1", self.head.method, self.head.target);
+        let mut bytes = encode_head(&first_line, &headers);
         bytes.extend_from_slice(self.body);
         bytes
     }
 
     /// Sends the request over `upstream` and handles the answer.
     fn exchange_over(&mut self, target: &Target, mut upstream: Connection) -> Attempt {
-        if let Err(denied) = self.check_access() {
-            return Attempt::Denied(denied);
+        if let Err(denial) = self.check_access() {
+            return Attempt::Denied(denial);
         }
         let Some(permit) = self.acquire_send_permit(target) else {
             return Attempt::NotPermitted;
         };
-        let wrote = match self.send(target, permit, &mut upstream) {
-            Ok(wrote) => wrote,
-            Err(ended) => return ended,
+        let write_outcome = match self.send(target, permit, &mut upstream) {
+            Ok(outcome) => outcome,
+            Err(attempt) => return attempt,
         };
         match self.read_matching_head(target, &mut upstream) {
             Ok((head, facts)) => {
-                let whole = wrote == WriteOutcome::Whole;
-                self.handle_answer(target, upstream, &head, &facts, whole)
+                let request_whole = write_outcome == WriteOutcome::Whole;
+                self.handle_answer(target, upstream, &head, &facts, request_whole)
             }
-            Err(ended) => ended,
+            Err(attempt) => attempt,
         }
     }
 
@@ -170,8 +171,8 @@
     ) -> Result<WriteOutcome, Attempt> {
         let bytes = self.request_bytes(target);
         let until = self.deadline_at;
-        let wrote = http1::write_all(upstream, &bytes, true, Some(self.caller), until);
-        wrote.map_err(|error| match error {
+        let write_outcome = http1::write_all(upstream, &bytes, true, Some(self.caller), until);
+        write_outcome.map_err(|error| match error {
             HttpError::WatchedClosed => Attempt::CallerGone,
             HttpError::TimedOut => Attempt::TimedOut,
             HttpError::Stopping => Attempt::Stopping,
@@ -196,9 +197,9 @@
             if facts.id.as_deref().is_none_or(|id| id == self.facts.id) {
                 self.apply_signals(target, &facts);
                 if self.route.kind.is_stream() && !facts.not_run {
-                    let after = clock::since(self.attempt_at);
-                    let mut usual = self.shared.usual_times();
-                    usual.observe(&self.route.name, after);
+                    let elapsed = clock::since(self.attempt_at);
+                    let mut usual_times = self.shared.usual_times();
+                    usual_times.observe(&self.route.name, elapsed);
                 }
                 return Ok((head, facts));
             }
@@ -214,13 +215,13 @@
         if facts.other_incarnation || facts.id.is_none() {
             return;
         }
-        let heard = Heard {
+        let received = Heard {
             start: &target.start(),
             words: &facts.words,
             vouched: facts.vouched,
             sent_at: self.attempt_at,
         };
-        words::hear(self.shared, heard);
+        words::hear(self.shared, received);
     }
 
     /// Reads the next answer's head, unless the upstream falls silent.
@@ -230,8 +231,8 @@
         upstream: &mut Connection,
     ) -> Result<AnswerHead, Attempt> {
         loop {
-            let step = self.next_silence_check_at();
-            match http1::read_answer_head(upstream, Some(self.caller), step) {
+            let until = self.next_silence_check_at();
+            match http1::read_answer_head(upstream, Some(self.caller), until) {
                 Ok(head) => return Ok(head),
                 Err(HttpError::WatchedClosed) => return Err(Attempt::CallerGone),
                 Err(HttpError::Stopping) => return Err(Attempt::Stopping),
@@ -250,7 +251,12 @@
             return Err(Attempt::Broken);
         };
         let until = self.deadline_at;
-        match body.read_whole(upstream, MAX_WHOLE_BYTES, Some(self.caller), until) {
+        match body.read_whole(
+            upstream,
+            MAX_BUFFERED_ANSWER_BYTES,
+            Some(self.caller),
+            until,
+        ) {
             Ok(_) if body.is_reusable => Ok(()),
             Err(HttpError::WatchedClosed) => Err(Attempt::CallerGone),
             Err(HttpError::Stopping) => Err(Attempt::Stopping),
@@ -272,20 +278,25 @@
         };
         body.is_reusable &= request_whole;
         let is_success = (200..300).contains(&head.status);
-        let encoded = head.headers.has("content-encoding");
-        if is_success && (!facts.vouched || encoded || facts.id.is_none()) {
+        let is_encoded = head.headers.has("content-encoding");
+        if is_success && (!facts.vouched || is_encoded || facts.id.is_none()) {
             return Attempt::Broken;
         }
         if is_success && self.route.kind.is_stream() {
             return self.deliver_stream(target, upstream, head, body);
         }
         let until = self.deadline_at;
-        let Some(mut room) =
-            self.reserve_answer_memory(body.announced_bytes().min(MAX_WHOLE_BYTES))
+        let Some(mut reservation) =
+            self.reserve_answer_memory(body.announced_bytes().min(MAX_BUFFERED_ANSWER_BYTES))
         else {
             return Attempt::TimedOut;
         };
-        let read = body.read_whole(&mut upstream, MAX_WHOLE_BYTES, Some(self.caller), until);
+        let read = body.read_whole(
+            &mut upstream,
+            MAX_BUFFERED_ANSWER_BYTES,
+            Some(self.caller),
+            until,
+        );
         let bytes = match read {
             Ok(bytes) => bytes,
             Err(HttpError::WatchedClosed) => return Attempt::CallerGone,
@@ -295,7 +306,7 @@
             Err(_) => Vec::new(),
         };
         // An answer without a length is counted at its actual length, even beyond the bound.
-        room.resize(bytes.len());
+        reservation.resize(bytes.len());
         self.return_to_pool(target, upstream, head, &body);
         if facts.not_run {
             return self.handle_refusal(target, head, facts);
@@ -316,8 +327,8 @@
     /// the deadline has passed or the caller has left.
     fn reserve_answer_memory(&mut self, bytes: usize) -> Option<MemoryReservation> {
         loop {
-            if let Some(room) = self.shared.reserve_answer(bytes) {
-                return Some(room);
+            if let Some(reservation) = self.shared.reserve_answer(bytes) {
+                return Some(reservation);
             }
             if clock::now() >= self.deadline_at || self.caller.is_closed() {
                 return None;
@@ -363,19 +374,19 @@
         if !body.is_reusable || !body.is_done() || !upstream.is_clean() {
             return;
         }
-        let named = head.headers.text("keep-alive").and_then(|text| {
+        let keep_alive_s = head.headers.text("keep-alive").and_then(|text| {
             let parts = text.split(',');
             let mut timeout = parts.filter_map(|part| part.trim().strip_prefix("timeout="));
             timeout.find_map(|seconds| seconds.parse().ok())
         });
-        let rest = pool::idle_ttl(named);
+        let idle_ttl = pool::idle_ttl(keep_alive_s);
         let now = clock::now();
-        self.shared.pool.put(&target.id, upstream, rest, now);
+        self.shared.pool.put(&target.id, upstream, idle_ttl, now);
     }
 
     fn answer_headers(&self, head: &AnswerHead) -> Headers {
         let mut headers = Headers(head.headers.end_to_end().cloned().collect());
-        if self.close_after {
+        if self.should_close {
             headers.push("Connection", "close");
         }
         headers
@@ -383,11 +394,11 @@
 
     fn write(&mut self, bytes: &[u8]) -> Result<(), HttpError> {
         let first_ms = self.elapsed_ms();
-        self.record.first_ms.get_or_insert(first_ms);
+        self.request_log.first_ms.get_or_insert(first_ms);
         // A complete answer is delivered even after the deadline.
         let until = self.deadline_at.max(clock::now() + WRITE_TIMEOUT);
         let written = http1::write_until_stalled(self.caller, bytes, CALLER_STALL_TIMEOUT, until);
-        self.record.is_stalled |= match &written {
+        self.request_log.is_stalled |= match &written {
             Err(HttpError::TimedOut) => true,
             // The connection's own user timeout has expired.
             Err(HttpError::Io(error)) => error.kind() == ErrorKind::TimedOut,
@@ -399,21 +410,21 @@
     /// Delivers a complete answer.
     pub(super) fn deliver_whole(&mut self, head: &AnswerHead, body: &[u8]) -> ConnectionReuse {
         let mut headers = self.answer_headers(head);
-        let bodyless = head.is_bodyless(&self.head.method);
-        if !bodyless {
+        let is_bodyless = head.is_bodyless(&self.head.method);
+        if !is_bodyless {
             headers.push("Content-Length", body.len().to_string());
         }
         let mut bytes = encode_head(&head.status_line(), &headers);
-        if !bodyless {
+        if !is_bodyless {
             bytes.extend_from_slice(body);
         }
-        self.record.status = head.status;
-        self.record.end = "answered";
+        self.request_log.status = head.status;
+        self.request_log.end = "answered";
         let written = self.write(&bytes);
-        if self.record.is_stalled {
-            self.record.end = NOT_TAKEN;
+        if self.request_log.is_stalled {
+            self.request_log.end = NOT_TAKEN;
         }
-        connection_reuse(written.is_ok() && !self.close_after)
+        connection_reuse(written.is_ok() && !self.should_close)
     }
 
     /// Delivers a stream, event by event.
@@ -429,9 +440,9 @@
         let mut events = Vec::new();
         loop {
             let part = self.read_stream_part(target, &mut upstream, &mut body, &mut received);
-            let ended = match part {
+            let is_ended = match part {
                 Ok(part) => part == BodyPart::End,
-                Err(ended) => return ended,
+                Err(attempt) => return attempt,
             };
             self.record_activity(target);
             events.clear();
@@ -444,24 +455,24 @@
                 self.delivered.splitter.drop_partial();
                 return Attempt::Broken;
             }
-            if ended {
+            if is_ended {
                 events.extend(self.delivered.splitter.take_remainder());
             }
-            let out = self.frame_for_caller(std::mem::take(&mut opening), &events, ended);
-            if !out.is_empty() {
+            let framed = self.frame_for_caller(std::mem::take(&mut opening), &events, is_ended);
+            if !framed.is_empty() {
                 self.delivered.head_sent = true;
                 // Once the head is out, no other answer can be sent.
                 self.caller.mark_streaming();
-                self.record.status = head.status;
-                if self.write(&out).is_err() {
+                self.request_log.status = head.status;
+                if self.write(&framed).is_err() {
                     return Attempt::CallerGone;
                 }
             }
-            if ended {
-                self.record.end = "answered";
+            if is_ended {
+                self.request_log.end = "answered";
                 self.return_to_pool(target, upstream, head, &body);
-                let keep = self.delivered.chunked && !self.close_after;
-                return Attempt::Answered(connection_reuse(keep));
+                let can_reuse = self.delivered.chunked && !self.should_close;
+                return Attempt::Answered(connection_reuse(can_reuse));
             }
         }
     }
@@ -507,16 +518,16 @@
     }
 
     /// `opening` followed by `events`, framed for the caller.
-    fn frame_for_caller(&self, opening: Vec<u8>, events: &[u8], ended: bool) -> Vec<u8> {
-        let mut out = opening;
+    fn frame_for_caller(&self, opening: Vec<u8>, events: &[u8], is_ended: bool) -> Vec<u8> {
+        let mut framed = opening;
         if self.delivered.chunked && !events.is_empty() {
-            out.extend(reply::chunk(events));
+            framed.extend(reply::chunk(events));
         } else {
-            out.extend_from_slice(events);
+            framed.extend_from_slice(events);
         }
-        if ended && self.delivered.chunked {
-            out.extend_from_slice(reply::LAST_CHUNK);
+        if is_ended && self.delivered.chunked {
+            framed.extend_from_slice(reply::LAST_CHUNK);
         }
-        out
+        framed
     }
 }
--- a/crates/instance/src/forward/limits.rs
+++ b/crates/instance/src/forward/limits.rs
@@ -36,24 +36,24 @@
         let Some(per_s) = limit else {
             return Some(target);
         };
-        let turn = self
+        let decision = self
             .shared
             .limits
             .request_grant(self.shared, &target.id, per_s);
-        self.shared.metrics.limit_decision(turn);
-        let (pause, is_time_known) = match turn {
+        self.shared.metrics.limit_decision(decision);
+        let (backoff, is_time_known) = match decision {
             LimitDecision::Granted => {
                 target.has_limit_grant = true;
                 return Some(target);
             }
-            LimitDecision::RetryAfter(pause) => (pause, true),
+            LimitDecision::RetryAfter(backoff) => (backoff, true),
             LimitDecision::Undecided => (UNCOUNTED_BACKOFF, false),
         };
         let now = clock::now();
-        self.deferred.retain(|held| now < held.retry_at);
+        self.deferred.retain(|one| now < one.retry_at);
         self.deferred.push(DeferredUpstream {
             upstream: target.id.clone(),
-            retry_at: now + pause.max(MIN_BACKOFF),
+            retry_at: now + backoff.max(MIN_BACKOFF),
             is_time_known,
         });
         self.run_id = self.shared.dispatch.next_run_id();
@@ -67,31 +67,34 @@
 
     /// Limited upstreams that refused a grant and may not be tried again yet.
     fn refused_grants(&self, now: Instant) -> impl Iterator<Item = &DeferredUpstream> {
-        self.deferred.iter().filter(move |held| now < held.retry_at)
+        self.deferred.iter().filter(move |one| now < one.retry_at)
     }
 
     /// Upstreams that could serve the request but do not accept it yet: limited ones without a
     /// grant, and those that have asked this instance to back off.
     fn deferred_upstreams(&self, now: Instant) -> Vec<DeferredUpstream> {
         let upstreams = self.shared.upstreams();
-        let closed = upstreams.closed_to(self.wanted(), now);
+        let backing_off = upstreams.closed_to(self.wanted(), now);
         drop(upstreams);
-        let resting = closed
+        let backing_off = backing_off
             .into_iter()
             .map(|(upstream, retry_at)| DeferredUpstream {
                 upstream,
                 retry_at,
                 is_time_known: true,
             });
-        self.refused_grants(now).cloned().chain(resting).collect()
+        self.refused_grants(now)
+            .cloned()
+            .chain(backing_off)
+            .collect()
     }
 
     /// Upstreams that the request does not go to now: those already tried, and those that do not
     /// accept it yet.
     pub(super) fn excluded_upstreams(&self, now: Instant) -> Vec<UpstreamId> {
-        let held = self.deferred_upstreams(now).into_iter();
-        let held = held.map(|held| held.upstream);
-        self.tried.iter().cloned().chain(held).collect()
+        let deferred = self.deferred_upstreams(now).into_iter();
+        let deferred = deferred.map(|one| one.upstream);
+        self.tried.iter().cloned().chain(deferred).collect()
     }
 
     /// Whether the request asks no further limited upstream for a grant.
@@ -101,18 +104,18 @@
 
     /// When the first of the deferred upstreams accepts the request; `None` if there are none.
     pub(super) fn next_available_at(&self, now: Instant) -> Option<Instant> {
-        let held = self.deferred_upstreams(now).into_iter();
-        held.map(|held| held.retry_at).min()
+        let deferred = self.deferred_upstreams(now).into_iter();
+        deferred.map(|one| one.retry_at).min()
     }
 
     /// Whether the request should be refused at once with a `Retry-After`: only deferred upstreams
     /// have its model, none of them accepts the request before its wait ends, and the model is
     /// loaded on no other upstream by then.
     pub(super) fn is_wait_hopeless(&self, wait_until: Instant, now: Instant) -> bool {
-        let held = self.deferred_upstreams(now);
-        let is_late = |held: &DeferredUpstream| held.is_time_known && held.retry_at > wait_until;
-        let has_no_turn = !held.is_empty() && held.iter().all(is_late);
-        has_no_turn && !self.can_be_served_elsewhere(wait_until, now)
+        let deferred = self.deferred_upstreams(now);
+        let is_late = |one: &DeferredUpstream| one.is_time_known && one.retry_at > wait_until;
+        let is_deferred_everywhere = !deferred.is_empty() && deferred.iter().all(is_late);
+        is_deferred_everywhere && !self.can_be_served_elsewhere(wait_until, now)
     }
 
     /// Whether an engine that accepts requests has the model cached, or can fetch it in time.
@@ -120,9 +123,14 @@
         let Some(model_ref) = self.model_ref() else {
             return false;
         };
-        let comes_at = self.load_time().map(|load| now + load);
+        let ready_at = self.load_time().map(|load_time| now + load_time);
         let upstreams = self.shared.upstreams();
-        comes_at.is_some_and(|at| at <= wait_until)
-            || upstreams.lies_elsewhere(&self.service, &model_ref.model, &self.access.allowed, now)
+        ready_at.is_some_and(|at| at <= wait_until)
+            || upstreams.lies_elsewhere(
+                &self.service,
+                &model_ref.model,
+                &self.access.allowed_regions,
+                now,
+            )
     }
 }
--- a/crates/instance/src/forward/refusal.rs
+++ b/crates/instance/src/forward/refusal.rs
@@ -18,7 +18,7 @@
     pub(super) fn answer_failure(&mut self, failed: Option<Box<FailedAnswer>>) -> ConnectionReuse {
         if self.delivered.head_sent {
             // A stream that breaks off must not look complete.
-            self.record.end = if self.record.cut_by_stop {
+            self.request_log.end = if self.request_log.cut_by_stop {
                 "stream cut by the stop"
             } else {
                 "stream broken off"
@@ -32,26 +32,30 @@
             return self.deliver_whole(&failed.head, &failed.body);
         }
         let refused_for = self.refused_for();
-        let has_turn = self.isolated_run.as_ref().is_some_and(Trial::is_granted);
-        let is_held = self.suspicion != Standing::Free && !has_turn;
+        let has_permit = self.isolated_run.as_ref().is_some_and(Trial::is_granted);
+        let is_on_hold = self.suspicion != Standing::Free && !has_permit;
         let refusal = if self.runs == 0 {
             // A request that crashes engines is not run until its entry expires.
-            let model_ms = self
+            let available_ms = self
                 .model_ready_ms
                 .or(self.upstream_available_ms)
                 .unwrap_or(RETRY_AFTER_MS);
-            let held_ms = if is_held { SUSPECT_RETRY_MS } else { model_ms };
-            not_run(refused_for.map_or(held_ms, millis))
+            let retry_ms = if is_on_hold {
+                SUSPECT_RETRY_MS
+            } else {
+                available_ms
+            };
+            not_run(refused_for.map_or(retry_ms, millis))
         } else if clock::now() >= self.deadline_at {
             Refusal::TimedOut
         } else {
             Refusal::AnswerLost
         };
-        let end = if self.record.cut_by_stop {
+        let end = if self.request_log.cut_by_stop {
             "refused at the stop"
         } else if refused_for.is_some() {
             "refused as crashing upstreams"
-        } else if is_held {
+        } else if is_on_hold {
             "refused, it may crash upstreams"
         } else if self.model_ready_ms.is_some() {
             "refused, its model comes too late"
@@ -64,13 +68,13 @@
     }
 
     /// Refuses the request.
-    pub(super) fn refuse(&mut self, denied: Denial) -> ConnectionReuse {
-        let Denial { refusal, end } = denied;
-        self.record.status = refusal.code();
-        self.record.end = end;
+    pub(super) fn refuse(&mut self, denial: Denial) -> ConnectionReuse {
+        let Denial { refusal, end } = denial;
+        self.request_log.status = refusal.code();
+        self.request_log.end = end;
         let vocabulary = &*self.shared.vocabulary;
-        let close = self.close_after;
-        let done = reply::refuse(self.caller, vocabulary, &self.facts.id, refusal, close);
-        connection_reuse(done.is_ok() && !close)
+        let close = self.should_close;
+        let written = reply::refuse(self.caller, vocabulary, &self.facts.id, refusal, close);
+        connection_reuse(written.is_ok() && !close)
     }
 }
--- a/crates/instance/src/forward/send_permit.rs
+++ b/crates/instance/src/forward/send_permit.rs
@@ -19,9 +19,12 @@
     pub(super) fn acquire_send_permit(&self, target: &Target) -> Option<SendPermit> {
         let now = clock::now();
         let mut upstreams = self.shared.upstreams();
-        let has_turn = target.has_limit_grant || upstreams.limit_per_s(&target.id, now).is_none();
-        let may_go = has_turn && upstreams.admits(&target.id, &self.access.allowed);
-        let wants = may_go && upstreams.let_through(&target.id, target.started_at_ms, now);
-        wants.then_some(SendPermit(()))
+        let has_limit_grant =
+            target.has_limit_grant || upstreams.limit_per_s(&target.id, now).is_none();
+        let is_allowed =
+            has_limit_grant && upstreams.admits(&target.id, &self.access.allowed_regions);
+        let is_admitted =
+            is_allowed && upstreams.let_through(&target.id, target.started_at_ms, now);
+        is_admitted.then_some(SendPermit(()))
     }
 }
--- a/crates/instance/src/forward/suspect.rs
+++ b/crates/instance/src/forward/suspect.rs
@@ -56,12 +56,12 @@
     ///
     /// Plain upstreams are left out, because they do not report their start and reset connections
     /// beyond those that they accept.
-    pub(super) fn watch_for_crash(&self, target: &Target, start: &UpstreamStart, silent: bool) {
+    pub(super) fn watch_for_crash(&self, target: &Target, start: &UpstreamStart, is_silent: bool) {
         if !self.is_engine || self.shared.upstreams().is_draining(&target.id) {
             return;
         }
         let (digest, sent_at) = (self.digest(), self.attempt_at);
-        if silent {
+        if is_silent {
             Poison::doubt(self.shared, digest, start, sent_at, target.address);
         } else {
             Poison::broke_off(self.shared, digest, start, sent_at, target.address);
@@ -69,7 +69,7 @@
     }
 
     /// Whether the request may run now, given the upstreams that broke off while they ran it.
-    pub(super) fn may_run_as_suspect(&mut self) -> bool {
+    pub(super) fn may_run_now(&mut self) -> bool {
         let poison = &self.shared.poison;
         self.suspicion = if poison.is_empty() {
             Standing::Free
@@ -86,11 +86,11 @@
     /// Whether the request has the permit to run isolated. Only the coordinator can grant it.
     fn may_run_isolated(&mut self) -> bool {
         let digest = self.digest();
-        let left = self.deadline_at.saturating_duration_since(clock::now());
+        let remaining = self.deadline_at.saturating_duration_since(clock::now());
         let trial = self
             .isolated_run
             .get_or_insert_with(|| Trial::new(self.shared, digest));
-        trial.ask(left) == Asked::Granted
+        trial.ask(remaining) == Asked::Granted
     }
 
     /// Handles a run that ended with an answer: the request does not crash its upstreams.
@@ -113,9 +113,9 @@
         match Connection::connect(target.address, REFUSAL_TIME) {
             Ok(connection) => {
                 // The upstream is alive, and the connection can serve the next request.
-                let rest = pool::idle_ttl(None);
+                let idle_ttl = pool::idle_ttl(None);
                 let pool = &self.shared.pool;
-                pool.put(&target.id, connection, rest, clock::now());
+                pool.put(&target.id, connection, idle_ttl, clock::now());
                 false
             }
             Err(error) => error.kind() == ErrorKind::ConnectionRefused,
--- a/crates/instance/src/forward/waiting.rs
+++ b/crates/instance/src/forward/waiting.rs
@@ -20,30 +20,30 @@
 impl Forwarding<'_> {
     /// Until when the request may wait for an upstream if its time ends at `ends_at`.
     pub(super) fn wait_until(&self, ends_at: Instant) -> Instant {
-        let whole = ends_at.saturating_duration_since(self.arrived_at);
+        let total = ends_at.saturating_duration_since(self.arrived_at);
         let patience = Duration::from_millis(self.route.patience_ms());
-        self.arrived_at + whole.min(patience).mul_f64(WAIT_RATIO)
+        self.arrived_at + total.min(patience).mul_f64(WAIT_RATIO)
     }
 
     /// Waits for an upstream that accepts the request.
     pub(super) fn wait_for_upstream(&mut self, may_wait: bool) -> Option<Target> {
-        let mut told: Option<ReportedWait> = None;
+        let mut reported_wait: Option<ReportedWait> = None;
         loop {
             if self.refused_for().is_some() {
                 return None;
             }
             let now = clock::now();
-            if !self.may_run_as_suspect() {
+            if !self.may_run_now() {
                 if !self.wait_on_hold(now) {
                     return None;
                 }
                 continue;
             }
-            if let Some(next) = self.next_target.take() {
-                return Some(next);
+            if let Some(target) = self.next_target.take() {
+                return Some(target);
             }
             self.shared.metrics.choice();
-            let seen = self.shared.upstream_change_count();
+            let change_count = self.shared.upstream_change_count();
             let choice = match self.choose(now) {
                 Ok(target) => match self.with_limit_grant(target) {
                     Some(target) => return Some(target),
@@ -52,25 +52,25 @@
                 },
                 Err(choice) => choice,
             };
-            let turn_at = self.next_available_at(now);
+            let available_at = self.next_available_at(now);
             if choice == Choice::Absent
-                && turn_at.is_none()
+                && available_at.is_none()
                 && may_wait
-                && self.record.offers == 0
-                && let Some(comes_ms) = self.late_model_ready_ms(now)
+                && self.request_log.offers == 0
+                && let Some(model_ready_ms) = self.late_model_ready_ms(now)
             {
-                self.model_ready_ms = Some(comes_ms);
+                self.model_ready_ms = Some(model_ready_ms);
                 return None;
             }
             // A stop shortens the request's time, and the wait must leave time to run.
             let stop_at = self.shared.waits_end_at().unwrap_or(self.deadline_at);
             let wait_until = self.wait_until(self.deadline_at.min(stop_at));
             let is_absent = choice == Choice::Absent;
-            self.upstream_available_ms = turn_at
+            self.upstream_available_ms = available_at
                 .filter(|_| is_absent)
                 .map(|at| millis_since(now, at));
             if now >= wait_until || !may_wait || self.shared.should_end_waits() {
-                self.record.cut_by_stop = now < self.wait_until(self.deadline_at);
+                self.request_log.cut_by_stop = now < self.wait_until(self.deadline_at);
                 return None;
             }
             if is_absent && self.is_wait_hopeless(wait_until, now) {
@@ -78,10 +78,10 @@
                 return None;
             }
             if is_absent
-                && told.is_none()
+                && reported_wait.is_none()
                 && let Some(model_ref) = self.model_ref()
             {
-                told = Some(ReportedWait::begin(
+                reported_wait = Some(ReportedWait::new(
                     self.shared,
                     &self.service,
                     model_ref,
@@ -90,15 +90,15 @@
             }
             // Each iteration waits, so that requests for a service without upstreams do not take
             // the processor from all others.
-            let longest = if is_absent {
+            let max_step = if is_absent {
                 CALLER_POLL_INTERVAL
             } else {
                 CAPACITY_POLL_INTERVAL
             };
-            let look_at = turn_at.map_or(wait_until, |at| at.min(wait_until));
-            let step = longest.min(look_at - now);
+            let retry_at = available_at.map_or(wait_until, |at| at.min(wait_until));
+            let step = max_step.min(retry_at - now);
             if is_absent || !self.shared.dispatch.is_enabled() {
-                self.shared.wait_for_upstream_change(seen, step);
+                self.shared.wait_for_upstream_change(change_count, step);
             } else {
                 // Only the dispatcher knows when a slot is free; changes in this instance do not
                 // show it.
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Waits briefly for news on whether the request crashes upstreams; false once the wait is
+    /// Waits briefly for information on whether the request crashes upstreams; false once the wait is
     /// over.
     fn wait_on_hold(&mut self, now: Instant) -> bool {
         let stop_at = self.shared.waits_end_at().unwrap_or(self.deadline_at);
@@ -135,10 +135,14 @@
         let model_ref = self.model_ref()?;
         let load_time = self.load_time()?;
         let wait_until = self.wait_until(self.deadline_at);
-        let comes_at = now + load_time;
+        let ready_at = now + load_time;
         let upstreams = self.shared.upstreams();
-        if comes_at <= wait_until
-            || !upstreams.lies_nowhere(&self.service, &model_ref.model, &self.access.allowed)
+        if ready_at <= wait_until
+            || !upstreams.lies_nowhere(
+                &self.service,
+                &model_ref.model,
+                &self.access.allowed_regions,
+            )
         {
             return None;
         }
@@ -173,7 +177,7 @@
             service: &self.service,
             model_ref: self.model_ref(),
             hall: &self.shared.settings.hall,
-            allowed: &self.access.allowed,
+            allowed: &self.access.allowed_regions,
             drawn: request_hash(&self.facts.id),
         }
     }
@@ -183,41 +187,41 @@
     /// # Errors
     /// Why there is none now.
     pub(super) fn choose(&self, now: Instant) -> Result<Target, Choice> {
-        let drawn = request_hash(&self.facts.id).wrapping_add(self.runs.into());
-        let closed = self.excluded_upstreams(now);
+        let choice_seed = request_hash(&self.facts.id).wrapping_add(self.runs.into());
+        let excluded = self.excluded_upstreams(now);
         let dispatch = &self.shared.dispatch;
-        let told = self.model_ref().and_then(|model_ref| {
-            let question = EngineQuery {
+        let answer = self.model_ref().and_then(|model_ref| {
+            let query = EngineQuery {
                 run_id: self.run_id,
                 service: &self.service,
                 model_ref,
-                tried: &closed,
-                drawn,
+                tried: &excluded,
+                choice_seed,
                 due_at: self.due_at(),
                 is_urgent: self.priority() == 0,
-                allowed: &self.access.allowed,
+                allowed_regions: &self.access.allowed_regions,
             };
-            dispatch.query_engine(self.shared, &question)
+            dispatch.query_engine(self.shared, &query)
         });
-        if let Some(told) = told {
-            return match told.choice {
+        if let Some(answer) = answer {
+            return match answer.choice {
                 Choice::Send { id, address } => Ok(Target {
                     started_at_ms: self.shared.upstreams().started_at_ms(&id),
                     id,
                     address,
                     has_limit_grant: false,
-                    run_id: told.run_id,
+                    run_id: answer.run_id,
                 }),
-                none => Err(none),
+                other => Err(other),
             };
         }
         let upstreams = self.shared.upstreams();
         let wanted = Wanted {
-            drawn,
+            drawn: choice_seed,
             ..self.wanted()
         };
-        let is_open = |id: &UpstreamId| !closed.contains(id);
-        match upstreams.choose_by(wanted, is_open, None, now) {
+        let is_eligible = |id: &UpstreamId| !excluded.contains(id);
+        match upstreams.choose_by(wanted, is_eligible, None, now) {
             Choice::Send { id, address } => Ok(Target {
                 run_id: self
                     .model_ref()
@@ -227,7 +231,7 @@
                 address,
                 has_limit_grant: false,
             }),
-            none => Err(none),
+            other => Err(other),
         }
     }
 
@@ -235,12 +239,12 @@
     /// half of their goal, so that they go before others with a similar goal.
     fn due_at(&self) -> Instant {
         let goal = Duration::from_millis(self.route.goal_ms);
-        let part = if self.priority() == 0 {
+        let ratio = if self.priority() == 0 {
             URGENT_GOAL_RATIO
         } else {
             1.0
         };
-        self.arrived_at + goal.mul_f64(part)
+        self.arrived_at + goal.mul_f64(ratio)
     }
 }
 
@@ -252,7 +256,7 @@
 }
 
 impl<'a> ReportedWait<'a> {
-    fn begin(
+    fn new(
         shared: &'a Shared,
         service: &ServiceName,
         model_ref: &ModelRef,
--- a/crates/instance/src/http1/body.rs
+++ b/crates/instance/src/http1/body.rs
@@ -56,14 +56,16 @@
         return Ok(None);
     };
     if lengths.any(|other| other != first) {
-        return Err(HttpError::Malformed("several lengths"));
+        return Err(HttpError::Malformed(
+            "several different Content-Length values",
+        ));
     }
     let digits = !first.is_empty() && first.iter().all(u8::is_ascii_digit);
     let text = std::str::from_utf8(first).ok().filter(|_| digits);
     let length = text.and_then(|text| text.parse().ok());
-    length
-        .map(Some)
-        .ok_or(HttpError::Malformed("a length that is no number"))
+    length.map(Some).ok_or(HttpError::Malformed(
+        "a Content-Length that is not a number",
+    ))
 }
 
 fn is_chunked(headers: &Headers) -> Result<bool, HttpError> {
@@ -72,7 +74,7 @@
         return Ok(false);
     };
     if codings.next().is_some() || !first.trim_ascii().eq_ignore_ascii_case(b"chunked") {
-        return Err(HttpError::Malformed("an unknown transfer coding"));
+        return Err(HttpError::Malformed("an unsupported Transfer-Encoding"));
     }
     Ok(true)
 }
@@ -86,7 +88,11 @@
         let length = single_length(&head.headers)?;
         let chunked = is_chunked(&head.headers)?;
         let framing = match (chunked, length) {
-            (true, Some(_)) => return Err(HttpError::Malformed("a length and chunks")),
+            (true, Some(_)) => {
+                return Err(HttpError::Malformed(
+                    "both Content-Length and Transfer-Encoding",
+                ));
+            }
             (true, None) if !head.is_1_1 => {
                 return Err(HttpError::Malformed("chunks in HTTP/1.0"));
             }
@@ -111,7 +117,11 @@
         let empty = head.is_bodyless(method);
         let framing = match (chunked, length) {
             _ if empty => Framing::Done,
-            (true, Some(_)) => return Err(HttpError::Malformed("a length and chunks")),
+            (true, Some(_)) => {
+                return Err(HttpError::Malformed(
+                    "both Content-Length and Transfer-Encoding",
+                ));
+            }
             (true, None) => Framing::ChunkHead,
             (false, Some(0)) => Framing::Done,
             (false, Some(length)) => Framing::Length(length),
@@ -171,7 +181,9 @@
                         return Ok(moved);
                     }
                     if &bytes[..2] != b"\r\n" {
-                        return Err(HttpError::Malformed("a chunk without its end"));
+                        return Err(HttpError::Malformed(
+                            "a chunk without a line end after its data",
+                        ));
                     }
                     connection.consume(2);
                     self.framing = Framing::ChunkHead;
@@ -189,7 +201,7 @@
                         return Err(HttpError::TooLarge);
                     }
                     Ok(httparse::Status::Partial) => return Ok(moved),
-                    Err(_) => return Err(HttpError::Malformed("a chunk without its size")),
+                    Err(_) => return Err(HttpError::Malformed("an invalid chunk size")),
                 },
                 Framing::Trailer => {
                     let end = bytes.windows(2).position(|pair| pair == b"\r\n");
--- a/crates/instance/src/http1/head.rs
+++ b/crates/instance/src/http1/head.rs
@@ -72,7 +72,7 @@
             Ok(Some((head, length)))
         }
         Ok(httparse::Status::Partial) => Ok(None),
-        Err(_) => Err(HttpError::Malformed("not a request")),
+        Err(_) => Err(HttpError::Malformed("an invalid request head")),
     }
 }
 
@@ -90,7 +90,7 @@
             Ok(Some((head, length)))
         }
         Ok(httparse::Status::Partial) => Ok(None),
-        Err(_) => Err(HttpError::Malformed("not an answer")),
+        Err(_) => Err(HttpError::Malformed("an invalid answer head")),
     }
 }
 
--- a/crates/instance/src/http1/socket.rs
+++ b/crates/instance/src/http1/socket.rs
@@ -102,7 +102,7 @@
     pub fn reset_when_closed(&self) {
         let linger = Some(Duration::ZERO);
         if let Err(error) = rustix::net::sockopt::set_socket_linger(&self.stream, linger) {
-            log::warn!(error:% = error; "a broken answer may look complete");
+            log::warn!(error:% = error; "cannot set the connection to reset on close; a broken answer may look complete");
         }
     }
 
--- a/crates/instance/src/ready.rs
+++ b/crates/instance/src/ready.rs
@@ -41,7 +41,7 @@
                 let _ = answer(&shared, &right, connection);
             });
             if let Err(error) = answering {
-                log::warn!(error:% = error; "no thread for the balancer's question");
+                log::warn!(error:% = error; "cannot start a thread for the balancer's probe");
             }
         }
     });
--- a/crates/instance/src/stop_signal.rs
+++ b/crates/instance/src/stop_signal.rs
@@ -27,7 +27,7 @@
     /// Wakes all that wait for it, now and later.
     pub fn set(&self) {
         if let Err(error) = rustix::io::write(&self.0, &1_u64.to_ne_bytes()) {
-            log::warn!(error:% = error; "waiting requests could not be woken at the stop");
+            log::warn!(error:% = error; "cannot wake waiting requests at the stop");
         }
     }
 }
