--- a/crates/instance/src/callers.rs
+++ b/crates/instance/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: one thread each.
+//! Callers' connections, served by one thread each.
 
 use crate::forward::{self, ConnectionReuse};
 use crate::http1::{self, BodyReader, Connection, HttpError, RequestHead};
@@ -15,46 +15,46 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Bounds before a configuration is known.
+/// Limits before the first configuration.
 const INITIAL_LIMITS: CallerLimits = CallerLimits {
     max_header_bytes: 16 << 10,
     max_body_bytes: 4 << 20,
     header_timeout_ms: 3_000,
     idle_timeout_ms: 15_000,
 };
-/// Time for a body to arrive.
+/// Time for a request's body to arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time for a caller to stop sending a request that has been refused before all of it was
-/// read: some round trips, which take a few milliseconds each.
+/// Time for a caller to stop sending a request that was refused before it was read completely:
+/// several round trips of a few milliseconds each.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
-/// Stack of a connection's thread.
+/// Stack size of a connection's thread.
 const STACK_BYTES: usize = 256 << 10;
-/// Pause after a connection could not be accepted.
+/// Backoff after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Callers' connections of one instance.
+/// The listener for callers and its open connections.
 #[derive(Debug)]
 pub struct Callers {
     address: SocketAddr,
     shared: Arc<Shared>,
-    endings: Arc<StopSignals>,
+    stop_signals: Arc<StopSignals>,
     open: Arc<AtomicUsize>,
 }
 
-/// What a thread needs that serves callers. It counts as open while it lives, so that a
-/// stop can wait for it.
+/// State for a thread that accepts or serves callers. It counts as an open connection until
+/// dropped, so that a stop can wait for it.
 struct ConnectionContext {
     shared: Arc<Shared>,
-    endings: Arc<StopSignals>,
+    stop_signals: Arc<StopSignals>,
     open: Arc<AtomicUsize>,
 }
 
 impl ConnectionContext {
-    fn new(shared: &Arc<Shared>, endings: &Arc<StopSignals>, open: &Arc<AtomicUsize>) -> Self {
+    fn new(shared: &Arc<Shared>, stop_signals: &Arc<StopSignals>, open: &Arc<AtomicUsize>) -> Self {
         open.fetch_add(1, Ordering::AcqRel);
         Self {
             shared: shared.clone(),
-            endings: endings.clone(),
+            stop_signals: stop_signals.clone(),
             open: open.clone(),
         }
     }
@@ -62,7 +62,7 @@
 
 impl Clone for ConnectionContext {
     fn clone(&self) -> Self {
-        Self::new(&self.shared, &self.endings, &self.open)
+        Self::new(&self.shared, &self.stop_signals, &self.open)
     }
 }
 
@@ -72,10 +72,10 @@
     }
 }
 
-/// Accepts callers from now on.
+/// Starts to accept callers.
 ///
 /// # Errors
-/// If the address cannot be bound, or the process has no descriptor left.
+/// If the address cannot be bound, or the process has no file descriptor left.
 pub fn listen(shared: &Arc<Shared>, address: SocketAddr) -> Result<Callers> {
     let listener = TcpListener::bind(address).with_context(|| format!("binding {address}"))?;
     listener
@@ -84,49 +84,49 @@
     let callers = Callers {
         address: listener.local_addr().context("the bound address")?,
         shared: shared.clone(),
-        endings: Arc::new(StopSignals::new().context("creating the stop signals")?),
+        stop_signals: Arc::new(StopSignals::new().context("creating the stop signals")?),
         open: Arc::default(),
     };
-    let serving = ConnectionContext::new(shared, &callers.endings, &callers.open);
-    std::thread::spawn(move || accept(&serving, &listener));
+    let context = ConnectionContext::new(shared, &callers.stop_signals, &callers.open);
+    std::thread::spawn(move || accept(&context, &listener));
     Ok(callers)
 }
 
 impl Callers {
-    /// Where callers connect.
+    /// The address that callers connect to.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Answers everything that still waits, closes what rests, and takes no connection
-    /// beyond those that the kernel has already accepted.
+    /// Answers all requests that still wait, closes idle connections, and accepts no connection
+    /// beyond those in the kernel's backlog.
     pub fn end_waits(&self) {
         self.shared.end_waits();
-        self.endings.answers.set();
+        self.stop_signals.answers.set();
     }
 
-    /// Cuts the streams that still go out.
+    /// Cuts the streams in progress.
     pub fn cut_streams(&self) {
-        self.endings.streams.set();
+        self.stop_signals.streams.set();
     }
 
-    /// Threads that may still have a caller to answer.
+    /// Number of threads that may still have to answer a caller.
     pub fn open_connections(&self) -> usize {
         self.open.load(Ordering::Acquire)
     }
 }
 
-/// Accepts connections until the ending, and then those that wait already: their callers
-/// may have sent a request, and closing the listener would reset them.
-fn accept(serving: &ConnectionContext, listener: &TcpListener) {
+/// Accepts connections until waits are ended, and then those left in the backlog: their callers may
+/// have sent a request, and closing the listener would reset them.
+fn accept(context: &ConnectionContext, listener: &TcpListener) {
     loop {
         match listener.accept() {
-            Ok((stream, _)) => spawn_thread(serving.clone(), stream),
+            Ok((stream, _)) => spawn_thread(context.clone(), stream),
             Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                if serving.shared.should_end_waits() {
+                if context.shared.should_end_waits() {
                     return;
                 }
-                wait_to_accept(listener, &serving.endings);
+                wait_to_accept(listener, &context.stop_signals);
             }
             Err(error) => {
                 log::warn!(error:% = error; "a connection could not be accepted");
@@ -136,10 +136,10 @@
     }
 }
 
-fn wait_to_accept(listener: &TcpListener, endings: &StopSignals) {
+fn wait_to_accept(listener: &TcpListener, stop_signals: &StopSignals) {
     let mut polled = [
         PollFd::new(listener, PollFlags::IN),
-        PollFd::new(&endings.answers, PollFlags::IN),
+        PollFd::new(&stop_signals.answers, PollFlags::IN),
     ];
     match poll(&mut polled, None) {
         Ok(_) | Err(rustix::io::Errno::INTR) => {}
@@ -150,16 +150,16 @@
     }
 }
 
-fn spawn_thread(serving: ConnectionContext, stream: TcpStream) {
-    let run = move || {
-        // A socket that refuses its options is of no use; dropping it closes it.
+fn spawn_thread(context: ConnectionContext, stream: TcpStream) {
+    let serve = move || {
+        // A socket that rejects its options is unusable; dropping it closes it.
         if let Ok(mut connection) = Connection::new(stream) {
-            connection.set_stop_signals(serving.endings.clone());
-            serve_connection(&serving, connection);
+            connection.set_stop_signals(context.stop_signals.clone());
+            serve_connection(&context, connection);
         }
     };
     let thread = std::thread::Builder::new().stack_size(STACK_BYTES);
-    if let Err(error) = thread.spawn(run) {
+    if let Err(error) = thread.spawn(serve) {
         log::warn!(error:% = error; "no thread for a connection");
     }
 }
@@ -169,18 +169,18 @@
     routes.as_ref().map_or(INITIAL_LIMITS, |table| table.limits)
 }
 
-/// Reads and serves one request after the other until the connection ends.
-fn serve_connection(serving: &ConnectionContext, mut caller: Connection) {
-    let shared = &serving.shared;
+/// Reads and serves one request after another until the connection ends.
+fn serve_connection(context: &ConnectionContext, mut caller: Connection) {
+    let shared = &context.shared;
     loop {
         let limits = limits(shared);
         let idle_until = clock::now() + Duration::from_millis(limits.idle_timeout_ms);
-        let header_time = Duration::from_millis(limits.header_timeout_ms);
+        let header_timeout = Duration::from_millis(limits.header_timeout_ms);
         let head = http1::read_request_head(
             &mut caller,
             limits.max_header_bytes,
             idle_until,
-            header_time,
+            header_timeout,
         );
         let head = match head {
             Ok(Some(head)) => head,
@@ -193,12 +193,13 @@
         };
         let in_progress = shared.count_in_progress();
         let arrived_at = clock::now();
-        let announced = head.headers.text("content-length");
-        let announced = announced
+        let announced_length = head.headers.text("content-length");
+        let announced_bytes = announced_length
             .and_then(|length| length.parse().ok())
             .unwrap_or(0);
-        // A length beyond what is allowed is refused as such, by who reads it.
-        let Some(mut room) = shared.reserve_body(announced.min(limits.max_body_bytes)) else {
+        // A length above the limit is refused by the body reader below.
+        let Some(mut reservation) = shared.reserve_body(announced_bytes.min(limits.max_body_bytes))
+        else {
             return refuse_for_memory(shared, caller, &head);
         };
         let body = match read_body(&mut caller, &head, limits.max_body_bytes) {
@@ -211,16 +212,16 @@
             }
             Err(_) => return,
         };
-        if !room.resize(body.len()) {
+        if !reservation.resize(body.len()) {
             return refuse_for_memory(shared, caller, &head);
         }
-        let after = forward::serve(shared, &mut caller, &head, &body, arrived_at);
-        drop((in_progress, room));
-        if after == ConnectionReuse::Close {
+        let reuse = forward::serve(shared, &mut caller, &head, &body, arrived_at);
+        drop((in_progress, reservation));
+        if reuse == ConnectionReuse::Close {
             return;
         }
-        // A stream's connection waited for the later ending.
-        caller.set_stop_signals(serving.endings.clone());
+        // After a stream, waits of this connection end with the earlier signal again.
+        caller.set_stop_signals(context.stop_signals.clone());
     }
 }
 
@@ -228,12 +229,12 @@
     refuse_with_id(shared, caller, "", refusal);
 }
 
-/// Refuses a request of which the process has read only a part when it ends.
+/// Refuses a request that was read only in part when the process stops.
 fn refuse_half_read(shared: &Shared, caller: Connection, id: &str) {
     refuse_not_run(shared, caller, id, "half read at the stop");
 }
 
-/// Refuses a request for whose body the others in progress leave no room.
+/// Refuses a request whose body does not fit into the memory bound for bodies.
 fn refuse_for_memory(shared: &Shared, caller: Connection, head: &RequestHead) {
     let facts = shared.vocabulary.request(&head.headers);
     refuse_not_run(shared, caller, &facts.id, "no room for its body");
@@ -251,7 +252,7 @@
 
 fn refuse_with_id(shared: &Shared, mut caller: Connection, id: &str, refusal: Refusal) {
     let written = reply::refuse(&mut caller, &*shared.vocabulary, id, refusal, true);
-    // If the caller is gone already, there is nobody else to tell.
+    // If the write failed, the caller has already disconnected.
     if written.is_ok() {
         caller.close_after_answer(clock::now() + DRAIN_TIMEOUT);
     }
@@ -264,8 +265,8 @@
 ) -> Result<Vec<u8>, HttpError> {
     let mut body = BodyReader::of_request(head)?;
     let until = clock::now() + BODY_TIMEOUT;
-    let expects = head.headers.text("expect");
-    if expects.is_some_and(|word| word.eq_ignore_ascii_case("100-continue")) && !body.is_done() {
+    let expect = head.headers.text("expect");
+    if expect.is_some_and(|value| value.eq_ignore_ascii_case("100-continue")) && !body.is_done() {
         http1::write_all(caller, b"HTTP/1.1 100 Continue\r\n\r\n", false, None, until)?;
     }
     body.read_whole(caller, max_bytes, None, until)
--- a/crates/instance/src/control.rs
+++ b/crates/instance/src/control.rs
@@ -1,4 +1,5 @@
-//! Orders and questions to engines: what their answers say of the engines is heard, as for any other.
+//! Orders and queries to engines. The signals in their answers are applied like those in any other
+//! answer.
 
 use crate::right::Right;
 use crate::shared::Shared;
@@ -10,26 +11,26 @@
 use passway_types::prelude::*;
 use std::net::SocketAddr;
 
-/// Takes in what an engine's answer to an instance says of the engine.
+/// Applies the signals in an engine's answer and returns the answer itself.
 fn apply_signals<T>(shared: &Shared, start: &UpstreamStart, said: Said<T>, sent_at: Instant) -> T {
-    let heard = Heard {
+    let received = Heard {
         start,
         words: &said.words,
-        // Only answers to requests are vouched for.
+        // Engines vouch only for answers to callers' requests.
         vouched: false,
         sent_at,
     };
-    words::hear(shared, heard);
+    words::hear(shared, received);
     said.answer
 }
 
-/// Whether an engine wants nothing from this instance.
+/// Whether an engine has asked this instance to back off.
 pub fn is_backing_off(shared: &Shared, engine: &str) -> bool {
     let upstreams = shared.upstreams();
     upstreams.closed_until(engine, clock::now()).is_some()
 }
 
-/// Asks an engine for its state; `None` without an answer.
+/// Queries an engine's state; `None` without an answer.
 pub fn query_report(
     shared: &Shared,
     engines: &dyn Engines,
@@ -41,7 +42,7 @@
     apply_signals(shared, start, said, sent_at)
 }
 
-/// Gives an order, if the term in which it was decided still runs.
+/// Sends an order, unless the term in which it was decided is over.
 pub fn send_order(
     shared: &Shared,
     engines: &dyn Engines,
@@ -49,7 +50,7 @@
     fence: Fence,
     order: &PlannedOrder,
 ) -> OrderAnswer {
-    let given = EngineOrder {
+    let sent_order = EngineOrder {
         action: order.action,
         wish: order.wish.clone(),
         expected_orders: order.expected_orders,
@@ -62,11 +63,11 @@
         started_at_ms: order.started_at_ms,
     };
     let sent_at = clock::now();
-    // The last thing before it leaves: a holder that was paused must not send, and an engine may have asked
-    // for rest since.
+    // Checked directly before sending: a holder that was paused must not send orders, and the
+    // engine may have asked this instance to back off since the decision.
     if right.fence() != Some(fence) || is_backing_off(shared, &order.engine) {
         return OrderAnswer::NotSent;
     }
-    let said = engines.order(order.address, &given);
+    let said = engines.order(order.address, &sent_order);
     apply_signals(shared, &start, said, sent_at)
 }
--- a/crates/instance/src/events.rs
+++ b/crates/instance/src/events.rs
@@ -1,14 +1,15 @@
-//! Events of a stream: only whole ones are passed on, so that a stream can go on elsewhere.
+//! Splitting a stream into events. Only complete events are delivered, so that another upstream can
+//! resume the stream.
 
-/// Largest part of an event that is kept until the event is whole, in bytes: as much as of an
-/// answer that is no stream.
+/// Largest incomplete event that is buffered, in bytes; the same as for an answer that is not a
+/// stream.
 const MAX_PARTIAL_BYTES: usize = 1 << 20;
 
-/// An event is larger than any that is kept.
+/// An event is larger than the bound for incomplete events.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EventTooLarge;
 
-/// Cuts a stream into whole events.
+/// Splits a stream into complete events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     partial: Vec<u8>,
@@ -16,7 +17,7 @@
     last_id_text: Option<String>,
 }
 
-/// The end of the event that begins at `from`, behind its empty line.
+/// Length of the first event in `bytes`, including the empty line at its end.
 fn event_end(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (at, byte) in bytes.iter().enumerate() {
@@ -41,47 +42,48 @@
 }
 
 impl EventSplitter {
-    /// Adds bytes and moves whole events to `out`, leaving out those that went before.
+    /// Appends `bytes` and moves complete events to `out`, except for events that were already
+    /// delivered.
     ///
     /// # Errors
-    /// If an event is too large to be kept until it is whole; nothing more is kept then.
+    /// If an incomplete event exceeds the bound; nothing more is buffered then.
     pub fn push(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<(), EventTooLarge> {
         if self.partial.len() > MAX_PARTIAL_BYTES {
             return Err(EventTooLarge);
         }
         self.partial.extend_from_slice(bytes);
-        let mut used = 0;
-        while let Some(length) = event_end(&self.partial[used..]) {
-            let event = &self.partial[used..used + length];
-            used += length;
-            let text = event_id(event);
-            let number = text.as_ref().and_then(|text| text.parse::<u64>().ok());
+        let mut consumed = 0;
+        while let Some(length) = event_end(&self.partial[consumed..]) {
+            let event = &self.partial[consumed..consumed + length];
+            consumed += length;
+            let id_text = event_id(event);
+            let number = id_text.as_ref().and_then(|text| text.parse::<u64>().ok());
             if let (Some(number), Some(last)) = (number, self.last_id)
                 && number <= last
             {
                 continue;
             }
-            if text.is_some() {
+            if id_text.is_some() {
                 self.last_id = number;
-                self.last_id_text = text;
+                self.last_id_text = id_text;
             }
             out.extend_from_slice(event);
         }
-        self.partial.drain(..used);
+        self.partial.drain(..consumed);
         Ok(())
     }
 
-    /// The id of the last event passed on.
+    /// The id of the last delivered event.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id_text.as_deref()
     }
 
-    /// Bytes behind the last whole event, at a clean end of the stream.
+    /// Bytes after the last complete event, for a stream that has ended regularly.
     pub fn take_remainder(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.partial)
     }
 
-    /// Forgets a part of an event whose stream broke.
+    /// Drops an incomplete event of a stream that broke off.
     pub fn drop_partial(&mut self) {
         self.partial.clear();
     }
--- a/crates/instance/src/http1.rs
+++ b/crates/instance/src/http1.rs
@@ -1,8 +1,8 @@
 //! HTTP/1.1 over a non-blocking socket, one message at a time.
 //!
-//! Heads are parsed by `httparse`; framing is strict in both directions, since a
-//! message whose end is in doubt must not be passed on. Bytes behind a message stay
-//! in the connection's buffer, where they can be seen before it is used again.
+//! Heads are parsed by `httparse`. Framing is strict in both directions, because a message with an
+//! ambiguous end must not be forwarded. Bytes after a message stay in the connection's buffer,
+//! where they are detected before the connection is reused.
 
 mod body;
 mod head;
@@ -20,21 +20,21 @@
 /// Why a message could not be read or written.
 #[derive(Debug)]
 pub enum HttpError {
-    /// The time is over.
+    /// The deadline has passed.
     TimedOut,
-    /// The other end closed before the message was whole.
+    /// The peer closed the connection before the message was complete.
     Closed,
-    /// The connection had broken before anything was written.
+    /// The connection broke before anything was written.
     NothingWritten,
     /// The connection broke.
     Io(io::Error),
-    /// The bytes are no message.
+    /// The bytes are not a valid message; the text gives the reason.
     Malformed(&'static str),
-    /// The head or body is over its limit.
+    /// The head or body exceeds its limit.
     TooLarge,
-    /// The watched connection was closed meanwhile.
+    /// The watched connection was closed during the wait.
     WatchedClosed,
-    /// The process is about to end.
+    /// The process is about to exit.
     Stopping,
 }
 
--- a/crates/instance/src/http1/body.rs
+++ b/crates/instance/src/http1/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of messages: where they end, and reading them part by part.
+//! Bodies of messages: their framing, and reading them in parts.
 
 use super::HttpError;
 use super::head::{AnswerHead, RequestHead};
@@ -6,28 +6,28 @@
 use passway_serving::headers::Headers;
 use std::time::Instant;
 
-/// Longest line of a chunk's size with its extensions, and largest trailer. None of them is
-/// passed on; without a bound a sender whose line never ends is kept whole until its time is
-/// over, which on a link of 1,000 Mbit/s is more than the process may have. As much as a
-/// request's head may have on the users' sites.
+/// Longest chunk-size line with its extensions, and largest trailer, in bytes. Neither is
+/// forwarded. Without a bound, a line that never ends would be buffered until the deadline, which
+/// on a link of 1,000 Mbit/s exceeds the process's memory. The value is the usual limit for a
+/// request's head.
 const MAX_LINE_BYTES: usize = 16 << 10;
 
-/// How a body ends.
+/// How the end of a body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Framing {
-    /// After so many more bytes.
+    /// The body ends after this many more bytes.
     Length(u64),
-    /// After the last chunk; so many bytes are left of the present one.
+    /// Chunked, within a chunk; this many bytes of the chunk are left.
     Chunk(u64),
-    /// At the line end behind a chunk's bytes.
+    /// Chunked, at the line end after a chunk's data.
     ChunkEnd,
-    /// At the head of the next chunk.
+    /// Chunked, at the size line of the next chunk.
     ChunkHead,
-    /// In the trailer behind the last chunk.
+    /// Chunked, in the trailer after the last chunk.
     Trailer,
-    /// With the connection.
+    /// The body ends with the connection.
     Connection,
-    /// It has ended.
+    /// The body has ended.
     Done,
 }
 
@@ -35,18 +35,18 @@
 #[derive(Debug)]
 pub struct BodyReader {
     framing: Framing,
-    /// Bytes of the trailer that were left out.
+    /// Bytes of the trailer that were skipped.
     trailer_bytes: usize,
-    /// Whether the connection may carry another message when the body has ended.
+    /// Whether the connection may carry another message after this body.
     pub is_reusable: bool,
 }
 
-/// What came of a body.
+/// The result of reading one part of a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyPart {
-    /// Bytes were added.
+    /// Bytes were appended.
     Bytes,
-    /// The body has ended, whole.
+    /// The body has ended and is complete.
     End,
 }
 
@@ -60,8 +60,8 @@
             "several different Content-Length values",
         ));
     }
-    let digits = !first.is_empty() && first.iter().all(u8::is_ascii_digit);
-    let text = std::str::from_utf8(first).ok().filter(|_| digits);
+    let is_number = !first.is_empty() && first.iter().all(u8::is_ascii_digit);
+    let text = std::str::from_utf8(first).ok().filter(|_| is_number);
     let length = text.and_then(|text| text.parse().ok());
     length.map(Some).ok_or(HttpError::Malformed(
         "a Content-Length that is not a number",
@@ -80,10 +80,10 @@
 }
 
 impl BodyReader {
-    /// The body of a request.
+    /// The reader for the body of a request.
     ///
     /// # Errors
-    /// If its framing is in doubt.
+    /// If its framing is ambiguous.
     pub fn of_request(head: &RequestHead) -> Result<Self, HttpError> {
         let length = single_length(&head.headers)?;
         let chunked = is_chunked(&head.headers)?;
@@ -107,16 +107,16 @@
         })
     }
 
-    /// The body of an answer.
+    /// The reader for the body of an answer.
     ///
     /// # Errors
-    /// If its framing is in doubt.
+    /// If its framing is ambiguous.
     pub fn of_answer(head: &AnswerHead, method: &str) -> Result<Self, HttpError> {
         let length = single_length(&head.headers)?;
         let chunked = is_chunked(&head.headers)?;
-        let empty = head.is_bodyless(method);
+        let is_empty = head.is_bodyless(method);
         let framing = match (chunked, length) {
-            _ if empty => Framing::Done,
+            _ if is_empty => Framing::Done,
             (true, Some(_)) => {
                 return Err(HttpError::Malformed(
                     "both Content-Length and Transfer-Encoding",
@@ -135,7 +135,7 @@
         })
     }
 
-    /// The bytes that it says it has; 0 if it does not say.
+    /// The announced length of the body in bytes; 0 if it is not announced.
     pub fn announced_bytes(&self) -> usize {
         match self.framing {
             Framing::Length(length) => usize::try_from(length).unwrap_or(usize::MAX),
@@ -148,13 +148,13 @@
         self.framing == Framing::Done
     }
 
-    /// Moves what has come of the body to `out`; false if nothing could be moved.
+    /// Moves buffered bytes of the body to `out`; false if there were none.
     fn decode_buffered(
         &mut self,
         connection: &mut Connection,
         out: &mut Vec<u8>,
     ) -> Result<bool, HttpError> {
-        let mut moved = false;
+        let mut has_moved = false;
         loop {
             let bytes = connection.buffered();
             match self.framing {
@@ -163,11 +163,11 @@
                     let available = u64::try_from(bytes.len()).unwrap_or(u64::MAX);
                     let count = usize::try_from(left.min(available)).unwrap_or(usize::MAX);
                     if count == 0 {
-                        return Ok(moved);
+                        return Ok(has_moved);
                     }
                     out.extend_from_slice(&bytes[..count]);
                     connection.consume(count);
-                    moved = true;
+                    has_moved = true;
                     let left = left - u64::try_from(count).unwrap_or(left);
                     self.framing = match (self.framing, left) {
                         (Framing::Length(_), 0) => Framing::Done,
@@ -178,7 +178,7 @@
                 }
                 Framing::ChunkEnd => {
                     if bytes.len() < 2 {
-                        return Ok(moved);
+                        return Ok(has_moved);
                     }
                     if &bytes[..2] != b"\r\n" {
                         return Err(HttpError::Malformed(
@@ -200,7 +200,7 @@
                     Ok(httparse::Status::Partial) if bytes.len() > MAX_LINE_BYTES => {
                         return Err(HttpError::TooLarge);
                     }
-                    Ok(httparse::Status::Partial) => return Ok(moved),
+                    Ok(httparse::Status::Partial) => return Ok(has_moved),
                     Err(_) => return Err(HttpError::Malformed("an invalid chunk size")),
                 },
                 Framing::Trailer => {
@@ -210,7 +210,7 @@
                         return Err(HttpError::TooLarge);
                     }
                     let Some(end) = end else {
-                        return Ok(moved);
+                        return Ok(has_moved);
                     };
                     connection.consume(length);
                     self.trailer_bytes += length;
@@ -220,21 +220,21 @@
                 }
                 Framing::Connection => {
                     if bytes.is_empty() {
-                        return Ok(moved);
+                        return Ok(has_moved);
                     }
                     out.extend_from_slice(bytes);
                     let count = bytes.len();
                     connection.consume(count);
-                    moved = true;
+                    has_moved = true;
                 }
             }
         }
     }
 
-    /// Waits for the next part of the body and adds it to `out`.
+    /// Waits for the next part of the body and appends it to `out`.
     ///
     /// # Errors
-    /// If the body breaks off or is late, a chunk's line or the trailer is too large, or a
+    /// If the body breaks off or is late, a chunk-size line or the trailer is too large, or a
     /// connection breaks.
     pub fn read_part(
         &mut self,
@@ -244,9 +244,9 @@
         until: Instant,
     ) -> Result<BodyPart, HttpError> {
         loop {
-            let before = out.len();
+            let old_length = out.len();
             self.decode_buffered(connection, out)?;
-            if out.len() > before {
+            if out.len() > old_length {
                 return Ok(BodyPart::Bytes);
             }
             if self.is_done() {
@@ -265,7 +265,7 @@
     /// Reads the rest of the body.
     ///
     /// # Errors
-    /// As [`BodyReader::next`], or if the body is over `max_bytes`.
+    /// As [`BodyReader::read_part`], or if the body is larger than `max_bytes`.
     pub fn read_whole(
         &mut self,
         connection: &mut Connection,
@@ -275,8 +275,8 @@
     ) -> Result<Vec<u8>, HttpError> {
         let mut body = Vec::new();
         if let Framing::Length(length) = self.framing {
-            // Growing by doubling leaves pieces that nothing else fits into. What is set aside
-            // and does not come takes no memory.
+            // Growing by doubling would fragment the heap. Reserved memory that is never written
+            // takes no physical memory.
             let length = usize::try_from(length).unwrap_or(usize::MAX);
             body.reserve_exact(length.min(max_bytes));
         }
--- a/crates/instance/src/http1/head.rs
+++ b/crates/instance/src/http1/head.rs
@@ -6,7 +6,7 @@
 use passway_types::clock;
 use std::time::{Duration, Instant};
 
-/// Most headers of a message.
+/// Largest number of headers in a message.
 const MAX_HEADERS: usize = 128;
 /// Largest head of an answer.
 pub const MAX_ANSWER_HEAD_BYTES: usize = 64 << 10;
@@ -18,7 +18,7 @@
     pub method: String,
     /// Path and query.
     pub target: String,
-    /// Whether the caller speaks HTTP/1.1.
+    /// Whether the caller uses HTTP/1.1.
     pub is_1_1: bool,
     /// The headers.
     pub headers: Headers,
@@ -27,24 +27,24 @@
 /// The head of an answer.
 #[derive(Debug, Clone)]
 pub struct AnswerHead {
-    /// The status.
+    /// The status code.
     pub status: u16,
     /// The reason phrase.
     pub reason: String,
-    /// Whether the upstream speaks HTTP/1.1.
+    /// Whether the upstream uses HTTP/1.1.
     pub is_1_1: bool,
     /// The headers.
     pub headers: Headers,
 }
 
 impl AnswerHead {
-    /// Whether an answer with this head to a request of `method` has no body,
-    /// whatever its headers say.
+    /// Whether an answer with this head to a request of `method` has no body, regardless of its
+    /// headers.
     pub fn is_bodyless(&self, method: &str) -> bool {
         method == "HEAD" || matches!(self.status, 204 | 304)
     }
 
-    /// The first line of the answer when it is passed on.
+    /// The status line for the caller.
     pub fn status_line(&self) -> String {
         format!("HTTP/1.1 {} {}", self.status, self.reason)
     }
@@ -94,8 +94,8 @@
     }
 }
 
-/// Reads a request's head. The time for it begins with its first byte; before that
-/// the connection may rest until `idle_until`. `None` if it was closed at rest.
+/// Reads a request's head. `header_timeout` begins with the first byte; until then the connection
+/// may be idle until `idle_until`. `None` if the connection was closed while idle.
 ///
 /// # Errors
 /// If the head is malformed, too large or late, or the connection breaks.
@@ -103,12 +103,12 @@
     connection: &mut Connection,
     max_bytes: usize,
     idle_until: Instant,
-    header_time: Duration,
+    header_timeout: Duration,
 ) -> Result<Option<RequestHead>, HttpError> {
     if connection.buffered().is_empty() && !read_more(connection, None, idle_until)? {
         return Ok(None);
     }
-    let until = clock::now() + header_time;
+    let until = clock::now() + header_timeout;
     loop {
         if let Some((head, length)) = parse_request(connection.buffered())? {
             connection.consume(length);
@@ -123,7 +123,7 @@
     }
 }
 
-/// Reads an answer's head, leaving out interim ones.
+/// Reads an answer's head and skips interim (1xx) answers.
 ///
 /// # Errors
 /// If the head is malformed or late, or a connection breaks.
@@ -149,7 +149,7 @@
     }
 }
 
-/// Writes a message's head into bytes.
+/// Encodes a message's head.
 pub fn encode_head(first_line: &str, headers: &Headers) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(512);
     bytes.extend_from_slice(first_line.as_bytes());
--- a/crates/instance/src/http1/socket.rs
+++ b/crates/instance/src/http1/socket.rs
@@ -1,7 +1,7 @@
-//! The connection: a non-blocking socket with its buffer, and waiting for it.
+//! A connection: a non-blocking socket with its read buffer, and waiting for it.
 //!
-//! Whoever waits for one connection may watch a second one, so that work for a
-//! caller ends when the caller has left.
+//! A wait for one connection may watch a second one, so that work for a caller ends when the caller
+//! disconnects.
 
 use super::HttpError;
 use crate::stop_signal::StopSignals;
@@ -12,47 +12,48 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Bytes read at one time.
+/// Bytes requested by one read.
 const READ_BYTES: usize = 16 << 10;
-/// Unacknowledged bytes end a caller's connection after this time.
+/// TCP user timeout of a caller's connection: the kernel ends the connection if sent data is
+/// unacknowledged for this long.
 const CALLER_USER_TIMEOUT_MS: u32 = 4_000;
-/// The same towards an upstream: less than the 2 s after which nothing new may reach
-/// one that leaves, and enough for three lost segments in a row.
+/// TCP user timeout of an upstream's connection: less than the 2 s after which nothing new may
+/// reach an upstream that leaves, and long enough for three lost segments in a row.
 const UPSTREAM_USER_TIMEOUT_MS: u32 = 1_500;
 
-/// Longest wait on behalf of a caller before the time is compared again: the system's waits do
-/// not count that a machine was suspended, and an answer at a route's time-out may come 0.5 s
-/// late (users' pages). An engine sends events far more often, so this wakes hardly anybody.
+/// Longest poll on behalf of a caller before the clock is read again. Poll timeouts do not count
+/// time during which the machine was suspended, and an answer at a route's timeout may be at most
+/// 0.5 s late (users' pages). Engines send events far more often, so the extra wakeups are rare.
 const MAX_POLL_DURATION: Duration = Duration::from_millis(300);
 
-/// What one read gave.
+/// The result of one read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// Bytes.
+    /// Bytes were read.
     Bytes,
-    /// Nothing yet.
+    /// No bytes are available yet.
     Nothing,
-    /// The other end closed.
+    /// The peer closed the connection.
     End,
 }
 
-/// A connection with what was read of it and not yet used.
+/// A connection with the bytes that were read but not consumed.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
     buffer: Vec<u8>,
     consumed: usize,
     is_ended: bool,
-    /// Whether the other end has taken nothing for so long that the system ended the connection.
+    /// Whether the kernel ended the connection because the peer acknowledged nothing for too long.
     has_timed_out: bool,
-    /// End waits for bytes that concern this connection.
+    /// Signals that end waits on behalf of this connection.
     stop_signals: Option<Arc<StopSignals>>,
-    /// Whether a stream goes out, which only the later ending ends.
+    /// Whether a stream is being sent, which only the later signal ends.
     is_streaming: bool,
 }
 
 impl Connection {
-    /// Takes a connected socket.
+    /// Wraps a connected socket.
     ///
     /// # Errors
     /// The socket's error.
@@ -79,26 +80,26 @@
         let connection = Self::new(TcpStream::connect_timeout(&address, timeout)?)?;
         let stream = &connection.stream;
         rustix::net::sockopt::set_tcp_user_timeout(stream, UPSTREAM_USER_TIMEOUT_MS)?;
-        // Closing takes back what has not arrived: a request that was given up must
-        // not reach an upstream seconds later.
+        // Closing discards unacknowledged data: a request that was given up must not reach an
+        // upstream seconds later.
         rustix::net::sockopt::set_socket_linger(stream, Some(Duration::ZERO))?;
         Ok(connection)
     }
 
-    /// Waits for bytes, on this connection or on one that is waited for on its behalf, end
-    /// with the ending of answers. Writing to this connection does not.
-    pub fn set_stop_signals(&mut self, endings: Arc<StopSignals>) {
-        self.stop_signals = Some(endings);
+    /// Ends waits for bytes on behalf of this connection when the signal for answers is set. Writes
+    /// to this connection continue.
+    pub fn set_stop_signals(&mut self, stop_signals: Arc<StopSignals>) {
+        self.stop_signals = Some(stop_signals);
         self.is_streaming = false;
     }
 
-    /// From now on such waits end with the ending of streams.
+    /// From now on, such waits end with the signal for streams.
     pub fn mark_streaming(&mut self) {
         self.is_streaming = true;
     }
 
-    /// Resets the connection when it is closed, so that what has gone out does not look
-    /// complete where nothing but the connection's end marks the end of a body.
+    /// Makes closing reset the connection. Where only the end of the connection marks the end of a
+    /// body, an incomplete answer must not look complete.
     pub fn reset_when_closed(&self) {
         let linger = Some(Duration::ZERO);
         if let Err(error) = rustix::net::sockopt::set_socket_linger(&self.stream, linger) {
@@ -106,12 +107,12 @@
         }
     }
 
-    /// Bytes that were read and not used.
+    /// Bytes that were read but not consumed.
     pub fn buffered(&self) -> &[u8] {
         &self.buffer[self.consumed..]
     }
 
-    /// Marks bytes as used.
+    /// Marks bytes as consumed.
     pub fn consume(&mut self, count: usize) {
         self.consumed += count;
         if self.consumed == self.buffer.len() {
@@ -138,7 +139,7 @@
         let count = *read.as_ref().unwrap_or(&0);
         self.buffer.truncate(start + count);
         if self.buffer.is_empty() {
-            // A connection at rest keeps no buffer: of 3,900 it would take 64 MB.
+            // An idle connection keeps no buffer: for 3,900 connections that would be 64 MB.
             self.buffer = Vec::new();
         }
         match read {
@@ -159,18 +160,18 @@
         }
     }
 
-    /// Whether the other end has taken nothing for so long that the system ended the connection.
+    /// Whether the kernel ended the connection because the peer acknowledged nothing for too long.
     pub fn has_timed_out(&self) -> bool {
         self.has_timed_out
     }
 
-    /// Whether nothing has come and the other end still stands: the connection may
-    /// be used for another request.
+    /// Whether no bytes are buffered and the peer has not closed: the connection may carry another
+    /// request.
     pub fn is_clean(&mut self) -> bool {
         self.buffered().is_empty() && matches!(self.read_available(), Ok(ReadOutcome::Nothing))
     }
 
-    /// Whether the other end has closed; bytes that came are kept.
+    /// Whether the peer has closed the connection; bytes that arrive are buffered.
     pub fn is_closed(&mut self) -> bool {
         if !self.buffered().is_empty() {
             return self.is_ended;
@@ -183,17 +184,17 @@
 
     /// Closes both directions.
     pub fn close(&self) {
-        // Closing may fail only because the other end closed first.
+        // Closing can fail only because the peer closed first.
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 
-    /// Closes after an answer to a request that may not have been read whole: closing with
-    /// unread bytes resets the connection, and a reset can destroy the answer before the
-    /// other end reads it. What still comes is dropped, until the other end closes or `until`.
+    /// Closes after an answer to a request that may not have been read completely. Closing with
+    /// unread bytes would reset the connection, which can destroy the answer before the peer reads
+    /// it. Incoming bytes are dropped until the peer closes or `until`.
     pub fn close_after_answer(&mut self, until: Instant) {
         self.stop_signals = None;
         if self.stream.shutdown(Shutdown::Write).is_err() {
-            // The other end closed first.
+            // The peer closed first.
             return;
         }
         loop {
@@ -206,18 +207,21 @@
     }
 }
 
-/// The time left until `until`, at most `longest`, as `poll` takes it; an error if there is none.
-fn remaining(until: Instant, longest: Duration) -> Result<Timespec, HttpError> {
+/// The time left until `until`, at most `max`.
+///
+/// # Errors
+/// If no time is left.
+fn remaining(until: Instant, max: Duration) -> Result<Timespec, HttpError> {
     let left = until.saturating_duration_since(clock::now());
     if left.is_zero() {
         return Err(HttpError::TimedOut);
     }
-    Timespec::try_from(left.min(longest)).map_err(|_| HttpError::TimedOut)
+    Timespec::try_from(left.min(max)).map_err(|_| HttpError::TimedOut)
 }
 
-/// The endings of the caller for whom a wait for bytes goes on, and whether it gets a stream.
-/// A wait that only writes goes on: what it writes may be the answer that the ending itself
-/// brings about.
+/// The stop signals of the caller on whose behalf a wait for bytes runs, and whether it receives a
+/// stream. `None` for a wait that only writes: the bytes may be the answer that the signal has
+/// caused.
 fn stop_signals_for(
     connection: &Connection,
     flags: PollFlags,
@@ -227,12 +231,13 @@
         return None;
     }
     let caller = watched.unwrap_or(connection);
-    let endings = caller.stop_signals.clone();
-    endings.map(|endings| (endings, caller.is_streaming))
+    let stop_signals = caller.stop_signals.clone();
+    stop_signals.map(|signals| (signals, caller.is_streaming))
 }
 
-/// Waits until `connection` can go on in one of the `flags`, the watched one is closed, or
-/// the process is about to end; on behalf of a watched one no longer than [`WAKE_STEP`].
+/// Waits until `connection` is ready for one of the `flags`, the watched connection is closed, or a
+/// stop signal is set. A wait on behalf of a watched connection returns after [`MAX_POLL_DURATION`]
+/// at the latest.
 fn wait(
     connection: &Connection,
     flags: PollFlags,
@@ -240,26 +245,26 @@
     until: Instant,
 ) -> Result<PollFlags, HttpError> {
     let is_for_caller = watched.is_some();
-    let longest = if is_for_caller {
+    let max = if is_for_caller {
         MAX_POLL_DURATION
     } else {
         Duration::MAX
     };
-    let timeout = remaining(until, longest)?;
-    let endings = stop_signals_for(connection, flags, watched.as_deref());
-    // Bytes of a next request say nothing about the caller's leaving.
+    let timeout = remaining(until, max)?;
+    let stop_signals = stop_signals_for(connection, flags, watched.as_deref());
+    // Bytes of a next request do not show whether the caller has disconnected.
     let watched = watched.filter(|watched| watched.buffered().is_empty());
     let mut polled = vec![PollFd::new(&connection.stream, flags)];
     if let Some(watched) = &watched {
         polled.push(PollFd::new(&watched.stream, PollFlags::IN));
     }
-    if let Some((endings, streams)) = &endings {
-        let ending = if *streams {
-            &endings.streams
+    if let Some((signals, is_streaming)) = &stop_signals {
+        let signal = if *is_streaming {
+            &signals.streams
         } else {
-            &endings.answers
+            &signals.answers
         };
-        polled.push(PollFd::new(ending, PollFlags::IN));
+        polled.push(PollFd::new(signal, PollFlags::IN));
     }
     match poll(&mut polled, Some(&timeout)) {
         Ok(_) | Err(rustix::io::Errno::INTR) => {}
@@ -267,19 +272,19 @@
     }
     let ready = polled[0].revents();
     let mut others = polled[1..].iter().map(|p| !p.revents().is_empty());
-    let is_ending = endings.is_some() && others.next_back().unwrap_or(false);
-    let looked = others.next().unwrap_or(false);
-    if looked && watched.is_some_and(Connection::is_closed) {
+    let is_stopping = stop_signals.is_some() && others.next_back().unwrap_or(false);
+    let is_watched_ready = others.next().unwrap_or(false);
+    if is_watched_ready && watched.is_some_and(Connection::is_closed) {
         return Err(HttpError::WatchedClosed);
     }
-    // What is ready goes on; it needs no more waiting.
-    if is_ending && ready.is_empty() {
+    // A ready connection takes precedence over a stop signal.
+    if is_stopping && ready.is_empty() {
         return Err(HttpError::Stopping);
     }
     Ok(ready)
 }
 
-/// Reads more bytes; `Ok(false)` when the other end has closed.
+/// Reads more bytes; `Ok(false)` if the peer has closed.
 pub(super) fn read_more(
     connection: &mut Connection,
     mut watched: Option<&mut Connection>,
@@ -296,27 +301,27 @@
     }
 }
 
-/// Writes bytes to one that goes on reading: gives up once it has taken none for `pause`, or the time is over.
+/// Writes bytes. Gives up once the peer has taken none for `stall_timeout`, or at `until`.
 ///
 /// # Errors
-/// If it does not read, the time runs out or the connection breaks.
+/// If the peer does not read, the time runs out, or the connection breaks.
 pub fn write_until_stalled(
     connection: &mut Connection,
     bytes: &[u8],
-    pause: Duration,
+    stall_timeout: Duration,
     until: Instant,
 ) -> Result<(), HttpError> {
-    let mut rest = bytes;
+    let mut unwritten = bytes;
     let mut taken_at = clock::now();
-    while !rest.is_empty() {
-        match connection.stream.write(rest) {
+    while !unwritten.is_empty() {
+        match connection.stream.write(unwritten) {
             Ok(count) => {
-                rest = &rest[count..];
+                unwritten = &unwritten[count..];
                 taken_at = clock::now();
             }
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                let give_up_at = until.min(taken_at + pause);
+                let give_up_at = until.min(taken_at + stall_timeout);
                 wait(connection, PollFlags::OUT, None, give_up_at)?;
             }
             Err(error) => return Err(error.into()),
@@ -325,16 +330,16 @@
     Ok(())
 }
 
-/// Whether a whole message was written.
+/// Whether a message was written completely.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// All of it.
+    /// All bytes were written.
     Whole,
-    /// The other end began to answer before it had taken all.
+    /// The peer began to answer before it had taken all bytes.
     AnsweredEarly,
 }
 
-/// Writes bytes; with `stop_at_answer` it stops when an answer comes first.
+/// Writes bytes; with `stop_at_answer`, stops when the peer begins to answer.
 ///
 /// # Errors
 /// If the time runs out or a connection breaks.
--- a/crates/instance/src/lifecycle.rs
+++ b/crates/instance/src/lifecycle.rs
@@ -18,29 +18,29 @@
 use passway_types::prelude::*;
 use std::net::SocketAddr;
 
-/// Time that the balancer needs to notice that an instance is not ready: two questions, a second apart.
+/// Time for the balancer to notice that an instance is not ready: two probes, one second apart.
 const BALANCER_NOTICE_DELAY: Duration = Duration::from_millis(2_600);
-/// Time kept back of the grace at a stop: the last log lines take 200 ms, and the process
-/// has a quarter of a core.
+/// Part of the grace that a stop keeps in reserve: writing the last log lines takes 200 ms, and the
+/// process has a quarter of a core.
 const GRACE_RESERVE: Duration = Duration::from_millis(600);
-/// Time before that for the answers to whatever still waits. Refusing 400 requests took less
-/// than 20 ms of one core, which is 0.8 s on an instance that has a fortieth of one; such an
-/// instance holds some tens. Upstreams keep five sixths of the usual grace of 8 s.
+/// Time before the reserve to answer requests that still wait. Refusing 400 requests takes less
+/// than 20 ms of one core, which is 0.8 s on an instance with a fortieth of a core; such an
+/// instance holds a few tens of requests. Upstreams keep five sixths of the usual grace of 8 s.
 const ANSWER_WINDOW: Duration = Duration::from_millis(600);
-/// Time for cut streams to close and to be logged, out of the reserve.
+/// Part of the reserve in which cut streams close and are logged.
 const STREAM_CUT_WINDOW: Duration = Duration::from_millis(100);
-/// Pause between two looks whether requests are in progress at a stop.
+/// Interval between two checks for requests in progress at a stop.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The place an instance runs in.
+/// External interfaces that an instance runs with.
 pub struct Surroundings {
     /// The store.
     pub store: Arc<dyn SharedStore>,
-    /// What lies in the store.
+    /// The encoding of the store's contents.
     pub directory: Arc<dyn Directory>,
-    /// Callers' and upstreams' words.
+    /// The headers that callers and upstreams use.
     pub vocabulary: Box<dyn Vocabulary>,
-    /// The control side of engines.
+    /// The control interface of engines.
     pub engines: Arc<dyn Engines>,
 }
 
@@ -60,18 +60,19 @@
 }
 
 impl Instance {
-    /// Binds the addresses of the settings and begins to serve; at port 0 the kernel chooses.
+    /// Binds the addresses of the settings and starts to serve; for port 0 the kernel chooses a
+    /// port.
     ///
     /// # Errors
     /// If an address cannot be bound.
     pub fn start(mut settings: InstanceSettings, surroundings: Surroundings) -> Result<Self> {
         let peers = holder::bind(settings.peer_address)?;
         settings.peer_address = peers.local_addr().context("the bound address")?;
-        // Without a bound: requests tell their needs while they hold the upstreams' lock, which the
-        // reporting thread takes as well. Three words of a hundred bytes a request that is in
-        // progress are the most that wait.
-        let (needs, needed) = channel::unbounded();
-        let shared = Arc::new(Shared::new(settings, surroundings.vocabulary, needs));
+        // Unbounded, because requests send events while they hold the upstreams' lock, which the
+        // reporting thread takes as well. At most three events of a hundred bytes wait for each
+        // request in progress.
+        let (event_sender, event_receiver) = channel::unbounded();
+        let shared = Arc::new(Shared::new(settings, surroundings.vocabulary, event_sender));
         let settings = &shared.settings;
         let right = Arc::new(Right::new(&shared));
         shared.set_leadership(right.clone());
@@ -110,7 +111,7 @@
         Allotments::keep(&shared, &right, store);
         Dispatch::start(&shared);
         ConfigurationAge::start(&shared);
-        report::start(&shared, &right, &relay, needed);
+        report::start(&shared, &right, &relay, event_receiver);
         log::info!(instance:% = settings.instance; "started");
         Ok(Self {
             shared,
@@ -120,64 +121,64 @@
         })
     }
 
-    /// Where callers connect.
+    /// The address that callers connect to.
     pub fn callers_address(&self) -> SocketAddr {
         self.callers.address()
     }
 
-    /// Where the balancer asks.
+    /// The address for the balancer's probes.
     pub fn ready_address(&self) -> SocketAddr {
         self.ready_address
     }
 
-    /// Whether it takes callers.
+    /// Whether the balancer may send callers to this instance.
     pub fn is_ready(&self) -> bool {
         self.shared.is_ready()
     }
 
-    /// Requests whose answer is not complete.
+    /// Number of requests whose answer is not complete.
     pub fn in_progress(&self) -> usize {
         self.shared.in_progress()
     }
 
-    /// The fencing number, if this instance may give orders now.
+    /// The fencing number, if this instance may send orders now.
     pub fn fence(&self) -> Option<Fence> {
         self.right.fence()
     }
 
-    /// Who holds the right to order, as far as this instance knows.
+    /// The holder, as far as this instance knows.
     pub fn holder(&self) -> Option<Holder> {
         self.right.holder()
     }
 
-    /// Whether it could announce a term to an instance.
+    /// Whether this instance could announce a term to the instance `name`.
     pub fn knows_member(&self, name: &str) -> bool {
         self.shared.members().contains_key(name)
     }
 
-    /// Instances that it could announce a term to, itself among them.
+    /// Number of instances that this one could announce a term to, including itself.
     pub fn known_member_count(&self) -> usize {
         self.shared.members().len()
     }
 
-    /// How many instances dispatch for engines, as far as this one was told.
+    /// Number of instances that dispatch for engines, by the holder's last message.
     pub fn dispatcher_count(&self) -> usize {
         self.shared.dispatch.dispatcher_list().len()
     }
 
-    /// Whether a request for a service could be sent a second time now: a process that has
-    /// just started must first come to its part of the fleet's allowance.
+    /// Whether the retry budget allows a retry for a service now. A process that has just started
+    /// must first receive its share of the fleet's allowance.
     pub fn has_spare_retry(&self, service: &str) -> bool {
         let now = clock::now();
         self.shared.retry_budget().has_spare(&service.into(), now)
     }
 
-    /// How many other instances it knows.
+    /// Number of other instances that this one knows.
     pub fn other_instance_count(&self) -> usize {
         self.shared.other_instances().len()
     }
 
-    /// The configuration's version in force.
+    /// The version of the configuration in effect.
     pub fn config_version(&self) -> Option<Revision> {
         self.shared
             .routes
@@ -186,14 +187,14 @@
             .map(|table| table.version)
     }
 
-    /// Uses settings that have changed. Names and addresses stay until the next start.
+    /// Applies changed settings. Names and addresses stay the same until the next start.
     pub fn reload(&self, settings: &InstanceSettings) {
         self.shared.apply_bounds(settings.bounds);
     }
 
-    /// Takes nothing new and finishes what is in progress, within the grace. What cannot
-    /// be finished gets an answer: "not run" if it was never sent on, and otherwise that
-    /// the answer is lost. A stream that has begun goes on a little longer, and is cut then.
+    /// Accepts nothing new and finishes the requests in progress within the grace. Requests that
+    /// cannot finish are answered: "not run" if they were never sent to an upstream, otherwise that
+    /// the answer is lost. Streams in progress continue slightly longer and are then cut.
     pub fn stop(&self) {
         let begun_at = clock::now();
         let grace = self.shared.bounds.load().grace;
@@ -215,11 +216,11 @@
     }
 }
 
-/// Waits until `holds` does, at most until `limit_at`.
-fn wait_until(limit_at: Instant, holds: impl Fn() -> bool) {
+/// Waits until `is_done` returns true, at most until `limit_at`.
+fn wait_until(limit_at: Instant, is_done: impl Fn() -> bool) {
     loop {
         let left = limit_at.saturating_duration_since(clock::now());
-        if left.is_zero() || holds() {
+        if left.is_zero() || is_done() {
             return;
         }
         std::thread::sleep(left.min(STOP_POLL_INTERVAL));
--- a/crates/instance/src/limits.rs
+++ b/crates/instance/src/limits.rs
@@ -27,8 +27,8 @@
 /// Grants for limited upstreams: this instance's requests and, as the coordinator, its decisions.
 #[derive(Debug, Default)]
 pub struct Limits {
-    counter: TermKeeper,
-    shares: Mutex<Shares>,
+    coordinator: TermKeeper,
+    local_shares: Mutex<Shares>,
 }
 
 impl Limits {
@@ -47,8 +47,8 @@
             ..UseAsk::default()
         };
         match shared.coordinator.ask(shared, &ask) {
-            Ok(told) if told.verdict() == UseVerdict::Granted => LimitDecision::Granted,
-            Ok(told) => LimitDecision::RetryAfter(Duration::from_millis(told.retry_after_ms)),
+            Ok(answer) if answer.verdict() == UseVerdict::Granted => LimitDecision::Granted,
+            Ok(answer) => LimitDecision::RetryAfter(Duration::from_millis(answer.retry_after_ms)),
             Err(_) => self.take_local_share(shared, upstream, per_s),
         }
     }
@@ -60,8 +60,11 @@
         per_s: f64,
     ) -> LimitDecision {
         let instances = shared.instance_count();
-        let mut kept = self.shares.lock().unwrap_or_else(PoisonError::into_inner);
-        if kept.take(upstream, per_s, instances, rand::random(), clock::now()) {
+        let mut local_shares = self
+            .local_shares
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        if local_shares.take(upstream, per_s, instances, rand::random(), clock::now()) {
             LimitDecision::Granted
         } else {
             LimitDecision::Undecided
@@ -76,10 +79,10 @@
         let known = shared.upstreams().limit_per_s(&upstream, clock::now());
         let per_s = known.map_or(ask.rate_per_s, |known| known.min(ask.rate_per_s));
         let allotment = limits::allotment(per_s);
-        let ruling = self.counter.of_term(fence, EXACT, |keeper| {
+        let decision = self.coordinator.of_term(fence, EXACT, |keeper| {
             keeper.ask(&upstream, allotment, from, ask.cost, clock::now())
         });
-        keeper::told(ask, ruling)
+        keeper::told(ask, decision)
     }
 
     /// Removes the counts of upstreams that advertise no limit any more.
@@ -87,8 +90,12 @@
         let upstreams = shared.upstreams();
         let now = clock::now();
         let is_limited = |id: &str| upstreams.limit_per_s(id, now).is_some();
-        self.counter.of_any_term(|keeper| keeper.retain(is_limited));
-        let mut kept = self.shares.lock().unwrap_or_else(PoisonError::into_inner);
-        kept.retain(is_limited);
+        self.coordinator
+            .of_any_term(|keeper| keeper.retain(is_limited));
+        let mut local_shares = self
+            .local_shares
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        local_shares.retain(is_limited);
     }
 }
--- a/crates/instance/src/metrics.rs
+++ b/crates/instance/src/metrics.rs
@@ -1,5 +1,5 @@
-//! Counters, gauges and histograms of one instance, for `GET /metrics` on the address
-//! where the balancer asks. Names and what to alarm on: `docs/OPERATIONS.md`.
+//! Counters, gauges and histograms of one instance, for `GET /metrics` on the address of the
+//! balancer's probes. `docs/OPERATIONS.md` lists their names and the alarms.
 
 use crate::allotments::Decision;
 use crate::keeper::Unruled;
@@ -18,7 +18,7 @@
 
 /// Upper bound of the smallest bucket, in seconds.
 const FIRST_BUCKET_S: f64 = 0.004;
-/// Number of buckets, each twice as wide as the one before: up to 32 s.
+/// Number of buckets, each twice as wide as the previous one: up to 32 s.
 const BUCKETS: u16 = 14;
 
 /// How a request ended.
@@ -28,60 +28,60 @@
     status: u16,
 }
 
-/// An attempt at an upstream, or an order.
+/// Outcome of an attempt at an upstream, or of an order.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct OutcomeLabels {
     outcome: &'static str,
 }
 
-/// What an upstream says of itself.
+/// The signal of an upstream, or the setting of an operator, that cannot be used.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct SignalLabels {
     word: &'static str,
 }
 
-/// Why nobody ruled on a question to the instance that counts for all.
+/// Why a query to the coordinator got no decision.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct CauseLabels {
     cause: &'static str,
 }
 
-/// Most workspaces that are counted by name, those that came first: each has four counters of some
-/// 100 bytes. The others are counted together.
+/// Largest number of workspaces that are counted by name, in order of arrival. Each has four
+/// counters of about 100 bytes. All others are counted together.
 const MAX_WORKSPACES: usize = 200;
-/// Under which all further workspaces are counted.
+/// The label of all further workspaces.
 const OTHER_WORKSPACES: &str = "(others)";
 
-/// A workspace's requests by what its allotment said.
+/// A workspace and the decision on its allotment.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct WorkspaceLabels {
     workspace: String,
     allotment: &'static str,
 }
 
-/// What holds at the moment of a look.
+/// Values of the gauges at the time of a scrape.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct GaugeValues {
-    /// Whether this instance has the right to order.
+    /// Whether this instance has the leadership.
     pub holds_leadership: bool,
-    /// The configuration's version in force; 0 if none is.
+    /// The version of the configuration in effect; 0 without one.
     pub config_version: u64,
-    /// Requests whose answer is not complete.
+    /// Number of requests whose answer is not complete.
     pub in_progress: usize,
-    /// Whether the store answered last.
+    /// Whether the store answered the last call.
     pub store_answers: bool,
-    /// Age of the proof that the configuration is the newest.
+    /// Age of the proof that the configuration is current.
     pub configuration_age: Option<Duration>,
-    /// Requests that are refused since they crash upstreams.
+    /// Number of requests that are refused because they crash upstreams.
     pub poison_requests: usize,
-    /// Bytes that wait to be sent to other instances, for each of them.
+    /// Bytes that wait to be sent to other instances, summed over the instances.
     pub waiting_bytes: usize,
-    /// Upstreams that name how much they take.
+    /// Number of upstreams that advertise a limit.
     pub limited_upstreams: usize,
-    /// Starts of upstreams that are known to leave, or to have left in the last minutes.
+    /// Number of starts of upstreams that are known to leave, or that left in the last minutes.
     pub leaving_upstreams: usize,
-    /// Upstreams that have asked this instance for rest.
-    pub resting_upstreams: usize,
+    /// Number of upstreams that have asked this instance to back off.
+    pub upstreams_in_backoff: usize,
 }
 
 /// The metrics of an instance.
@@ -107,7 +107,7 @@
     poison_requests: Gauge,
     limited_upstreams: Gauge,
     leaving_upstreams: Gauge,
-    resting_upstreams: Gauge,
+    upstreams_in_backoff: Gauge,
     backoffs_requested: Counter,
     unusable_signals: Family<SignalLabels, Counter>,
     limit_decisions: Family<OutcomeLabels, Counter>,
@@ -148,7 +148,7 @@
             poison_requests: Gauge::default(),
             limited_upstreams: Gauge::default(),
             leaving_upstreams: Gauge::default(),
-            resting_upstreams: Gauge::default(),
+            upstreams_in_backoff: Gauge::default(),
             backoffs_requested: Counter::default(),
             unusable_signals: Family::default(),
             limit_decisions: Family::default(),
@@ -182,7 +182,7 @@
         let gauge = self.configuration_age.clone();
         let help = "Since the question that proves the configuration the newest, in milliseconds; -1 without one";
         registry.register("configuration_age_ms", help, gauge);
-        // What an alarm looks at stands there from the start.
+        // Series that alarms use exist from the start.
         for outcome in ["taken", "refused"] {
             let _zero = self.orders.get_or_create(&OutcomeLabels { outcome });
         }
@@ -234,7 +234,7 @@
         let help =
             "Starts of upstreams that are known to leave, or to have left in the last minutes";
         registry.register("leaving_upstreams", help, gauge);
-        let gauge = self.resting_upstreams.clone();
+        let gauge = self.upstreams_in_backoff.clone();
         let help = "Upstreams that have asked this instance for rest";
         registry.register("resting_upstreams", help, gauge);
         let rests = self.backoffs_requested.clone();
@@ -273,9 +273,9 @@
         self.unusable_entries.inc();
     }
 
-    /// Counts what a request was told that asked for a turn at an upstream in need.
-    pub fn limit_decision(&self, limit_decision: LimitDecision) {
-        let outcome = match limit_decision {
+    /// Counts the decision on a request for a grant at a limited upstream.
+    pub fn limit_decision(&self, decision: LimitDecision) {
+        let outcome = match decision {
             LimitDecision::Granted => "now",
             LimitDecision::RetryAfter(_) => "later",
             LimitDecision::Undecided => "unknown",
@@ -285,22 +285,22 @@
             .inc();
     }
 
-    /// Counts a question to the instance that counts for all on which nobody ruled.
-    pub fn unanswered_query(&self, unanswered_query: Unruled) {
-        let cause = unanswered_query.name();
+    /// Counts a query to the coordinator that got no decision.
+    pub fn unanswered_query(&self, cause: Unruled) {
+        let cause = cause.name();
         self.unanswered_queries
             .get_or_create(&CauseLabels { cause })
             .inc();
     }
 
-    /// Counts a word of an upstream of itself that cannot be read.
-    pub fn unusable_signal(&self, word: &'static str) {
+    /// Counts a signal of an upstream, or a setting of an operator, that cannot be used.
+    pub fn unusable_signal(&self, signal: &'static str) {
         self.unusable_signals
-            .get_or_create(&SignalLabels { word })
+            .get_or_create(&SignalLabels { word: signal })
             .inc();
     }
 
-    /// Counts an answer that asks this instance for rest.
+    /// Counts an answer that asks this instance to back off.
     pub fn backoff_requested(&self) {
         self.backoffs_requested.inc();
     }
@@ -310,18 +310,18 @@
         self.unusable_configurations.inc();
     }
 
-    /// Counts what a workspace's allotment said to a request.
-    pub fn workspace_request(&self, workspace_request: &WorkspaceName, decision: Decision) {
+    /// Counts a request of a workspace by the decision on its allotment.
+    pub fn workspace_request(&self, workspace: &WorkspaceName, decision: Decision) {
         let named = self.named_workspaces.lock();
         let mut named = named.unwrap_or_else(PoisonError::into_inner);
         if named.len() < MAX_WORKSPACES {
-            named.insert(workspace_request.clone());
+            named.insert(workspace.clone());
         }
-        let is_named = named.contains(workspace_request);
+        let is_named = named.contains(workspace);
         drop(named);
         let labels = WorkspaceLabels {
             workspace: if is_named {
-                workspace_request
+                workspace
             } else {
                 OTHER_WORKSPACES
             }
@@ -345,38 +345,38 @@
         self.model_wait.observe(wait.as_secs_f64());
     }
 
-    /// Records when the first bytes of an answer went out.
-    pub fn first_byte(&self, after: Duration) {
-        self.first_byte.observe(after.as_secs_f64());
+    /// Records the time until the first bytes of an answer were sent.
+    pub fn first_byte(&self, elapsed: Duration) {
+        self.first_byte.observe(elapsed.as_secs_f64());
     }
 
-    /// Records how long a pass of the planner took.
-    pub fn planning_pass(&self, took: Duration) {
-        self.planning.observe(took.as_secs_f64());
+    /// Records the duration of a pass of the planner.
+    pub fn planning_pass(&self, duration: Duration) {
+        self.planning.observe(duration.as_secs_f64());
     }
 
-    /// The text that `/metrics` answers.
-    pub fn encode_text(&self, standing: &GaugeValues) -> String {
-        let number = |count: u64| i64::try_from(count).unwrap_or(i64::MAX);
-        self.holds_leadership.set(standing.holds_leadership.into());
-        self.config_version.set(number(standing.config_version));
-        let age_ms = standing
+    /// Encodes all metrics as the answer to `/metrics`.
+    pub fn encode_text(&self, values: &GaugeValues) -> String {
+        let gauge_value = |count: u64| i64::try_from(count).unwrap_or(i64::MAX);
+        self.holds_leadership.set(values.holds_leadership.into());
+        self.config_version.set(gauge_value(values.config_version));
+        let age_ms = values
             .configuration_age
-            .map(|age| number(crate::relay::millis(age)));
+            .map(|age| gauge_value(crate::relay::millis(age)));
         self.configuration_age.set(age_ms.unwrap_or(-1));
         self.in_progress
-            .set(i64::try_from(standing.in_progress).unwrap_or(i64::MAX));
-        self.store_answers.set(standing.store_answers.into());
+            .set(i64::try_from(values.in_progress).unwrap_or(i64::MAX));
+        self.store_answers.set(values.store_answers.into());
         self.waiting_bytes
-            .set(i64::try_from(standing.waiting_bytes).unwrap_or(i64::MAX));
+            .set(i64::try_from(values.waiting_bytes).unwrap_or(i64::MAX));
         self.poison_requests
-            .set(i64::try_from(standing.poison_requests).unwrap_or(i64::MAX));
+            .set(i64::try_from(values.poison_requests).unwrap_or(i64::MAX));
         self.limited_upstreams
-            .set(i64::try_from(standing.limited_upstreams).unwrap_or(i64::MAX));
+            .set(i64::try_from(values.limited_upstreams).unwrap_or(i64::MAX));
         self.leaving_upstreams
-            .set(i64::try_from(standing.leaving_upstreams).unwrap_or(i64::MAX));
-        self.resting_upstreams
-            .set(i64::try_from(standing.resting_upstreams).unwrap_or(i64::MAX));
+            .set(i64::try_from(values.leaving_upstreams).unwrap_or(i64::MAX));
+        self.upstreams_in_backoff
+            .set(i64::try_from(values.upstreams_in_backoff).unwrap_or(i64::MAX));
         let mut text = String::new();
         if let Err(error) = encode(&mut text, &self.registry) {
             log::error!(error:% = error; "metrics cannot be encoded");
--- a/crates/instance/src/queries.rs
+++ b/crates/instance/src/queries.rs
@@ -1,17 +1,17 @@
-//! Questions to other instances by datagram: each is asked again once, and then not waited for.
+//! Datagram queries to other instances. Each is sent at most twice.
 
 use crossbeam::channel::{Sender, bounded};
 use passway_types::prelude::*;
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Time for an answer before the question is asked again: a round trip between halls takes
-/// some 3 ms, and an instance with a part of a core may begin late.
+/// Time to wait before a query is sent again: a round trip between halls takes about 3 ms, and an
+/// instance with a fraction of a core may start late.
 const RESEND_AFTER: Duration = Duration::from_millis(25);
-/// Time for an answer to the second question: 60 ms in all.
+/// Time to wait for an answer after that: 60 ms in total.
 const SECOND_TIMEOUT: Duration = Duration::from_millis(35);
 
-/// Questions of one kind that wait for answers, by number.
+/// Queries of one kind that wait for answers, by id.
 #[derive(Debug)]
 pub struct PendingQueries<A> {
     waiting: Mutex<HashMap<u64, Sender<A>>>,
@@ -30,8 +30,8 @@
         self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sends a question with a number of its own, again if that is needed; `None` without an
-    /// answer.
+    /// Sends a query with a unique id, and once more if there is no answer in time; `None` without
+    /// an answer.
     pub fn send_and_wait(&self, id: u64, send: impl Fn()) -> Option<A> {
         let (sender, answers) = bounded(2);
         self.waiting().insert(id, sender);
@@ -45,7 +45,7 @@
         answer.ok()
     }
 
-    /// An answer has come. One that comes late, or twice, is of no use.
+    /// Delivers an answer to the waiting query. A late or duplicate answer is dropped.
     pub fn deliver_answer(&self, id: u64, answer: A) {
         if let Some(sender) = self.waiting().get(&id) {
             let _ = sender.try_send(answer);
--- a/crates/instance/src/ready.rs
+++ b/crates/instance/src/ready.rs
@@ -1,4 +1,4 @@
-//! The balancer's question whether this instance takes callers, and `/metrics` beside it.
+//! The endpoint for the balancer's readiness probe and for `/metrics`.
 
 use crate::http1::{self, Connection, HttpError};
 use crate::metrics::GaugeValues;
@@ -11,16 +11,16 @@
 
 /// The path of the metrics.
 const METRICS_PATH: &str = "/metrics";
-/// Largest head of a question.
+/// Largest head of a probe.
 const MAX_HEAD_BYTES: usize = 8 << 10;
-/// Longest rest of the balancer's connection.
+/// How long a connection of the balancer may be idle.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time for a question to arrive or an answer to leave.
+/// Time for a probe to arrive and for an answer to be sent.
 const IO_TIMEOUT: Duration = Duration::from_secs(1);
-/// Stack of a connection's thread.
+/// Stack size of a connection's thread.
 const STACK_BYTES: usize = 128 << 10;
 
-/// Answers the balancer from now on; the address that was bound.
+/// Starts to answer probes; returns the bound address.
 ///
 /// # Errors
 /// If the address cannot be bound.
@@ -31,16 +31,16 @@
     std::thread::spawn(move || {
         for stream in listener.incoming() {
             let Ok(connection) = stream.and_then(Connection::new) else {
-                // The balancer asks again on a new connection.
+                // The balancer probes again on a new connection.
                 continue;
             };
             let (shared, right) = (shared.clone(), right.clone());
             let thread = std::thread::Builder::new().stack_size(STACK_BYTES);
-            let answering = thread.spawn(move || {
-                // The balancer asks again on a new connection.
+            let spawned = thread.spawn(move || {
+                // The balancer probes again on a new connection.
                 let _ = answer(&shared, &right, connection);
             });
-            if let Err(error) = answering {
+            if let Err(error) = spawned {
                 log::warn!(error:% = error; "cannot start a thread for the balancer's probe");
             }
         }
@@ -52,7 +52,7 @@
     let routes = shared.routes.load();
     let upstreams = shared.upstreams();
     let (limited_upstreams, leaving_upstreams) = (upstreams.limited(), upstreams.leaving().count());
-    let resting_upstreams = upstreams.resting(clock::now()).count();
+    let upstreams_in_backoff = upstreams.resting(clock::now()).count();
     drop(upstreams);
     GaugeValues {
         holds_leadership: right.fence().is_some(),
@@ -64,7 +64,7 @@
         waiting_bytes: passway_process::outbox::waiting_bytes(),
         limited_upstreams,
         leaving_upstreams,
-        resting_upstreams,
+        upstreams_in_backoff,
     }
 }
 
@@ -76,7 +76,7 @@
         let Some(head) = head else {
             return Ok(());
         };
-        let close = head.headers.connection_says("close") || !head.is_1_1;
+        let should_close = head.headers.connection_says("close") || !head.is_1_1;
         let body = if head.target == METRICS_PATH {
             shared.metrics.encode_text(&gauge_values(shared, right))
         } else {
@@ -87,12 +87,17 @@
         } else {
             "503 Service Unavailable"
         };
-        let closing = if close { "Connection: close\r\n" } else { "" };
+        let close_header = if should_close {
+            "Connection: close\r\n"
+        } else {
+            ""
+        };
         let length = body.len();
-        let bytes = format!("HTTP/1.1 {status}\r\nContent-Length: {length}\r\n{closing}\r\n{body}");
+        let bytes =
+            format!("HTTP/1.1 {status}\r\nContent-Length: {length}\r\n{close_header}\r\n{body}");
         let until = clock::now() + IO_TIMEOUT;
         http1::write_all(&mut connection, bytes.as_bytes(), false, None, until)?;
-        if close {
+        if should_close {
             return Ok(());
         }
     }
--- a/crates/instance/src/reply.rs
+++ b/crates/instance/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers of this instance's own, and the framing of passed-on ones.
+//! Answers that the instance gives itself, and chunked framing.
 
 use crate::http1::{self, Connection, HttpError, encode_head};
 use passway_serving::headers::Headers;
@@ -6,35 +6,35 @@
 use passway_types::clock;
 use passway_types::prelude::*;
 
-/// Time for a caller to take an answer that is ready.
+/// Time for a caller to receive a complete answer.
 pub const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// An answer that no upstream gave.
+/// An answer that the instance gives itself, not an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// The bytes are no request.
+    /// The bytes are not a valid request.
     Malformed,
     /// No route matches.
     NoRoute,
-    /// The route needs a key, and the caller has none that is known.
+    /// The route needs a key, and the request has none that is known.
     NoKey,
-    /// Its workspace has used what it may; the request has not run.
+    /// The workspace's allotment is used up; the request has not run.
     OverAllotment {
-        /// When to come back, in milliseconds.
+        /// When to retry, in milliseconds.
         retry_after_ms: u64,
     },
     /// The body is too large.
     BodyTooLarge,
     /// The head is too large.
     HeadTooLarge,
-    /// The request has not run; the caller may come back after this time.
+    /// The request has not run, and the caller may retry.
     NotRun {
-        /// When to come back, in milliseconds.
+        /// When to retry, in milliseconds.
         retry_after_ms: u64,
     },
-    /// The request may have run and its answer is lost.
+    /// The request may have run, and its answer is lost.
     AnswerLost,
-    /// The time is over and the request may run or have run.
+    /// The deadline has passed, and the request may have run or may still run.
     TimedOut,
 }
 
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The code in logs and answers.
+    /// The status code for logs and answers.
     pub fn code(self) -> u16 {
         self.status().0
     }
@@ -62,13 +62,13 @@
 /// Writes a refusal.
 ///
 /// # Errors
-/// If the caller is gone or does not take it.
+/// If the caller has disconnected or does not read.
 pub fn refuse(
     caller: &mut Connection,
     vocabulary: &dyn Vocabulary,
     id: &str,
     refusal: Refusal,
-    close: bool,
+    should_close: bool,
 ) -> Result<(), HttpError> {
     let (status, reason) = refusal.status();
     let mut headers = Headers::default();
@@ -80,10 +80,10 @@
     if let Refusal::NotRun { retry_after_ms } | Refusal::OverAllotment { retry_after_ms } = refusal
     {
         let whole_s = retry_after_ms / 1_000;
-        let rest_ms = retry_after_ms % 1_000;
-        headers.push("Retry-After", format!("{whole_s}.{rest_ms:03}"));
+        let fraction_ms = retry_after_ms % 1_000;
+        headers.push("Retry-After", format!("{whole_s}.{fraction_ms:03}"));
     }
-    if close {
+    if should_close {
         headers.push("Connection", "close");
     }
     let bytes = encode_head(&format!("HTTP/1.1 {status} {reason}"), &headers);
@@ -92,7 +92,7 @@
     Ok(())
 }
 
-/// Bytes as one chunk of a chunked body.
+/// Encodes bytes as one chunk of a chunked body.
 pub fn chunk(bytes: &[u8]) -> Vec<u8> {
     let mut chunk = format!("{:x}\r\n", bytes.len()).into_bytes();
     chunk.extend_from_slice(bytes);
--- a/crates/instance/src/shared.rs
+++ b/crates/instance/src/shared.rs
@@ -202,9 +202,9 @@
     }
 
     /// Sends an event to the thread that reports to the holder.
-    pub fn report(&self, need: ReportEvent) {
+    pub fn report(&self, event: ReportEvent) {
         // The receiving thread ends only with the process.
-        let _ = self.report_events.send(need);
+        let _ = self.report_events.send(event);
     }
 
     /// Wakes requests that wait for an upstream.
@@ -221,12 +221,12 @@
         self.upstream_change_count.load(Ordering::Acquire)
     }
 
-    /// Waits until upstreams have changed since the count `seen`, at most for `max_wait`.
-    pub fn wait_for_upstream_change(&self, seen: u64, most: Duration) {
+    /// Waits until upstreams have changed since the count `seen_count`, at most for `max_wait`.
+    pub fn wait_for_upstream_change(&self, seen_count: u64, max_wait: Duration) {
         let guard = self.upstreams();
-        if self.upstream_change_count() == seen {
+        if self.upstream_change_count() == seen_count {
             // The caller checks its condition again in any case.
-            drop(self.upstreams_changed.wait_timeout(guard, most));
+            drop(self.upstreams_changed.wait_timeout(guard, max_wait));
         }
     }
 
@@ -261,9 +261,9 @@
     }
 
     /// Sets the leadership, once.
-    pub fn set_leadership(&self, right: Arc<Right>) {
+    pub fn set_leadership(&self, leadership: Arc<Right>) {
         // Each process has exactly one.
-        let _ = self.leadership.set(right);
+        let _ = self.leadership.set(leadership);
     }
 
     /// The control interface of engines; `None` while the process starts.
@@ -433,17 +433,17 @@
         self.reserve(ReservationKind::Answer, bytes)
     }
 
-    fn reserve(self: &Arc<Self>, what: ReservationKind, bytes: usize) -> Option<MemoryReservation> {
-        let mut held = MemoryReservation {
+    fn reserve(self: &Arc<Self>, kind: ReservationKind, bytes: usize) -> Option<MemoryReservation> {
+        let mut reservation = MemoryReservation {
             shared: self.clone(),
-            what,
+            kind,
             bytes: 0,
         };
-        held.resize(bytes).then_some(held)
+        reservation.resize(bytes).then_some(reservation)
     }
 
-    fn reserved_bytes(&self, what: ReservationKind) -> &AtomicUsize {
-        match what {
+    fn reserved_bytes(&self, kind: ReservationKind) -> &AtomicUsize {
+        match kind {
             ReservationKind::Body => &self.reserved_body_bytes,
             ReservationKind::Answer => &self.reserved_answer_bytes,
         }
@@ -462,7 +462,7 @@
 #[derive(Debug)]
 pub struct MemoryReservation {
     shared: Arc<Shared>,
-    what: ReservationKind,
+    kind: ReservationKind,
     bytes: usize,
 }
 
@@ -470,25 +470,25 @@
     /// Changes the reservation to `bytes`. Returns false and keeps the old size if there is too
     /// little memory.
     pub fn resize(&mut self, bytes: usize) -> bool {
-        let mine = self.bytes;
-        let fits = |all: usize| {
-            let others = all - mine;
-            let fits = others == 0 || others + bytes <= MAX_RESERVED_BYTES;
-            (fits || bytes <= mine).then_some(others + bytes)
+        let own_bytes = self.bytes;
+        let add_if_fits = |total_bytes: usize| {
+            let other_bytes = total_bytes - own_bytes;
+            let fits = other_bytes == 0 || other_bytes + bytes <= MAX_RESERVED_BYTES;
+            (fits || bytes <= own_bytes).then_some(other_bytes + bytes)
         };
-        let all = self.shared.reserved_bytes(self.what);
-        let taken = all.fetch_update(Ordering::AcqRel, Ordering::Acquire, fits);
-        if taken.is_ok() {
+        let total = self.shared.reserved_bytes(self.kind);
+        let updated = total.fetch_update(Ordering::AcqRel, Ordering::Acquire, add_if_fits);
+        if updated.is_ok() {
             self.bytes = bytes;
         }
-        taken.is_ok()
+        updated.is_ok()
     }
 }
 
 impl Drop for MemoryReservation {
     fn drop(&mut self) {
-        let all = self.shared.reserved_bytes(self.what);
-        all.fetch_sub(self.bytes, Ordering::AcqRel);
+        let total = self.shared.reserved_bytes(self.kind);
+        total.fetch_sub(self.bytes, Ordering::AcqRel);
     }
 }
 
--- a/crates/instance/src/stop_signal.rs
+++ b/crates/instance/src/stop_signal.rs
@@ -1,30 +1,30 @@
-//! The moment at which a stop ends what callers still wait for.
+//! Signals that end threads' waits at a stop.
 //!
-//! A thread that waits for a connection is in the kernel, perhaps for as long as a route
-//! allows. A stop must wake it while there is still time to answer. The [`Ending`] is a
-//! descriptor that becomes readable at that moment and stays so; whoever waits on a
-//! caller's behalf waits for it as well. There are two such moments: one for what can still
-//! get an answer, and a later one for streams that have begun, which can only be cut.
+//! A thread that waits for a connection blocks in the kernel, possibly for as long as a route
+//! allows. A stop must wake it while there is still time to answer. A [`StopSignal`] is a file
+//! descriptor that becomes readable once it is set and stays readable. Every wait on behalf of a
+//! caller polls it as well. There are two signals: one for requests that can still get an answer,
+//! and a later one for streams in progress, which can only be cut.
 
 use rustix::event::{EventfdFlags, eventfd};
 use std::io;
 use std::os::fd::{AsFd, BorrowedFd, OwnedFd};
 
-/// Set once, and never taken back.
+/// An event that is set once and never reset.
 #[derive(Debug)]
 pub struct StopSignal(OwnedFd);
 
 impl StopSignal {
-    /// Not set yet.
+    /// A signal that is not set.
     ///
     /// # Errors
-    /// If the process has no descriptor left.
+    /// If the process has no file descriptor left.
     pub fn new() -> io::Result<Self> {
         let flags = EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK;
         Ok(Self(eventfd(0, flags)?))
     }
 
-    /// Wakes all that wait for it, now and later.
+    /// Ends all current and future waits for this signal.
     pub fn set(&self) {
         if let Err(error) = rustix::io::write(&self.0, &1_u64.to_ne_bytes()) {
             log::warn!(error:% = error; "cannot wake waiting requests at the stop");
@@ -32,20 +32,20 @@
     }
 }
 
-/// Both moments of a stop.
+/// The two signals of a stop.
 #[derive(Debug)]
 pub struct StopSignals {
-    /// Ends waits for answers of which nothing has gone out.
+    /// Ends waits for answers of which nothing has been sent to the caller.
     pub answers: StopSignal,
     /// Ends streams.
     pub streams: StopSignal,
 }
 
 impl StopSignals {
-    /// Neither is set yet.
+    /// Signals that are not set.
     ///
     /// # Errors
-    /// If the process has no descriptors left.
+    /// If the process has no file descriptor left.
     pub fn new() -> io::Result<Self> {
         Ok(Self {
             answers: StopSignal::new()?,
