--- a/crates/instance/src/report.rs
+++ b/crates/instance/src/report.rs
@@ -184,7 +184,7 @@
                 until,
             } => self.wait_begins(key(service, model_ref), until),
             ReportEvent::WaitEnded { service, model_ref } => {
-                self.wait_ends(key(service, model_ref))
+                self.wait_ends(key(service, model_ref));
             }
             ReportEvent::RefusedAsTooLate {
                 service,
--- a/tests/all/cluster.rs
+++ b/tests/all/cluster.rs
@@ -1,4 +1,5 @@
-//! An instance in this process among stand-ins that speak the users' platform's protocol.
+//! Instances in this process, with stand-ins for the store, upstreams and callers that use the
+//! users' platform's protocol.
 
 use passway_instance::{Instance, Surroundings};
 use passway_serving::allotment::QuotaBounds;
@@ -16,14 +17,17 @@
 use std::net::SocketAddr;
 use std::sync::Once;
 
-/// Pause between two looks.
-const STEP: Duration = Duration::from_millis(10);
-/// Waits until `holds` does.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Interval between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Waits until `is_met` returns true; fails after [`PATIENCE`].
+pub fn until(condition: &str, mut is_met: impl FnMut() -> bool) {
     let limit_at = Instant::now() + PATIENCE;
-    while !holds() {
-        assert!(Instant::now() < limit_at, "{what} does not come about");
-        std::thread::sleep(STEP);
+    while !is_met() {
+        assert!(
+            Instant::now() < limit_at,
+            "timed out waiting for {condition}"
+        );
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -34,7 +38,7 @@
     store
 }
 
-/// A plain server that answers everything well.
+/// A plain server that answers every request successfully.
 pub fn plain_server() -> RawServer {
     RawServer::start(|received| {
         let id = received.header("request-id").unwrap_or_default();
@@ -45,16 +49,16 @@
     })
 }
 
-/// Settings on loopback, all ports chosen by the kernel.
+/// Settings on loopback; the kernel chooses all ports.
 pub fn settings(name: &str, store: SocketAddr) -> InstanceSettings {
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     InstanceSettings {
         instance: name.into(),
         hall: "hall0".into(),
         regions: HallRegions::new(),
-        callers_address: any,
-        ready_address: any,
-        peer_address: any,
+        callers_address: any_port,
+        ready_address: any_port,
+        peer_address: any_port,
         store_address: store,
         processor_part: 1.0,
         placement: PolicyName::default(),
@@ -78,7 +82,7 @@
     }
 }
 
-/// Asks for a stream of a model; the answer.
+/// Requests a stream of a model, and returns the answer.
 pub fn stream(address: SocketAddr, route: &str, id: &str, model: &str) -> Answer {
     let bytes = request(
         "POST",
@@ -95,14 +99,14 @@
     start_at(name, store.serve())
 }
 
-/// Starts an instance that reaches the store at an address.
+/// Starts an instance that reaches the store at `address`.
 pub fn start_at(name: &str, address: SocketAddr) -> Instance {
     start_with(settings(name, address))
 }
 
-/// Has instances log to standard error at the level that `PASSWAY_LOG` names; the lines of tests that run beside each
-/// other are mixed.
-fn log_if_asked() {
+/// Makes instances log to standard error at the level in `PASSWAY_LOG`. The lines of concurrent
+/// tests are mixed.
+fn log_if_requested() {
     static STARTED: Once = Once::new();
     STARTED.call_once(|| {
         if let Ok(level) = std::env::var("PASSWAY_LOG") {
@@ -111,9 +115,9 @@
     });
 }
 
-/// Starts an instance with settings.
+/// Starts an instance with the given settings.
 pub fn start_with(settings: InstanceSettings) -> Instance {
-    log_if_asked();
+    log_if_requested();
     let address = settings.store_address;
     let surroundings = Surroundings {
         store: Arc::new(MetadataStore::new(address)),
--- a/tests/all/cold_upstreams.rs
+++ b/tests/all/cold_upstreams.rs
@@ -1,4 +1,5 @@
-//! Upstreams that are cold from their start get no more than they bear, over all instances.
+//! Upstreams that are cold after their start get no more requests than they accept, over all
+//! instances.
 
 use crate::cluster::{self, ask, request, until};
 use crate::saying::SayingServer;
@@ -37,25 +38,27 @@
     table.update(entry(1, None), now);
     table.set_cold_bounds([("plain".into(), COLD_BOUND)].into());
     assert_eq!(table.limit_per_s("i-0", now), None);
-    // It may become cold at any moment, which others are told; each later word of the same is not.
+    // An upstream may become cold at any time. The change is published; further entries in the same
+    // state are not.
     assert!(table.update(entry(2, Some(at(2_000))), now));
     assert!(!table.update(entry(3, Some(at(2_100))), at(500)));
     assert_eq!(table.limit_per_s("i-0", at(2_000)), Some(COLD_BOUND.per_s));
     assert_eq!(table.limit_per_s("i-0", at(2_100)), None);
-    // One of a hall that is given back may be cold without having said so.
+    // An upstream of a hall that is put back into service may be cold without reporting it.
     table.set_emptied(["hall0".into()].into(), at(2_200));
     assert_eq!(table.limit_per_s("i-0", at(2_200)), None);
     table.set_emptied([].into(), at(2_300));
     table.update(entry(4, None), at(2_400));
     assert_eq!(table.limit_per_s("i-0", at(5_200)), Some(COLD_BOUND.per_s));
     assert_eq!(table.limit_per_s("i-0", at(5_300)), None);
-    // A configuration without a bound.
+    // A configuration without a bound for cold upstreams.
     table.update(entry(5, Some(at(9_000))), at(6_000));
     table.set_cold_bounds([].into());
     assert_eq!(table.limit_per_s("i-0", at(6_000)), None);
 }
 
-/// Nothing read how much a cold upstream bears: whoever came first after a failover sent it all it had.
+/// Guards against instances that ignore the bound: after a failover, the first instance sent a cold
+/// upstream all its requests.
 #[test]
 fn bounded_over_instances() {
     let mut document = configuration(1, &[]);
@@ -83,14 +86,14 @@
         assert!([200, 503].contains(&caller.join().expect("a caller")));
     }
     let arrivals = server.arrivals();
-    let within = |from: &Instant| {
+    let count_within_second = |from: &Instant| {
         let until = *from + Duration::from_secs(1);
         arrivals
             .iter()
             .filter(|at| (*from..until).contains(at))
             .count()
     };
-    let most = arrivals.iter().map(within).max().unwrap_or(0);
-    // A second's part, what may go at once, and one whose arrival was late.
-    assert!((1..=11).contains(&most), "{most} in a second");
+    let max_count = arrivals.iter().map(count_within_second).max().unwrap_or(0);
+    // One second's quota, the burst, and one late arrival.
+    assert!((1..=11).contains(&max_count), "{max_count} in a second");
 }
--- a/tests/all/dispatcher_queries.rs
+++ b/tests/all/dispatcher_queries.rs
@@ -1,5 +1,6 @@
-//! An instance asks the dispatcher of an engine, and is one itself; the test plays the holder
-//! of the right to order, which tells who dispatches, and the other end of each question.
+//! The dispatch protocol from both sides: an instance queries the dispatcher of an engine, and
+//! answers queries as a dispatcher. The test plays the holder, which announces the dispatchers, and
+//! the peer of each query.
 
 use crate::cluster::{self, PATIENCE, stream, until};
 use crate::holder_link::{Holder, subscription};
@@ -15,14 +16,14 @@
     _store: MetadataStandIn,
     servers: [ModelServer; 2],
     instance: Instance,
-    /// Where the instance hears datagrams.
+    /// Where the instance receives datagrams.
     address: SocketAddr,
     socket: UdpSocket,
     _link: Link,
 }
 
-/// An instance before two engines with m0, told that `dispatchers` decide, where `None` stands
-/// for the instance itself.
+/// An instance before two engines with m0, which has received `dispatchers`; `None` stands for the
+/// instance itself.
 fn test_bed(dispatchers: &[Option<SocketAddr>]) -> TestBed {
     let store = cluster::store(&["m0"]);
     let holder = Holder::begin(&store);
@@ -34,14 +35,17 @@
     let address: SocketAddr = address.parse().expect("an address");
     let socket = UdpSocket::bind("127.0.0.1:0").expect("bind");
     socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-    let members = dispatchers.iter().enumerate().map(|(number, one)| Member {
-        instance: format!("dispatcher-{number}"),
-        address: one.unwrap_or(address).to_string(),
-    });
-    let told = Members {
-        members: members.collect(),
+    let entries = dispatchers
+        .iter()
+        .enumerate()
+        .map(|(number, dispatcher)| Member {
+            instance: format!("dispatcher-{number}"),
+            address: dispatcher.unwrap_or(address).to_string(),
+        });
+    let members = Members {
+        members: entries.collect(),
     };
-    link.send(Body::Dispatchers(told)).expect("sent");
+    link.send(Body::Dispatchers(members)).expect("sent");
     until("dispatchers", || {
         instance.dispatcher_count() == dispatchers.len()
     });
@@ -71,7 +75,7 @@
         }
     }
 
-    /// The instance's answer to a question.
+    /// The instance's answer to a query.
     fn query(&self, id: u64) -> Grant {
         self.send(Dispatch::Ask(Ask {
             id,
@@ -88,9 +92,9 @@
     }
 }
 
-/// Slots of one engine, as [`ModelServer`] says of itself.
-fn fill_all_slots(world: &TestBed) -> Vec<Grant> {
-    let grants = (0..100).map(|id| world.query(id));
+/// Queries until the instance, as the dispatcher, has granted all slots.
+fn fill_all_slots(test_bed: &TestBed) -> Vec<Grant> {
+    let grants = (0..100).map(|id| test_bed.query(id));
     grants
         .take_while(|grant| grant.verdict() == Verdict::Go)
         .collect()
@@ -98,43 +102,47 @@
 
 #[test]
 fn grants_each_slot_once() {
-    let world = test_bed(&[None]);
-    let grants = fill_all_slots(&world);
+    let test_bed = test_bed(&[None]);
+    let grants = fill_all_slots(&test_bed);
     let on_first = grants.iter().filter(|grant| grant.engine == "i-0").count();
-    assert_eq!(2 * on_first, grants.len(), "both as full as each other");
-    // A question that comes twice has the same answer.
-    assert_eq!(world.query(0), grants[0]);
-    // A slot is free again once its run is over.
-    assert_eq!(world.query(500).verdict(), Verdict::Full);
-    world.send(Dispatch::Ended(Ended {
+    assert_eq!(
+        2 * on_first,
+        grants.len(),
+        "both engines have the same number of grants"
+    );
+    // A repeated query gets the same answer.
+    assert_eq!(test_bed.query(0), grants[0]);
+    // A slot is free again once its run has ended.
+    assert_eq!(test_bed.query(500).verdict(), Verdict::Full);
+    test_bed.send(Dispatch::Ended(Ended {
         id: 0,
         outcome: RunOutcome::Answered.into(),
     }));
-    let grant = world.query(501);
+    let grant = test_bed.query(501);
     assert_eq!(
         (grant.verdict(), &grant.engine),
         (Verdict::Go, &grants[0].engine)
     );
-    // What is not there is not granted.
-    world.send(Dispatch::Ask(Ask {
+    // A model without an engine is not granted.
+    test_bed.send(Dispatch::Ask(Ask {
         id: 502,
         service: "engines".into(),
         model: "m9".into(),
         ..Ask::default()
     }));
-    let Dispatch::Grant(grant) = world.receive() else {
+    let Dispatch::Grant(grant) = test_bed.receive() else {
         panic!("no answer");
     };
     assert_eq!(grant.verdict(), Verdict::Absent);
 }
 
-/// Another instance says again and again that all slots of i-0 are taken: once what was granted
-/// before has lapsed, only the other engine is granted.
-fn wait_until_only_second_granted(world: &TestBed, running: &[u8]) {
+/// Reports from another instance that all slots of i-0 are taken, until the earlier grants have
+/// expired and only the other engine is granted.
+fn wait_until_only_second_granted(test_bed: &TestBed, running: &[u8]) {
     let other = UdpSocket::bind("127.0.0.1:0").expect("bind");
     until("slots of one engine alone", || {
-        other.send_to(running, world.address).expect("sent");
-        let grant = world.query(1_000);
+        other.send_to(running, test_bed.address).expect("sent");
+        let grant = test_bed.query(1_000);
         if grant.verdict() != Verdict::Go {
             return false;
         }
@@ -143,11 +151,11 @@
     });
 }
 
-/// Runs that others speak of take slots, though this dispatcher has not granted them.
+/// Runs reported by other instances take slots, although this dispatcher has not granted them.
 #[test]
 fn reported_runs_take_slots() {
-    let world = test_bed(&[None]);
-    let all = fill_all_slots(&world).len();
+    let test_bed = test_bed(&[None]);
+    let all = fill_all_slots(&test_bed).len();
     let slots = u64::try_from(all / 2).expect("small");
     let runs = (0..slots).map(|id| passway_wire::dispatch::RunHere {
         id,
@@ -156,16 +164,16 @@
     let running = Running {
         runs: runs.collect(),
     };
-    // What was granted here lapses, since nobody speaks of it.
+    // The instance's own grants expire, because nobody reports their runs.
     let bytes = Datagram::bytes(Some(Dispatch::Running(running)));
-    wait_until_only_second_granted(&world, &bytes);
+    wait_until_only_second_granted(&test_bed, &bytes);
 }
 
-/// Names may be long: a word of several kilobytes is read whole.
+/// Names may be long: a datagram of several kilobytes is read completely.
 #[test]
 fn long_datagram_read() {
-    let world = test_bed(&[None]);
-    let all = fill_all_slots(&world).len();
+    let test_bed = test_bed(&[None]);
+    let all = fill_all_slots(&test_bed).len();
     let slots = u64::try_from(all / 2).expect("small");
     let run = |id, engine: &str| passway_wire::dispatch::RunHere {
         id,
@@ -179,26 +187,26 @@
     };
     let bytes = Datagram::bytes(Some(Dispatch::Running(running)));
     assert!(bytes.len() > 4_096);
-    wait_until_only_second_granted(&world, &bytes);
+    wait_until_only_second_granted(&test_bed, &bytes);
 }
 
 #[test]
 fn request_follows_grant() {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("bind");
     let address = socket.local_addr().expect("an address");
-    let world = test_bed(&[Some(address)]);
-    let caller = world.instance.callers_address();
-    let asking = std::thread::spawn(move || stream(caller, "chat", "c1", "m0"));
+    let test_bed = test_bed(&[Some(address)]);
+    let caller = test_bed.instance.callers_address();
+    let caller_thread = std::thread::spawn(move || stream(caller, "chat", "c1", "m0"));
     let mut bytes = [0; 1_500];
-    let mut next = || loop {
+    let mut next_message = || loop {
         let (length, from) = socket.recv_from(&mut bytes).expect("a datagram");
         match Datagram::read(&bytes[..length]) {
             Some(Dispatch::Running(_)) | None => {}
             Some(body) => return (body, from),
         }
     };
-    let (Dispatch::Ask(ask), from) = next() else {
-        panic!("no question");
+    let (Dispatch::Ask(ask), from) = next_message() else {
+        panic!("no query");
     };
     assert_eq!((&*ask.model, &*ask.hall), ("m0", "hall0"));
     let grant = Grant {
@@ -208,11 +216,11 @@
     };
     let bytes = Datagram::bytes(Some(Dispatch::Grant(grant)));
     socket.send_to(&bytes, from).expect("sent");
-    let answer = asking.join().expect("a caller");
+    let answer = caller_thread.join().expect("a caller");
     assert_eq!((answer.status, answer.whole), (200, true));
-    assert_eq!(world.servers[1].runs(), ["c1"]);
-    // The end is told. (The question may have come twice before.)
-    let ended = std::iter::repeat_with(&mut next).find_map(|(body, _)| match body {
+    assert_eq!(test_bed.servers[1].runs(), ["c1"]);
+    // The end is reported. (The query may have been sent twice before.)
+    let ended = std::iter::repeat_with(&mut next_message).find_map(|(body, _)| match body {
         Dispatch::Ended(ended) => Some(ended),
         _ => None,
     });
@@ -220,55 +228,62 @@
     assert_eq!((ended.id, ended.outcome()), (ask.id, RunOutcome::Answered));
 }
 
-/// A dispatcher that says nothing costs one request a moment, and the next ones nothing.
+/// A dispatcher that does not answer delays one request briefly, and the next ones not at all.
 #[test]
 fn silent_dispatcher() {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("bind");
     let address = socket.local_addr().expect("an address");
-    let world = test_bed(&[Some(address)]);
+    let test_bed = test_bed(&[Some(address)]);
     for number in 0..3 {
         let id = format!("c{number}");
-        let answer = stream(world.instance.callers_address(), "chat", &id, "m0");
+        let answer = stream(test_bed.instance.callers_address(), "chat", &id, "m0");
         assert_eq!((answer.status, answer.whole), (200, true));
     }
-    let all: usize = world.servers.iter().map(|server| server.runs().len()).sum();
+    let all: usize = test_bed
+        .servers
+        .iter()
+        .map(|server| server.runs().len())
+        .sum();
     assert_eq!(all, 3);
 }
 
-/// Bytes that are no message change nothing.
+/// Bytes that are not a message change nothing.
 #[test]
 fn invalid_datagrams_ignored() {
-    let world = test_bed(&[None]);
+    let test_bed = test_bed(&[None]);
     for bytes in [&b""[..], b"\xff\xff\xff\xff", &[8; 1_400]] {
-        world.socket.send_to(bytes, world.address).expect("sent");
+        test_bed
+            .socket
+            .send_to(bytes, test_bed.address)
+            .expect("sent");
     }
-    assert_eq!(world.query(1).verdict(), Verdict::Go);
+    assert_eq!(test_bed.query(1).verdict(), Verdict::Go);
 }
 
-/// An engine in need is named last by its dispatcher, and gets nothing that nobody counts; others carry its
-/// requests.
+/// A limited engine is the dispatcher's last choice and gets no request that is not counted; other
+/// engines serve its requests.
 #[test]
 fn limited_engine_avoided() {
-    let world = test_bed(&[None]);
-    world.servers[0].set_faults(Faults {
+    let test_bed = test_bed(&[None]);
+    test_bed.servers[0].set_faults(Faults {
         limit_per_s: Some(1.0),
         ..Faults::default()
     });
-    let address = world.instance.callers_address();
+    let address = test_bed.instance.callers_address();
     let mut ids = 0..;
     let mut send = || stream(address, "chat", &format!("id{:?}", ids.next()), "m0").status;
-    until("the word is heard", || {
+    until("the signal is received", || {
         send();
-        !world.servers[0].runs().is_empty()
+        !test_bed.servers[0].runs().is_empty()
     });
-    let runs = world.servers[0].runs().len();
+    let runs = test_bed.servers[0].runs().len();
     for _ in 0..120 {
         assert_eq!(send(), 200);
     }
-    assert_eq!(world.servers[0].runs().len(), runs);
+    assert_eq!(test_bed.servers[0].runs().len(), runs);
 }
 
-/// A dispatcher that grants the first engine to whoever asks, whatever it is told.
+/// A dispatcher that grants the first engine on every query, whatever signals it receives.
 fn fixed_dispatcher() -> SocketAddr {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("bind");
     let address = socket.local_addr().expect("an address");
@@ -289,19 +304,19 @@
     address
 }
 
-/// A grant by somebody who has not heard an engine's word sends nothing there.
+/// A grant from a dispatcher that has not received an engine's signal sends nothing to this engine.
 fn grant_against_signal(faults: Faults) {
-    let world = test_bed(&[Some(fixed_dispatcher())]);
-    let address = world.instance.callers_address();
+    let test_bed = test_bed(&[Some(fixed_dispatcher())]);
+    let address = test_bed.instance.callers_address();
     let send = |id: &str| stream(address, "chat", id, "m0").status;
     assert_eq!(send("before"), 200);
-    world.servers[0].set_faults(faults);
+    test_bed.servers[0].set_faults(faults);
     send("word");
-    let arrived = world.servers[0].arrivals().len();
+    let arrivals_before = test_bed.servers[0].arrivals().len();
     for number in 0..10 {
         send(&format!("id{number}"));
     }
-    assert_eq!(world.servers[0].arrivals().len(), arrived);
+    assert_eq!(test_bed.servers[0].arrivals().len(), arrivals_before);
 }
 
 #[test]
--- a/tests/all/instance_metrics.rs
+++ b/tests/all/instance_metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of an instance on the users' platform, against its page.
+//! The metrics of an instance on the users' platform match their documentation.
 
 use crate::cluster::{self, ask, list_plain, plain_server, request, until};
 use crate::keyed_cluster::{KEY, keyed_configuration};
@@ -8,7 +8,7 @@
 
 const PAGE: &str = include_str!("../../docs/OPERATIONS.md");
 
-/// Names of metrics, as a scrape tells them.
+/// The names of the metrics in a scrape.
 fn names(text: &str) -> BTreeSet<&str> {
     let types = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
     types.filter_map(|rest| rest.split(' ').next()).collect()
@@ -24,19 +24,19 @@
     let server = plain_server();
     list_plain(&store, "i-0", server.address, "ready");
     let instance = cluster::start_ready("one", &store);
-    until("the right to order", || instance.fence().is_some());
+    until("the leadership", || instance.fence().is_some());
     let head = format!("Authorization: Token {KEY}\r\n");
     for path in ["/read/", "/read/", "/nowhere/"] {
         let bytes = request("GET", path, "m", &head, "");
         assert!(ask(instance.callers_address(), &bytes).is_some());
     }
-    let question = b"GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
+    let scrape_request = b"GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
     let scrape = || {
-        let answer = ask(instance.ready_address(), question).expect("metrics");
+        let answer = ask(instance.ready_address(), scrape_request).expect("metrics");
         assert_eq!(answer.status, 200);
         answer.body
     };
-    // A request is counted when its answer is out, which the caller may have seen before.
+    // A request is counted after its answer is sent, so the caller may see the answer first.
     let count = "passway_instance_requests_total{end=\"answered\",status=\"200\"} 2";
     until("the counts", || scrape().contains(count));
     let text = scrape();
@@ -53,14 +53,14 @@
     ] {
         assert!(text.contains(line), "{line} is not in\n{text}");
     }
-    // The page lists what there is, all of it and nothing else.
+    // The page lists exactly the metrics that exist.
     let rows = PAGE
         .lines()
         .filter_map(|line| line.strip_prefix("| `passway_instance_"));
     let listed: BTreeSet<&str> = rows.filter_map(|row| row.split('`').next()).collect();
-    let told = names(&text).into_iter();
-    let told: BTreeSet<&str> = told
+    let scraped = names(&text).into_iter();
+    let scraped: BTreeSet<&str> = scraped
         .filter_map(|name| name.strip_prefix("passway_instance_"))
         .collect();
-    assert_eq!(listed, told);
+    assert_eq!(listed, scraped);
 }
--- a/tests/all/keyed_cluster.rs
+++ b/tests/all/keyed_cluster.rs
@@ -1,4 +1,4 @@
-//! An instance whose routes ask for keys, with bounds as the settings file gives them.
+//! An instance whose routes require keys, with bounds as in the settings file.
 
 use crate::cluster::{self, ask, configuration, request};
 use passway_instance::Instance;
@@ -7,22 +7,22 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// A key of the workspace that all of these have.
+/// The key of the workspace in these configurations.
 pub const KEY: &str = "k1-asnmgkcuyj8pjbvk9m68";
 
-/// A version with workspaces, and a public route `open` beside the closed ones.
+/// A configuration with workspaces, and a public route `open` beside the closed ones.
 pub fn keyed_configuration(version: u64, workspaces: &[Value]) -> Value {
     let mut document = with_workspaces(configuration(version, &["m0"]), workspaces);
-    let mut open = document["routes"][0].clone();
-    open["name"] = "open".into();
-    open["prefix"] = "/open/".into();
-    open["public"] = true.into();
+    let mut public_route = document["routes"][0].clone();
+    public_route["name"] = "open".into();
+    public_route["prefix"] = "/open/".into();
+    public_route["public"] = true.into();
     let routes = document["routes"].as_array_mut().expect("routes");
-    routes.push(open);
+    routes.push(public_route);
     document
 }
 
-/// Settings on loopback whose bounds are written as in the settings file.
+/// Settings on loopback with `bounds` written as in the settings file.
 pub fn settings(name: &str, store: SocketAddr, bounds: &str) -> InstanceSettings {
     let text = format!(
         "node_name = \"{name}\"\nzone = \"hall0\"\nip = \"127.0.0.1\"\ninternal_ports = [0, 0]\n\
@@ -41,7 +41,7 @@
     instance
 }
 
-/// What a request with the key is answered, by status and `Retry-After`.
+/// The status and the `Retry-After` of the answer to a request with the key.
 pub fn status_with_key(instance: &Instance, path: &str, id: &str) -> (u16, Option<f64>) {
     let head = format!("Authorization: Token {KEY}\r\n");
     let bytes = request("GET", path, id, &head, "");
--- a/tests/all/late_models.rs
+++ b/tests/all/late_models.rs
@@ -1,7 +1,8 @@
-//! What cannot be served in time is refused at once.
+//! A request that cannot be served in time is refused at once.
 //!
-//! The pattern: 705 rare models of which 83 lie on no engine's disk; the weight store brings two in ten
-//! seconds, and a request for one of the others waited 3.6 s for nothing, 311 of 3,705 on a calm day.
+//! Guards against useless waits: of 705 rare models 83 were on no engine's disk, and the weight
+//! store loaded two in ten seconds. Requests for the others waited 3.6 s for nothing, 311 of 3,705
+//! in a day.
 
 use crate::cluster::{self, stream, until};
 use passway_instance::Instance;
@@ -12,8 +13,8 @@
 use passway_types::prelude::*;
 use std::net::SocketAddr;
 
-/// An instance before an engine that has one model, one on its disk, and one nowhere; a load
-/// from the weight store takes a minute.
+/// An instance before an engine that has m0 loaded, m1 on its disk, and not m2; loading from the
+/// weight store takes a minute.
 fn start() -> (MetadataStandIn, ModelServer, Instance) {
     let store = MetadataStandIn::default();
     let mut document = cluster::configuration(1, &["m0", "m1", "m2"]);
@@ -41,18 +42,18 @@
     let (_store, _engine, instance) = start();
     let address = instance.callers_address();
     assert_eq!(stream(address, "chat", "id1", "m0").status, 200);
-    until("the right to order", || instance.fence().is_some());
+    until("the leadership", || instance.fence().is_some());
     until("m1", || stream(address, "chat", "id2", "m1").status == 200);
 }
 
-/// What has stood on an engine has left a copy there, whoever told of it.
+/// A model that was loaded on an engine has left a copy there, whichever source reported it.
 #[test]
 fn unloaded_model_stays_cached() {
     let (service, m0) = ("engines".into(), "m0".into());
     let mut table = UpstreamTable::new("hall0".into());
     assert!(
         !table.lies_nowhere(&service, &m0, &AllowedRegions::ANY),
-        "nothing is known"
+        "before the first entry nothing is known"
     );
     let entry = UpstreamEntry {
         id: "i-0".into(),
@@ -71,11 +72,11 @@
     table.update(entry, Instant::now());
     assert!(table.lies_nowhere(&service, &m0, &AllowedRegions::ANY));
     assert!(!table.lies_nowhere(&service, &"m1".into(), &AllowedRegions::ANY));
-    let standing = ResidentModel {
+    let resident_model = ResidentModel {
         name: m0.clone(),
         adapters: Vec::new(),
     };
-    table.set_placement("i-0", vec![standing], Vec::new());
+    table.set_placement("i-0", vec![resident_model], Vec::new());
     table.set_placement("i-0", Vec::new(), Vec::new());
     assert!(!table.lies_nowhere(&service, &m0, &AllowedRegions::ANY));
 }
--- a/tests/all/leaving_upstreams.rs
+++ b/tests/all/leaving_upstreams.rs
@@ -1,4 +1,5 @@
-//! Upstreams that say in their answers that they leave get nothing more from whoever has heard it.
+//! Upstreams that signal in their answers that they leave get no new requests from instances that
+//! have received the signal.
 
 use crate::cluster::{self, ask, list_plain, request, stream, until};
 use crate::saying::{Saying, SayingServer};
@@ -9,9 +10,9 @@
 use passway_standins::platform::store::MetadataStandIn;
 use passway_types::prelude::*;
 
-/// After this an upstream whose entry is missing is forgotten.
+/// After this time an upstream without an entry is removed.
 const REMOVAL_DELAY: Duration = Duration::from_secs(4);
-/// Within this an instance has heard of an entry.
+/// Within this time an instance receives an entry.
 const PROPAGATION_DELAY: Duration = Duration::from_secs(1);
 
 fn leaving_signal(status: u16) -> Saying {
@@ -29,37 +30,37 @@
     (store, instances)
 }
 
-/// Sends so many requests, one after the other; their statuses.
-fn send(instance: &Instance, path: &str, ids: &str, count: usize) -> Vec<u16> {
+/// Sends `count` requests, one after another; returns their statuses.
+fn send(instance: &Instance, path: &str, id_prefix: &str, count: usize) -> Vec<u16> {
     let statuses = (0..count).map(|number| {
-        let bytes = request("GET", path, &format!("{ids}{number}"), "", "");
+        let bytes = request("GET", path, &format!("{id_prefix}{number}"), "", "");
         let answer = ask(instance.callers_address(), &bytes);
         answer.expect("an answer").status
     });
     statuses.collect()
 }
 
-/// Requests reached an engine seconds after it had said in an answer that it leaves: its entry, which said
-/// nothing yet since the store was away, was all that counted.
+/// Guards against requests to an engine seconds after it signalled in an answer that it leaves.
+/// Only its entry was read, which did not show that yet because the store was not reachable.
 #[test]
 fn leaving_signal_in_answer() {
     let (leaving, staying) = (SayingServer::start(), SayingServer::start());
     let (_store, instances) = start(&[&leaving, &staying], &["one"]);
     for (path, ids) in [("/read/", "read"), ("/pay/", "pay")] {
         leaving.says(Saying::nothing());
-        let before = leaving.count();
+        let count_before = leaving.count();
         leaving.says(leaving_signal(200));
         let statuses = send(&instances[0], path, ids, 60);
         assert!(statuses.iter().all(|status| *status == 200));
         assert!(
-            leaving.count() <= before + 1,
+            leaving.count() <= count_before + 1,
             "{} more",
-            leaving.count() - before
+            leaving.count() - count_before
         );
     }
 }
 
-/// Whatever an answer is, its word counts: a refusal, a failure, one of a request that may run once.
+/// The signal applies in any answer: a refusal, a failure, and for requests that may run only once.
 #[test]
 fn leaving_signal_in_any_answer() {
     for status in [200, 404, 429, 500, 503] {
@@ -71,7 +72,7 @@
     }
 }
 
-/// The word stands on a stream's head, and the stream goes on to its end.
+/// The signal is in the head of a stream, and the stream continues to its end.
 #[test]
 fn leaving_signal_on_stream() {
     let store = cluster::store(&["m0"]);
@@ -95,7 +96,7 @@
     assert!(staying.runs().len() >= 29);
 }
 
-/// One instance hears it, and none sends anything more.
+/// One instance receives the signal, and no instance sends anything more.
 #[test]
 fn leaving_reaches_all_instances() {
     let (leaving, staying) = (SayingServer::start(), SayingServer::start());
@@ -103,22 +104,24 @@
     leaving.says(leaving_signal(200));
     send(&instances[0], "/read/", "first", 40);
     assert_eq!(leaving.count(), 1);
-    until("all know", || instances.iter().all(knows));
-    // One that comes later is told when it connects.
+    until("the signal at all instances", || {
+        instances.iter().all(knows_leaving)
+    });
+    // A later instance is informed when it connects.
     let later = cluster::start_ready("four", &store);
-    until("it knows", || knows(&later));
+    until("the signal at the later instance", || knows_leaving(&later));
     for instance in instances.iter().chain([&later]) {
         send(instance, "/read/", "then", 20);
     }
     assert_eq!(leaving.count(), 1);
 }
 
-fn knows(instance: &Instance) -> bool {
+fn knows_leaving(instance: &Instance) -> bool {
     metrics(instance).contains("\npassway_instance_leaving_upstreams 1\n")
 }
 
-/// While the store is away entries lapse and come back as they were, without the word; a new start of the
-/// upstream under its id is another one.
+/// While the store is not reachable, entries expire and come back without the signal. Only a new
+/// start of the upstream under the same id gets requests again.
 #[test]
 fn leaving_is_final_for_a_start() {
     let (leaving, staying) = (SayingServer::start(), SayingServer::start());
@@ -142,7 +145,8 @@
     });
 }
 
-/// Only the one that leaves has the model: it comes elsewhere although no entry says so.
+/// If only the leaving upstream has the model, the model is loaded on another one although no entry
+/// shows the leaving.
 #[test]
 fn model_loads_elsewhere() {
     let store = cluster::store(&["m0"]);
@@ -150,7 +154,7 @@
         |id, models: &[&str]| ModelServer::start(&store, id, "engines", 2, models, &["m0"]);
     let (leaving, staying) = (engine("i-0", &["m0"]), engine("i-1", &[]));
     let instance = cluster::start_ready("one", &store);
-    until("the right to order", || instance.fence().is_some());
+    until("the leadership", || instance.fence().is_some());
     leaving.set_faults(Faults {
         leaves: true,
         ..Faults::default()
@@ -160,7 +164,7 @@
         let answer = stream(instance.callers_address(), "chat", &id, "m0");
         assert_eq!(answer.status, 200, "{number}");
     }
-    // Its reports say so too, so that it may get none at all.
+    // The upstream's reports carry the signal as well, so it may get no request at all.
     assert!(leaving.runs().len() <= 1);
     assert!(staying.runs().len() >= 19);
 }
--- a/tests/all/limit_signals.rs
+++ b/tests/all/limit_signals.rs
@@ -1,4 +1,4 @@
-//! What upstreams say about how much they take: how it is read, and which of two words counts.
+//! Limits that upstreams advertise: how they are parsed, and which of two signals applies.
 
 use crate::cluster::{self, ask, list_plain, request, until};
 use crate::scrape::metrics;
@@ -23,7 +23,7 @@
     assert_eq!(read(&["1.1"]), NamedLimit::PerSecond(1.1));
     assert_eq!(read(&[" 0 "]), NamedLimit::PerSecond(0.0));
     assert_eq!(read(&["1000000000"]), NamedLimit::PerSecond(1e9));
-    // Of several the least.
+    // Of several values the lowest applies.
     assert_eq!(read(&["4", "2.5", "3"]), NamedLimit::PerSecond(2.5));
     for unusable in [
         "",
@@ -40,34 +40,37 @@
     }
 }
 
-/// A word whose request was sent after so many milliseconds, and whose answer came after so many.
-fn signal(begun_at: Instant, per_s: Option<f64>, sent_ms: u64, heard_ms: u64) -> LimitWord {
+/// A signal whose request was sent at `sent_ms` and whose answer was received at `heard_ms`
+/// milliseconds after `begun_at`.
+fn signal(started_at: Instant, per_s: Option<f64>, sent_ms: u64, received_ms: u64) -> LimitWord {
     LimitWord {
         per_s,
-        sent_at: begun_at + Duration::from_millis(sent_ms),
-        heard_at: begun_at + Duration::from_millis(heard_ms),
+        sent_at: started_at + Duration::from_millis(sent_ms),
+        heard_at: started_at + Duration::from_millis(received_ms),
     }
 }
 
 #[test]
 fn newer_signal_wins() {
-    let begun_at = passway_types::clock::now();
-    let at = |per_s, sent_ms, heard_ms| signal(begun_at, per_s, sent_ms, heard_ms);
+    let started_at = passway_types::clock::now();
+    let at = |per_s, sent_ms, received_ms| signal(started_at, per_s, sent_ms, received_ms);
     let known = at(Some(2.0), 100, 200);
-    // Said after the other was heard, whatever it says.
+    // The request was sent after the other signal was received, so this signal is newer whatever
+    // its value.
     assert!(at(None, 200, 210).replaces(&known));
     assert!(at(Some(9.0), 300, 310).replaces(&known));
-    // Said before the other's request was sent, and told late.
+    // The answer came before the other signal's request was sent, so this signal is older although
+    // it is received later.
     assert!(!at(None, 50, 100).replaces(&known));
     assert!(!at(Some(1.0), 10, 90).replaces(&known));
-    // One of the two may have overtaken the other: the stricter one counts.
+    // One of the two answers may have overtaken the other: the stricter signal applies.
     assert!(at(Some(1.0), 150, 400).replaces(&known));
     assert!(!at(Some(3.0), 150, 400).replaces(&known));
     assert!(!at(None, 199, 400).replaces(&known));
     assert!(at(Some(1.0), 50, 150).replaces(&at(None, 100, 200)));
 }
 
-/// What a server says next: the header's line, or none.
+/// A server that sends one of `lines` as a header line in each answer.
 fn signalling_server(lines: &'static [&'static str]) -> RawServer {
     RawServer::start(move |received| {
         let id = received.header("request-id").unwrap_or_default();
@@ -79,7 +82,8 @@
     })
 }
 
-/// A limit holds for as long as the upstream says so, and a word that cannot be read ends nothing.
+/// A limit applies until an answer comes without it, and a signal that cannot be read does not end
+/// it.
 #[test]
 fn received_in_answers() {
     let lines = &["", "Server-Limit: 400\r\n", "Server-Limit: x\r\n", ""];
@@ -88,14 +92,14 @@
     list_plain(&store, "i-0", server.address, "ready");
     let instance = cluster::start_ready("one", &store);
     let scrape = || metrics(&instance);
-    for (number, limited) in [0, 1, 1, 0].into_iter().enumerate() {
+    for (number, limited_count) in [0, 1, 1, 0].into_iter().enumerate() {
         let bytes = request("GET", "/read/", &format!("id{number}"), "", "");
         let answer = ask(instance.callers_address(), &bytes).expect("an answer");
         assert_eq!(answer.status, 200);
-        // The answer goes to the caller as it is.
-        let named = lines[number].trim().strip_prefix("Server-Limit: ");
-        assert_eq!(answer.header("server-limit"), named);
-        let line = format!("\npassway_instance_limited_upstreams {limited}\n");
+        // The answer reaches the caller unchanged.
+        let advertised = lines[number].trim().strip_prefix("Server-Limit: ");
+        assert_eq!(answer.header("server-limit"), advertised);
+        let line = format!("\npassway_instance_limited_upstreams {limited_count}\n");
         until(&line, || scrape().contains(&line));
     }
     let unusable = "passway_instance_unusable_words_total{word=\"limit\"} 1\n";
--- a/tests/all/limited_upstreams.rs
+++ b/tests/all/limited_upstreams.rs
@@ -1,14 +1,10 @@
-//! An upstream in need gets what it says that it takes, over all instances together.
+//! An upstream with an advertised limit gets no more than this limit over all instances.
 //!
-//! Seen: two engines named in their answers how many requests a second they take, 1.1 and 2.2, and
-//! went on getting as many as before, 20 and 40 in four seconds, from all seven instances. The test
-//! does the same with three instances before three servers, one of which begins to name a limit.
-//!
-//! How it came about: an answer's head was read for whose it is and whether it ran; what else an upstream
-//! says of itself there was passed on to the caller and forgotten. The cause was proved by the logs, in
-//! which no instance sent less than before, all offers being first ones, and by the test, which failed with
-//! 160 requests in four seconds. That each instance heeds the word alone would not have been enough: the sum
-//! over all counts, so one of them counts for all.
+//! Guards against instances that ignore the limit in an answer's head: two engines advertised 1.1
+//! and 2.2 requests a second and still got 20 and 40 in four seconds, from all seven instances. A
+//! limit that each instance applies alone is not enough, because the sum counts; one instance
+//! counts for all. The tests use three instances before three servers, where 160 requests arrived
+//! in four seconds without the fix.
 
 use crate::cluster::{self, Caller, ask, list_plain, request, stream, until};
 use crate::holder_link::Holder;
@@ -21,11 +17,11 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// The span over which arrivals are counted.
+/// Length of the window over which arrivals are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// What may arrive beyond one and a half times the limit.
+/// Arrivals that are allowed beyond 1.5 times the limit.
 const SLACK: f64 = 5.0;
-/// From the first word on until it counts.
+/// Time from the first signal until the limit must be respected.
 const PROPAGATION_DELAY: Duration = Duration::from_secs(3);
 
 fn advertise_limit(server: &SayingServer, per_s: Option<f64>) {
@@ -33,41 +29,44 @@
     server.says(Saying::line(200, line));
 }
 
-/// Most arrivals in one of the spans that begin at a moment or later.
+/// Largest number of arrivals in a window that begins at `from` or later.
 fn max_in_window(arrivals: &[Instant], from: Instant) -> u32 {
-    let spans = arrivals.iter().filter(|at| **at >= from).map(|begin| {
-        let within = |at: &&Instant| *at >= begin && **at < *begin + WINDOW;
-        arrivals.iter().filter(within).count()
+    let counts = arrivals.iter().filter(|at| **at >= from).map(|start| {
+        let is_in_window = |at: &&Instant| *at >= start && **at < *start + WINDOW;
+        arrivals.iter().filter(is_in_window).count()
     });
-    u32::try_from(spans.max().unwrap_or(0)).expect("a count")
+    u32::try_from(counts.max().unwrap_or(0)).expect("a count")
 }
 
 fn assert_within_limit(arrivals: &[Instant], from: Instant, per_s: f64) {
-    let most = f64::from(max_in_window(arrivals, from));
+    let max = f64::from(max_in_window(arrivals, from));
     let allowed = 1.5 * per_s * WINDOW.as_secs_f64() + SLACK;
-    assert!(most <= allowed, "{most} in a window, allowed {allowed}");
+    assert!(max <= allowed, "{max} in a window, allowed {allowed}");
 }
 
-/// Callers that ask an instance without a pause between, but for a little.
+/// Callers that send requests to instances with only a short pause.
 struct Callers {
-    is_over: Arc<AtomicBool>,
+    should_stop: Arc<AtomicBool>,
     threads: Vec<std::thread::JoinHandle<Vec<u16>>>,
 }
 
 impl Callers {
     fn start(instances: &[Instance], path: &'static str) -> Self {
-        let is_over: Arc<AtomicBool> = Arc::default();
+        let should_stop: Arc<AtomicBool> = Arc::default();
         let threads = instances.iter().enumerate().map(|(number, instance)| {
-            let (address, is_over) = (instance.callers_address(), is_over.clone());
-            std::thread::spawn(move || request_loop(address, path, number, &is_over))
+            let (address, should_stop) = (instance.callers_address(), should_stop.clone());
+            std::thread::spawn(move || request_loop(address, path, number, &should_stop))
         });
         let threads = threads.collect();
-        Self { is_over, threads }
+        Self {
+            should_stop,
+            threads,
+        }
     }
 
-    /// The statuses that they got.
+    /// Ends the callers and returns the statuses that they received.
     fn end(self) -> Vec<u16> {
-        self.is_over.store(true, Ordering::Release);
+        self.should_stop.store(true, Ordering::Release);
         let threads = self.threads.into_iter();
         threads
             .flat_map(|thread| thread.join().expect("callers"))
@@ -75,11 +74,16 @@
     }
 }
 
-fn request_loop(address: SocketAddr, path: &str, caller: usize, is_over: &AtomicBool) -> Vec<u16> {
+fn request_loop(
+    address: SocketAddr,
+    path: &str,
+    caller: usize,
+    should_stop: &AtomicBool,
+) -> Vec<u16> {
     let mut connection = Caller::connect(address);
     let mut statuses = Vec::new();
     for number in 0.. {
-        if is_over.load(Ordering::Acquire) {
+        if should_stop.load(Ordering::Acquire) {
             break;
         }
         let bytes = request("GET", path, &format!("c{caller}-{number}"), "", "");
@@ -102,7 +106,8 @@
     (store, instances.into())
 }
 
-/// Lets a server name a limit while callers ask for long enough that it counts. Returns what they got.
+/// Lets a server advertise a limit while callers send requests, long enough for the limit to take
+/// effect. Returns the statuses that the callers received.
 fn run_with_limit(
     instances: &[Instance],
     server: &SayingServer,
@@ -112,14 +117,14 @@
     let callers = Callers::start(instances, path);
     std::thread::sleep(Duration::from_secs(1));
     advertise_limit(server, Some(per_s));
-    let named_at = Instant::now();
+    let advertised_at = Instant::now();
     std::thread::sleep(PROPAGATION_DELAY + WINDOW + Duration::from_secs(1));
     let statuses = callers.end();
-    assert_within_limit(&server.arrivals(), named_at + PROPAGATION_DELAY, per_s);
+    assert_within_limit(&server.arrivals(), advertised_at + PROPAGATION_DELAY, per_s);
     statuses
 }
 
-/// The others carry what one does not take, and callers notice nothing.
+/// The other servers take over what the limited one does not accept, and callers notice nothing.
 fn limits_one_of_three(path: &'static str) {
     let servers = [
         SayingServer::start(),
@@ -127,11 +132,11 @@
         SayingServer::start(),
     ];
     let (_store, instances) = cluster(&servers);
-    let begun_at = Instant::now();
+    let started_at = Instant::now();
     let statuses = run_with_limit(&instances, &servers[0], path, 1.1);
     assert!(statuses.iter().all(|status| *status == 200));
-    // What it takes it gets, or nobody would hear that it is in need no more.
-    assert!(max_in_window(&servers[0].arrivals(), begun_at + PROPAGATION_DELAY) > 0);
+    // The server gets what it accepts; otherwise nobody would learn that its limit has ended.
+    assert!(max_in_window(&servers[0].arrivals(), started_at + PROPAGATION_DELAY) > 0);
 }
 
 #[test]
@@ -144,12 +149,12 @@
     limits_one_of_three("/pay/");
 }
 
-/// One request through one instance is enough for all of them to know.
+/// One request through one instance is enough to inform all of them.
 #[test]
 fn limit_reaches_all_instances() {
     let servers = [SayingServer::start()];
     let (store, instances) = cluster(&servers);
-    let limited = |instance: &Instance| {
+    let knows_limit = |instance: &Instance| {
         metrics(instance).contains("\npassway_instance_limited_upstreams 1\n")
     };
     let read = |id: &str| {
@@ -159,18 +164,26 @@
     };
     advertise_limit(&servers[0], Some(50.0));
     assert_eq!(read("first"), 200);
-    until("all know", || instances.iter().all(limited));
-    // One that comes later is told when it connects.
+    until("the limit at all instances", || {
+        instances.iter().all(knows_limit)
+    });
+    // A later instance is informed when it connects.
     let later = cluster::start_ready("four", &store);
-    until("it knows", || limited(&later));
+    until("the limit at the later instance", || knows_limit(&later));
     advertise_limit(&servers[0], None);
-    until("it ends", || read("more") == 200 && !limited(&instances[0]));
-    until("all know that", || !instances.iter().any(limited));
-    until("it knows that", || !limited(&later));
+    until("the end of the limit", || {
+        read("more") == 200 && !knows_limit(&instances[0])
+    });
+    until("the end of the limit at all instances", || {
+        !instances.iter().any(knows_limit)
+    });
+    until("the end of the limit at the later instance", || {
+        !knows_limit(&later)
+    });
 }
 
-/// A limit that falls to a tenth counts as it is now, and one that ends is over although others carry
-/// everything meanwhile.
+/// A limit that drops to a tenth applies at once, and its end is noticed although other servers
+/// take all requests meanwhile.
 #[test]
 fn limit_changes_and_ends() {
     let servers = [SayingServer::start(), SayingServer::start()];
@@ -179,19 +192,23 @@
     let callers = Callers::start(&instances, "/read/");
     std::thread::sleep(PROPAGATION_DELAY);
     advertise_limit(&servers[0], Some(2.0));
-    let named_at = Instant::now();
+    let advertised_at = Instant::now();
     std::thread::sleep(PROPAGATION_DELAY + WINDOW + Duration::from_secs(1));
-    assert_within_limit(&servers[0].arrivals(), named_at + PROPAGATION_DELAY, 2.0);
+    assert_within_limit(
+        &servers[0].arrivals(),
+        advertised_at + PROPAGATION_DELAY,
+        2.0,
+    );
     advertise_limit(&servers[0], None);
-    let arrived = servers[0].arrivals().len();
-    until("as much as before", || {
-        servers[0].arrivals().len() > arrived + 100
+    let arrivals_before = servers[0].arrivals().len();
+    until("as many requests as before", || {
+        servers[0].arrivals().len() > arrivals_before + 100
     });
     assert!(callers.end().iter().all(|status| *status == 200));
 }
 
-/// Where nobody else serves, callers are told at once when to come back, each server gets what it takes, and
-/// nothing that it does not take is counted against it.
+/// If all upstreams are limited, callers are refused at once with a `Retry-After`, each server gets
+/// what it accepts, and refused requests do not count against the servers.
 #[test]
 fn all_upstreams_limited() {
     let servers = [SayingServer::start(), SayingServer::start()];
@@ -200,61 +217,61 @@
         advertise_limit(server, Some(3.0));
     }
     let callers = Callers::start(&instances, "/pay/");
-    let named_at = Instant::now();
+    let advertised_at = Instant::now();
     std::thread::sleep(PROPAGATION_DELAY + WINDOW + Duration::from_secs(1));
-    // More at a time than the two take before their waits are over.
+    // More requests at a time than the two servers accept before the waits end.
     let address = instances[0].callers_address();
-    let askers = (0..40).map(|number| {
+    let clients = (0..40).map(|number| {
         let bytes = request("GET", "/pay/", &format!("refused{number}"), "", "");
         std::thread::spawn(move || ask(address, &bytes).expect("an answer"))
     });
-    let askers: Vec<_> = askers.collect();
-    let asked = askers.into_iter().map(|one| one.join().expect("a caller"));
-    let refused = asked.filter(|answer| answer.status == 503);
-    let told: Vec<f64> = refused
+    let clients: Vec<_> = clients.collect();
+    let answers = clients.into_iter().map(|one| one.join().expect("a caller"));
+    let refused = answers.filter(|answer| answer.status == 503);
+    let retry_after_s: Vec<f64> = refused
         .map(|answer| {
             answer
                 .header("retry-after")
                 .and_then(|text| text.parse().ok())
         })
-        .map(|told| told.expect("when to come back"))
+        .map(|value| value.expect("a Retry-After"))
         .collect();
-    assert!(!told.is_empty() && told.iter().all(|time_s| *time_s > 0.0));
+    assert!(!retry_after_s.is_empty() && retry_after_s.iter().all(|time_s| *time_s > 0.0));
     let statuses = callers.end();
     assert!(statuses.iter().all(|status| [200, 503].contains(status)));
     for server in &servers {
-        assert_within_limit(&server.arrivals(), named_at + PROPAGATION_DELAY, 3.0);
-        assert!(max_in_window(&server.arrivals(), named_at + PROPAGATION_DELAY) >= 3);
+        assert_within_limit(&server.arrivals(), advertised_at + PROPAGATION_DELAY, 3.0);
+        assert!(max_in_window(&server.arrivals(), advertised_at + PROPAGATION_DELAY) >= 3);
     }
-    // Both take anything again, and get it.
+    // Both servers accept any number of requests again, and get them.
     for server in &servers {
         advertise_limit(server, None);
     }
-    let arrived = servers.each_ref().map(|server| server.arrivals().len());
+    let arrivals_before = servers.each_ref().map(|server| server.arrivals().len());
     let mut ids = 0..;
-    until("as much as before", || {
+    until("as many requests as before", || {
         let id = format!("again{:?}", ids.next());
         let bytes = request("GET", "/pay/", &id, "", "");
         ask(instances[1].callers_address(), &bytes).expect("an answer");
-        let mut both = servers.iter().zip(arrived);
-        both.all(|(server, arrived)| server.arrivals().len() > arrived + 30)
+        let mut pairs = servers.iter().zip(arrivals_before);
+        pairs.all(|(server, count_before)| server.arrivals().len() > count_before + 30)
     });
 }
 
-/// Streams that break off at one engine go on at the one in need as often as it takes requests.
+/// Streams that break off at one engine resume at the limited one only within its limit.
 #[test]
 fn resumed_streams() {
     let store = cluster::store(&["m0"]);
     let engine = |id| ModelServer::start(&store, id, "engines", 2, &["m0"], &[]);
-    let (needy, breaking) = (engine("i-0"), engine("i-1"));
+    let (limited, breaking) = (engine("i-0"), engine("i-1"));
     let instances = ["one", "two"].map(|name| cluster::start_ready(name, &store));
-    needy.set_faults(Faults {
+    limited.set_faults(Faults {
         limit_per_s: Some(1.0),
         ..Faults::default()
     });
-    let begun_at = Instant::now();
+    let started_at = Instant::now();
     let mut asked = 0;
-    while begun_at.elapsed() < PROPAGATION_DELAY + WINDOW + Duration::from_secs(1) {
+    while started_at.elapsed() < PROPAGATION_DELAY + WINDOW + Duration::from_secs(1) {
         breaking.set_faults(Faults {
             cuts_after: Some(2),
             ..Faults::default()
@@ -263,18 +280,18 @@
         stream(address, "chat", &format!("id{asked}"), "m0");
         asked += 1;
     }
-    assert_within_limit(&needy.run_at(), begun_at + PROPAGATION_DELAY, 1.0);
-    assert!(needy.run_at().len() > 1);
+    assert_within_limit(&limited.run_at(), started_at + PROPAGATION_DELAY, 1.0);
+    assert!(limited.run_at().len() > 1);
 }
 
-/// Nobody counts, and the instance was never told how many there are: the upstream in need gets nothing
-/// more, and callers are refused, not held until their time is over.
+/// Without a coordinator and without a known number of instances, the limited upstream gets nothing
+/// more, and callers are refused instead of waiting until their deadline.
 #[test]
 fn no_coordinator() {
     let servers = [SayingServer::start()];
     let store = cluster::store(&[]);
     list_plain(&store, "i-0", servers[0].address(), "ready");
-    let _silent = Holder::begin(&store);
+    let _silent_holder = Holder::begin(&store);
     let instance = cluster::start_ready("one", &store);
     advertise_limit(&servers[0], Some(1.0));
     let statuses = (0..4).map(|number| {
--- a/tests/all/pass_through.rs
+++ b/tests/all/pass_through.rs
@@ -1,4 +1,4 @@
-//! Requests and answers pass through whole and unchanged, or not at all.
+//! Requests and answers are forwarded completely and unchanged, or not at all.
 
 use crate::cluster::{self, Caller, ask, list_plain, request, until};
 use passway_instance::Instance;
@@ -28,7 +28,7 @@
     format!("HTTP/1.1 503 X\r\nRequest-Id: {id}\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n")
 }
 
-/// An instance before servers of scripted bytes.
+/// An instance before servers that answer with scripted bytes.
 fn start(servers: &[&RawServer]) -> (MetadataStandIn, Instance) {
     let store = cluster::store(&[]);
     for (number, server) in servers.iter().enumerate() {
@@ -46,8 +46,14 @@
 fn byte_for_byte() {
     let server = answering();
     let (_store, instance) = start(&[&server]);
-    let more = "X-One: a  b\r\nX-Two: 1\r\nX-Two: 2\r\nCookie: k=v\r\n";
-    let bytes = request("PUT", "/read/a%20b/../c?q=%41&&r", "id1", more, "b\0dy");
+    let more_headers = "X-One: a  b\r\nX-Two: 1\r\nX-Two: 2\r\nCookie: k=v\r\n";
+    let bytes = request(
+        "PUT",
+        "/read/a%20b/../c?q=%41&&r",
+        "id1",
+        more_headers,
+        "b\0dy",
+    );
     let answer = ask(instance.callers_address(), &bytes).expect("an answer");
     assert_eq!(
         (answer.status, &*answer.body, answer.whole),
@@ -66,21 +72,21 @@
     );
     assert_eq!(received.head.matches("Host:").count(), 1);
     assert_eq!(received.header("expect-instance"), Some("i-0"));
-    let left: u64 = received
+    let remaining_ms: u64 = received
         .header("deadline-ms")
-        .and_then(|t| t.parse().ok())
-        .expect("time");
-    assert!(left <= 8_000);
+        .and_then(|text| text.parse().ok())
+        .expect("a deadline");
+    assert!(remaining_ms <= 8_000);
 }
 
 #[test]
 fn internal_headers_dropped() {
     let server = answering();
     let (_store, instance) = start(&[&server]);
-    let forged = "Hold: 1\r\nPin-Ms: 9\r\nKv-Backup: 1\r\nkv-from: 2\r\nExpect-Instance: x\r\nConnection: X-Gone\r\nX-Gone: 1\r\n";
+    let forged_headers = "Hold: 1\r\nPin-Ms: 9\r\nKv-Backup: 1\r\nkv-from: 2\r\nExpect-Instance: x\r\nConnection: X-Gone\r\nX-Gone: 1\r\n";
     ask(
         instance.callers_address(),
-        &request("GET", "/read/", "id1", forged, ""),
+        &request("GET", "/read/", "id1", forged_headers, ""),
     );
     let received = server.received().remove(0);
     for name in [
@@ -174,7 +180,7 @@
         instance.callers_address(),
         &request("POST", "/pay/", "p", "", ""),
     );
-    // It may have run: neither a success nor "not run".
+    // The request may have run, so the answer is neither a success nor "not run".
     assert_eq!(answer.map(|answer| answer.status), Some(502));
     assert_eq!(server.received().len(), 1);
 }
@@ -210,8 +216,8 @@
 #[test]
 fn surplus_answer_not_delivered() {
     let server = RawServer::start(|received| {
-        let surplus = "HTTP/1.1 200 OK\r\nRequest-Id: x\r\nResponse-Seal: x\r\nContent-Length: 5\r\n\r\nwrong";
-        vec![send(whole(received, "mine") + surplus)]
+        let surplus_answer = "HTTP/1.1 200 OK\r\nRequest-Id: x\r\nResponse-Seal: x\r\nContent-Length: 5\r\n\r\nwrong";
+        vec![send(whole(received, "mine") + surplus_answer)]
     });
     let (_store, instance) = start(&[&server]);
     for number in 0..6 {
@@ -226,8 +232,8 @@
 #[test]
 fn late_answer_skipped() {
     let server = RawServer::start(|received| {
-        let late = "HTTP/1.1 200 OK\r\nRequest-Id: old\r\nResponse-Seal: s\r\nContent-Length: 3\r\n\r\nold";
-        vec![send(late.to_owned() + &whole(received, "mine"))]
+        let late_answer = "HTTP/1.1 200 OK\r\nRequest-Id: old\r\nResponse-Seal: s\r\nContent-Length: 3\r\n\r\nold";
+        vec![send(late_answer.to_owned() + &whole(received, "mine"))]
     });
     let (_store, instance) = start(&[&server]);
     let answer = ask(
@@ -241,7 +247,8 @@
 
 #[test]
 fn answered_early() {
-    // It rejects a long request before reading it; the rest must not meet another request.
+    // The server answers a long request before reading it. The unread rest must not be taken for
+    // another request.
     let server = RawServer::start(|received| {
         let id = id_of(received);
         vec![send(format!(
@@ -260,22 +267,24 @@
 
 #[test]
 fn not_run_tried_elsewhere() {
-    let full = RawServer::start(|received| vec![send(not_run(received))]);
-    let fine = answering();
-    let (_store, instance) = start(&[&full, &fine]);
+    let full_server = RawServer::start(|received| vec![send(not_run(received))]);
+    let working_server = answering();
+    let (_store, instance) = start(&[&full_server, &working_server]);
     for number in 0..4 {
-        until("a repeat to spend", || instance.has_spare_retry("plain"));
+        until("a retry in the budget", || {
+            instance.has_spare_retry("plain")
+        });
         let bytes = request("POST", "/pay/", &format!("id{number}"), "", "");
         let answer = ask(instance.callers_address(), &bytes);
         assert_eq!(answer.map(|answer| answer.status), Some(200));
     }
-    assert_eq!(fine.received().len(), 4);
+    assert_eq!(working_server.received().len(), 4);
 }
 
 #[test]
 fn refusal_has_retry_after() {
-    let full = RawServer::start(|received| vec![send(not_run(received))]);
-    let (_store, instance) = start(&[&full]);
+    let full_server = RawServer::start(|received| vec![send(not_run(received))]);
+    let (_store, instance) = start(&[&full_server]);
     let answer = ask(
         instance.callers_address(),
         &request("POST", "/pay/", "p", "", ""),
@@ -288,8 +297,8 @@
 
 #[test]
 fn run_once_not_repeated() {
-    let breaks = || RawServer::start(|_| vec![Step::Close]);
-    let (one, two) = (breaks(), breaks());
+    let closing_server = || RawServer::start(|_| vec![Step::Close]);
+    let (one, two) = (closing_server(), closing_server());
     let (_store, instance) = start(&[&one, &two]);
     let answer = ask(
         instance.callers_address(),
@@ -301,11 +310,13 @@
 
 #[test]
 fn repeatable_is_repeated() {
-    let breaks = RawServer::start(|_| vec![Step::Close]);
-    let fine = answering();
-    let (_store, instance) = start(&[&breaks, &fine]);
+    let closing_server = RawServer::start(|_| vec![Step::Close]);
+    let working_server = answering();
+    let (_store, instance) = start(&[&closing_server, &working_server]);
     for number in 0..4 {
-        until("a repeat to spend", || instance.has_spare_retry("plain"));
+        until("a retry in the budget", || {
+            instance.has_spare_retry("plain")
+        });
         let bytes = request("GET", "/read/", &format!("id{number}"), "", "");
         let answer = ask(instance.callers_address(), &bytes);
         assert_eq!(answer.map(|answer| answer.status), Some(200));
@@ -361,34 +372,34 @@
     let (release, released) = crossbeam::channel::bounded::<()>(0);
     let server = RawServer::start(move |received| {
         if id_of(received) == "p" {
-            // Answered when the test lets go of its end.
+            // Returns when the test drops its end of the channel.
             let _ = released.recv();
         }
         vec![send(whole(received, "done"))]
     });
     let (_store, instance) = start(&[&server]);
     let address = instance.callers_address();
-    let mut kept = Caller::connect(address);
-    let mut resting = Caller::connect(address);
+    let mut reused = Caller::connect(address);
+    let mut idle = Caller::connect(address);
     let slow = std::thread::spawn(move || ask(address, &request("POST", "/pay/", "p", "", "x")));
     until("the request", || server.received().len() == 1);
     std::thread::scope(|scope| {
         let stopping = scope.spawn(|| instance.stop());
         until("the stop", || !instance.is_ready());
-        // New requests are served until the balancer has had time to turn away.
-        let mut passed_on = 1;
+        // New requests are served until the balancer has had time to notice the stop.
+        let mut forwarded = 1;
         until("the refusal of new requests", || {
             let answer = ask(address, &request("POST", "/pay/", "new", "", "x"));
             let status = answer.expect("an answer").status;
-            passed_on += usize::from(status == 200);
+            forwarded += usize::from(status == 200);
             status == 503
         });
-        // A connection from before brings a request that could not end in time.
-        kept.send(&request("POST", "/pay/", "late", "", "x"));
-        let late = kept.receive().expect("an answer");
+        // On an old connection comes a request that could not end in time.
+        reused.send(&request("POST", "/pay/", "late", "", "x"));
+        let late = reused.receive().expect("an answer");
         assert_eq!(late.status, 503);
         assert_eq!(late.header("connection"), Some("close"));
-        assert_eq!(server.received().len(), passed_on);
+        assert_eq!(server.received().len(), forwarded);
         drop(release);
         let answer = slow.join().expect("a caller").expect("an answer");
         assert_eq!((answer.status, &*answer.body), (200, "done"));
@@ -396,7 +407,7 @@
     });
     assert_eq!(instance.in_progress(), 0);
     assert!(matches!(
-        std::io::Read::read(&mut resting.stream, &mut [0; 1]),
+        std::io::Read::read(&mut idle.stream, &mut [0; 1]),
         Ok(0)
     ));
 }
@@ -413,14 +424,14 @@
     let mut caller = Caller::connect(instance.callers_address());
     let head = "Host: shop.example\r\nRequest-Id: u\r\nModel: m0\r\nContent-Length: 0\r\n";
     caller.send(format!("POST /report/ HTTP/1.0\r\n{head}\r\n").as_bytes());
-    // Without chunks a body that ends with its connection is complete unless it is reset.
+    // Without chunks, a body that ends with its connection counts as complete unless it is reset.
     let rest = std::io::Read::read_to_end(&mut caller.stream, &mut Vec::new());
-    assert!(rest.is_err(), "looks complete: {rest:?}");
+    assert!(rest.is_err(), "the answer looks complete: {rest:?}");
 }
 
 #[test]
 fn abandoned_request_reset() {
-    // A reset takes back what has not arrived; a plain close would send it on.
+    // A reset discards unacknowledged data; a plain close would still send it.
     let listener = std::net::TcpListener::bind(("127.0.0.1", 0)).expect("binding");
     let store = cluster::store(&[]);
     let address = listener.local_addr().expect("an address");
@@ -428,10 +439,10 @@
     let instance = cluster::start_ready("one", &store);
     let mut caller = Caller::connect(instance.callers_address());
     caller.send(&request("POST", "/pay/", "p", "", "x"));
-    let (mut late, _) = listener.accept().expect("a connection");
+    let (mut abandoned, _) = listener.accept().expect("a connection");
     drop(caller);
     until("the end of the request", || instance.in_progress() == 0);
-    let rest = std::io::Read::read_to_end(&mut late, &mut Vec::new());
+    let rest = std::io::Read::read_to_end(&mut abandoned, &mut Vec::new());
     assert!(rest.is_err(), "closed without a reset: {rest:?}");
 }
 
@@ -439,20 +450,21 @@
 fn missing_headers() {
     let server = answering();
     let (_store, instance) = start(&[&server]);
-    // No host: no route can be found, and nothing is held afterwards.
+    // Without a host there is no route, and nothing stays reserved afterwards.
     let bytes = b"GET /read/ HTTP/1.1\r\nRequest-Id: n\r\n\r\n";
     let answer = ask(instance.callers_address(), bytes);
     assert_eq!(answer.map(|answer| answer.status), Some(400));
     assert_eq!(server.received(), []);
-    // No id and no time: the route's own time holds, and the server judges the rest.
+    // Without an id and a deadline, the route's timeout applies, and the server decides about the
+    // rest.
     let bytes = format!("GET /read/ HTTP/1.1\r\nHost: {HOST}\r\n\r\n");
     ask(instance.callers_address(), bytes.as_bytes());
     let received = server.received().remove(0);
     assert_eq!(received.header("request-id"), None);
-    let left: u64 = received
+    let remaining_ms: u64 = received
         .header("deadline-ms")
-        .and_then(|t| t.parse().ok())
-        .expect("time");
-    assert!(left <= 10_000);
+        .and_then(|text| text.parse().ok())
+        .expect("a deadline");
+    assert!(remaining_ms <= 10_000);
     until("the end of the request", || instance.in_progress() == 0);
 }
--- a/tests/all/resting_upstreams.rs
+++ b/tests/all/resting_upstreams.rs
@@ -1,4 +1,5 @@
-//! Upstreams that turn an instance away and ask it for rest get nothing from it meanwhile.
+//! Upstreams that refuse a request and ask the instance to back off get nothing from this instance during the
+//! backoff.
 
 use crate::cluster::{self, Answer, ask, list_plain, request, stream, until};
 use crate::saying::{Saying, SayingServer};
@@ -8,16 +9,16 @@
 use passway_standins::platform::store::MetadataStandIn;
 use passway_types::prelude::*;
 
-fn rests(time_s: f64) -> Saying {
-    Saying::line(503, format!("Retry-After: {time_s}"))
+fn backoff_signal(seconds: f64) -> Saying {
+    Saying::line(503, format!("Retry-After: {seconds}"))
 }
 
-const IDLE_DURATION: Duration = Duration::from_secs(2);
-/// What is on its way when an upstream asks for rest.
-const ON_ITS_WAY: Duration = Duration::from_millis(500);
+const BACKOFF: Duration = Duration::from_secs(2);
+/// Time for requests that are in flight when an upstream asks for a backoff.
+const IN_FLIGHT_ALLOWANCE: Duration = Duration::from_millis(500);
 
-/// One request reached an engine three and four times, 100 ms apart, although its first answer had asked for
-/// seconds of rest; another request did the same.
+/// Guards against offers during a backoff: a request reached an engine three and four times, 100 ms
+/// apart, although the engine's first answer had asked for a backoff of seconds.
 #[test]
 fn nothing_within_rest() {
     for path in ["/read/", "/pay/"] {
@@ -25,7 +26,7 @@
         let store = cluster::store(&[]);
         list_plain(&store, "i-0", server.address(), "ready");
         let instance = cluster::start_ready("one", &store);
-        server.says(rests(IDLE_DURATION.as_secs_f64()));
+        server.says(backoff_signal(BACKOFF.as_secs_f64()));
         let address = instance.callers_address();
         let callers = (0..6).map(|number| {
             std::thread::spawn(move || {
@@ -44,9 +45,9 @@
             assert!([200, 503].contains(&status));
         }
         let arrivals = server.arrivals();
-        let rest = arrivals[0] + ON_ITS_WAY..arrivals[0] + IDLE_DURATION;
-        let within = arrivals.iter().filter(|at| rest.contains(at)).count();
-        assert_eq!(within, 0, "{path}");
+        let backoff = arrivals[0] + IN_FLIGHT_ALLOWANCE..arrivals[0] + BACKOFF;
+        let arrivals_within = arrivals.iter().filter(|at| backoff.contains(at)).count();
+        assert_eq!(arrivals_within, 0, "{path}");
     }
 }
 
@@ -60,7 +61,7 @@
     (store, instance)
 }
 
-/// An instance whose requests may be offered again as often as they like.
+/// An instance with a practically unlimited retry budget.
 fn start(store: &MetadataStandIn) -> Instance {
     let mut settings = cluster::settings("one", store.serve());
     settings.bounds.retry.ratio = 100.0;
@@ -74,29 +75,29 @@
     ask(instance.callers_address(), &bytes).expect("an answer")
 }
 
-/// Nobody else serves and the rest ends after all patience: the caller hears at once when it does, not after
-/// offers to who wants none.
+/// Without another upstream and with a backoff longer than the request may wait, the caller is
+/// refused at once with a `Retry-After`, without attempts at the upstream.
 #[test]
 fn refused_at_once() {
     let server = SayingServer::start();
     let (_store, instance) = start_with_servers(&[&server]);
-    server.says(rests(30.0));
+    server.says(backoff_signal(30.0));
     for number in 0..5 {
         let answer = get(&instance, &format!("id{number}"));
         assert_eq!(answer.status, 503);
-        let told_s = answer.header("retry-after").map(str::parse::<f64>);
-        let told_s = told_s.expect("when to come back").expect("seconds");
-        assert!((20.0..=30.6).contains(&told_s), "{told_s}");
+        let retry_after_s = answer.header("retry-after").map(str::parse::<f64>);
+        let retry_after_s = retry_after_s.expect("a Retry-After").expect("seconds");
+        assert!((20.0..=30.6).contains(&retry_after_s), "{retry_after_s}");
     }
     assert_eq!(server.count(), 1);
 }
 
-/// The rest ends while the caller waits, and then it is served.
+/// If the backoff ends while the caller waits, the request is served.
 #[test]
-fn served_after_rest() {
+fn served_after_backoff() {
     let server = SayingServer::start();
     let (_store, instance) = start_with_servers(&[&server]);
-    server.says(rests(0.6));
+    server.says(backoff_signal(0.6));
     let address = instance.callers_address();
     let waiting = std::thread::spawn(move || {
         let bytes = request("GET", "/read/", "first", "", "");
@@ -110,53 +111,53 @@
     assert_eq!(arrivals.len(), 2);
 }
 
-/// Others carry what one does not want, which is not taken for a failing one: it gets its part again once
-/// its rest is over.
+/// Other upstreams serve the requests meanwhile. The backoff does not count as a failure:
+/// afterwards the upstream gets its share again.
 #[test]
-fn others_carry() {
-    let (resting, other) = (SayingServer::start(), SayingServer::start());
-    let (_store, instance) = start_with_servers(&[&resting, &other]);
-    resting.says(rests(IDLE_DURATION.as_secs_f64()));
-    let begun_at = Instant::now();
+fn others_take_over() {
+    let (backing_off, other) = (SayingServer::start(), SayingServer::start());
+    let (_store, instance) = start_with_servers(&[&backing_off, &other]);
+    backing_off.says(backoff_signal(BACKOFF.as_secs_f64()));
+    let started_at = Instant::now();
     let mut ids = 0..;
     until("the refusal", || {
         let id = format!("id{:?}", ids.next());
         assert_eq!(get(&instance, &id).status, 200);
-        resting.count() == 1
+        backing_off.count() == 1
     });
-    resting.says(Saying::nothing());
-    while begun_at.elapsed() < IDLE_DURATION.saturating_sub(ON_ITS_WAY) {
+    backing_off.says(Saying::nothing());
+    while started_at.elapsed() < BACKOFF.saturating_sub(IN_FLIGHT_ALLOWANCE) {
         let id = format!("id{:?}", ids.next());
         assert_eq!(get(&instance, &id).status, 200);
     }
-    assert_eq!(resting.count(), 1);
-    until("its part", || {
+    assert_eq!(backing_off.count(), 1);
+    until("the upstream's share of requests", || {
         let id = format!("id{:?}", ids.next());
         assert_eq!(get(&instance, &id).status, 200);
-        resting.count() > 20
+        backing_off.count() > 20
     });
 }
 
-/// The last of several rests counts, a shorter one that is told later ends none, and what was sent before a
-/// rest says nothing of its end.
+/// Of several backoffs the longest applies. A shorter one received later does not end it, and
+/// neither does an answer to a request sent before the backoff.
 #[test]
-fn longest_rest_counts() {
-    let begun_at = passway_types::clock::now();
-    let at = |ms| begun_at + Duration::from_millis(ms);
-    let mut table = table(begun_at);
-    let wants = |table: &mut UpstreamTable, ms| table.let_through("i-0", 0, at(ms));
+fn longest_backoff_applies() {
+    let started_at = passway_types::clock::now();
+    let at = |ms| started_at + Duration::from_millis(ms);
+    let mut table = table(started_at);
+    let is_admitted = |table: &mut UpstreamTable, ms| table.let_through("i-0", 0, at(ms));
     table.note_rest(&"i-0".into(), at(3_000));
     table.note_rest(&"i-0".into(), at(1_000));
     table.note_no_rest("i-0", at(2_999));
-    assert!(!wants(&mut table, 2_999));
-    // Then one at a time, until an answer shows that it takes them again.
-    assert!(wants(&mut table, 3_000));
-    assert!(!wants(&mut table, 3_001));
-    assert!(!wants(&mut table, 3_249));
-    assert!(wants(&mut table, 3_250));
+    assert!(!is_admitted(&mut table, 2_999));
+    // Afterwards one request at a time, until an answer shows that the upstream accepts requests.
+    assert!(is_admitted(&mut table, 3_000));
+    assert!(!is_admitted(&mut table, 3_001));
+    assert!(!is_admitted(&mut table, 3_249));
+    assert!(is_admitted(&mut table, 3_250));
     table.note_no_rest("i-0", at(3_250));
-    assert!(wants(&mut table, 3_251) && wants(&mut table, 3_251));
-    // It belongs to a start.
+    assert!(is_admitted(&mut table, 3_251) && is_admitted(&mut table, 3_251));
+    // A backoff belongs to one start of the upstream.
     table.note_rest(&"i-0".into(), at(9_000));
     table.update(plain("i-0", 5), at(3_300));
     assert!(table.let_through("i-0", 5, at(3_300)));
@@ -175,13 +176,13 @@
     table
 }
 
-/// Ten requests have waited for the end of a rest, and the upstream asks for another one: they do not all
-/// arrive to hear it.
+/// Ten requests wait for the end of a backoff, and the upstream asks for another one: only one
+/// request reaches it.
 #[test]
-fn one_at_a_time_after_rest() {
+fn one_at_a_time_after_backoff() {
     let server = SayingServer::start();
     let (_store, instance) = start_with_servers(&[&server]);
-    server.says(rests(0.7));
+    server.says(backoff_signal(0.7));
     let address = instance.callers_address();
     let callers = (0..10).map(|number| {
         std::thread::spawn(move || {
@@ -190,7 +191,7 @@
         })
     });
     let callers: Vec<_> = callers.collect();
-    until("the second rest", || {
+    until("the second backoff", || {
         let arrivals = server.arrivals();
         arrivals
             .last()
@@ -198,43 +199,54 @@
     });
     std::thread::sleep(Duration::from_millis(100));
     let arrivals = server.arrivals();
-    let back = arrivals[0] + Duration::from_millis(700);
-    assert_eq!(arrivals.iter().filter(|at| **at >= back).count(), 1);
+    let backoff_end = arrivals[0] + Duration::from_millis(700);
+    assert_eq!(arrivals.iter().filter(|at| **at >= backoff_end).count(), 1);
     server.says(Saying::nothing());
     for caller in callers {
         assert_eq!(caller.join().expect("a caller"), 200);
     }
 }
 
-/// An engine wants nothing, no order and no question either, from an instance that it has turned away.
+/// An engine gets neither orders nor queries from an instance that it asked to back off.
 #[test]
 fn no_orders_within_rest() {
     let store = cluster::store(&["m0", "m1", "m2"]);
     let engine = ModelServer::start(&store, "i-0", "engines", 2, &["m0"], &["m1", "m2"]);
     let instance = start(&store);
-    until("the right to order", || instance.fence().is_some());
-    until("the first question", || !engine.asked_at().is_empty());
-    let rest = Duration::from_millis(900);
+    until("the leadership", || instance.fence().is_some());
+    until("the first query", || !engine.asked_at().is_empty());
+    let backoff = Duration::from_millis(900);
     engine.set_faults(Faults {
-        rest_s: Some(rest.as_secs_f64()),
+        rest_s: Some(backoff.as_secs_f64()),
         ..Faults::default()
     });
     let address = instance.callers_address();
-    let ask_for = |model: &'static str| {
+    let request_model = |model: &'static str| {
         std::thread::spawn(move || stream(address, "chat", model, model).status)
     };
-    let first = ask_for("m0");
+    let first = request_model("m0");
     until("the refusal", || !engine.arrivals().is_empty());
     engine.set_faults(Faults::default());
-    let turned_away_at = engine.arrivals()[0].at;
-    let others = [ask_for("m1"), ask_for("m2")];
+    let refused_at = engine.arrivals()[0].at;
+    let others = [request_model("m1"), request_model("m2")];
     assert_eq!(first.join().expect("a caller"), 200);
     for other in others {
         assert_eq!(other.join().expect("a caller"), 200);
     }
-    let on_its_way = Duration::from_millis(100);
-    let within = |at: &Instant| *at > turned_away_at + on_its_way && *at < turned_away_at + rest;
-    let asked = engine.asked_at();
-    assert_eq!(asked.iter().filter(|at| within(at)).count(), 0);
-    assert_eq!(engine.run_at().iter().filter(|at| within(at)).count(), 0);
+    let in_flight_allowance = Duration::from_millis(100);
+    let is_within_backoff =
+        |at: &Instant| *at > refused_at + in_flight_allowance && *at < refused_at + backoff;
+    let queried_at = engine.asked_at();
+    assert_eq!(
+        queried_at.iter().filter(|at| is_within_backoff(at)).count(),
+        0
+    );
+    assert_eq!(
+        engine
+            .run_at()
+            .iter()
+            .filter(|at| is_within_backoff(at))
+            .count(),
+        0
+    );
 }
--- a/tests/all/retry_terms.rs
+++ b/tests/all/retry_terms.rs
@@ -1,14 +1,15 @@
-//! Repeats while the right to order is lost and taken again all the time.
+//! The retry budget while the leadership is lost and gained again all the time.
 
 use crate::cluster::{self, PATIENCE};
 use passway_serving::retry::InstanceCount;
 use passway_standins::platform::store::{Faults, MetadataStandIn};
 use passway_types::prelude::*;
 
-/// Longer than the lease of the tests' instances, and short of what a term needs to know how many instances there are.
+/// Longer than the lease of the tests' instances, and shorter than a term needs to learn the number
+/// of instances.
 const HALF_PERIOD: Duration = Duration::from_millis(1_300);
 
-/// Has the store refuse all calls, or answer them again.
+/// Makes the store refuse all calls, or answer them again.
 fn set_store_refusing(store: &MetadataStandIn, refuses: bool) {
     store.set_faults(Faults {
         refuses: refuses.then_some(503),
@@ -16,8 +17,8 @@
     });
 }
 
-/// No request was repeated for as long as terms were shorter than three seconds: each counted the instances from the
-/// beginning, and none ever said how many share the allowance.
+/// Guards against a retry budget that stays empty while terms are shorter than three seconds: each
+/// term counted the instances from the beginning and never announced how many share the allowance.
 #[test]
 fn short_terms_count_together() {
     let store = cluster::store(&["m0"]);
@@ -32,11 +33,11 @@
             }
             std::thread::sleep(Duration::from_millis(10));
         }
-        assert!(Instant::now() < limit_at, "no repeat to spend");
+        assert!(Instant::now() < limit_at, "no retry in the budget");
     }
 }
 
-/// Whoever shares with those that have not come back yet must not be told that it shares with few.
+/// While some instances have not reconnected yet, the announced number of instances must not drop.
 #[test]
 fn previous_count_kept_until_reconnect() {
     let now = Instant::now();
--- a/tests/all/scrape.rs
+++ b/tests/all/scrape.rs
@@ -1,12 +1,12 @@
-//! Metrics of an instance.
+//! Scraping an instance's metrics.
 
 use crate::cluster::ask;
 use passway_instance::Instance;
 
-/// An instance's metrics, as they are scraped.
+/// The text of an instance's metrics.
 pub fn metrics(instance: &Instance) -> String {
-    let question = b"GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-    let answer = ask(instance.ready_address(), question).expect("metrics");
+    let request = b"GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
+    let answer = ask(instance.ready_address(), request).expect("metrics");
     assert_eq!(answer.status, 200);
     answer.body
 }
--- a/tests/all/silent_connections.rs
+++ b/tests/all/silent_connections.rs
@@ -1,4 +1,4 @@
-//! Open connections fall silent for good while new ones work: nothing tells but time.
+//! Open connections stop answering for good while new ones work; only a timeout can detect that.
 
 use passway_serving::ports::SharedStore;
 use passway_types::prelude::*;
@@ -9,16 +9,16 @@
 use std::sync::Barrier;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Calls that are under way at one time, each on a connection of its own.
+/// Number of calls in flight at one time, each on its own connection.
 const CONCURRENT_CALLS: usize = 3;
-/// Longest time that a link may take to notice that its peer is silent, in milliseconds.
+/// Longest time in which a link must notice that its peer is silent, in milliseconds.
 const MAX_SILENCE_MS: u32 = 2_000;
 
-/// Whether the connection has brought a request, read to its end.
+/// Reads one request; false if the connection ends before.
 fn read_request(stream: &mut TcpStream) -> bool {
     let mut bytes = Vec::new();
     let mut chunk = [0; 1_024];
-    while !bytes.windows(4).any(|four| four == b"\r\n\r\n") {
+    while !bytes.windows(4).any(|bytes| bytes == b"\r\n\r\n") {
         match stream.read(&mut chunk) {
             Ok(count) if count > 0 => bytes.extend_from_slice(&chunk[..count]),
             _ => return false,
@@ -27,27 +27,27 @@
     true
 }
 
-/// A store that grants every renewal. The first connections answer together; once they are
-/// told to, they say nothing more and stay open.
-fn store(old_are_silent: &Arc<AtomicBool>) -> SocketAddr {
+/// A store that grants every renewal. The first connections answer together. Once `old_are_silent`
+/// is set, they answer no more and stay open.
+fn store(first_group_is_silent: &Arc<AtomicBool>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
     let address = listener.local_addr().expect("address");
-    let old_are_silent = old_are_silent.clone();
-    let together = Arc::new(Barrier::new(CONCURRENT_CALLS));
+    let first_group_is_silent = first_group_is_silent.clone();
+    let barrier = Arc::new(Barrier::new(CONCURRENT_CALLS));
     std::thread::spawn(move || {
         for (number, stream) in listener.incoming().enumerate() {
             let mut stream = stream.expect("a connection");
-            let old_are_silent = old_are_silent.clone();
-            let together = together.clone();
+            let first_group_is_silent = first_group_is_silent.clone();
+            let barrier = barrier.clone();
             std::thread::spawn(move || {
-                let is_old = number < CONCURRENT_CALLS;
-                let mut is_first = is_old;
+                let is_first_group = number < CONCURRENT_CALLS;
+                let mut is_first = is_first_group;
                 while read_request(&mut stream) {
-                    if is_old && old_are_silent.load(Ordering::Acquire) {
+                    if is_first_group && first_group_is_silent.load(Ordering::Acquire) {
                         continue;
                     }
                     if std::mem::take(&mut is_first) {
-                        together.wait();
+                        barrier.wait();
                     }
                     let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}";
                     if stream.write_all(answer).is_err() {
@@ -62,16 +62,19 @@
 
 #[test]
 fn silence_costs_one_store_call() {
-    let old_are_silent = Arc::new(AtomicBool::new(false));
-    let store = MetadataStore::new(store(&old_are_silent));
+    let first_group_is_silent = Arc::new(AtomicBool::new(false));
+    let store = MetadataStore::new(store(&first_group_is_silent));
     std::thread::scope(|scope| {
         for _ in 0..CONCURRENT_CALLS {
             scope.spawn(|| assert_eq!(store.renew_lease(1), Ok(true)));
         }
     });
-    old_are_silent.store(true, Ordering::Release);
-    assert!(store.renew_lease(1).is_err(), "a connection that is silent");
-    // The others are as old: a lease is lost before each has been tried.
+    first_group_is_silent.store(true, Ordering::Release);
+    assert!(
+        store.renew_lease(1).is_err(),
+        "the renewal on a silent connection"
+    );
+    // The other connections are as old. If each of them had to fail first, the lease would be lost.
     assert_eq!(store.renew_lease(1), Ok(true));
 }
 
--- a/tests/all/slow_readers.rs
+++ b/tests/all/slow_readers.rs
@@ -1,5 +1,5 @@
-//! Callers that do not read their answers and do not send their bodies hold little, end with a cause, and cost nobody else
-//! anything.
+//! Callers that do not read their answers or do not finish their bodies use little memory, end with
+//! a logged cause, and do not affect other callers.
 
 use crate::cluster::{self, ask, request, until};
 use crate::followed::shared;
@@ -14,12 +14,12 @@
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 
-/// Half-read answers, and half-sent bodies.
+/// Number of half-read answers, and of half-sent bodies.
 const SLOW_CALLERS: usize = 400;
-/// Far more than the buffers of a connection take whose caller has little room.
+/// Far more than the socket buffers hold when the caller's receive buffer is small.
 const EVENTS: usize = 300;
 const EVENT_BYTES: usize = 4 << 10;
-/// Room for what a caller has not read.
+/// Receive buffer of a caller.
 const RECEIVE_BUFFER_BYTES: usize = 4 << 10;
 
 /// An engine whose streams have more than a megabyte.
@@ -36,7 +36,7 @@
     })
 }
 
-/// Sends on a connection that has little room for what comes back.
+/// Sends on a connection with a small receive buffer.
 fn send(address: SocketAddr, bytes: &[u8]) -> TcpStream {
     let socket = socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket");
     set_socket_recv_buffer_size(&socket, RECEIVE_BUFFER_BYTES).expect("a size");
@@ -46,20 +46,21 @@
     stream
 }
 
-/// A stream whose caller did not read held its engine until the request's time was over.
+/// Guards against streams that hold their engine until the deadline because the caller does not
+/// read.
 #[test]
 fn other_callers_served() {
     let (engine, server) = (engine(), cluster::plain_server());
     let store = cluster::store(&["m0"]);
-    let mut listed = plain_entry(engine.address);
-    listed["service"] = json!("engines");
-    listed["slots"] = json!(1_000);
-    listed["models"] = json!([{"name": "m0", "version": 1, "adapters": []}]);
-    store.put("servers/i-e", &listed);
+    let mut entry = plain_entry(engine.address);
+    entry["service"] = json!("engines");
+    entry["slots"] = json!(1_000);
+    entry["models"] = json!([{"name": "m0", "version": 1, "adapters": []}]);
+    store.put("servers/i-e", &entry);
     cluster::list_plain(&store, "i-0", server.address, "ready");
     let instance = cluster::start_ready("one", &store);
     let address = instance.callers_address();
-    let unread: Vec<_> = (0..SLOW_CALLERS)
+    let unread_streams: Vec<_> = (0..SLOW_CALLERS)
         .map(|number| {
             let bytes = request(
                 "POST",
@@ -74,27 +75,31 @@
     let half = format!(
         "POST /pay/ HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: half\r\nContent-Length: 60000\r\n\r\nhalf"
     );
-    let half_sent: Vec<_> = (0..SLOW_CALLERS)
+    let half_sent_bodies: Vec<_> = (0..SLOW_CALLERS)
         .map(|_| send(address, half.as_bytes()))
         .collect();
     for number in 0..60 {
         let bytes = request("GET", "/read/", &format!("p{number}"), "", "");
         assert_eq!(ask(address, &bytes).expect("an answer").status, 200);
     }
-    until("the engine's streams are let go", || {
+    until("the end of the engine's streams", || {
         engine.ended().len() >= SLOW_CALLERS
             && metrics(&instance).contains("not taken by its caller")
     });
-    drop((unread, half_sent));
+    drop((unread_streams, half_sent_bodies));
 }
 
-/// Answers have room of their own, beside bodies that wait for them.
+/// Answers have their own bound, because the requests that hold bodies wait for answers.
 #[test]
 fn answers_are_bounded() {
     let shared = shared();
-    let bodies = shared.reserve_body(MAX_RESERVED_BYTES).expect("room");
-    let most = MAX_RESERVED_BYTES >> 20;
-    let answers: Vec<_> = (0..most).map(|_| shared.reserve_answer(1 << 20)).collect();
+    let bodies = shared
+        .reserve_body(MAX_RESERVED_BYTES)
+        .expect("a reservation");
+    let max_count = MAX_RESERVED_BYTES >> 20;
+    let answers: Vec<_> = (0..max_count)
+        .map(|_| shared.reserve_answer(1 << 20))
+        .collect();
     assert!(answers.iter().all(Option::is_some));
     assert!(shared.reserve_answer(1 << 20).is_none());
     drop((bodies, answers));
--- a/tests/all/unbounded_input.rs
+++ b/tests/all/unbounded_input.rs
@@ -1,15 +1,15 @@
-//! Input that does not end is bounded: lines of chunks and trailers of a request's body, refused
-//! by an answer, and an event of an upstream's stream, which breaks the attempt.
+//! Input without an end is bounded: the chunk lines and trailers of a request's body, which are
+//! refused with an answer, and an event of an upstream's stream, which fails the attempt.
 
 use crate::cluster::{self, Answer, Caller, list_plain, plain_server};
 use passway_instance::events::EventSplitter;
 use passway_standins::platform::caller::HOST;
 
-/// More than any line of a chunked body may have, and little enough to be read whole before
-/// the answer comes, so that the connection is not reset.
+/// More than any line of a chunked body may have, but short enough to be read completely before the
+/// answer, so that the connection is not reset.
 const LONG_BYTES: usize = 20 << 10;
 
-/// The answer to a chunked body that goes on until its bytes end.
+/// The answer to a chunked body that is sent without an end.
 fn answer_to(body: &[u8]) -> Option<Answer> {
     let store = cluster::store(&[]);
     let server = plain_server();
@@ -36,7 +36,7 @@
 #[test]
 fn long_trailer() {
     let mut body = b"2\r\nhi\r\n0\r\n".to_vec();
-    // Short lines, so that it is their sum that is bounded.
+    // The lines are short, so that only their sum exceeds the bound.
     while body.len() < LONG_BYTES {
         body.extend_from_slice(b"a: b\r\n");
     }
@@ -53,14 +53,17 @@
 
 #[test]
 fn endless_event() {
-    let mut cutter = EventSplitter::default();
-    let part = [b'x'; 16 << 10];
-    let mut passed_on = Vec::new();
+    let mut splitter = EventSplitter::default();
+    let chunk = [b'x'; 16 << 10];
+    let mut delivered = Vec::new();
     for _ in 0..256 {
-        // Whoever reads the stream ends it once this is refused.
-        let _ = cutter.push(&part, &mut passed_on);
+        // The reader of a stream ends it at the first error.
+        let _ = splitter.push(&chunk, &mut delivered);
     }
-    assert!(passed_on.is_empty());
-    let kept = cutter.take_remainder().len();
-    assert!(kept <= 2 << 20, "{kept} bytes of one event");
+    assert!(delivered.is_empty());
+    let buffered = splitter.take_remainder().len();
+    assert!(
+        buffered <= 2 << 20,
+        "{buffered} bytes buffered of one event"
+    );
 }
--- a/tests/all/waiting_requests.rs
+++ b/tests/all/waiting_requests.rs
@@ -1,16 +1,16 @@
-//! A request that waits for an upstream costs its instance next to nothing.
+//! A request that waits for an upstream costs its instance almost no processor time.
 
 use crate::cluster::{self, ask, list_plain, plain_server, request, until};
 use passway_instance::Instance;
 
-/// Choices of an upstream that one waiting request may make: one every 40 ms over the
-/// longest wait of the route, and some when upstreams change.
+/// Bound for the choices of an upstream by one waiting request: one every 40 ms over the longest
+/// wait of the route, and some more when upstreams change.
 const MAX_CHOICES: u64 = 400;
 
-/// Choices that an instance has made so far.
+/// Number of choices that an instance has made so far.
 fn choice_count(instance: &Instance) -> u64 {
-    let question = b"GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-    let text = ask(instance.ready_address(), question)
+    let scrape_request = b"GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
+    let text = ask(instance.ready_address(), scrape_request)
         .expect("metrics")
         .body;
     let name = "passway_instance_choices_total ";
@@ -26,15 +26,15 @@
     list_plain(&store, "i-0", server.address, "ready");
     let instance = cluster::start_ready("one", &store);
     store.remove("servers/i-0");
-    until("its leaving", || {
+    until("the upstream's removal", || {
         let bytes = request("GET", "/read/", "before", "", "");
         let answer = ask(instance.callers_address(), &bytes).expect("an answer");
         answer.status == 503
     });
-    let before = choice_count(&instance);
+    let count_before = choice_count(&instance);
     let bytes = request("GET", "/read/", "alone", "", "");
     let answer = ask(instance.callers_address(), &bytes).expect("an answer");
     assert_eq!(answer.status, 503);
-    let made = choice_count(&instance) - before;
-    assert!(made <= MAX_CHOICES, "{made} choices for one request");
+    let added = choice_count(&instance) - count_before;
+    assert!(added <= MAX_CHOICES, "{added} choices for one request");
 }
