--- a/crates/instance/src/dispatch.rs
+++ b/crates/instance/src/dispatch.rs
@@ -64,8 +64,8 @@
     pub model_ref: &'a ModelRef,
     /// Engines that the request does not go to.
     pub tried: &'a [UpstreamId],
-    /// Hash of the request's id.
-    pub choice_seed: u64,
+    /// A number derived from the request's id and its number of runs, for random choices.
+    pub random: u64,
     /// When the request must begin to run to meet its latency goal.
     pub due_at: Instant,
     /// Whether engines admit the request before all other waiting requests.
@@ -98,8 +98,8 @@
     /// `None` if the port is taken: the instance then chooses engines by its own state.
     socket: Option<UdpSocket>,
     dispatchers: Mutex<Dispatchers>,
-    run_book: Mutex<RunBook>,
-    waiting_line: Mutex<WaitingLine>,
+    run_table: Mutex<RunBook>,
+    wait_queue: Mutex<WaitingLine>,
     /// Queries that wait for an answer.
     pending_queries: PendingQueries<Grant>,
     runs: Mutex<HashMap<RunId, LocalRun>>,
@@ -121,8 +121,8 @@
             own_address,
             socket: socket.ok(),
             dispatchers: Mutex::default(),
-            run_book: Mutex::default(),
-            waiting_line: Mutex::default(),
+            run_table: Mutex::default(),
+            wait_queue: Mutex::default(),
             pending_queries: PendingQueries::default(),
             runs: Mutex::default(),
             // A random start avoids reusing ids of an earlier process.
@@ -172,7 +172,7 @@
             service,
             model_ref,
             tried,
-            choice_seed,
+            random,
             ..
         } = query;
         let wanted = Wanted {
@@ -180,7 +180,7 @@
             model_ref: Some(model_ref),
             hall: &shared.settings.hall,
             allowed: query.allowed_regions,
-            drawn: choice_seed,
+            drawn: random,
         };
         let mut engines = shared.upstreams().drawn_engines(wanted, now);
         engines.retain(|id| !tried.contains(id));
@@ -190,7 +190,7 @@
             model: model_ref.model.to_string(),
             adapter: model_ref.adapter.as_deref().unwrap_or_default().to_owned(),
             hall: shared.settings.hall.to_string(),
-            drawn: choice_seed,
+            drawn: random,
             due_in_ms: due_in_ms(query.due_at, now),
             is_urgent: query.is_urgent,
             tried: tried.iter().map(ToString::to_string).collect(),
@@ -321,10 +321,10 @@
             engine: engine.to_owned(),
         };
         let now = clock::now();
-        // Lock order: the upstreams before the run book.
+        // Lock order: the upstreams before the run table.
         let upstreams = shared.upstreams();
-        let mut run_book = lock(&self.run_book);
-        if let Some(engine) = run_book.engine_of(key) {
+        let mut run_table = lock(&self.run_table);
+        if let Some(engine) = run_table.engine_of(key) {
             return grant(Verdict::Go, engine);
         }
         let adapter = Some(ask.adapter.as_str()).filter(|name| !name.is_empty());
@@ -352,10 +352,10 @@
         };
         let load_of = |id: &UpstreamId| {
             let slots = upstreams.slots_of(id);
-            counted_load(run_book.load(id), slots, ask.is_urgent)
+            counted_load(run_table.load(id), slots, ask.is_urgent)
         };
         let choice = upstreams.choose_by(wanted, is_eligible, Some(&load_of), now);
-        let mut waiting_line = lock(&self.waiting_line);
+        let mut wait_queue = lock(&self.wait_queue);
         let waiter = Waiter {
             model_ref: model_ref.clone(),
             due_at: instant_from_due_ms(ask.due_in_ms, now),
@@ -364,17 +364,17 @@
             Choice::Send { id, .. } => {
                 let free = upstreams.slots_of(&id).saturating_sub(load_of(&id));
                 let could_use = |other: &ModelRef| upstreams.has(&id, other, now);
-                let waiters_ahead = waiting_line.before(key, &waiter, could_use, now);
+                let waiters_ahead = wait_queue.before(key, &waiter, could_use, now);
                 if waiters_ahead >= usize::try_from(free).unwrap_or(usize::MAX) {
-                    waiting_line.note(key, waiter, now);
+                    wait_queue.note(key, waiter, now);
                     return grant(Verdict::Full, "");
                 }
-                waiting_line.leave(key);
-                run_book.note(key, &id, now);
+                wait_queue.leave(key);
+                run_table.note(key, &id, now);
                 grant(Verdict::Go, &id)
             }
             Choice::Full => {
-                waiting_line.note(key, waiter, now);
+                wait_queue.note(key, waiter, now);
                 grant(Verdict::Full, "")
             }
             Choice::Absent => grant(Verdict::Absent, ""),
@@ -387,7 +387,7 @@
             instance: from,
             id: ended.id,
         };
-        let engine = lock(&self.run_book).end(key);
+        let engine = lock(&self.run_table).end(key);
         if let (Some(engine), Some(outcome)) = (engine, decode(ended.outcome())) {
             shared.upstreams().observed(&engine, outcome, clock::now());
         }
@@ -406,13 +406,13 @@
             Body::Ended(ended) => self.record_run_end(shared, from, &ended),
             Body::Running(running) => {
                 let now = clock::now();
-                let mut run_book = lock(&self.run_book);
+                let mut run_table = lock(&self.run_table);
                 for run in running.runs {
                     let key = RunKey {
                         instance: from,
                         id: run.id,
                     };
-                    run_book.note(key, &run.engine.as_str().into(), now);
+                    run_table.note(key, &run.engine.as_str().into(), now);
                 }
             }
             Body::VersionAsk(ask) => {
@@ -481,8 +481,8 @@
                 if now >= refresh_at {
                     refresh_at = now + REFRESH_PAUSE;
                     self.announce_runs(shared);
-                    lock(&self.run_book).expire(now);
-                    lock(&self.waiting_line).expire(now);
+                    lock(&self.run_table).expire(now);
+                    lock(&self.wait_queue).expire(now);
                 }
                 let remaining = refresh_at.saturating_duration_since(now);
                 remaining.max(Duration::from_millis(1))
--- a/crates/instance/src/feeds/upstreams.rs
+++ b/crates/instance/src/feeds/upstreams.rs
@@ -73,7 +73,7 @@
             log::info!(target: DECISION_TARGET, upstream:% = entry.id; "an upstream is gone");
             self.shared.pool.close_idle(&entry.id);
             if !entry.draining {
-                self.shared.record_ended_starts(&entry.id, u64::MAX);
+                self.shared.starts_ended(&entry.id, u64::MAX);
             }
         }
         self.shared.limits.retain(&self.shared);
@@ -129,7 +129,7 @@
             log::info!(target: DECISION_TARGET, upstream:% = id; "an upstream has started again under its id");
             self.shared.pool.close_idle(&id);
             let started_at_ms = self.shared.upstreams().started_at_ms(&id);
-            self.shared.record_ended_starts(&id, started_at_ms);
+            self.shared.starts_ended(&id, started_at_ms);
         }
     }
 
--- a/crates/instance/src/forward.rs
+++ b/crates/instance/src/forward.rs
@@ -91,9 +91,9 @@
     next_target: Option<Target>,
     /// Whether the request may run although upstreams that broke off while they ran it may have
     /// crashed.
-    suspicion: Standing,
-    /// The permit to run isolated, once the request has asked for one.
-    isolated_run: Option<Trial>,
+    run_permission: Standing,
+    /// The permit to run alone among requests with the same digest, once requested.
+    exclusive_permit: Option<Trial>,
     /// Milliseconds until the model can be loaded, if that is too late for the request.
     model_ready_ms: Option<u64>,
     /// Digest of the request's content, once computed.
@@ -178,8 +178,8 @@
         tried: Vec::new(),
         deferred: Vec::new(),
         upstream_available_ms: None,
-        suspicion: Standing::default(),
-        isolated_run: None,
+        run_permission: Standing::default(),
+        exclusive_permit: None,
         runs: 0,
         run_id: shared.dispatch.next_run_id(),
         attempt_at: arrived_at,
--- a/crates/instance/src/forward/exchange.rs
+++ b/crates/instance/src/forward/exchange.rs
@@ -108,7 +108,10 @@
             return self.attempt_at;
         }
         let goal = Duration::from_millis(self.route.goal_ms);
-        let usual_time = self.shared.usual_times().longest(&self.route.name, goal);
+        let usual_time = self
+            .shared
+            .first_byte_times()
+            .longest(&self.route.name, goal);
         self.attempt_at + usual_time
     }
 
@@ -198,8 +201,8 @@
                 self.apply_signals(target, &facts);
                 if self.route.kind.is_stream() && !facts.not_run {
                     let elapsed = clock::since(self.attempt_at);
-                    let mut usual_times = self.shared.usual_times();
-                    usual_times.observe(&self.route.name, elapsed);
+                    let mut first_byte_times = self.shared.first_byte_times();
+                    first_byte_times.observe(&self.route.name, elapsed);
                 }
                 return Ok((head, facts));
             }
--- a/crates/instance/src/forward/refusal.rs
+++ b/crates/instance/src/forward/refusal.rs
@@ -32,8 +32,11 @@
             return self.deliver_whole(&failed.head, &failed.body);
         }
         let refused_for = self.refused_for();
-        let has_permit = self.isolated_run.as_ref().is_some_and(Trial::is_granted);
-        let is_on_hold = self.suspicion != Standing::Free && !has_permit;
+        let has_permit = self
+            .exclusive_permit
+            .as_ref()
+            .is_some_and(Trial::is_granted);
+        let is_on_hold = self.run_permission != Standing::Free && !has_permit;
         let refusal = if self.runs == 0 {
             // A request that crashes engines is not run until its entry expires.
             let available_ms = self
--- a/crates/instance/src/forward/suspect.rs
+++ b/crates/instance/src/forward/suspect.rs
@@ -32,13 +32,13 @@
 
     /// Handles a run that broke off. If the upstream has crashed, the request becomes a suspect.
     pub(super) fn handle_broken_run(&mut self, target: &Target, start: UpstreamStart) {
-        if let Some(trial) = &mut self.isolated_run {
-            trial.broke();
+        if let Some(permit) = &mut self.exclusive_permit {
+            permit.broke();
         }
         let has_crashed = self.has_crashed(target);
         let ran_ms = millis_since(self.attempt_at, clock::now());
         log::info!(target: REQUEST_TARGET, request = self.facts.id, digest:% = self.digest(),
-            upstream:% = target.id, crashed = has_crashed, ran_ms = ran_ms, standing:? = self.suspicion;
+            upstream:% = target.id, crashed = has_crashed, ran_ms = ran_ms, standing:? = self.run_permission;
             "a run broke off");
         if !has_crashed {
             self.watch_for_crash(target, &start, false);
@@ -71,26 +71,26 @@
     /// Whether the request may run now, given the upstreams that broke off while they ran it.
     pub(super) fn may_run_now(&mut self) -> bool {
         let poison = &self.shared.poison;
-        self.suspicion = if poison.is_empty() {
+        self.run_permission = if poison.is_empty() {
             Standing::Free
         } else {
             poison.standing(self.digest())
         };
-        match self.suspicion {
+        match self.run_permission {
             Standing::Free => true,
             Standing::Held => false,
-            Standing::Alone => self.may_run_isolated(),
+            Standing::Alone => self.has_exclusive_permit(),
         }
     }
 
-    /// Whether the request has the permit to run isolated. Only the coordinator can grant it.
-    fn may_run_isolated(&mut self) -> bool {
+    /// Whether the request has the exclusive permit for its digest. Only the coordinator can grant it.
+    fn has_exclusive_permit(&mut self) -> bool {
         let digest = self.digest();
         let remaining = self.deadline_at.saturating_duration_since(clock::now());
-        let trial = self
-            .isolated_run
+        let permit = self
+            .exclusive_permit
             .get_or_insert_with(|| Trial::new(self.shared, digest));
-        trial.ask(remaining) == Asked::Granted
+        permit.ask(remaining) == Asked::Granted
     }
 
     /// Handles a run that ended with an answer: the request does not crash its upstreams.
--- a/crates/instance/src/forward/waiting.rs
+++ b/crates/instance/src/forward/waiting.rs
@@ -187,7 +187,7 @@
     /// # Errors
     /// Why there is none now.
     pub(super) fn choose(&self, now: Instant) -> Result<Target, Choice> {
-        let choice_seed = request_hash(&self.facts.id).wrapping_add(self.runs.into());
+        let random = request_hash(&self.facts.id).wrapping_add(self.runs.into());
         let excluded = self.excluded_upstreams(now);
         let dispatch = &self.shared.dispatch;
         let answer = self.model_ref().and_then(|model_ref| {
@@ -196,7 +196,7 @@
                 service: &self.service,
                 model_ref,
                 tried: &excluded,
-                choice_seed,
+                random,
                 due_at: self.due_at(),
                 is_urgent: self.priority() == 0,
                 allowed_regions: &self.access.allowed_regions,
@@ -217,7 +217,7 @@
         }
         let upstreams = self.shared.upstreams();
         let wanted = Wanted {
-            drawn: choice_seed,
+            drawn: random,
             ..self.wanted()
         };
         let is_eligible = |id: &UpstreamId| !excluded.contains(id);
--- a/crates/instance/src/http1/body.rs
+++ b/crates/instance/src/http1/body.rs
@@ -88,11 +88,7 @@
         let length = single_length(&head.headers)?;
         let chunked = is_chunked(&head.headers)?;
         let framing = match (chunked, length) {
-            (true, Some(_)) => {
-                return Err(HttpError::Malformed(
-                    "both Content-Length and Transfer-Encoding",
-                ));
-            }
+            (true, Some(_)) => return Err(HttpError::Malformed("a Content-Length and chunks")),
             (true, None) if !head.is_1_1 => {
                 return Err(HttpError::Malformed("chunks in HTTP/1.0"));
             }
@@ -117,11 +113,7 @@
         let is_empty = head.is_bodyless(method);
         let framing = match (chunked, length) {
             _ if is_empty => Framing::Done,
-            (true, Some(_)) => {
-                return Err(HttpError::Malformed(
-                    "both Content-Length and Transfer-Encoding",
-                ));
-            }
+            (true, Some(_)) => return Err(HttpError::Malformed("a Content-Length and chunks")),
             (true, None) => Framing::ChunkHead,
             (false, Some(0)) => Framing::Done,
             (false, Some(length)) => Framing::Length(length),
--- a/crates/instance/src/metrics.rs
+++ b/crates/instance/src/metrics.rs
@@ -294,9 +294,9 @@
     }
 
     /// Counts a signal of an upstream, or a setting of an operator, that cannot be used.
-    pub fn unusable_signal(&self, signal: &'static str) {
+    pub fn unusable_signal(&self, word: &'static str) {
         self.unusable_signals
-            .get_or_create(&SignalLabels { word: signal })
+            .get_or_create(&SignalLabels { word })
             .inc();
     }
 
--- a/crates/instance/src/poison/watch.rs
+++ b/crates/instance/src/poison/watch.rs
@@ -143,9 +143,7 @@
                 }
             }
         }
-        Some(Verdict::Ended { before_ms }) => {
-            shared.record_ended_starts(&start.upstream, before_ms);
-        }
+        Some(Verdict::Ended { before_ms }) => shared.starts_ended(&start.upstream, before_ms),
         None => {}
     }
 }
--- a/crates/instance/src/shared.rs
+++ b/crates/instance/src/shared.rs
@@ -117,7 +117,7 @@
     /// Number of changes of upstreams since the start.
     upstream_change_count: AtomicU64,
     retry_budget: Mutex<RetryBudget>,
-    usual_times: Mutex<UsualTimes>,
+    first_byte_times: Mutex<UsualTimes>,
     unconfirmed_engines: Mutex<BTreeSet<UpstreamId>>,
     members: Mutex<Addresses>,
     leadership: OnceLock<Arc<Right>>,
@@ -179,7 +179,7 @@
             upstreams_changed: Condvar::new(),
             upstream_change_count: AtomicU64::new(0),
             retry_budget: Mutex::new(retry_budget),
-            usual_times: Mutex::default(),
+            first_byte_times: Mutex::default(),
             unconfirmed_engines: Mutex::default(),
             members: Mutex::new(Addresses::new()),
             leadership: OnceLock::new(),
@@ -246,8 +246,8 @@
     }
 
     /// How long upstreams usually take to the first byte.
-    pub fn usual_times(&self) -> MutexGuard<'_, UsualTimes> {
-        lock(&self.usual_times)
+    pub fn first_byte_times(&self) -> MutexGuard<'_, UsualTimes> {
+        lock(&self.first_byte_times)
     }
 
     /// Instances that the holder knows, and their addresses.
@@ -280,7 +280,7 @@
     /// Records that starts of an upstream before `before_ms` ended without a leaving signal.
     /// `before_ms` is in Unix milliseconds by the upstream's own clock. Requests that broke off
     /// there become suspects.
-    pub fn record_ended_starts(&self, upstream: &str, before_ms: u64) {
+    pub fn starts_ended(&self, upstream: &str, before_ms: u64) {
         for suspect in self.poison.ended(upstream, before_ms) {
             self.report(ReportEvent::Suspect(suspect));
         }
