--- a/crates/instance/src/control.rs
+++ b/crates/instance/src/control.rs
@@ -12,16 +12,21 @@
 use std::net::SocketAddr;
 
 /// Applies the signals in an engine's answer and returns the answer itself.
-fn apply_signals<T>(shared: &Shared, start: &UpstreamStart, said: Said<T>, sent_at: Instant) -> T {
+fn apply_signals<T>(
+    shared: &Shared,
+    start: &UpstreamStart,
+    response: Said<T>,
+    sent_at: Instant,
+) -> T {
     let received = Heard {
         start,
-        words: &said.words,
+        words: &response.words,
         // Engines vouch only for answers to callers' requests.
         vouched: false,
         sent_at,
     };
     words::hear(shared, received);
-    said.answer
+    response.answer
 }
 
 /// Whether an engine has asked this instance to back off.
@@ -38,15 +43,15 @@
     address: SocketAddr,
 ) -> Option<EngineReport> {
     let sent_at = clock::now();
-    let said = engines.report(&start.upstream, address);
-    apply_signals(shared, start, said, sent_at)
+    let response = engines.report(&start.upstream, address);
+    apply_signals(shared, start, response, sent_at)
 }
 
 /// Sends an order, unless the term in which it was decided is over.
 pub fn send_order(
     shared: &Shared,
     engines: &dyn Engines,
-    right: &Right,
+    leadership: &Right,
     fence: Fence,
     order: &PlannedOrder,
 ) -> OrderAnswer {
@@ -65,9 +70,9 @@
     let sent_at = clock::now();
     // Checked directly before sending: a holder that was paused must not send orders, and the
     // engine may have asked this instance to back off since the decision.
-    if right.fence() != Some(fence) || is_backing_off(shared, &order.engine) {
+    if leadership.fence() != Some(fence) || is_backing_off(shared, &order.engine) {
         return OrderAnswer::NotSent;
     }
-    let said = engines.order(order.address, &sent_order);
-    apply_signals(shared, &start, said, sent_at)
+    let response = engines.order(order.address, &sent_order);
+    apply_signals(shared, &start, response, sent_at)
 }
--- a/crates/instance/src/dispatch.rs
+++ b/crates/instance/src/dispatch.rs
@@ -25,7 +25,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 /// Dispatchers that are queried for one attempt before the request waits.
-const MAX_DISPATCHERS_ASKED: usize = 2;
+const MAX_DISPATCHERS_QUERIED: usize = 2;
 /// Largest datagram that is read: the maximum payload of UDP.
 const MAX_DATAGRAM_BYTES: usize = 65_507;
 /// Runs reported in one datagram. With names of the usual 15 bytes a datagram of this size fits
@@ -76,8 +76,9 @@
 
 /// Time until `due_at` in milliseconds; negative if it has passed.
 fn due_in_ms(due_at: Instant, now: Instant) -> i64 {
-    let ms = |time: Duration| i64::try_from(time.as_millis()).unwrap_or(i64::MAX);
-    ms(due_at.saturating_duration_since(now)) - ms(now.saturating_duration_since(due_at))
+    let whole_ms = |duration: Duration| i64::try_from(duration.as_millis()).unwrap_or(i64::MAX);
+    whole_ms(due_at.saturating_duration_since(now))
+        - whole_ms(now.saturating_duration_since(due_at))
 }
 
 /// The instant that is `due_in_ms` milliseconds away.
@@ -208,7 +209,7 @@
             if queried.contains(&dispatcher) {
                 continue;
             }
-            if queried.len() >= MAX_DISPATCHERS_ASKED {
+            if queried.len() >= MAX_DISPATCHERS_QUERIED {
                 break;
             }
             queried.push(dispatcher);
@@ -362,10 +363,10 @@
         };
         match choice {
             Choice::Send { id, .. } => {
-                let free = upstreams.slots_of(&id).saturating_sub(load_of(&id));
+                let free_slots = upstreams.slots_of(&id).saturating_sub(load_of(&id));
                 let could_use = |other: &ModelRef| upstreams.has(&id, other, now);
                 let waiters_ahead = wait_queue.before(key, &waiter, could_use, now);
-                if waiters_ahead >= usize::try_from(free).unwrap_or(usize::MAX) {
+                if waiters_ahead >= usize::try_from(free_slots).unwrap_or(usize::MAX) {
                     wait_queue.note(key, waiter, now);
                     return grant(Verdict::Full, "");
                 }
--- a/crates/instance/src/http1/socket.rs
+++ b/crates/instance/src/http1/socket.rs
@@ -198,8 +198,8 @@
             return;
         }
         loop {
-            let unused = self.buffered().len();
-            self.consume(unused);
+            let buffered = self.buffered().len();
+            self.consume(buffered);
             if !matches!(read_more(self, None, until), Ok(true)) {
                 return;
             }
@@ -207,16 +207,16 @@
     }
 }
 
-/// The time left until `until`, at most `max`.
+/// The time left until `until`, at most `max_duration`.
 ///
 /// # Errors
 /// If no time is left.
-fn remaining(until: Instant, max: Duration) -> Result<Timespec, HttpError> {
-    let left = until.saturating_duration_since(clock::now());
-    if left.is_zero() {
+fn poll_timeout(until: Instant, max_duration: Duration) -> Result<Timespec, HttpError> {
+    let remaining = until.saturating_duration_since(clock::now());
+    if remaining.is_zero() {
         return Err(HttpError::TimedOut);
     }
-    Timespec::try_from(left.min(max)).map_err(|_| HttpError::TimedOut)
+    Timespec::try_from(remaining.min(max_duration)).map_err(|_| HttpError::TimedOut)
 }
 
 /// The stop signals of the caller on whose behalf a wait for bytes runs, and whether it receives a
@@ -245,12 +245,12 @@
     until: Instant,
 ) -> Result<PollFlags, HttpError> {
     let is_for_caller = watched.is_some();
-    let max = if is_for_caller {
+    let max_duration = if is_for_caller {
         MAX_POLL_DURATION
     } else {
         Duration::MAX
     };
-    let timeout = remaining(until, max)?;
+    let timeout = poll_timeout(until, max_duration)?;
     let stop_signals = stop_signals_for(connection, flags, watched.as_deref());
     // Bytes of a next request do not show whether the caller has disconnected.
     let watched = watched.filter(|watched| watched.buffered().is_empty());
@@ -271,7 +271,7 @@
         Err(error) => return Err(HttpError::Io(error.into())),
     }
     let ready = polled[0].revents();
-    let mut others = polled[1..].iter().map(|p| !p.revents().is_empty());
+    let mut others = polled[1..].iter().map(|entry| !entry.revents().is_empty());
     let is_stopping = stop_signals.is_some() && others.next_back().unwrap_or(false);
     let is_watched_ready = others.next().unwrap_or(false);
     if is_watched_ready && watched.is_some_and(Connection::is_closed) {
--- a/crates/instance/src/lifecycle.rs
+++ b/crates/instance/src/lifecycle.rs
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 pub struct Instance {
     shared: Arc<Shared>,
-    right: Arc<Right>,
+    leadership: Arc<Right>,
     callers: Callers,
     ready_address: SocketAddr,
 }
@@ -66,56 +66,56 @@
     /// # Errors
     /// If an address cannot be bound.
     pub fn start(mut settings: InstanceSettings, surroundings: Surroundings) -> Result<Self> {
-        let peers = holder::bind(settings.peer_address)?;
-        settings.peer_address = peers.local_addr().context("the bound address")?;
+        let peer_listener = holder::bind(settings.peer_address)?;
+        settings.peer_address = peer_listener.local_addr().context("the bound address")?;
         // Unbounded, because requests send events while they hold the upstreams' lock, which the
         // reporting thread takes as well. At most three events of a hundred bytes wait for each
         // request in progress.
         let (event_sender, event_receiver) = channel::unbounded();
         let shared = Arc::new(Shared::new(settings, surroundings.vocabulary, event_sender));
         let settings = &shared.settings;
-        let right = Arc::new(Right::new(&shared));
-        shared.set_leadership(right.clone());
-        let ready_address = ready::listen(&shared, &right, settings.ready_address)?;
+        let leadership = Arc::new(Right::new(&shared));
+        shared.set_leadership(leadership.clone());
+        let ready_address = ready::listen(&shared, &leadership, settings.ready_address)?;
         let callers = callers::listen(&shared, settings.callers_address)?;
-        let (relay, [configuration_tap, upstream_tap]) = Relay::new();
+        let (relay, [configuration_receiver, upstream_receiver]) = Relay::new();
         let engines = surroundings.engines.clone();
         shared.set_engines(engines.clone());
-        let (holder, news) = holder::start(&shared, &right, &relay, engines, peers);
+        let (holder, updates) = holder::start(&shared, &leadership, &relay, engines, peer_listener);
         let store = &surroundings.store;
-        right.start(
+        leadership.start(
             &shared,
             store,
             relay.resting(),
             holder.clone(),
-            news.clone(),
+            updates.clone(),
         );
         feeds::follow(
             store.clone(),
-            configuration_tap,
-            news.clone(),
+            configuration_receiver,
+            updates.clone(),
             ConfigurationFeed::new(shared.clone(), surroundings.directory.clone()),
         );
         feeds::follow(
             store.clone(),
-            upstream_tap,
-            news,
+            upstream_receiver,
+            updates,
             UpstreamFeed::new(
                 shared.clone(),
                 surroundings.directory.clone(),
                 holder.clone(),
-                right.clone(),
+                leadership.clone(),
             ),
         );
-        Poison::keep(&shared, &right, store);
-        Allotments::keep(&shared, &right, store);
+        Poison::keep(&shared, &leadership, store);
+        Allotments::keep(&shared, &leadership, store);
         Dispatch::start(&shared);
         ConfigurationAge::start(&shared);
-        report::start(&shared, &right, &relay, event_receiver);
+        report::start(&shared, &leadership, &relay, event_receiver);
         log::info!(instance:% = settings.instance; "started");
         Ok(Self {
             shared,
-            right,
+            leadership,
             callers,
             ready_address,
         })
@@ -143,12 +143,12 @@
 
     /// The fencing number, if this instance may send orders now.
     pub fn fence(&self) -> Option<Fence> {
-        self.right.fence()
+        self.leadership.fence()
     }
 
     /// The holder, as far as this instance knows.
     pub fn holder(&self) -> Option<Holder> {
-        self.right.holder()
+        self.leadership.holder()
     }
 
     /// Whether this instance could announce a term to the instance `name`.
@@ -196,20 +196,20 @@
     /// cannot finish are answered: "not run" if they were never sent to an upstream, otherwise that
     /// the answer is lost. Streams in progress continue slightly longer and are then cut.
     pub fn stop(&self) {
-        let begun_at = clock::now();
+        let started_at = clock::now();
         let grace = self.shared.bounds.load().grace;
-        let stopped_at = begun_at + grace.saturating_sub(GRACE_RESERVE);
-        let ends_at = begun_at + grace.saturating_sub(GRACE_RESERVE + ANSWER_WINDOW);
+        let cut_streams_at = started_at + grace.saturating_sub(GRACE_RESERVE);
+        let ends_at = started_at + grace.saturating_sub(GRACE_RESERVE + ANSWER_WINDOW);
         self.shared.begin_stop(ends_at);
-        self.right.release();
-        let closed_at = ends_at.min(begun_at + BALANCER_NOTICE_DELAY);
-        wait_until(closed_at, || false);
+        self.leadership.release();
+        let refuse_at = ends_at.min(started_at + BALANCER_NOTICE_DELAY);
+        wait_until(refuse_at, || false);
         self.shared.refuse_requests();
         wait_until(ends_at, || self.shared.in_progress() == 0);
         self.callers.end_waits();
-        wait_until(stopped_at, || self.callers.open_connections() == 0);
+        wait_until(cut_streams_at, || self.callers.open_connections() == 0);
         self.callers.cut_streams();
-        wait_until(stopped_at + STREAM_CUT_WINDOW, || {
+        wait_until(cut_streams_at + STREAM_CUT_WINDOW, || {
             self.callers.open_connections() == 0
         });
         log::info!(in_progress = self.shared.in_progress(), open = self.callers.open_connections(); "stopped");
@@ -219,10 +219,10 @@
 /// Waits until `is_done` returns true, at most until `limit_at`.
 fn wait_until(limit_at: Instant, is_done: impl Fn() -> bool) {
     loop {
-        let left = limit_at.saturating_duration_since(clock::now());
-        if left.is_zero() || is_done() {
+        let remaining = limit_at.saturating_duration_since(clock::now());
+        if remaining.is_zero() || is_done() {
             return;
         }
-        std::thread::sleep(left.min(STOP_POLL_INTERVAL));
+        std::thread::sleep(remaining.min(STOP_POLL_INTERVAL));
     }
 }
--- a/crates/instance/src/limits.rs
+++ b/crates/instance/src/limits.rs
@@ -76,11 +76,11 @@
         let upstream = UpstreamId::from(ask.upstream.as_str());
         // If the two instances know different limits, one of them has not received the newer signal
         // yet. Which one is unknown, so the lower limit applies.
-        let known = shared.upstreams().limit_per_s(&upstream, clock::now());
-        let per_s = known.map_or(ask.rate_per_s, |known| known.min(ask.rate_per_s));
+        let known_limit = shared.upstreams().limit_per_s(&upstream, clock::now());
+        let per_s = known_limit.map_or(ask.rate_per_s, |limit| limit.min(ask.rate_per_s));
         let allotment = limits::allotment(per_s);
-        let decision = self.coordinator.of_term(fence, EXACT, |keeper| {
-            keeper.ask(&upstream, allotment, from, ask.cost, clock::now())
+        let decision = self.coordinator.of_term(fence, EXACT, |counter| {
+            counter.ask(&upstream, allotment, from, ask.cost, clock::now())
         });
         keeper::told(ask, decision)
     }
@@ -91,7 +91,7 @@
         let now = clock::now();
         let is_limited = |id: &str| upstreams.limit_per_s(id, now).is_some();
         self.coordinator
-            .of_any_term(|keeper| keeper.retain(is_limited));
+            .of_any_term(|counter| counter.retain(is_limited));
         let mut local_shares = self
             .local_shares
             .lock()
--- a/crates/instance/src/pool.rs
+++ b/crates/instance/src/pool.rs
@@ -96,9 +96,9 @@
         if idle.count >= MAX_IDLE {
             return;
         }
-        let of_upstream = idle.by_upstream.entry(id.clone()).or_default();
-        if of_upstream.len() < MAX_IDLE_PER_UPSTREAM {
-            of_upstream.push(IdleConnection {
+        let connections = idle.by_upstream.entry(id.clone()).or_default();
+        if connections.len() < MAX_IDLE_PER_UPSTREAM {
+            connections.push(IdleConnection {
                 connection,
                 since: now,
                 until: now + idle_ttl,
--- a/crates/instance/src/ready.rs
+++ b/crates/instance/src/ready.rs
@@ -24,21 +24,25 @@
 ///
 /// # Errors
 /// If the address cannot be bound.
-pub fn listen(shared: &Arc<Shared>, right: &Arc<Right>, address: SocketAddr) -> Result<SocketAddr> {
+pub fn listen(
+    shared: &Arc<Shared>,
+    leadership: &Arc<Right>,
+    address: SocketAddr,
+) -> Result<SocketAddr> {
     let listener = TcpListener::bind(address).with_context(|| format!("binding {address}"))?;
     let bound = listener.local_addr().context("the bound address")?;
-    let (shared, right) = (shared.clone(), right.clone());
+    let (shared, leadership) = (shared.clone(), leadership.clone());
     std::thread::spawn(move || {
         for stream in listener.incoming() {
             let Ok(connection) = stream.and_then(Connection::new) else {
                 // The balancer probes again on a new connection.
                 continue;
             };
-            let (shared, right) = (shared.clone(), right.clone());
+            let (shared, leadership) = (shared.clone(), leadership.clone());
             let thread = std::thread::Builder::new().stack_size(STACK_BYTES);
             let spawned = thread.spawn(move || {
                 // The balancer probes again on a new connection.
-                let _ = answer(&shared, &right, connection);
+                let _ = answer(&shared, &leadership, connection);
             });
             if let Err(error) = spawned {
                 log::warn!(error:% = error; "cannot start a thread for the balancer's probe");
@@ -48,14 +52,14 @@
     Ok(bound)
 }
 
-fn gauge_values(shared: &Shared, right: &Right) -> GaugeValues {
+fn gauge_values(shared: &Shared, leadership: &Right) -> GaugeValues {
     let routes = shared.routes.load();
     let upstreams = shared.upstreams();
     let (limited_upstreams, leaving_upstreams) = (upstreams.limited(), upstreams.leaving().count());
     let upstreams_in_backoff = upstreams.resting(clock::now()).count();
     drop(upstreams);
     GaugeValues {
-        holds_leadership: right.fence().is_some(),
+        holds_leadership: leadership.fence().is_some(),
         config_version: routes.as_ref().map_or(0, |table| table.version),
         in_progress: shared.in_progress(),
         store_answers: !shared.store_health.is_failing(),
@@ -68,7 +72,11 @@
     }
 }
 
-fn answer(shared: &Shared, right: &Right, mut connection: Connection) -> Result<(), HttpError> {
+fn answer(
+    shared: &Shared,
+    leadership: &Right,
+    mut connection: Connection,
+) -> Result<(), HttpError> {
     loop {
         let idle_until = clock::now() + IDLE_TIMEOUT;
         let head =
@@ -78,7 +86,9 @@
         };
         let should_close = head.headers.connection_says("close") || !head.is_1_1;
         let body = if head.target == METRICS_PATH {
-            shared.metrics.encode_text(&gauge_values(shared, right))
+            shared
+                .metrics
+                .encode_text(&gauge_values(shared, leadership))
         } else {
             String::new()
         };
--- a/crates/instance/src/shared.rs
+++ b/crates/instance/src/shared.rs
@@ -301,7 +301,9 @@
     pub fn revocation_bound(&self) -> Option<Duration> {
         let bound = self.bounds.load().revocation?;
         let routes = self.routes.load();
-        let has_keys = routes.as_ref().is_some_and(|t| t.workspaces.is_some());
+        let has_keys = routes
+            .as_ref()
+            .is_some_and(|table| table.workspaces.is_some());
         has_keys.then_some(bound)
     }
 
