--- a/crates/instance/src/events.rs
+++ b/crates/instance/src/events.rs
@@ -18,7 +18,7 @@
 }
 
 /// Length of the first event in `bytes`, including the empty line at its end.
-fn event_end(bytes: &[u8]) -> Option<usize> {
+fn first_event_length(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (at, byte) in bytes.iter().enumerate() {
         if *byte != b'\n' {
@@ -53,7 +53,7 @@
         }
         self.partial.extend_from_slice(bytes);
         let mut consumed = 0;
-        while let Some(length) = event_end(&self.partial[consumed..]) {
+        while let Some(length) = first_event_length(&self.partial[consumed..]) {
             let event = &self.partial[consumed..consumed + length];
             consumed += length;
             let id_text = event_id(event);
--- a/crates/instance/src/metrics.rs
+++ b/crates/instance/src/metrics.rs
@@ -19,7 +19,7 @@
 /// Upper bound of the smallest bucket, in seconds.
 const FIRST_BUCKET_S: f64 = 0.004;
 /// Number of buckets, each twice as wide as the previous one: up to 32 s.
-const BUCKETS: u16 = 14;
+const BUCKET_COUNT: u16 = 14;
 
 /// How a request ended.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -121,7 +121,7 @@
 }
 
 fn duration_histogram() -> Histogram {
-    Histogram::new(exponential_buckets(FIRST_BUCKET_S, 2.0, BUCKETS))
+    Histogram::new(exponential_buckets(FIRST_BUCKET_S, 2.0, BUCKET_COUNT))
 }
 
 impl Default for Metrics {
@@ -312,13 +312,13 @@
 
     /// Counts a request of a workspace by the decision on its allotment.
     pub fn workspace_request(&self, workspace: &WorkspaceName, decision: Decision) {
-        let named = self.named_workspaces.lock();
-        let mut named = named.unwrap_or_else(PoisonError::into_inner);
-        if named.len() < MAX_WORKSPACES {
-            named.insert(workspace.clone());
+        let named_workspaces = self.named_workspaces.lock();
+        let mut named_workspaces = named_workspaces.unwrap_or_else(PoisonError::into_inner);
+        if named_workspaces.len() < MAX_WORKSPACES {
+            named_workspaces.insert(workspace.clone());
         }
-        let is_named = named.contains(workspace);
-        drop(named);
+        let is_named = named_workspaces.contains(workspace);
+        drop(named_workspaces);
         let labels = WorkspaceLabels {
             workspace: if is_named {
                 workspace
--- a/crates/instance/src/shared.rs
+++ b/crates/instance/src/shared.rs
@@ -290,10 +290,10 @@
     pub fn other_instances(&self) -> Vec<SocketAddr> {
         let dispatchers = self.dispatch.dispatcher_list();
         let dispatchers = dispatchers.into_iter().map(|one| one.address);
-        let mut all: BTreeSet<SocketAddr> = dispatchers.collect();
-        all.extend(self.members().values());
-        all.remove(&self.settings.peer_address);
-        all.into_iter().collect()
+        let mut addresses: BTreeSet<SocketAddr> = dispatchers.collect();
+        addresses.extend(self.members().values());
+        addresses.remove(&self.settings.peer_address);
+        addresses.into_iter().collect()
     }
 
     /// Time within which a revoked key must stop working, if the configuration in effect has keys
--- a/tests/all/dispatcher_queries.rs
+++ b/tests/all/dispatcher_queries.rs
@@ -139,9 +139,11 @@
 /// Reports from another instance that all slots of i-0 are taken, until the earlier grants have
 /// expired and only the other engine is granted.
 fn wait_until_only_second_granted(test_bed: &TestBed, running: &[u8]) {
-    let other = UdpSocket::bind("127.0.0.1:0").expect("bind");
-    until("slots of one engine alone", || {
-        other.send_to(running, test_bed.address).expect("sent");
+    let peer_socket = UdpSocket::bind("127.0.0.1:0").expect("bind");
+    until("grants of the second engine only", || {
+        peer_socket
+            .send_to(running, test_bed.address)
+            .expect("sent");
         let grant = test_bed.query(1_000);
         if grant.verdict() != Verdict::Go {
             return false;
@@ -155,8 +157,8 @@
 #[test]
 fn reported_runs_take_slots() {
     let test_bed = test_bed(&[None]);
-    let all = fill_all_slots(&test_bed).len();
-    let slots = u64::try_from(all / 2).expect("small");
+    let slot_count = fill_all_slots(&test_bed).len();
+    let slots = u64::try_from(slot_count / 2).expect("small");
     let runs = (0..slots).map(|id| passway_wire::dispatch::RunHere {
         id,
         engine: "i-0".into(),
@@ -173,15 +175,15 @@
 #[test]
 fn long_datagram_read() {
     let test_bed = test_bed(&[None]);
-    let all = fill_all_slots(&test_bed).len();
-    let slots = u64::try_from(all / 2).expect("small");
+    let slot_count = fill_all_slots(&test_bed).len();
+    let slots = u64::try_from(slot_count / 2).expect("small");
     let run = |id, engine: &str| passway_wire::dispatch::RunHere {
         id,
         engine: engine.to_owned(),
     };
     let long = "e".repeat(200);
-    let others = (1_000..1_032).map(|id| run(id, &long));
-    let runs = others.chain((0..slots).map(|id| run(id, "i-0")));
+    let other_runs = (1_000..1_032).map(|id| run(id, &long));
+    let runs = other_runs.chain((0..slots).map(|id| run(id, "i-0")));
     let running = Running {
         runs: runs.collect(),
     };
@@ -239,12 +241,12 @@
         let answer = stream(test_bed.instance.callers_address(), "chat", &id, "m0");
         assert_eq!((answer.status, answer.whole), (200, true));
     }
-    let all: usize = test_bed
+    let run_count: usize = test_bed
         .servers
         .iter()
         .map(|server| server.runs().len())
         .sum();
-    assert_eq!(all, 3);
+    assert_eq!(run_count, 3);
 }
 
 /// Bytes that are not a message change nothing.
--- a/tests/all/graceful_stops.rs
+++ b/tests/all/graceful_stops.rs
@@ -214,8 +214,8 @@
     begin_stop(&program);
     // HTTP/1.0 has no chunks: a body that ends with the connection counts as complete unless it is
     // reset.
-    let rest = caller.stream.read_to_end(&mut Vec::new());
-    let error = rest.expect_err("the answer looks complete");
+    let read_result = caller.stream.read_to_end(&mut Vec::new());
+    let error = read_result.expect_err("the answer looks complete");
     assert_eq!(error.kind(), ErrorKind::ConnectionReset);
     wait_for_exit(program);
 }
--- a/tests/all/late_models.rs
+++ b/tests/all/late_models.rs
@@ -43,7 +43,9 @@
     let address = instance.callers_address();
     assert_eq!(stream(address, "chat", "id1", "m0").status, 200);
     until("the leadership", || instance.fence().is_some());
-    until("m1", || stream(address, "chat", "id2", "m1").status == 200);
+    until("m1 to be served", || {
+        stream(address, "chat", "id2", "m1").status == 200
+    });
 }
 
 /// A model that was loaded on an engine has left a copy there, whichever source reported it.
--- a/tests/all/pass_through.rs
+++ b/tests/all/pass_through.rs
@@ -425,8 +425,11 @@
     let head = "Host: shop.example\r\nRequest-Id: u\r\nModel: m0\r\nContent-Length: 0\r\n";
     caller.send(format!("POST /report/ HTTP/1.0\r\n{head}\r\n").as_bytes());
     // Without chunks, a body that ends with its connection counts as complete unless it is reset.
-    let rest = std::io::Read::read_to_end(&mut caller.stream, &mut Vec::new());
-    assert!(rest.is_err(), "the answer looks complete: {rest:?}");
+    let read_result = std::io::Read::read_to_end(&mut caller.stream, &mut Vec::new());
+    assert!(
+        read_result.is_err(),
+        "the answer looks complete: {read_result:?}"
+    );
 }
 
 #[test]
@@ -442,8 +445,11 @@
     let (mut abandoned, _) = listener.accept().expect("a connection");
     drop(caller);
     until("the end of the request", || instance.in_progress() == 0);
-    let rest = std::io::Read::read_to_end(&mut abandoned, &mut Vec::new());
-    assert!(rest.is_err(), "closed without a reset: {rest:?}");
+    let read_result = std::io::Read::read_to_end(&mut abandoned, &mut Vec::new());
+    assert!(
+        read_result.is_err(),
+        "closed without a reset: {read_result:?}"
+    );
 }
 
 #[test]
--- a/tests/all/resting_upstreams.rs
+++ b/tests/all/resting_upstreams.rs
@@ -228,9 +228,9 @@
     until("the refusal", || !engine.arrivals().is_empty());
     engine.set_faults(Faults::default());
     let refused_at = engine.arrivals()[0].at;
-    let others = [request_model("m1"), request_model("m2")];
+    let other_callers = [request_model("m1"), request_model("m2")];
     assert_eq!(first.join().expect("a caller"), 200);
-    for other in others {
+    for other in other_callers {
         assert_eq!(other.join().expect("a caller"), 200);
     }
     let in_flight_allowance = Duration::from_millis(100);
