--- a/crates/instance/src/forward/suspect.rs
+++ b/crates/instance/src/forward/suspect.rs
@@ -83,7 +83,8 @@
         }
     }
 
-    /// Whether the request has the exclusive permit for its digest. Only the coordinator can grant it.
+    /// Whether the request has the exclusive permit for its digest. Only the coordinator can grant
+    /// it.
     fn has_exclusive_permit(&mut self) -> bool {
         let digest = self.digest();
         let remaining = self.deadline_at.saturating_duration_since(clock::now());
--- a/crates/instance/src/forward/waiting.rs
+++ b/crates/instance/src/forward/waiting.rs
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Waits briefly for information on whether the request crashes upstreams; false once the wait is
-    /// over.
+    /// Waits briefly for information on whether the request crashes upstreams; false once the wait
+    /// is over.
     fn wait_on_hold(&mut self, now: Instant) -> bool {
         let stop_at = self.shared.waits_end_at().unwrap_or(self.deadline_at);
         let wait_until = self.wait_until(self.deadline_at.min(stop_at));
--- a/tests/all/resting_upstreams.rs
+++ b/tests/all/resting_upstreams.rs
@@ -1,5 +1,5 @@
-//! Upstreams that refuse a request and ask the instance to back off get nothing from this instance during the
-//! backoff.
+//! Upstreams that refuse a request and ask the instance to back off get nothing from this instance
+//! during the backoff.
 
 use crate::cluster::{self, Answer, ask, list_plain, request, stream, until};
 use crate::saying::{Saying, SayingServer};
