--- a/crates/instance/src/forward.rs
+++ b/crates/instance/src/forward.rs
@@ -1,23 +1,24 @@
-//! One request: the loop over attempts, giving up.
+//! Handling of one request: the loop over attempts, and the answer if all fail.
 //!
-//! * [`destination`]: its route and service. [`access`]: whether it may go.
-//! * [`waiting`]: waiting for an upstream and choosing it.
-//! * [`refusing`]: the answer when nothing more can be tried.
-//! * [`attempt`], [`exchange`]: what happens within one attempt. [`suspect`]: whether the
-//!   request crashes what runs it. [`limits`]: a turn at upstreams in need. [`door`]: the last look
-//!   before a request leaves.
+//! * [`destination`] finds the route and service, [`access`] checks whether the request is
+//!   admitted.
+//! * [`waiting`] waits for an upstream and chooses it.
+//! * [`refusal`] writes the answer when nothing more can be tried.
+//! * [`attempt`] and [`exchange`] are one attempt. [`suspect`] tracks whether the request crashes
+//!   its upstreams. [`limits`] requests grants at limited upstreams. [`send_permit`] is the last
+//!   check before a request is sent.
 //!
-//! What an attempt tells decides what may follow. A request that was not run may go
-//! to another upstream whatever its kind. One that may have run goes to another only
-//! if its kind allows it, and is never refused as "not run".
+//! The outcome of an attempt decides what may follow. A request that was not run may go to another
+//! upstream whatever its kind. One that may have run goes to another upstream only if its kind
+//! allows that, and is never refused as "not run".
 
 mod access;
 mod attempt;
 mod destination;
-mod door;
 mod exchange;
 mod limits;
-mod refusing;
+mod refusal;
+mod send_permit;
 mod suspect;
 mod waiting;
 
@@ -25,11 +26,11 @@
 use crate::poison::Trial;
 use crate::relay::millis_since;
 use crate::reply::{self, Refusal};
-use crate::shared::{Need, Shared};
-use access::{Access, Denied};
-use attempt::{Attempt, Delivered, FailedAnswer, Target};
-use destination::{draw, find_destination, host_of};
-use limits::HeldBack;
+use crate::shared::{ReportEvent, Shared};
+use access::{Access, Denial};
+use attempt::{Attempt, Delivery, FailedAnswer, Target};
+use destination::{find_destination, host_of, request_hash};
+use limits::DeferredUpstream;
 use passway_process::logging::json::REQUEST_TARGET;
 use passway_serving::dispatch::RunId;
 use passway_serving::poison::{RequestDigest, Standing};
@@ -40,23 +41,23 @@
 use passway_types::prelude::*;
 use std::cell::OnceCell;
 
-/// When a refused caller may come back, where nothing better is known.
+/// Default `Retry-After` of a refusal, in milliseconds.
 pub const RETRY_AFTER_MS: u64 = 500;
-/// How a request ends whose answer its caller does not take.
-const UNREAD: &str = "not taken by its caller";
-/// Most times that one request is offered to upstreams.
+/// End of a request whose caller does not read the answer, for logs and metrics.
+const NOT_TAKEN: &str = "not taken by its caller";
+/// Largest number of attempts at upstreams for one request.
 const MAX_OFFERS: u32 = 6;
 
 /// Whether the caller's connection may carry another request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum After {
-    /// It may.
+pub enum ConnectionReuse {
+    /// The connection stays open.
     Keep,
-    /// It must be closed.
+    /// The connection must be closed.
     Close,
 }
 
-/// One request on its way.
+/// A request in progress.
 pub struct Forwarding<'a> {
     shared: &'a Arc<Shared>,
     caller: &'a mut Connection,
@@ -67,55 +68,57 @@
     service: ServiceName,
     is_engine: bool,
     access: Access,
-    /// What it counts towards its workspace's allotment, once that was taken.
-    used: Option<f64>,
-    /// Whether an upstream may have run it.
+    /// The cost charged to the workspace's allotment, until it is released.
+    charged_cost: Option<f64>,
+    /// Whether an upstream may have run the request.
     may_have_run: bool,
     arrived_at: Instant,
     deadline_at: Instant,
-    close_after: bool,
-    delivered: Delivered,
+    should_close: bool,
+    delivered: Delivery,
     tried: Vec<UpstreamId>,
-    /// Upstreams in need that do not take the request yet.
-    held_back: Vec<HeldBack>,
-    /// When the first of those does, in milliseconds, if only they have what it needs.
-    turn_ms: Option<u64>,
+    /// Upstreams that do not accept the request yet.
+    deferred: Vec<DeferredUpstream>,
+    /// Milliseconds until the first of `deferred` accepts the request, if no other upstream has the
+    /// model.
+    upstream_available_ms: Option<u64>,
     runs: u32,
-    /// The number under which the next attempt asks for an engine.
-    question: RunId,
+    /// The id for the next query to a dispatcher.
+    run_id: RunId,
     /// When the attempt in progress began.
     attempt_at: Instant,
-    /// Where the request goes on, chosen before an upstream that is silent was left.
-    next: Option<Target>,
-    /// Whether it may run while upstreams that broke off under it may have ended.
-    standing: Standing,
-    /// Its turn to run alone among those like it, once it has asked for one.
-    trial: Option<Trial>,
-    /// When its model can be there at the earliest, in milliseconds, if that is too late for it.
-    comes_ms: Option<u64>,
-    /// What it asks for, once that was computed.
+    /// The upstream for the next attempt, chosen before a silent upstream was left.
+    next_target: Option<Target>,
+    /// Whether the request may run although upstreams that broke off while they ran it may have
+    /// crashed.
+    run_permission: Standing,
+    /// The permit to run alone among requests with the same digest, once requested.
+    exclusive_permit: Option<Trial>,
+    /// Milliseconds until the model can be loaded, if that is too late for the request.
+    model_ready_ms: Option<u64>,
+    /// Digest of the request's content, once computed.
     digest: OnceCell<RequestDigest>,
-    record: RequestRecord,
+    request_log: RequestLog,
 }
 
-/// What the line about the request's end tells beside its facts.
+/// Values for the log line and the metrics at the end of the request.
 #[derive(Debug, Default)]
-struct RequestRecord {
-    /// Times that it was offered to an upstream.
+struct RequestLog {
+    /// Number of attempts at upstreams.
     offers: u32,
-    /// The last of them.
+    /// The upstream of the last attempt.
     upstream: Option<UpstreamId>,
-    /// Time until the first offer, in milliseconds.
+    /// Time until the first attempt, in milliseconds.
     waited_ms: Option<u64>,
-    /// Time until the first bytes of the answer went out, in milliseconds.
+    /// Time until the first bytes of the answer were sent, in milliseconds.
     first_ms: Option<u64>,
-    /// The status that the caller got; 0 if none.
+    /// The status sent to the caller; 0 if none.
     status: u16,
-    /// How it ended.
+    /// How the request ended.
     end: &'static str,
-    /// Whether its caller has taken nothing of the answer for long.
-    is_unread: bool,
-    /// Whether a stop of this instance left it less time than it had.
+    /// Whether the caller has stopped reading its answer.
+    is_stalled: bool,
+    /// Whether a stop of this instance shortened the request's time.
     cut_by_stop: bool,
 }
 
@@ -128,31 +131,34 @@
     }
 }
 
-/// Answers one request whose head and body have been read.
+/// Forwards one request whose head and body have been read, and answers the caller.
 pub fn serve(
     shared: &Arc<Shared>,
     caller: &mut Connection,
     head: &RequestHead,
     body: &[u8],
     arrived_at: Instant,
-) -> After {
+) -> ConnectionReuse {
     let facts = shared.vocabulary.request(&head.headers);
-    let close_after = shared.is_stopping() || !head.is_1_1 || head.headers.connection_says("close");
+    let should_close =
+        shared.is_stopping() || !head.is_1_1 || head.headers.connection_says("close");
     let destination = match find_destination(shared, caller, head, &facts, arrived_at) {
         Ok(destination) => destination,
-        Err(Denied { refusal, end }) => {
-            shared.metrics.ended(end, refusal.code());
+        Err(Denial { refusal, end }) => {
+            shared.metrics.request_ended(end, refusal.code());
             log::info!(target: REQUEST_TARGET, request = facts.id, status = refusal.code(),
                 offers = 0, runs = 0, end = end;
                 "request ended");
             let vocabulary = &*shared.vocabulary;
-            let done = reply::refuse(caller, vocabulary, &facts.id, refusal, close_after);
-            return after(done.is_ok() && !close_after);
+            let written = reply::refuse(caller, vocabulary, &facts.id, refusal, should_close);
+            return connection_reuse(written.is_ok() && !should_close);
         }
     };
-    let caller_ms = facts.deadline_ms.unwrap_or(u64::MAX);
-    let timeout_ms = caller_ms.min(destination.route.timeout_ms);
-    shared.retries().requested(&destination.service, arrived_at);
+    let caller_deadline_ms = facts.deadline_ms.unwrap_or(u64::MAX);
+    let timeout_ms = caller_deadline_ms.min(destination.route.timeout_ms);
+    shared
+        .retry_budget()
+        .requested(&destination.service, arrived_at);
     Forwarding {
         shared,
         caller,
@@ -163,161 +169,166 @@
         service: destination.service,
         is_engine: destination.is_engine,
         access: destination.access,
-        used: None,
+        charged_cost: None,
         may_have_run: false,
         arrived_at,
         deadline_at: arrived_at + Duration::from_millis(timeout_ms),
-        close_after,
-        delivered: Delivered::default(),
+        should_close,
+        delivered: Delivery::default(),
         tried: Vec::new(),
-        held_back: Vec::new(),
-        turn_ms: None,
-        standing: Standing::default(),
-        trial: None,
+        deferred: Vec::new(),
+        upstream_available_ms: None,
+        run_permission: Standing::default(),
+        exclusive_permit: None,
         runs: 0,
-        question: shared.dispatch.next_run(),
+        run_id: shared.dispatch.next_run_id(),
         attempt_at: arrived_at,
-        next: None,
-        comes_ms: None,
+        next_target: None,
+        model_ready_ms: None,
         digest: OnceCell::new(),
-        record: RequestRecord::default(),
+        request_log: RequestLog::default(),
     }
-    .serve()
+    .run()
 }
 
 fn not_run(retry_after_ms: u64) -> Refusal {
     Refusal::NotRun { retry_after_ms }
 }
 
-fn after(keep: bool) -> After {
-    if keep { After::Keep } else { After::Close }
+fn connection_reuse(can_reuse: bool) -> ConnectionReuse {
+    if can_reuse {
+        ConnectionReuse::Keep
+    } else {
+        ConnectionReuse::Close
+    }
 }
 
 impl Forwarding<'_> {
-    fn wish(&self) -> Option<&ModelRef> {
+    fn model_ref(&self) -> Option<&ModelRef> {
         self.facts.wish.as_ref().filter(|_| self.is_engine)
     }
 
-    /// Serves the request and says how it ended.
-    fn serve(mut self) -> After {
-        let after = self.run();
-        self.give_use_back();
-        if let Some(run) = self.next.take().and_then(|unused| unused.run) {
+    /// Runs the request to its end and records how it ended.
+    fn run(mut self) -> ConnectionReuse {
+        let reuse = self.run_attempts();
+        self.release_allotment();
+        if let Some(run_id) = self.next_target.take().and_then(|unused| unused.run_id) {
             self.shared
                 .dispatch
-                .ended(self.shared, run, Outcome::Unknown);
+                .run_ended(self.shared, run_id, Outcome::Unknown);
         }
-        let record = &self.record;
+        let request_log = &self.request_log;
         let metrics = &self.shared.metrics;
-        metrics.ended(record.end, record.status);
-        if let Some(first_ms) = record.first_ms {
+        metrics.request_ended(request_log.end, request_log.status);
+        if let Some(first_ms) = request_log.first_ms {
             metrics.first_byte(Duration::from_millis(first_ms));
         }
-        if let Some(waited_ms) = record.waited_ms.filter(|_| self.is_engine) {
+        if let Some(waited_ms) = request_log.waited_ms.filter(|_| self.is_engine) {
             metrics.model_wait(Duration::from_millis(waited_ms));
         }
         let table = self.shared.routes.load();
         let version = table.as_ref().map_or(0, |table| table.version);
-        let wish = self.facts.wish.as_ref();
+        let model_ref = self.facts.wish.as_ref();
         log::info!(target: REQUEST_TARGET, request = self.facts.id, route:% = self.route.name,
-            service:% = self.service, model:% = wish.map_or("", |wish| &wish.model),
+            service:% = self.service, model:% = model_ref.map_or("", |model_ref| &model_ref.model),
             workspace:% = self.access.workspace.as_ref().map_or("", |workspace| &workspace.name),
-            adapter:% = wish.and_then(|wish| wish.adapter.as_deref()).unwrap_or(""),
-            upstream:% = record.upstream.as_deref().unwrap_or(""), offers = record.offers,
-            runs = self.runs, status = record.status, end = record.end,
-            waited_ms = record.waited_ms.unwrap_or(0), first_ms = record.first_ms.unwrap_or(0),
-            took_ms = self.held_ms(), config_version = version;
+            adapter:% = model_ref.and_then(|model_ref| model_ref.adapter.as_deref()).unwrap_or(""),
+            upstream:% = request_log.upstream.as_deref().unwrap_or(""), offers = request_log.offers,
+            runs = self.runs, status = request_log.status, end = request_log.end,
+            waited_ms = request_log.waited_ms.unwrap_or(0), first_ms = request_log.first_ms.unwrap_or(0),
+            took_ms = self.elapsed_ms(), config_version = version;
             "request ended");
-        after
+        reuse
     }
 
-    fn run(&mut self) -> After {
-        if let Err(denied) = self.admit() {
-            return self.refuse(denied);
+    fn run_attempts(&mut self) -> ConnectionReuse {
+        if let Err(denial) = self.admit() {
+            return self.refuse(denial);
         }
-        if let Some(wish) = self.wish()
+        if let Some(model_ref) = self.model_ref()
             && self.refused_for().is_none()
         {
-            self.shared.tell(Need::Taken {
+            self.shared.report(ReportEvent::RequestAccepted {
                 service: self.service.clone(),
-                wish: wish.clone(),
+                model_ref: model_ref.clone(),
             });
         }
         let mut failed: Option<Box<FailedAnswer>> = None;
         for offer in 0..MAX_OFFERS {
-            let first = offer == 0;
-            let Some(target) = self.find_upstream(failed.is_none()) else {
-                return self.give_up(failed);
+            let is_first = offer == 0;
+            let Some(target) = self.wait_for_upstream(failed.is_none()) else {
+                return self.answer_failure(failed);
             };
-            if !first && !self.may_repeat() {
-                return self.give_up(failed);
+            if !is_first && !self.try_spend_retry() {
+                return self.answer_failure(failed);
             }
             self.tried.push(target.id.clone());
-            self.record.offers += 1;
-            self.record.upstream = Some(target.id.clone());
-            let waited_ms = self.held_ms();
-            self.record.waited_ms.get_or_insert(waited_ms);
+            self.request_log.offers += 1;
+            self.request_log.upstream = Some(target.id.clone());
+            let waited_ms = self.elapsed_ms();
+            self.request_log.waited_ms.get_or_insert(waited_ms);
             let start = target.start();
-            let attempt = self.attempt(&target);
+            let attempt = self.attempt_and_report(&target);
             self.shared.metrics.attempt(attempt.name());
             log::debug!(request = self.facts.id, upstream:% = target.id, offer = offer; "{}", attempt.name());
             self.may_have_run |= attempt.may_have_run();
             match attempt {
-                Attempt::Answered(after) => {
-                    self.run_answered();
-                    return after;
+                Attempt::Answered(reuse) => {
+                    self.handle_answered_run();
+                    return reuse;
                 }
                 Attempt::CallerGone => {
-                    self.record.end = if self.record.is_unread || self.caller.has_timed_out() {
-                        UNREAD
-                    } else {
-                        "caller gone"
-                    };
-                    return After::Close;
+                    self.request_log.end =
+                        if self.request_log.is_stalled || self.caller.has_timed_out() {
+                            NOT_TAKEN
+                        } else {
+                            "caller gone"
+                        };
+                    return ConnectionReuse::Close;
                 }
-                Attempt::Denied(denied) if self.may_have_run => {
-                    log::info!(target: REQUEST_TARGET, request = self.facts.id; "{}", denied.end);
-                    return self.give_up(failed);
+                Attempt::Denied(denial) if self.may_have_run => {
+                    log::info!(target: REQUEST_TARGET, request = self.facts.id; "{}", denial.end);
+                    return self.answer_failure(failed);
                 }
-                Attempt::Denied(denied) => return self.refuse(denied),
+                Attempt::Denied(denial) => return self.refuse(denial),
                 Attempt::TimedOut => {
                     self.runs += 1;
                     let now = clock::now();
                     if self.shared.upstreams().is_silent(&target.id, now) {
-                        self.doubt(&target, &start, true);
+                        self.watch_for_crash(&target, &start, true);
                     }
-                    return self.give_up(failed);
+                    return self.answer_failure(failed);
                 }
-                Attempt::Ending => {
+                Attempt::Stopping => {
                     self.runs += 1;
-                    self.record.cut_by_stop = true;
-                    return self.give_up(failed);
+                    self.request_log.cut_by_stop = true;
+                    return self.answer_failure(failed);
                 }
-                // What is full now may have room in a moment.
+                // An upstream that was full may have free capacity by now.
                 Attempt::NotRun(Outcome::Shed) => self.tried.clear(),
-                Attempt::NotRun(_) | Attempt::NotSent | Attempt::Unwanted => {}
+                Attempt::NotRun(_) | Attempt::NotSent | Attempt::NotPermitted => {}
                 Attempt::Broken => {
                     self.runs += 1;
-                    self.run_broke(&target, start);
+                    self.handle_broken_run(&target, start);
                     if !self.may_run_again() {
-                        return self.give_up(failed);
+                        return self.answer_failure(failed);
                     }
                 }
                 Attempt::Failed(answer) => {
                     self.runs += 1;
-                    self.run_answered();
+                    self.handle_answered_run();
                     failed = Some(answer);
                     if !self.may_run_again() {
-                        return self.give_up(failed);
+                        return self.answer_failure(failed);
                     }
                 }
             }
         }
-        self.give_up(failed)
+        self.answer_failure(failed)
     }
 
     /// Time since the request arrived, in milliseconds.
-    fn held_ms(&self) -> u64 {
+    fn elapsed_ms(&self) -> u64 {
         millis_since(self.arrived_at, clock::now())
     }
 
@@ -325,46 +336,48 @@
         self.route.kind.may_run_again() && self.runs < self.route.attempts
     }
 
-    fn may_repeat(&self) -> bool {
-        let mut retries = self.shared.retries();
-        retries.try_spend(&self.service, clock::now())
+    fn try_spend_retry(&self) -> bool {
+        let mut retry_budget = self.shared.retry_budget();
+        retry_budget.try_spend(&self.service, clock::now())
     }
 
-    fn attempt(&mut self, target: &Target) -> Attempt {
-        let (attempt, outcome) = self.attempted(target);
-        self.question = self.shared.dispatch.next_run();
-        if let Some(run) = target.run {
-            self.shared.dispatch.ended(self.shared, run, outcome);
+    /// Makes one attempt, and reports the end of its run to the dispatcher.
+    fn attempt_and_report(&mut self, target: &Target) -> Attempt {
+        let (attempt, outcome) = self.run_attempt(target);
+        self.run_id = self.shared.dispatch.next_run_id();
+        if let Some(run_id) = target.run_id {
+            self.shared.dispatch.run_ended(self.shared, run_id, outcome);
         }
         attempt
     }
 
-    /// One attempt, and what it tells of the upstream.
-    fn attempted(&mut self, target: &Target) -> (Attempt, Outcome) {
+    /// Makes one attempt, and returns what the upstream's state learns from it.
+    fn run_attempt(&mut self, target: &Target) -> (Attempt, Outcome) {
         if self.caller.is_closed() {
             return (Attempt::CallerGone, Outcome::Unknown);
         }
-        let wish = self.wish().cloned();
+        let model_ref = self.model_ref().cloned();
         let now = clock::now();
         self.attempt_at = now;
         self.shared
             .upstreams()
-            .started(&target.id, wish.as_ref(), now);
+            .started(&target.id, model_ref.as_ref(), now);
         let attempt = self.exchange(target);
         let outcome = match &attempt {
             Attempt::Answered(_) => Outcome::Answered,
-            Attempt::CallerGone | Attempt::Ending | Attempt::Denied(_) | Attempt::Unwanted => {
-                Outcome::Unknown
-            }
+            Attempt::CallerGone
+            | Attempt::Stopping
+            | Attempt::Denied(_)
+            | Attempt::NotPermitted => Outcome::Unknown,
             Attempt::NotRun(outcome) => *outcome,
             Attempt::NotSent => Outcome::Unreachable,
             Attempt::Broken | Attempt::Failed(_) | Attempt::TimedOut => Outcome::Failed,
         };
         let now = clock::now();
         let mut upstreams = self.shared.upstreams();
-        upstreams.ended(&target.id, wish.as_ref(), outcome, now);
+        upstreams.ended(&target.id, model_ref.as_ref(), outcome, now);
         drop(upstreams);
-        self.shared.upstreams_changed();
+        self.shared.notify_upstreams_changed();
         (attempt, outcome)
     }
 }
