--- a/crates/instance/src/allotments.rs
+++ b/crates/instance/src/allotments.rs
@@ -3,8 +3,8 @@
 //! The keeper keeps in the store which workspaces' buckets are at least half full. A successor takes that out
 //! of there before it relies on it, so that it is relied on once.
 
-use crate::keeper::{self, TermKeeper};
-use crate::right::Right;
+use crate::coordinator::{self, TermCoordinator};
+use crate::leadership::LeadershipDriver;
 use crate::shared::Shared;
 use crossbeam::channel::{Receiver, Sender, bounded};
 use passway_serving::allotment::{Parts, QuotaBounds};
@@ -22,11 +22,11 @@
 /// The key under which the names of workspaces with half full buckets lie in the store.
 pub const KEY: &str = "passway/half-full";
 /// Pause between two looks whether that has changed: a call a second at most.
-const LOOK_PAUSE: Duration = Duration::from_secs(1);
+const STORE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Pause between two tries to take over what the keeper before has left.
-const TAKE_PAUSE: Duration = Duration::from_millis(150);
+const TAKEOVER_RETRY_DELAY: Duration = Duration::from_millis(150);
 /// A keeper takes over what the one before has left within this time, or not at all.
-const TAKE_TIME: Duration = Duration::from_secs(2);
+const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What becomes of a request by its workspace's allotment.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -41,7 +41,7 @@
 
 /// What lies in the store.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-struct Kept {
+struct StoredNames {
     revision: StoreRevision,
     half_full: BTreeSet<WorkspaceName>,
 }
@@ -49,23 +49,23 @@
 /// This instance's part in keeping workspaces to their allotments.
 #[derive(Debug)]
 pub struct Allotments {
-    keeper: TermKeeper,
+    coordinator: TermCoordinator,
     parts: Mutex<Parts>,
-    kept: Mutex<Kept>,
+    stored: Mutex<StoredNames>,
     /// Wakes the thread that keeps them in the store.
-    wake: Sender<()>,
-    woken: Receiver<()>,
+    wakeup_sender: Sender<()>,
+    wakeup_receiver: Receiver<()>,
 }
 
 impl Default for Allotments {
     fn default() -> Self {
-        let (wake, woken) = bounded(1);
+        let (wakeup_sender, wakeup_receiver) = bounded(1);
         Self {
-            keeper: TermKeeper::default(),
+            coordinator: TermCoordinator::default(),
             parts: Mutex::default(),
-            kept: Mutex::default(),
-            wake,
-            woken,
+            stored: Mutex::default(),
+            wakeup_sender,
+            wakeup_receiver,
         }
     }
 }
@@ -76,7 +76,7 @@
 
 impl Allotments {
     /// Whether a request of a workspace may go that counts so much.
-    pub fn ask(&self, shared: &Shared, workspace: &Workspace, cost: f64) -> Decision {
+    pub fn request(&self, shared: &Shared, workspace: &Workspace, cost: f64) -> Decision {
         let Some(allotment) = workspace.allotment else {
             return Decision::Granted;
         };
@@ -90,7 +90,7 @@
             upstream: String::new(),
             ..UseAsk::default()
         };
-        let told = shared.keeper.ask(shared, &ask);
+        let told = shared.keeper.request(shared, &ask);
         let window = shared.bounds.load().quota.window;
         let mut parts = lock(&self.parts);
         let Ok(told) = told else {
@@ -110,8 +110,8 @@
 
     /// A request that was granted did not run and never will. If the message is lost, that costs
     /// its workspace what the request counts.
-    pub fn give_back(&self, shared: &Shared, workspace: &Workspace, cost: f64) {
-        let Some(holder) = shared.right().and_then(|right| right.holder()) else {
+    pub fn release(&self, shared: &Shared, workspace: &Workspace, cost: f64) {
+        let Some(holder) = shared.right().and_then(|leadership| leadership.holder()) else {
             return;
         };
         let back = UseBack {
@@ -121,14 +121,14 @@
         };
         let settings = &shared.settings;
         if holder.instance == settings.instance {
-            self.take_back(shared, settings.peer_address, &back);
+            self.record_release(shared, settings.peer_address, &back);
         } else {
             shared.dispatch.send(holder.address, Body::UseBack(back));
         }
     }
 
     /// Answers an instance's question, in a term of this instance.
-    pub fn rule(&self, shared: &Shared, fence: Fence, from: SocketAddr, ask: &UseAsk) -> UseTold {
+    pub fn decide(&self, shared: &Shared, fence: Fence, from: SocketAddr, ask: &UseAsk) -> UseTold {
         let name = WorkspaceName::from(ask.workspace.as_str());
         let asked = Allotment {
             rate_per_s: ask.rate_per_s,
@@ -136,49 +136,49 @@
         };
         let routes = shared.routes.load();
         let allotment = allotment_of(routes.as_deref(), &name).unwrap_or(asked);
-        let ruling = self.keeper.of_term(fence, quota(shared), |keeper| {
+        let ruling = self.coordinator.in_term(fence, quota(shared), |keeper| {
             keeper.ask(&name, allotment, from, ask.cost, clock::now())
         });
-        keeper::told(ask, ruling)
+        coordinator::encode_decision(ask, ruling)
     }
 
     /// Takes back what a request counted that was granted here.
-    pub fn take_back(&self, shared: &Shared, from: SocketAddr, back: &UseBack) {
+    pub fn record_release(&self, shared: &Shared, from: SocketAddr, back: &UseBack) {
         let routes = shared.routes.load();
         let Some(allotment) = allotment_of(routes.as_deref(), &back.workspace) else {
             return;
         };
-        self.keeper.of_any_term(|keeper| {
+        self.coordinator.in_latest_term(|keeper| {
             keeper.give_back(&back.workspace, allotment, from, back.cost, clock::now());
         });
     }
 
     /// The names lie so in the store; none if they do not.
-    pub fn seen_in_store(&self, revision: StoreRevision, value: &[u8]) {
+    pub fn apply_stored(&self, revision: StoreRevision, value: &[u8]) {
         let text = String::from_utf8_lossy(value);
         let names = text.lines().filter(|name| !name.is_empty());
-        *lock(&self.kept) = Kept {
+        *lock(&self.stored) = StoredNames {
             revision,
             half_full: names.map(Into::into).collect(),
         };
     }
 
     /// A term has begun.
-    pub fn term_begun(&self) {
+    pub fn notify_term_begun(&self) {
         // A look that is due already will do.
-        let _ = self.wake.try_send(());
+        let _ = self.wakeup_sender.try_send(());
     }
 
     /// Writes names to the store unless they lie there; whether they do then.
     fn write(&self, store: &dyn SharedStore, names: BTreeSet<WorkspaceName>) -> bool {
-        let kept = lock(&self.kept).clone();
-        if kept.half_full == names {
+        let stored = lock(&self.stored).clone();
+        if stored.half_full == names {
             return true;
         }
         let lines: Vec<&str> = names.iter().map(|name| &**name).collect();
         let write = ConditionalWrite {
             key: KEY.to_owned(),
-            expected: kept.revision,
+            expected: stored.revision,
             value: Some(lines.join("\n").into_bytes()),
             lease: None,
         };
@@ -186,7 +186,7 @@
         let Ok(WriteAnswer::Written(revision)) = answer else {
             return false;
         };
-        *lock(&self.kept) = Kept {
+        *lock(&self.stored) = StoredNames {
             revision,
             half_full: names,
         };
@@ -194,49 +194,61 @@
     }
 
     /// Keeps in the store which buckets are half full, while this instance is the keeper.
-    pub fn keep(shared: &Arc<Shared>, right: &Arc<Right>, store: &Arc<dyn SharedStore>) {
-        let (shared, right, store) = (shared.clone(), right.clone(), store.clone());
+    pub fn start_writer(
+        shared: &Arc<Shared>,
+        leadership: &Arc<LeadershipDriver>,
+        store: &Arc<dyn SharedStore>,
+    ) {
+        let (shared, leadership, store) = (shared.clone(), leadership.clone(), store.clone());
         std::thread::spawn(move || {
             let allotments = &shared.allotments;
             let mut taken_over = None;
             loop {
                 // A term may have begun, or the time is over: it is looked in either case.
-                let _ = allotments.woken.recv_timeout(LOOK_PAUSE);
-                let term = right.term().filter(|_| shared.has_allotments());
+                let _ = allotments
+                    .wakeup_receiver
+                    .recv_timeout(STORE_CHECK_INTERVAL);
+                let term = leadership.term().filter(|_| shared.has_allotments());
                 let Some(fence) = term else {
                     continue;
                 };
                 if taken_over.replace(fence) == Some(fence) {
-                    allotments.tell(&shared, fence, &*store);
+                    allotments.store_half_full(&shared, fence, &*store);
                 } else {
-                    allotments.take_over(&shared, &right, fence, &*store);
+                    allotments.take_over(&shared, &leadership, fence, &*store);
                 }
             }
         });
     }
 
     /// Relies on what the keeper before has left, once it does not lie in the store any more.
-    fn take_over(&self, shared: &Shared, right: &Right, fence: Fence, store: &dyn SharedStore) {
-        let until = clock::now() + TAKE_TIME;
-        while right.term() == Some(fence) && clock::now() < until {
-            let left = lock(&self.kept).half_full.clone();
+    fn take_over(
+        &self,
+        shared: &Shared,
+        leadership: &LeadershipDriver,
+        fence: Fence,
+        store: &dyn SharedStore,
+    ) {
+        let until = clock::now() + TAKEOVER_TIMEOUT;
+        while leadership.term() == Some(fence) && clock::now() < until {
+            let left = lock(&self.stored).half_full.clone();
             if self.write(store, BTreeSet::new()) {
                 let routes = shared.routes.load();
                 let allotment = |name: &str| allotment_of(routes.as_deref(), name);
-                self.keeper.of_term(fence, quota(shared), |keeper| {
+                self.coordinator.in_term(fence, quota(shared), |keeper| {
                     keeper.begin_half_full(left, allotment);
                 });
                 return;
             }
-            std::thread::sleep(TAKE_PAUSE);
+            std::thread::sleep(TAKEOVER_RETRY_DELAY);
         }
     }
 
     /// Tells the next keeper which buckets are half full now.
-    fn tell(&self, shared: &Shared, fence: Fence, store: &dyn SharedStore) {
+    fn store_half_full(&self, shared: &Shared, fence: Fence, store: &dyn SharedStore) {
         let routes = shared.routes.load();
         let allotment = |name: &str| allotment_of(routes.as_deref(), name);
-        let names = self.keeper.of_term(fence, quota(shared), |keeper| {
+        let names = self.coordinator.in_term(fence, quota(shared), |keeper| {
             keeper.half_full(allotment, clock::now())
         });
         // What could not be written is looked at again.
@@ -250,7 +262,8 @@
             workspaces.is_some_and(|all| all.named(name).is_some())
         };
         lock(&self.parts).retain(is_there);
-        self.keeper.of_any_term(|keeper| keeper.retain(is_there));
+        self.coordinator
+            .in_latest_term(|keeper| keeper.retain(is_there));
     }
 }
 
--- a/crates/instance/src/candidates.rs
+++ b/crates/instance/src/candidates.rs
@@ -12,19 +12,19 @@
 
 /// Most candidates, the holder among them: a question and a promise each, ten times in
 /// three seconds.
-const MOST: usize = 9;
+const MAX_CANDIDATES: usize = 9;
 /// With fewer that have enough processor, others are candidates too: the loss of one or two
 /// must not leave the right to those that wait out the gap between two holders.
-const FEWEST_STRONG: usize = 3;
+const MIN_STRONG_CANDIDATES: usize = 3;
 /// An instance whose connection is gone for longer is no candidate any more; one that was
 /// reset comes back sooner, and would cost two writes otherwise.
-const GONE_TIME: Duration = Duration::from_secs(3);
+const DISCONNECT_GRACE: Duration = Duration::from_secs(3);
 
 #[derive(Debug, Clone, Copy)]
 struct Member {
     address: SocketAddr,
     is_weak: bool,
-    gone_at: Option<Instant>,
+    disconnected_at: Option<Instant>,
 }
 
 /// The instances that listen to a holder, as far as they may succeed it.
@@ -37,32 +37,35 @@
 
 impl Candidates {
     /// An instance listens.
-    pub fn came(&mut self, instance: InstanceId, address: SocketAddr, is_weak: bool) {
+    pub fn add(&mut self, instance: InstanceId, address: SocketAddr, is_weak: bool) {
         let member = Member {
             address,
             is_weak,
-            gone_at: None,
+            disconnected_at: None,
         };
         self.members.insert(instance, member);
     }
 
     /// An instance's connection is gone.
-    pub fn went(&mut self, instance: &InstanceId, now: Instant) {
+    pub fn mark_disconnected(&mut self, instance: &InstanceId, now: Instant) {
         if let Some(member) = self.members.get_mut(instance) {
-            member.gone_at = Some(now);
+            member.disconnected_at = Some(now);
         }
     }
 
     /// An instance's process ends.
-    pub fn left(&mut self, instance: &InstanceId) {
+    pub fn remove(&mut self, instance: &InstanceId) {
         self.members.remove(instance);
     }
 
     /// Chooses anew; the candidates if they are others than before. They include `me`, whose
     /// term it is.
     pub fn choose(&mut self, me: &Candidate, now: Instant) -> Option<Vec<Candidate>> {
-        self.members
-            .retain(|_, member| member.gone_at.is_none_or(|at| now < at + GONE_TIME));
+        self.members.retain(|_, member| {
+            member
+                .disconnected_at
+                .is_none_or(|at| now < at + DISCONNECT_GRACE)
+        });
         let others = |is_weak: bool| {
             let members = self.members.iter();
             let alike =
@@ -73,9 +76,9 @@
             })
         };
         let mut chosen = vec![me.clone()];
-        chosen.extend(others(false).take(MOST - 1));
-        if chosen.len() < FEWEST_STRONG {
-            let missing = MOST - chosen.len();
+        chosen.extend(others(false).take(MAX_CANDIDATES - 1));
+        if chosen.len() < MIN_STRONG_CANDIDATES {
+            let missing = MAX_CANDIDATES - chosen.len();
             chosen.extend(others(true).take(missing));
         }
         chosen.sort();
@@ -89,24 +92,24 @@
     /// Instances that may dispatch for engines, as many as are wanted: those that do already
     /// and are still here, then those with more processor, spread by name. The holder, which
     /// has enough to do, is none of them.
-    pub fn dispatchers(
+    pub fn choose_dispatchers(
         &self,
-        before: &[Candidate],
+        current: &[Candidate],
         wanted: usize,
         me: &InstanceId,
     ) -> Vec<Candidate> {
-        let here = self
+        let connected = self
             .members
             .iter()
-            .filter(|(_, member)| member.gone_at.is_none());
-        let here = here.filter(|(name, _)| *name != me);
-        let mut ranked: Vec<(bool, bool, u64, Candidate)> = here
+            .filter(|(_, member)| member.disconnected_at.is_none());
+        let connected = connected.filter(|(name, _)| *name != me);
+        let mut ranked: Vec<(bool, bool, u64, Candidate)> = connected
             .map(|(instance, member)| {
                 let candidate = Candidate {
                     instance: instance.clone(),
                     address: member.address,
                 };
-                let is_new = !before.contains(&candidate);
+                let is_new = !current.contains(&candidate);
                 (member.is_weak, is_new, hash::mixed(0, instance), candidate)
             })
             .collect();
@@ -118,7 +121,7 @@
     }
 
     /// Whether an instance was chosen last.
-    pub fn contains(&self, instance: &InstanceId) -> bool {
+    pub fn is_candidate(&self, instance: &InstanceId) -> bool {
         self.chosen.iter().any(|one| one.instance == *instance)
     }
 }
--- a/crates/instance/src/packing.rs
+++ b/crates/instance/src/compression.rs
@@ -7,7 +7,7 @@
 use std::io;
 
 /// Values of this size and more are packed: below it, a frame's other parts weigh as much.
-pub const PACKED_FROM_BYTES: usize = 4 << 10;
+pub const MIN_COMPRESSED_BYTES: usize = 4 << 10;
 /// Largest value that is unpacked, so that no peer can fill the memory with a short message:
 /// four times what the users' store takes.
 const MAX_PLAIN_BYTES: usize = 4 << 20;
--- a/crates/instance/src/control.rs
+++ b/crates/instance/src/control.rs
@@ -1,8 +1,8 @@
 //! Orders and questions to engines: what their answers say of the engines is heard, as for any other.
 
-use crate::right::Right;
+use crate::leadership::LeadershipDriver;
 use crate::shared::Shared;
-use crate::words::{self, Heard};
+use crate::signals::{self, ReceivedSignals};
 use passway_serving::placement::PlannedOrder;
 use passway_serving::poison::UpstreamStart;
 use passway_serving::ports::{EngineOrder, EngineReport, Engines, OrderAnswer, Said};
@@ -12,14 +12,14 @@
 
 /// Takes in what an engine's answer to an instance says of the engine.
 fn hear<T>(shared: &Shared, start: &UpstreamStart, said: Said<T>, sent_at: Instant) -> T {
-    let heard = Heard {
+    let heard = ReceivedSignals {
         start,
-        words: &said.words,
+        signals: &said.words,
         // Only answers to requests are vouched for.
-        vouched: false,
+        is_authenticated: false,
         sent_at,
     };
-    words::hear(shared, heard);
+    signals::apply(shared, heard);
     said.answer
 }
 
@@ -45,7 +45,7 @@
 pub fn give(
     shared: &Shared,
     engines: &dyn Engines,
-    right: &Right,
+    right: &LeadershipDriver,
     fence: Fence,
     order: &PlannedOrder,
 ) -> OrderAnswer {
--- a/crates/instance/src/keeper.rs
+++ b/crates/instance/src/coordinator.rs
@@ -17,10 +17,10 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 /// A keeper that did not answer is not asked for this long.
-const SILENT_TIME: Duration = Duration::from_millis(300);
+const SILENT_BACKOFF: Duration = Duration::from_millis(300);
 /// One that was asked and is not the keeper is not asked again for this long: a term begins, or has
 /// ended, and everybody hears of that within some hundred milliseconds.
-const NOT_KEEPER_TIME: Duration = Duration::from_millis(100);
+const NOT_COORDINATOR_BACKOFF: Duration = Duration::from_millis(100);
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
@@ -28,36 +28,36 @@
 
 /// A keeper that is not asked, and until when.
 #[derive(Debug, Clone, PartialEq)]
-struct Silent {
+struct BackoffState {
     holder: Holder,
-    cause: Unruled,
+    cause: NoDecision,
     until: Instant,
 }
 
 /// Why nobody ruled on a question. None of these permits anything by itself: what an instance does without a ruling is
 /// said where it asks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unruled {
+pub enum NoDecision {
     /// No holder of the right to order is known.
     NoHolder,
     /// The holder does not answer, or did not a moment ago.
     Silent,
     /// The holder that is known does not hold the right now.
-    NotKeeper,
+    NotCoordinator,
 }
 
-impl Unruled {
+impl NoDecision {
     /// Its name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::NoHolder => "no holder",
             Self::Silent => "silent",
-            Self::NotKeeper => "not the keeper",
+            Self::NotCoordinator => "not the keeper",
         }
     }
 }
 
-impl fmt::Display for Unruled {
+impl fmt::Display for NoDecision {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.name())
     }
@@ -65,48 +65,48 @@
 
 /// This instance's questions to the keeper.
 #[derive(Debug, Default)]
-pub struct KeeperLink {
-    asked: Questions<UseTold>,
-    silent: Mutex<Option<Silent>>,
+pub struct CoordinatorClient {
+    pending: Questions<UseTold>,
+    backoff: Mutex<Option<BackoffState>>,
 }
 
-impl KeeperLink {
+impl CoordinatorClient {
     /// The keeper's ruling.
     ///
     /// # Errors
     /// Why there is none.
-    pub fn ask(&self, shared: &Shared, ask: &UseAsk) -> Result<UseTold, Unruled> {
-        let ruling = self.ruling(shared, ask);
+    pub fn request(&self, shared: &Shared, ask: &UseAsk) -> Result<UseTold, NoDecision> {
+        let ruling = self.try_request(shared, ask);
         if let Err(unruled) = ruling {
             shared.metrics.unruled(unruled);
         }
         ruling
     }
 
-    fn ruling(&self, shared: &Shared, ask: &UseAsk) -> Result<UseTold, Unruled> {
-        let holder = shared.right().and_then(|right| right.holder());
-        let holder = holder.ok_or(Unruled::NoHolder)?;
+    fn try_request(&self, shared: &Shared, ask: &UseAsk) -> Result<UseTold, NoDecision> {
+        let holder = shared.right().and_then(|leadership| leadership.holder());
+        let holder = holder.ok_or(NoDecision::NoHolder)?;
         let settings = &shared.settings;
         if holder.instance == settings.instance {
-            return of_keeper(rule(shared, settings.peer_address, ask));
+            return checked_answer(decide(shared, settings.peer_address, ask));
         }
         let now = clock::now();
-        let is_silent = |silent: &&Silent| silent.holder == holder && now < silent.until;
-        if let Some(silent) = lock(&self.silent).as_ref().filter(is_silent) {
+        let is_silent = |silent: &&BackoffState| silent.holder == holder && now < silent.until;
+        if let Some(silent) = lock(&self.backoff).as_ref().filter(is_silent) {
             return Err(silent.cause);
         }
         let body = Body::UseAsk(ask.clone());
         let address = holder.address;
         let told = self
-            .asked
+            .pending
             .ask(ask.id, || shared.dispatch.send(address, body.clone()));
-        let ruling = told.ok_or(Unruled::Silent).and_then(of_keeper);
+        let ruling = told.ok_or(NoDecision::Silent).and_then(checked_answer);
         if let Err(cause) = ruling {
             let pause = match cause {
-                Unruled::Silent | Unruled::NoHolder => SILENT_TIME,
-                Unruled::NotKeeper => NOT_KEEPER_TIME,
+                NoDecision::Silent | NoDecision::NoHolder => SILENT_BACKOFF,
+                NoDecision::NotCoordinator => NOT_COORDINATOR_BACKOFF,
             };
-            *lock(&self.silent) = Some(Silent {
+            *lock(&self.backoff) = Some(BackoffState {
                 holder,
                 cause,
                 until: clock::now() + pause,
@@ -116,38 +116,38 @@
     }
 
     /// Takes in the answer to a question of this instance.
-    pub fn answered(&self, told: UseTold) {
-        self.asked.answered(told.id, told);
+    pub fn receive_answer(&self, told: UseTold) {
+        self.pending.answered(told.id, told);
     }
 }
 
 /// An answer, if whoever gave it keeps the counts.
-fn of_keeper(told: UseTold) -> Result<UseTold, Unruled> {
+fn checked_answer(told: UseTold) -> Result<UseTold, NoDecision> {
     if told.verdict() == UseVerdict::NotKeeper {
-        return Err(Unruled::NotKeeper);
+        return Err(NoDecision::NotCoordinator);
     }
     Ok(told)
 }
 
 /// Answers an instance's question; only the keeper rules.
-pub fn rule(shared: &Shared, from: SocketAddr, ask: &UseAsk) -> UseTold {
-    let Some(fence) = shared.right().and_then(|right| right.term()) else {
+pub fn decide(shared: &Shared, from: SocketAddr, ask: &UseAsk) -> UseTold {
+    let Some(fence) = shared.right().and_then(|leadership| leadership.term()) else {
         return UseTold {
             id: ask.id,
             ..UseTold::default()
         };
     };
     if !ask.digest.is_empty() {
-        shared.poison.rule(fence, from, ask)
+        shared.poison.decide_exclusive_run(fence, from, ask)
     } else if ask.upstream.is_empty() {
-        shared.allotments.rule(shared, fence, from, ask)
+        shared.allotments.decide(shared, fence, from, ask)
     } else {
         shared.limits.rule(shared, fence, from, ask)
     }
 }
 
 /// The answer that a ruling makes to a question.
-pub fn told(ask: &UseAsk, ruling: Ruling) -> UseTold {
+pub fn encode_decision(ask: &UseAsk, ruling: Ruling) -> UseTold {
     let mut told = UseTold {
         id: ask.id,
         ..UseTold::default()
@@ -166,36 +166,36 @@
 }
 
 #[derive(Debug)]
-struct Keeping {
+struct TermCounts {
     fence: Fence,
     keeper: Keeper,
 }
 
 /// What is counted in the newest term of this instance.
 #[derive(Debug, Default)]
-pub struct TermKeeper(Mutex<Option<Keeping>>);
+pub struct TermCoordinator(Mutex<Option<TermCounts>>);
 
-impl TermKeeper {
+impl TermCoordinator {
     /// Acts on the keeper of a term, which counts from nothing in each.
-    pub fn of_term<T>(
+    pub fn in_term<T>(
         &self,
         fence: Fence,
         bounds: QuotaBounds,
         act: impl FnOnce(&mut Keeper) -> T,
     ) -> T {
-        let mut keeping = lock(&self.0);
-        keeping.take_if(|one| one.fence != fence);
-        let new = || Keeping {
+        let mut counts = lock(&self.0);
+        counts.take_if(|one| one.fence != fence);
+        let new = || TermCounts {
             fence,
             keeper: Keeper::new(bounds, clock::now()),
         };
-        act(&mut keeping.get_or_insert_with(new).keeper)
+        act(&mut counts.get_or_insert_with(new).keeper)
     }
 
     /// Acts on the keeper of the newest term, if there was one.
-    pub fn of_any_term(&self, act: impl FnOnce(&mut Keeper)) {
-        if let Some(keeping) = lock(&self.0).as_mut() {
-            act(&mut keeping.keeper);
+    pub fn in_latest_term(&self, act: impl FnOnce(&mut Keeper)) {
+        if let Some(counts) = lock(&self.0).as_mut() {
+            act(&mut counts.keeper);
         }
     }
 }
--- a/crates/instance/src/dispatch.rs
+++ b/crates/instance/src/dispatch.rs
@@ -4,7 +4,7 @@
 //! what this instance has sent itself, and the next ones ask another dispatcher for a while. So
 //! a dispatcher that dies, freezes or is cut off costs a request that moment and nothing else.
 
-use crate::keeper;
+use crate::coordinator;
 use crate::questions::Questions;
 use crate::shared::Shared;
 use passway_serving::dispatch::{
@@ -397,20 +397,20 @@
                 }
             }
             Body::VersionAsk(ask) => {
-                let told = shared.configuration_age.told(&ask);
+                let told = shared.configuration_age.answer_query(&ask);
                 self.send(from, Body::VersionTold(told));
             }
-            Body::VersionTold(told) => shared.configuration_age.answered(told),
+            Body::VersionTold(told) => shared.configuration_age.receive_answer(told),
             Body::UseAsk(ask) => {
-                let told = keeper::rule(shared, from, &ask);
+                let told = coordinator::decide(shared, from, &ask);
                 self.send(from, Body::UseTold(told));
             }
-            Body::UseTold(told) => shared.keeper.answered(told),
+            Body::UseTold(told) => shared.keeper.receive_answer(told),
             Body::UseBack(back) if back.digest.is_empty() => {
-                shared.allotments.take_back(shared, from, &back);
+                shared.allotments.record_release(shared, from, &back);
             }
-            Body::UseBack(back) => shared.poison.take_back(from, &back),
-            Body::Suspects(told) => shared.poison.join_from_peer(told),
+            Body::UseBack(back) => shared.poison.release_exclusive_run(from, &back),
+            Body::Suspects(told) => shared.poison.merge_from_peer(told),
         }
     }
 
--- a/crates/instance/src/feed_log.rs
+++ b/crates/instance/src/feed_log.rs
@@ -1,17 +1,17 @@
 //! The latest of one feed, for instances that hear it from here.
 
-use crate::news::Told;
-use crate::packing::{self, PACKED_FROM_BYTES};
+use crate::compression::{self, MIN_COMPRESSED_BYTES};
+use crate::updates::FeedUpdate;
 use passway_serving::ports::{Listing, StoreChange, StoreRevision, StoredValue};
 use passway_wire::message::{News, NewsValue};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Keys that went away and are remembered for instances that connect; whoever knows less is
 /// told everything.
-const KEPT_REMOVALS: usize = 400;
+const MAX_REMOVALS: usize = 400;
 
 /// Spans of unseen revisions that are remembered.
-const KEPT_SPANS: usize = 8;
+const MAX_UNSEEN_SPANS: usize = 8;
 
 /// One value of each key, and what large ones took the place of.
 ///
@@ -21,30 +21,32 @@
 pub struct FeedLog {
     values: BTreeMap<String, StoredValue>,
     /// The value before, of keys whose values are large.
-    replaced: BTreeMap<String, StoredValue>,
+    previous_values: BTreeMap<String, StoredValue>,
     /// Keys that went away, in the order in which they did.
     removals: VecDeque<(StoreRevision, String)>,
     /// Removals after this revision are kept.
-    since: StoreRevision,
+    removals_complete_since: StoreRevision,
     /// Spans of revisions of which only the end is known, since all was listed anew there: a
     /// key may have come and gone between. Whoever knows a moment inside is told everything.
-    unseen: VecDeque<(StoreRevision, StoreRevision)>,
+    unseen_spans: VecDeque<(StoreRevision, StoreRevision)>,
     /// Up to where this tells.
     to: StoreRevision,
     /// The last revision at which anything has changed that is told.
-    changed_at: StoreRevision,
+    changed_revision: StoreRevision,
 }
 
 impl FeedLog {
     /// Takes in news; whether there is anything to tell.
-    pub fn add(&mut self, told: &Told) -> bool {
-        let before = self.changed_at;
+    pub fn apply(&mut self, told: &FeedUpdate) -> bool {
+        let before = self.changed_revision;
         match told {
-            Told::Whole(listing) => self.replace(listing),
-            Told::Changes { changes, .. } => changes.iter().for_each(|change| self.note(change)),
+            FeedUpdate::Snapshot(listing) => self.apply_snapshot(listing),
+            FeedUpdate::Changes { changes, .. } => {
+                changes.iter().for_each(|change| self.apply_change(change))
+            }
         }
         self.to = self.to.max(told.to());
-        self.changed_at != before
+        self.changed_revision != before
     }
 
     /// Up to where this tells.
@@ -53,20 +55,20 @@
     }
 
     /// Whether one that knows the feed up to a revision lacks a change.
-    pub fn has_news(&self, known: StoreRevision) -> bool {
-        known < self.changed_at
+    pub fn has_changes_after(&self, known: StoreRevision) -> bool {
+        known < self.changed_revision
     }
 
     /// Takes in all values: what differs counts as changed, and the rest is not told again.
-    fn replace(&mut self, listing: &Listing) {
+    fn apply_snapshot(&mut self, listing: &Listing) {
         if self.to == 0 {
-            self.since = listing.revision;
+            self.removals_complete_since = listing.revision;
         } else if self.to < listing.revision {
-            self.unseen.push_back((self.to, listing.revision));
-            if self.unseen.len() > KEPT_SPANS
-                && let Some((_, end)) = self.unseen.pop_front()
+            self.unseen_spans.push_back((self.to, listing.revision));
+            if self.unseen_spans.len() > MAX_UNSEEN_SPANS
+                && let Some((_, end)) = self.unseen_spans.pop_front()
             {
-                self.since = self.since.max(end);
+                self.removals_complete_since = self.removals_complete_since.max(end);
             }
         }
         let listed: BTreeSet<&str> = listing.values.iter().map(|v| v.key.as_str()).collect();
@@ -75,14 +77,14 @@
         let missing: Vec<String> = missing.cloned().collect();
         for key in missing {
             let revision = listing.revision;
-            self.note(&StoreChange::Removed { key, revision });
+            self.apply_change(&StoreChange::Removed { key, revision });
         }
         for value in &listing.values {
-            self.note(&StoreChange::Written(value.clone()));
+            self.apply_change(&StoreChange::Written(value.clone()));
         }
     }
 
-    fn note(&mut self, change: &StoreChange) {
+    fn apply_change(&mut self, change: &StoreChange) {
         let known = self.values.get(change.key()).map(|value| value.revision);
         if known.is_some_and(|known| known >= change.revision()) {
             return;
@@ -90,35 +92,39 @@
         match change {
             StoreChange::Written(value) => {
                 let before = self.values.insert(value.key.clone(), value.clone());
-                if let Some(before) = before.filter(|old| old.value.len() >= PACKED_FROM_BYTES) {
-                    self.replaced.insert(value.key.clone(), before);
+                if let Some(before) = before.filter(|old| old.value.len() >= MIN_COMPRESSED_BYTES) {
+                    self.previous_values.insert(value.key.clone(), before);
                 }
             }
             StoreChange::Removed { key, revision } => {
                 // It is told also if its coming was not seen here: others may have read it.
                 self.values.remove(key);
-                self.replaced.remove(key);
+                self.previous_values.remove(key);
                 self.removals.push_back((*revision, key.clone()));
-                if self.removals.len() > KEPT_REMOVALS
+                if self.removals.len() > MAX_REMOVALS
                     && let Some((oldest, _)) = self.removals.pop_front()
                 {
-                    self.since = self.since.max(oldest);
+                    self.removals_complete_since = self.removals_complete_since.max(oldest);
                 }
             }
         }
-        self.changed_at = self.changed_at.max(change.revision());
+        self.changed_revision = self.changed_revision.max(change.revision());
     }
 
     /// What an instance lacks that knows the feed up to a revision.
-    pub fn after(&self, feed: usize, known: StoreRevision) -> Option<News> {
+    pub fn update_after(&self, feed: usize, known: StoreRevision) -> Option<News> {
         if known >= self.to {
             return None;
         }
         let is_unseen = |(begin, end): &(_, _)| *begin < known && known < *end;
-        let is_whole = known == 0 || known < self.since || self.unseen.iter().any(is_unseen);
+        let is_whole = known == 0
+            || known < self.removals_complete_since
+            || self.unseen_spans.iter().any(is_unseen);
         let from = if is_whole { 0 } else { known };
         let values = self.values.values().filter(|value| value.revision > from);
-        let mut values: Vec<NewsValue> = values.map(|value| self.encode(value, known)).collect();
+        let mut values: Vec<NewsValue> = values
+            .map(|value| self.encode_value(value, known))
+            .collect();
         if !is_whole {
             let removals = self.removals.iter().filter(|(at, _)| *at > known);
             values.extend(removals.map(|(revision, key)| NewsValue {
@@ -138,7 +144,7 @@
     }
 
     /// Tells one that it lacks something that cannot be told it, so that it asks the store.
-    pub fn gap(&self, feed: usize) -> News {
+    pub fn gap_marker(&self, feed: usize) -> News {
         News {
             feed: u32::try_from(feed).unwrap_or(u32::MAX),
             from: self.to,
@@ -148,19 +154,19 @@
     }
 
     /// A value for one that knows the feed up to a revision.
-    fn encode(&self, value: &StoredValue, known: StoreRevision) -> NewsValue {
+    fn encode_value(&self, value: &StoredValue, known: StoreRevision) -> NewsValue {
         let plain = NewsValue {
             key: value.key.clone(),
             value: Some(value.value.clone()),
             revision: value.revision,
             ..NewsValue::default()
         };
-        if value.value.len() < PACKED_FROM_BYTES {
+        if value.value.len() < MIN_COMPRESSED_BYTES {
             return plain;
         }
-        let base = self.replaced.get(&value.key);
+        let base = self.previous_values.get(&value.key);
         let base = base.filter(|before| before.revision <= known);
-        match packing::pack(&value.value, base.map(|before| &*before.value)) {
+        match compression::pack(&value.value, base.map(|before| &*before.value)) {
             Ok(packed) => NewsValue {
                 value: Some(packed.into()),
                 plain_bytes: value.value.len() as u64,
--- a/crates/instance/src/feeds.rs
+++ b/crates/instance/src/feeds.rs
@@ -6,10 +6,10 @@
 pub use configuration::ConfigurationFeed;
 pub use upstreams::UpstreamFeed;
 
-use crate::holder::FeedNews;
-use crate::news::{self, Told};
-use crate::relay::{CONFIGURATION, Tap};
+use crate::holder::NumberedUpdate;
+use crate::relay::{CONFIGURATION_FEED, RelayReceiver};
 use crate::shared::Shared;
+use crate::updates::{self, FeedUpdate};
 use crossbeam::channel::Sender;
 use passway_serving::ports::{
     Listing, SharedStore, StoreChange, StoreError, StoreRevision, WatchAnswer,
@@ -21,24 +21,24 @@
 /// that was cut silently is noticed 0.5 s after it. A version has 2 s to be in force
 /// everywhere in a small fleet and 3 s in a large one (users' pages); this leaves the rest of
 /// them for asking anew.
-const RELAYED_WATCH: Duration = Duration::from_millis(800);
+const RELAYED_WATCH_TIMEOUT: Duration = Duration::from_millis(800);
 /// The same of a feed that each instance follows for itself.
-const OWN_WATCH: Duration = Duration::from_secs(2);
+const OWN_WATCH_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Questions that prove the configuration within the bound on keys that were taken away.
-const PROOFS_IN_BOUND: u32 = 6;
+const PROOFS_PER_REVOCATION_BOUND: u32 = 6;
 
 /// Longest wait for the holder's news before its standing is looked at again: upstreams whose
 /// time is over are forgotten as often.
-const RELAY_STEP: Duration = Duration::from_millis(250);
+const RELAY_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Calls in a row that count as failed at least once the holder is not answered either: the
 /// pause is 0.6 s then rather than 0.15 s, at up to a hundred instances at one time.
-const OUTAGE_FAILURES: u32 = 2;
+const MIN_OUTAGE_FAILURES: u32 = 2;
 
-/// Pause between two looks, after a call that failed, whether the store answers others here:
+/// Backoff between two looks, after a call that failed, whether the store answers others here:
 /// short against the first pause before it is asked again in any case.
-const LOOK_STEP: Duration = Duration::from_millis(100);
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Where news come from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -51,11 +51,11 @@
 
 /// Why a feed is behind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Outage {
+pub enum Interruption {
     /// The holder is not relied on any more, after a second or so.
-    OfHolder,
+    HolderLost,
     /// The store did not answer, for nobody knows how long.
-    OfStore,
+    StoreSilent,
 }
 
 /// Takes in what lies under a prefix.
@@ -63,22 +63,22 @@
     /// The prefix.
     fn prefix(&self) -> String;
     /// Everything was read.
-    fn listed(&mut self, listing: &Listing);
+    fn apply_listing(&mut self, listing: &Listing);
     /// Something has changed; whether other instances must hear of it.
-    fn changed(&mut self, change: &StoreChange) -> bool;
+    fn apply_change(&mut self, change: &StoreChange) -> bool;
     /// The store, asked at a moment, has told everything that was not known, and that was taken in.
     fn confirmed(&mut self, _asked_at: Instant) {}
     /// Looks after what is due by time alone.
     fn tick(&mut self) {}
     /// All changes that are known were taken in; the pause before asking for more.
-    fn settled(&mut self) -> Duration;
+    fn finish_batch(&mut self) -> Duration;
     /// Whether all values are cheaper than the changes that lie behind: a watch tells each
     /// change that was made meanwhile, a list the last of them only.
-    fn lists_rather(&self, _after: Outage) -> bool {
+    fn prefers_listing(&self, _after: Interruption) -> bool {
         false
     }
     /// Whether the store is to be asked although the holder is relied on.
-    fn must_ask(&self) -> bool {
+    fn must_query_store(&self) -> bool {
         false
     }
     /// What the instance shares.
@@ -89,40 +89,40 @@
 /// order while it is relied on, else by the store and by what the holder tells meanwhile.
 pub fn follow(
     store: Arc<dyn SharedStore>,
-    tap: Tap,
-    news: Sender<FeedNews>,
+    receiver: RelayReceiver,
+    updates: Sender<NumberedUpdate>,
     feed: impl Feed + 'static,
 ) {
     let follower = Follower {
         prefix: feed.prefix(),
         store,
-        tap,
-        news,
+        receiver,
+        updates,
         feed,
         known: None,
-        lists_next: false,
-        relied: false,
+        must_list: false,
+        trusted_holder: false,
         has_gap: false,
         failures: 0,
-        pause: Pause::over(clock::now()),
+        backoff: Backoff::none(clock::now()),
     };
     std::thread::spawn(move || follower.run());
 }
 
 /// The time for which the store is not asked after a call that failed.
 #[derive(Debug, Clone, Copy)]
-struct Pause {
+struct Backoff {
     /// From then on it is asked if it has answered somebody else here.
-    soonest: Instant,
+    earliest_at: Instant,
     /// From then on it is asked in any case.
-    until: Instant,
+    retry_at: Instant,
 }
 
-impl Pause {
-    fn over(now: Instant) -> Self {
+impl Backoff {
+    fn none(now: Instant) -> Self {
         Self {
-            soonest: now,
-            until: now,
+            earliest_at: now,
+            retry_at: now,
         }
     }
 }
@@ -130,21 +130,21 @@
 struct Follower<F> {
     prefix: String,
     store: Arc<dyn SharedStore>,
-    tap: Tap,
-    news: Sender<FeedNews>,
+    receiver: RelayReceiver,
+    updates: Sender<NumberedUpdate>,
     feed: F,
     /// The point from which to go on; `None` before the first list.
     known: Option<StoreRevision>,
     /// Whether the store is to be asked for all values rather than for what has changed.
-    lists_next: bool,
+    must_list: bool,
     /// Whether the holder was relied on last.
-    relied: bool,
+    trusted_holder: bool,
     /// Whether something is missing in the holder's news: it is not relied on until the store
     /// has told it, or the holder itself.
     has_gap: bool,
     /// Calls in a row that the store did not answer.
     failures: u32,
-    pause: Pause,
+    backoff: Backoff,
 }
 
 impl<F: Feed> Follower<F> {
@@ -153,76 +153,77 @@
         loop {
             self.feed.tick();
             // What the holder told while the store was asked.
-            self.hear(Duration::ZERO);
-            if let Some(until) = self.relied_until() {
-                self.relied = true;
+            self.receive(Duration::ZERO);
+            if let Some(until) = self.trusted_until() {
+                self.trusted_holder = true;
                 let left = until.saturating_duration_since(clock::now());
-                self.hear(left.min(RELAY_STEP));
-            } else if self.may_ask() {
-                self.follow_store();
+                self.receive(left.min(RELAY_POLL_INTERVAL));
+            } else if self.may_query_store() {
+                self.poll_store();
             } else {
-                self.hear(LOOK_STEP);
+                self.receive(HEALTH_CHECK_INTERVAL);
             }
         }
     }
 
     /// Until when the holder's news are enough; `None` if they are not now.
-    fn relied_until(&self) -> Option<Instant> {
-        let must_ask = self.known.is_none() || self.has_gap || self.feed.must_ask();
-        self.tap.relied_until().filter(|_| !must_ask)
+    fn trusted_until(&self) -> Option<Instant> {
+        let must_ask = self.known.is_none() || self.has_gap || self.feed.must_query_store();
+        self.receiver.trusted_until().filter(|_| !must_ask)
     }
 
     /// Whether the store may be asked now. While the holder speaks, and neither it nor this
     /// instance is answered, the configuration's feed alone finds out whether the store is back.
-    fn may_ask(&self) -> bool {
+    fn may_query_store(&self) -> bool {
         let now = clock::now();
         let is_failing = self.feed.shared().store_health.is_failing();
-        let relay = &self.tap.relay;
-        let another_asks = self.tap.feed != Some(CONFIGURATION)
-            && relay.is_heard()
-            && relay.relied_until(CONFIGURATION).is_none();
-        if is_failing && another_asks && !self.feed.must_ask() {
+        let relay = &self.receiver.relay;
+        let another_asks = self.receiver.feed != Some(CONFIGURATION_FEED)
+            && relay.is_holder_alive()
+            && relay.trusted_until(CONFIGURATION_FEED).is_none();
+        if is_failing && another_asks && !self.feed.must_query_store() {
             return false;
         }
-        now >= self.pause.until || (now >= self.pause.soonest && !is_failing)
+        now >= self.backoff.retry_at || (now >= self.backoff.earliest_at && !is_failing)
     }
 
     /// Waits a while for the holder's news.
-    fn hear(&mut self, longest: Duration) {
-        if let Some(told) = self.tap.next(longest) {
-            self.relayed(told);
+    fn receive(&mut self, longest: Duration) {
+        if let Some(told) = self.receiver.wait_for_update(longest) {
+            self.apply_relayed(told);
         }
     }
 
     /// Asks the store once and pauses as its answer or silence calls for.
-    fn follow_store(&mut self) {
+    fn poll_store(&mut self) {
         // A feed that is not relayed heard nothing while the holder was relied on.
-        let lists = self.tap.feed.is_none() || self.feed.lists_rather(Outage::OfHolder);
-        self.lists_next |= std::mem::take(&mut self.relied) && lists;
-        match self.ask() {
+        let lists =
+            self.receiver.feed.is_none() || self.feed.prefers_listing(Interruption::HolderLost);
+        self.must_list |= std::mem::take(&mut self.trusted_holder) && lists;
+        match self.query_store() {
             Ok(()) => {
                 self.failures = 0;
-                self.feed.shared().store_health.answered();
-                std::thread::sleep(self.feed.settled());
+                self.feed.shared().store_health.record_answer();
+                std::thread::sleep(self.feed.finish_batch());
             }
             Err(error) => {
                 log::debug!(prefix = self.prefix, error:? = error; "the store gave no answer");
                 // An answer that did not come in time may have held many versions.
-                self.lists_next |= self.feed.lists_rather(Outage::OfStore);
+                self.must_list |= self.feed.prefers_listing(Interruption::StoreSilent);
                 let health = &self.feed.shared().store_health;
-                health.failed();
+                health.record_failure();
                 let now = clock::now();
-                let probes = self.tap.feed == Some(CONFIGURATION);
+                let probes = self.receiver.feed == Some(CONFIGURATION_FEED);
                 // The holder is not answered either: an outage, more likely than not.
-                let outage = if self.tap.relay.is_heard() {
-                    OUTAGE_FAILURES
+                let outage = if self.receiver.relay.is_holder_alive() {
+                    MIN_OUTAGE_FAILURES
                 } else {
                     0
                 };
                 let failures = self.failures.max(outage);
-                self.pause = Pause {
-                    soonest: now + LOOK_STEP,
-                    until: now + health.pause_after(failures, probes),
+                self.backoff = Backoff {
+                    earliest_at: now + HEALTH_CHECK_INTERVAL,
+                    retry_at: now + health.backoff_after(failures, probes),
                 };
                 self.failures += 1;
             }
@@ -230,31 +231,31 @@
     }
 
     /// One list or watch.
-    fn ask(&mut self) -> Result<(), StoreError> {
-        let Some(after) = self.known.filter(|_| !self.lists_next) else {
+    fn query_store(&mut self) -> Result<(), StoreError> {
+        let Some(after) = self.known.filter(|_| !self.must_list) else {
             let asked_at = clock::now();
             let listing = self.store.list(&self.prefix)?;
-            self.tap.answered(asked_at);
-            self.lists_next = false;
-            self.take(Told::Whole(listing), Source::Store);
+            self.receiver.record_store_answer(asked_at);
+            self.must_list = false;
+            self.apply(FeedUpdate::Snapshot(listing), Source::Store);
             self.feed.confirmed(asked_at);
             return Ok(());
         };
-        let wait = self.longest_watch();
+        let wait = self.watch_timeout();
         let asked_at = clock::now();
         match self.store.watch(&self.prefix, after, wait)? {
-            WatchAnswer::HistoryGone => self.lists_next = true,
+            WatchAnswer::HistoryGone => self.must_list = true,
             WatchAnswer::Changes { changes, revision } => {
                 // A large answer may have begun long ago; one without changes has just come.
                 let is_quiet = changes.is_empty();
                 let known_at = if is_quiet { clock::now() } else { asked_at };
-                self.tap.answered(known_at);
-                let told = Told::Changes {
+                self.receiver.record_store_answer(known_at);
+                let told = FeedUpdate::Changes {
                     from: after,
                     to: revision.max(after),
-                    changes: news::newest(changes.into_iter()),
+                    changes: updates::latest_changes(changes.into_iter()),
                 };
-                self.take(told, Source::Store);
+                self.apply(told, Source::Store);
                 self.feed.confirmed(asked_at);
             }
         }
@@ -264,63 +265,63 @@
     /// How long the store may wait with its answer. The configuration is proved by answers, and
     /// counts as old as the question: a question, the next one, and what others need to hear of
     /// the answer must lie in the time within which keys that were taken away stop.
-    fn longest_watch(&self) -> Duration {
-        let Some(feed) = self.tap.feed else {
-            return OWN_WATCH;
+    fn watch_timeout(&self) -> Duration {
+        let Some(feed) = self.receiver.feed else {
+            return OWN_WATCH_TIMEOUT;
         };
         let bound = self.feed.shared().revocation();
-        let bound = bound.filter(|_| feed == CONFIGURATION);
-        bound.map_or(RELAYED_WATCH, |bound| {
-            (bound / PROOFS_IN_BOUND).min(RELAYED_WATCH)
+        let bound = bound.filter(|_| feed == CONFIGURATION_FEED);
+        bound.map_or(RELAYED_WATCH_TIMEOUT, |bound| {
+            (bound / PROOFS_PER_REVOCATION_BOUND).min(RELAYED_WATCH_TIMEOUT)
         })
     }
 
     /// Takes in what the holder told, unless something is missing in between.
-    fn relayed(&mut self, told: Told) {
+    fn apply_relayed(&mut self, told: FeedUpdate) {
         let known = self.known.unwrap_or(0);
         match &told {
-            Told::Whole(listing) if listing.revision < known => return,
-            Told::Changes { to, .. } if *to <= known => return,
-            Told::Changes { from, .. } if *from > known => {
+            FeedUpdate::Snapshot(listing) if listing.revision < known => return,
+            FeedUpdate::Changes { to, .. } if *to <= known => return,
+            FeedUpdate::Changes { from, .. } if *from > known => {
                 log::info!(prefix = self.prefix, from = *from, known = known; "a gap in the holder's news");
                 self.has_gap = true;
-                self.tap.missed(told.to());
+                self.receiver.report_gap(told.to());
                 return;
             }
             _ => {}
         }
         // A store that turned this instance away for long is asked soon once the holder is lost.
         self.failures = 0;
-        self.feed.shared().store_health.relayed();
-        self.take(told, Source::Holder);
-        self.feed.settled();
+        self.feed.shared().store_health.record_relayed();
+        self.apply(told, Source::Holder);
+        self.feed.finish_batch();
     }
 
-    fn take(&mut self, told: Told, source: Source) {
-        if self.tap.feed == Some(CONFIGURATION) && told.values() > 0 {
-            log::info!(source:? = source, known = self.known, to = told.to(), bytes = told.bytes(); "configuration heard");
+    fn apply(&mut self, told: FeedUpdate, source: Source) {
+        if self.receiver.feed == Some(CONFIGURATION_FEED) && told.value_count() > 0 {
+            log::info!(source:? = source, known = self.known, to = told.to(), bytes = told.size_bytes(); "configuration heard");
         }
         self.has_gap = false;
-        self.tap.taken(&told, told.to());
+        self.receiver.record_applied(&told, told.to());
         let told = match told {
-            Told::Whole(listing) => {
-                self.feed.listed(&listing);
+            FeedUpdate::Snapshot(listing) => {
+                self.feed.apply_listing(&listing);
                 self.known = Some(listing.revision);
-                Told::Whole(listing)
+                FeedUpdate::Snapshot(listing)
             }
-            Told::Changes { from, to, changes } => {
+            FeedUpdate::Changes { from, to, changes } => {
                 self.known = Some(to);
-                let material = changes.into_iter().filter(|c| self.feed.changed(c));
-                Told::Changes {
+                let relevant = changes.into_iter().filter(|c| self.feed.apply_change(c));
+                FeedUpdate::Changes {
                     from,
                     to,
-                    changes: material.collect(),
+                    changes: relevant.collect(),
                 }
             }
         };
-        if let Some(feed) = self.tap.feed {
+        if let Some(feed) = self.receiver.feed {
             // The deciding thread ends only with the process.
-            let _ = self.news.send((feed, told));
+            let _ = self.updates.send((feed, told));
         }
     }
 }
--- a/crates/instance/src/feeds/configuration.rs
+++ b/crates/instance/src/feeds/configuration.rs
@@ -1,7 +1,7 @@
 //! The feed of the configuration.
 
-use super::{Feed, Outage};
-use crate::freshness::OLD_PART;
+use super::{Feed, Interruption};
+use crate::freshness::STALE_DIVISOR;
 use crate::shared::Shared;
 use passway_process::logging::json::DECISION_TARGET;
 use passway_serving::ports::{Directory, Listing, StoreChange, StoredValue};
@@ -10,10 +10,10 @@
 use std::collections::BTreeSet;
 
 /// Versions that came within this time are a series: more of them may lie behind.
-const SERIES_TIME: Duration = Duration::from_secs(5);
+const VERSION_BURST_WINDOW: Duration = Duration::from_secs(5);
 
 /// The name under which halls that are not known are counted.
-const HALL_WORD: &str = "hall";
+const UNKNOWN_HALL_LABEL: &str = "hall";
 
 /// Takes in the configuration.
 pub struct ConfigurationFeed {
@@ -22,9 +22,9 @@
     /// Decodes it.
     pub directory: Arc<dyn Directory>,
     /// When the last version and the one before it came.
-    versions_at: [Option<Instant>; 2],
+    last_versions_at: [Option<Instant>; 2],
     /// Halls that operators have emptied.
-    emptied: BTreeSet<DataHall>,
+    emptied_halls: BTreeSet<DataHall>,
 }
 
 impl ConfigurationFeed {
@@ -33,31 +33,31 @@
         Self {
             shared,
             directory,
-            versions_at: [None; 2],
-            emptied: BTreeSet::new(),
+            last_versions_at: [None; 2],
+            emptied_halls: BTreeSet::new(),
         }
     }
 
     /// Halls of which nobody is to be sent anything are closed from now on, and no others.
-    fn use_emptied(&self) {
+    fn apply_emptied_halls(&self) {
         let mut upstreams = self.shared.upstreams();
         let before = upstreams.emptied().clone();
-        if !upstreams.set_emptied(self.emptied.clone(), clock::now()) {
+        if !upstreams.set_emptied(self.emptied_halls.clone(), clock::now()) {
             return;
         }
-        let unknown = self.emptied.difference(&before);
+        let unknown = self.emptied_halls.difference(&before);
         let unknown = unknown.filter(|hall| !upstreams.knows_hall(hall));
         let unknown: Vec<DataHall> = unknown.cloned().collect();
         drop(upstreams);
         for hall in unknown {
-            self.shared.metrics.unusable_word(HALL_WORD);
+            self.shared.metrics.unusable_word(UNKNOWN_HALL_LABEL);
             log::error!(hall:% = hall; "a hall that is not known is to be emptied");
         }
-        log::info!(target: DECISION_TARGET, halls:? = self.emptied; "halls emptied by operators");
+        log::info!(target: DECISION_TARGET, halls:? = self.emptied_halls; "halls emptied by operators");
         self.shared.upstreams_changed();
     }
 
-    fn take(&self, value: &StoredValue) {
+    fn apply_configuration(&self, value: &StoredValue) {
         match self.directory.configuration(value) {
             Ok(Some(table)) => {
                 let known = self.shared.routes.load();
@@ -92,26 +92,26 @@
         self.directory.configuration_prefix().to_owned()
     }
 
-    fn listed(&mut self, listing: &Listing) {
+    fn apply_listing(&mut self, listing: &Listing) {
         for value in &listing.values {
-            self.take(value);
+            self.apply_configuration(value);
         }
         let keys = listing.values.iter().map(|value| &value.key);
         let halls = keys.filter_map(|key| self.directory.emptied_hall(key));
-        self.emptied = halls.map(Into::into).collect();
-        self.use_emptied();
+        self.emptied_halls = halls.map(Into::into).collect();
+        self.apply_emptied_halls();
     }
 
-    fn changed(&mut self, change: &StoreChange) -> bool {
+    fn apply_change(&mut self, change: &StoreChange) -> bool {
         if let Some(hall) = self.directory.emptied_hall(change.key()) {
             match change {
-                StoreChange::Written(_) => self.emptied.insert(hall.into()),
-                StoreChange::Removed { .. } => self.emptied.remove(hall),
+                StoreChange::Written(_) => self.emptied_halls.insert(hall.into()),
+                StoreChange::Removed { .. } => self.emptied_halls.remove(hall),
             };
-            self.use_emptied();
+            self.apply_emptied_halls();
         } else if let StoreChange::Written(value) = change {
-            self.take(value);
-            self.versions_at = [Some(clock::now()), self.versions_at[0]];
+            self.apply_configuration(value);
+            self.last_versions_at = [Some(clock::now()), self.last_versions_at[0]];
         }
         true
     }
@@ -120,28 +120,29 @@
         // One that cannot be used counts as not written: the last good one stays in force.
         if let Some(table) = &*self.shared.routes.load() {
             let age = &self.shared.configuration_age;
-            age.store_answered(table.version, asked_at);
+            age.record_store_answer(table.version, asked_at);
         }
     }
 
-    fn settled(&mut self) -> Duration {
+    fn finish_batch(&mut self) -> Duration {
         Duration::ZERO
     }
 
     /// A list has the whole configuration, 180 kB for 1,375 models, and all instances ask at
     /// the same moment when the holder is lost: 53 MB for 295 of them, 0.4 s of the store's
     /// link. A watch has nothing if no version came meanwhile, and each that did if some have.
-    fn lists_rather(&self, after: Outage) -> bool {
-        let is_recent = |at: Option<Instant>| at.is_some_and(|at| clock::since(at) < SERIES_TIME);
-        after == Outage::OfStore || self.versions_at.into_iter().all(is_recent)
+    fn prefers_listing(&self, after: Interruption) -> bool {
+        let is_recent =
+            |at: Option<Instant>| at.is_some_and(|at| clock::since(at) < VERSION_BURST_WINDOW);
+        after == Interruption::StoreSilent || self.last_versions_at.into_iter().all(is_recent)
     }
 
     /// While the holder is relied on it is asked how old its proof is; the store is, too, where that has
     /// proved nothing for long.
-    fn must_ask(&self) -> bool {
+    fn must_query_store(&self) -> bool {
         let shared = &self.shared;
         let bound = shared.revocation();
-        bound.is_some_and(|bound| !shared.configuration_age.is_younger(bound / OLD_PART))
+        bound.is_some_and(|bound| !shared.configuration_age.is_younger(bound / STALE_DIVISOR))
     }
 
     fn shared(&self) -> &Shared {
--- a/crates/instance/src/feeds/upstreams.rs
+++ b/crates/instance/src/feeds/upstreams.rs
@@ -2,7 +2,7 @@
 
 use super::Feed;
 use crate::holder::Input;
-use crate::right::Right;
+use crate::leadership::LeadershipDriver;
 use crate::shared::Shared;
 use anyhow::ensure;
 use crossbeam::channel::Sender;
@@ -20,44 +20,44 @@
     /// Decodes it.
     pub directory: Arc<dyn Directory>,
     /// The thread that orders, if this instance may.
-    pub holder: Sender<Input>,
+    pub holder_inputs: Sender<Input>,
     /// Whether it may.
-    pub right: Arc<Right>,
+    pub leadership: Arc<LeadershipDriver>,
     /// Keys whose entries cannot be used, so that each is told once.
     unusable: BTreeSet<String>,
 }
 
 /// Changes of upstreams within this time are taken in by one call.
-const UPSTREAM_PAUSE: Duration = Duration::from_millis(400);
+const BATCH_DELAY: Duration = Duration::from_millis(400);
 /// The same at the holder of the right to order, which waits for engines' words.
-const HOLDER_PAUSE: Duration = Duration::from_millis(30);
+const HOLDER_BATCH_DELAY: Duration = Duration::from_millis(30);
 /// What each upstream adds to it, so that more of them do not make more calls.
-const HOLDER_PAUSE_PER_UPSTREAM: Duration = Duration::from_micros(1_200);
+const HOLDER_BATCH_DELAY_PER_UPSTREAM: Duration = Duration::from_micros(1_200);
 /// Longest such pause. Each of the two orders of a swap shows its effect in an engine's entry,
 /// half a pause late in the mean: with 317 ms, as 264 upstreams would make it, a third of a
 /// swap of 1 s was waiting for that.
-const LONGEST_HOLDER_PAUSE: Duration = Duration::from_millis(110);
+const MAX_HOLDER_BATCH_DELAY: Duration = Duration::from_millis(110);
 
 impl UpstreamFeed {
     /// A feed that has heard nothing yet.
     pub fn new(
         shared: Arc<Shared>,
         directory: Arc<dyn Directory>,
-        holder: Sender<Input>,
-        right: Arc<Right>,
+        holder_inputs: Sender<Input>,
+        leadership: Arc<LeadershipDriver>,
     ) -> Self {
         Self {
             shared,
             directory,
-            holder,
-            right,
+            holder_inputs,
+            leadership,
             unusable: BTreeSet::new(),
         }
     }
 
-    fn tell(&self, input: Input) {
+    fn send_to_holder(&self, input: Input) {
         // The deciding thread ends only with the process.
-        let _ = self.holder.send(input);
+        let _ = self.holder_inputs.send(input);
     }
 
     /// Forgets upstreams that are gone, here and at the holder.
@@ -77,14 +77,14 @@
             }
         }
         self.shared.limits.retain(&self.shared);
-        self.tell(Input::Listed(left));
+        self.send_to_holder(Input::UpstreamsListed(left));
     }
 
     /// What an upstream says of itself; `None` if the entry names none that can be used. It
     /// may have been written by something else.
     fn decode(&mut self, value: &StoredValue) -> Option<UpstreamEntry> {
         let entry = self.directory.upstream(value, clock::now());
-        match entry.and_then(|entry| self.of_its_service(entry)) {
+        match entry.and_then(|entry| self.check_service(entry)) {
             Ok(mut entry) => {
                 self.unusable.remove(&value.key);
                 let upstreams = self.shared.upstreams();
@@ -104,7 +104,7 @@
 
     /// An upstream stays with its service: what moves it to one that the configuration does
     /// not know is not its own word, and must not pass for the newest one.
-    fn of_its_service(&self, entry: UpstreamEntry) -> anyhow::Result<UpstreamEntry> {
+    fn check_service(&self, entry: UpstreamEntry) -> anyhow::Result<UpstreamEntry> {
         let table = self.shared.routes.load();
         let is_known = |service| {
             let services = table.as_ref().map(|table| &table.services);
@@ -123,7 +123,7 @@
     }
 
     /// Connections to what upstreams were before they started again lead nowhere.
-    fn forget_restarted(&self) {
+    fn drop_restarted_connections(&self) {
         let restarted = self.shared.upstreams().take_restarted();
         for id in restarted {
             log::info!(target: DECISION_TARGET, upstream:% = id; "an upstream has started again under its id");
@@ -134,8 +134,11 @@
     }
 
     /// An upstream is not listed any more.
-    fn miss(&self, id: &str) {
-        let gone_at = self.shared.store_health.gone_at(clock::now());
+    fn mark_missing(&self, id: &str) {
+        let gone_at = self
+            .shared
+            .store_health
+            .missing_entry_expires_at(clock::now());
         self.shared.upstreams().miss(id, gone_at);
         self.expire();
     }
@@ -146,42 +149,42 @@
         self.directory.upstream_prefix().to_owned()
     }
 
-    fn listed(&mut self, listing: &Listing) {
+    fn apply_listing(&mut self, listing: &Listing) {
         self.unusable
             .retain(|key| listing.values.iter().any(|value| value.key == *key));
         let entries = listing.values.iter().filter_map(|value| self.decode(value));
         let entries: Vec<_> = entries.collect();
         for entry in &entries {
-            self.tell(Input::Heard(entry.clone()));
+            self.send_to_holder(Input::UpstreamSeen(entry.clone()));
         }
         let now = clock::now();
-        let gone_at = self.shared.store_health.gone_at(now);
+        let gone_at = self.shared.store_health.missing_entry_expires_at(now);
         self.shared.upstreams().replace(entries, gone_at, now);
-        self.forget_restarted();
+        self.drop_restarted_connections();
         self.expire();
         self.shared.set_upstreams_listed();
         self.shared.upstreams_changed();
     }
 
-    fn changed(&mut self, change: &StoreChange) -> bool {
+    fn apply_change(&mut self, change: &StoreChange) -> bool {
         match change {
             StoreChange::Written(value) => {
                 let Some(entry) = self.decode(value) else {
                     if let Some(id) = self.directory.upstream_id(&value.key) {
-                        self.miss(id);
+                        self.mark_missing(id);
                     }
                     return true;
                 };
-                self.tell(Input::Heard(entry.clone()));
+                self.send_to_holder(Input::UpstreamSeen(entry.clone()));
                 // What stands on an engine travels by placements, which are shorter.
                 let is_told = self.shared.upstreams().update(entry, clock::now());
-                self.forget_restarted();
+                self.drop_restarted_connections();
                 is_told
             }
             StoreChange::Removed { key, .. } => {
                 self.unusable.remove(key);
                 if let Some(id) = self.directory.upstream_id(key) {
-                    self.miss(id);
+                    self.mark_missing(id);
                 }
                 true
             }
@@ -192,15 +195,15 @@
         self.expire();
     }
 
-    fn settled(&mut self) -> Duration {
+    fn finish_batch(&mut self) -> Duration {
         self.shared.upstreams_changed();
-        if self.right.term().is_some() {
+        if self.leadership.term().is_some() {
             let upstreams = self.shared.upstreams().entries().count();
             let upstreams = u32::try_from(upstreams).unwrap_or(u32::MAX);
-            let pause = HOLDER_PAUSE_PER_UPSTREAM.saturating_mul(upstreams);
-            pause.clamp(HOLDER_PAUSE, LONGEST_HOLDER_PAUSE)
+            let pause = HOLDER_BATCH_DELAY_PER_UPSTREAM.saturating_mul(upstreams);
+            pause.clamp(HOLDER_BATCH_DELAY, MAX_HOLDER_BATCH_DELAY)
         } else {
-            UPSTREAM_PAUSE
+            BATCH_DELAY
         }
     }
 
--- a/crates/instance/src/forward.rs
+++ b/crates/instance/src/forward.rs
@@ -22,7 +22,7 @@
 mod waiting;
 
 use crate::http1::{Connection, RequestHead};
-use crate::poison::Trial;
+use crate::poison::ExclusivePermit;
 use crate::relay::millis_since;
 use crate::reply::{self, Refusal};
 use crate::shared::{Need, Shared};
@@ -90,7 +90,7 @@
     /// Whether it may run while upstreams that broke off under it may have ended.
     standing: Standing,
     /// Its turn to run alone among those like it, once it has asked for one.
-    trial: Option<Trial>,
+    trial: Option<ExclusivePermit>,
     /// When its model can be there at the earliest, in milliseconds, if that is too late for it.
     comes_ms: Option<u64>,
     /// What it asks for, once that was computed.
--- a/crates/instance/src/forward/access.rs
+++ b/crates/instance/src/forward/access.rs
@@ -98,7 +98,7 @@
         {
             let until = clock::now() + PROOF_WAIT;
             let age = &self.shared.configuration_age;
-            if !age.wait_until_permitted(bound, until) {
+            if !age.wait_until_proved(bound, until) {
                 return Err(UNPROVED);
             }
         }
@@ -114,7 +114,7 @@
         let wait_until = self.wait_until(self.deadline_at);
         loop {
             let shared = self.shared;
-            let decision = shared.allotments.ask(shared, &workspace, cost);
+            let decision = shared.allotments.request(shared, &workspace, cost);
             shared.metrics.workspace(&workspace.name, decision);
             match decision {
                 Decision::Granted => {
@@ -146,7 +146,7 @@
             && let Some(workspace) = &self.access.workspace
         {
             let allotments = &self.shared.allotments;
-            allotments.give_back(self.shared, workspace, cost);
+            allotments.release(self.shared, workspace, cost);
         }
     }
 
@@ -157,7 +157,7 @@
         }
         // The proof before the table: one that came later may belong to a version without the key.
         let bound = self.shared.revocation();
-        if bound.is_some_and(|bound| !self.shared.configuration_age.permits(bound)) {
+        if bound.is_some_and(|bound| !self.shared.configuration_age.is_proved_within(bound)) {
             return Err(UNPROVED);
         }
         let table = self.shared.routes.load();
--- a/crates/instance/src/forward/exchange.rs
+++ b/crates/instance/src/forward/exchange.rs
@@ -13,7 +13,7 @@
 use crate::relay;
 use crate::reply::{self, WRITE_TIME};
 use crate::shared::Held;
-use crate::words::{self, Heard};
+use crate::signals::{self, ReceivedSignals};
 use passway_serving::headers::Headers;
 use passway_serving::ports::{AnswerFacts, Stamp};
 use passway_serving::routes::RequestKind;
@@ -209,13 +209,13 @@
         if facts.other_incarnation || facts.id.is_none() {
             return;
         }
-        let heard = Heard {
+        let heard = ReceivedSignals {
             start: &target.start(),
-            words: &facts.words,
-            vouched: facts.vouched,
+            signals: &facts.words,
+            is_authenticated: facts.vouched,
             sent_at: self.attempt_at,
         };
-        words::hear(self.shared, heard);
+        signals::apply(self.shared, heard);
     }
 
     /// Reads the next answer's head, for as long as the upstream is not silent.
--- a/crates/instance/src/forward/refusing.rs
+++ b/crates/instance/src/forward/refusing.rs
@@ -3,7 +3,7 @@
 use super::access::Denied;
 use super::attempt::FailedAnswer;
 use super::{After, Forwarding, RETRY_AFTER_MS, after, not_run};
-use crate::poison::Trial;
+use crate::poison::ExclusivePermit;
 use crate::relay::millis;
 use crate::reply::{self, Refusal};
 use passway_serving::poison::Standing;
@@ -32,7 +32,7 @@
             return self.pass_whole(&failed.head, &failed.body);
         }
         let refused_for = self.refused_for();
-        let has_turn = self.trial.as_ref().is_some_and(Trial::is_granted);
+        let has_turn = self.trial.as_ref().is_some_and(ExclusivePermit::is_granted);
         let is_held = self.standing != Standing::Free && !has_turn;
         let refusal = if self.runs == 0 {
             // What crashes engines is not run before it is forgotten.
--- a/crates/instance/src/forward/suspect.rs
+++ b/crates/instance/src/forward/suspect.rs
@@ -2,7 +2,7 @@
 
 use super::{Forwarding, Target, host_of};
 use crate::http1::Connection;
-use crate::poison::{Asked, Poison, REFUSAL_TIME, Trial};
+use crate::poison::{ExclusivePermit, PermitAnswer, PoisonTracker, REFUSAL_TIMEOUT};
 use crate::pool;
 use crate::relay::millis_since;
 use passway_process::logging::json::REQUEST_TARGET;
@@ -24,7 +24,7 @@
     /// For how long the request is refused yet, since it crashes what runs it.
     pub(super) fn refused_for(&self) -> Option<Duration> {
         let poison = &self.shared.poison;
-        if poison.refused() == 0 {
+        if poison.refused_count() == 0 {
             return None;
         }
         poison.refused_for(self.digest())
@@ -33,7 +33,7 @@
     /// A run broke off: if the upstream has crashed, the request may be why.
     pub(super) fn run_broke(&mut self, target: &Target, start: UpstreamStart) {
         if let Some(trial) = &mut self.trial {
-            trial.broke();
+            trial.record_break();
         }
         let has_crashed = self.has_crashed(target);
         let ran_ms = millis_since(self.attempt_at, clock::now());
@@ -45,8 +45,8 @@
             return;
         }
         let (digest, sent_at) = (self.digest(), self.attempt_at);
-        if let Some(suspect) = self.shared.poison.crashed(digest, start, sent_at) {
-            Poison::tell(self.shared, suspect);
+        if let Some(suspect) = self.shared.poison.record_crash(digest, start, sent_at) {
+            PoisonTracker::publish(self.shared, suspect);
         }
     }
 
@@ -60,9 +60,9 @@
         }
         let (digest, sent_at) = (self.digest(), self.attempt_at);
         if silent {
-            Poison::doubt(self.shared, digest, start, sent_at, target.address);
+            PoisonTracker::probe_after_break(self.shared, digest, start, sent_at, target.address);
         } else {
-            Poison::broke_off(self.shared, digest, start, sent_at, target.address);
+            PoisonTracker::record_break(self.shared, digest, start, sent_at, target.address);
         }
     }
 
@@ -72,7 +72,7 @@
         self.standing = if poison.is_empty() {
             Standing::Free
         } else {
-            poison.standing(self.digest())
+            poison.run_status(self.digest())
         };
         match self.standing {
             Standing::Free => true,
@@ -87,8 +87,8 @@
         let left = self.deadline_at.saturating_duration_since(clock::now());
         let trial = self
             .trial
-            .get_or_insert_with(|| Trial::new(self.shared, digest));
-        trial.ask(left) == Asked::Granted
+            .get_or_insert_with(|| ExclusivePermit::new(self.shared, digest));
+        trial.request(left) == PermitAnswer::Granted
     }
 
     /// A run has ended with an answer, so the request does not crash what runs it.
@@ -97,8 +97,8 @@
         if poison.is_empty() {
             return;
         }
-        if let Some(suspect) = poison.answered(self.digest()) {
-            Poison::tell(self.shared, suspect);
+        if let Some(suspect) = poison.record_answer(self.digest()) {
+            PoisonTracker::publish(self.shared, suspect);
         }
     }
 
@@ -108,7 +108,7 @@
         if self.shared.upstreams().is_draining(&target.id) {
             return false;
         }
-        match Connection::connect(target.address, REFUSAL_TIME) {
+        match Connection::connect(target.address, REFUSAL_TIMEOUT) {
             Ok(connection) => {
                 // It lives, and the connection serves the next request.
                 let rest = pool::rest_time(None);
--- a/crates/instance/src/freshness.rs
+++ b/crates/instance/src/freshness.rs
@@ -19,27 +19,27 @@
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 
 /// Part of the bound after which a proof is asked for: four more questions fit into the rest.
-const ASK_PART: u32 = 5;
+const REFRESH_DIVISOR: u32 = 5;
 /// Part of the bound after which a proof is old enough to ask others than the holder, and the store.
-pub const OLD_PART: u32 = 2;
+pub const STALE_DIVISOR: u32 = 2;
 /// Other instances that are asked at a time.
-const OTHERS_ASKED: usize = 2;
+const PEERS_PER_QUERY: usize = 2;
 /// Pause between two looks where no proof is needed.
-const REST: Duration = Duration::from_secs(1);
+const IDLE_INTERVAL: Duration = Duration::from_secs(1);
 /// The holder is asked so often, whether a proof is needed or not: it keeps allotments.
-const HOLDER_PAUSE: Duration = Duration::from_secs(1);
+const HOLDER_QUERY_INTERVAL: Duration = Duration::from_secs(1);
 /// Pause after questions that proved nothing.
-const AGAIN_PAUSE: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// What an instance can prove of its configuration.
 #[derive(Debug, Default)]
 pub struct ConfigurationAge {
     state: Mutex<Freshness>,
     /// Something was proved.
-    proved: Condvar,
+    proof_updated: Condvar,
     /// A request needs a proof.
-    wanted: Condvar,
-    asked: Questions<VersionTold>,
+    proof_wanted: Condvar,
+    pending: Questions<VersionTold>,
     /// When the holder of the right to order answered last.
     holder_answered_at: Mutex<Option<Instant>>,
 }
@@ -51,7 +51,7 @@
 
     fn update(&self, change: impl FnOnce(&mut Freshness)) {
         change(&mut self.state());
-        self.proved.notify_all();
+        self.proof_updated.notify_all();
     }
 
     /// A version is in force: it was put into effect before this is called.
@@ -60,7 +60,7 @@
     }
 
     /// The store, asked at a moment, has told all that it has; that is in force.
-    pub fn store_answered(&self, version: Revision, asked_at: Instant) {
+    pub fn record_store_answer(&self, version: Revision, asked_at: Instant) {
         self.update(|freshness| freshness.confirm(Confirmation { version, asked_at }));
     }
 
@@ -71,26 +71,29 @@
     }
 
     /// Whether keys may be acted on now.
-    pub fn permits(&self, bound: Duration) -> bool {
+    pub fn is_proved_within(&self, bound: Duration) -> bool {
         let until = self.state().permits_until(bound);
         until.is_some_and(|until| clock::now() < until)
     }
 
     /// Has the configuration proved anew, and waits for that up to a moment; whether keys may be
     /// acted on then.
-    pub fn wait_until_permitted(&self, bound: Duration, until: Instant) -> bool {
+    pub fn wait_until_proved(&self, bound: Duration, until: Instant) -> bool {
         loop {
-            if self.permits(bound) {
+            if self.is_proved_within(bound) {
                 return true;
             }
             let left = until.saturating_duration_since(clock::now());
             if left.is_zero() {
                 return false;
             }
-            self.wanted.notify_all();
+            self.proof_wanted.notify_all();
             let state = self.state();
             // It is looked again in any case.
-            drop(self.proved.wait_timeout(state, left.min(AGAIN_PAUSE)));
+            drop(
+                self.proof_updated
+                    .wait_timeout(state, left.min(RETRY_DELAY)),
+            );
         }
     }
 
@@ -105,7 +108,7 @@
     }
 
     /// Answers another instance's question.
-    pub fn told(&self, ask: &VersionAsk) -> VersionTold {
+    pub fn answer_query(&self, ask: &VersionAsk) -> VersionTold {
         let proof = self.state().proof();
         VersionTold {
             id: ask.id,
@@ -115,28 +118,28 @@
     }
 
     /// Takes in the answer to a question of this instance.
-    pub fn answered(&self, told: VersionTold) {
-        self.asked.answered(told.id, told);
+    pub fn receive_answer(&self, answer: VersionTold) {
+        self.pending.answered(answer.id, answer);
     }
 
     /// Asks an instance; whether it could prove anything.
-    fn ask(&self, shared: &Shared, address: SocketAddr) -> bool {
+    fn query(&self, shared: &Shared, address: SocketAddr) -> bool {
         let id = rand::random();
         let asked_at = clock::now();
         let ask = Body::VersionAsk(VersionAsk { id });
-        let told = self
-            .asked
+        let answer = self
+            .pending
             .ask(id, || shared.dispatch.send(address, ask.clone()));
-        let Some(told) = told.filter(|told| told.version > 0) else {
+        let Some(answer) = answer.filter(|answer| answer.version > 0) else {
             return false;
         };
-        let age = Duration::from_millis(told.age_ms);
+        let age = Duration::from_millis(answer.age_ms);
         let Some(asked_at) = asked_at.checked_sub(age) else {
             return false;
         };
         self.update(|freshness| {
             freshness.confirm(Confirmation {
-                version: told.version,
+                version: answer.version,
                 asked_at,
             });
         });
@@ -144,16 +147,16 @@
     }
 
     /// Asks the holder, and others if that does not help.
-    fn ask_around(&self, shared: &Shared, bound: Duration) {
+    fn query_peers(&self, shared: &Shared, bound: Duration) {
         let me = &shared.settings.instance;
-        let holder = shared.right().and_then(|right| right.holder());
+        let holder = shared.right().and_then(|leadership| leadership.holder());
         let answers = holder
             .as_ref()
-            .is_some_and(|holder| holder.instance == *me || self.ask(shared, holder.address));
+            .is_some_and(|holder| holder.instance == *me || self.query(shared, holder.address));
         if answers {
             *self.holder_answered_at() = Some(clock::now());
         }
-        if self.is_younger(bound / OLD_PART) {
+        if self.is_younger(bound / STALE_DIVISOR) {
             return;
         }
         let others = shared.other_instances();
@@ -161,8 +164,8 @@
             .into_iter()
             .filter(|address| holder.as_ref().is_none_or(|one| one.address != *address))
             .collect();
-        for address in others.sample(&mut rand::rng(), OTHERS_ASKED) {
-            self.ask(shared, *address);
+        for address in others.sample(&mut rand::rng(), PEERS_PER_QUERY) {
+            self.query(shared, *address);
         }
     }
 
@@ -178,37 +181,39 @@
     }
 
     fn run(&self, shared: &Shared) {
-        let mut permitted = true;
+        let mut was_proved = true;
         loop {
             let bound = shared.revocation();
             if let Some(bound) = bound {
-                let permits = self.permits(bound);
-                if permits != permitted {
-                    permitted = permits;
+                let is_proved = self.is_proved_within(bound);
+                if is_proved != was_proved {
+                    was_proved = is_proved;
                     let age_ms = self.age().map_or(0, millis);
-                    log::info!(target: DECISION_TARGET, age_ms = age_ms, permits = permits; "proof of the configuration");
+                    log::info!(target: DECISION_TARGET, age_ms = age_ms, permits = is_proved; "proof of the configuration");
                 }
             }
             let has_allotments = shared.has_allotments();
             let pause = if bound.is_some() || has_allotments {
                 // Without a bound any proof is young enough.
-                self.keep_proved(shared, bound.unwrap_or(Duration::MAX), has_allotments)
+                self.refresh_if_due(shared, bound.unwrap_or(Duration::MAX), has_allotments)
             } else {
-                REST
+                IDLE_INTERVAL
             };
             let state = self.state();
             // It is looked again in any case.
-            drop(self.wanted.wait_timeout(state, pause));
+            drop(self.proof_wanted.wait_timeout(state, pause));
         }
     }
 
     /// Asks if that is due; the pause until it may be again.
-    fn keep_proved(&self, shared: &Shared, bound: Duration, asks_holder: bool) -> Duration {
+    fn refresh_if_due(&self, shared: &Shared, bound: Duration, asks_holder: bool) -> Duration {
         let due_in = || {
-            let proof = self.age().map(|age| (bound / ASK_PART).saturating_sub(age));
+            let proof = self
+                .age()
+                .map(|age| (bound / REFRESH_DIVISOR).saturating_sub(age));
             let proof = proof.unwrap_or_default();
             let silence = self.holder_silence();
-            let holder = silence.map(|silence| HOLDER_PAUSE.saturating_sub(silence));
+            let holder = silence.map(|silence| HOLDER_QUERY_INTERVAL.saturating_sub(silence));
             let holder = holder.unwrap_or_default();
             if asks_holder {
                 proof.min(holder)
@@ -217,8 +222,8 @@
             }
         };
         if due_in().is_zero() {
-            self.ask_around(shared, bound);
+            self.query_peers(shared, bound);
         }
-        due_in().clamp(AGAIN_PAUSE, REST)
+        due_in().clamp(RETRY_DELAY, IDLE_INTERVAL)
     }
 }
--- a/crates/instance/src/holder/peers.rs
+++ b/crates/instance/src/holder/peers.rs
@@ -28,21 +28,21 @@
     /// A term of this instance has begun.
     TermBegun,
     /// Another instance holds the right to order.
-    Succeeded(Holder),
+    HolderAnnounced(Holder),
     /// An instance knows of requests under which upstreams crashed.
     Suspects(Suspects),
     /// An instance knows how much upstreams take.
-    Words(Words),
+    Signals(Words),
     /// A candidate promises not to take the right to order.
     Promised(Promise),
     /// An upstream has said something of itself.
-    Heard(UpstreamEntry),
+    UpstreamSeen(UpstreamEntry),
     /// Only these upstreams are there.
-    Listed(BTreeSet<UpstreamId>),
+    UpstreamsListed(BTreeSet<UpstreamId>),
     /// An order was answered.
-    Answered(PlannedOrder, OrderAnswer),
+    OrderAnswered(PlannedOrder, OrderAnswer),
     /// An engine told its state.
-    Reported(UpstreamId, Option<EngineReport>),
+    EngineReported(UpstreamId, Option<EngineReport>),
 }
 
 /// Binds the address for other instances.
@@ -60,8 +60,8 @@
             continue;
         };
         let inputs = inputs.clone();
-        let hearing = move || hear_peer(number, link, reader, &inputs);
-        if let Err(error) = std::thread::Builder::new().spawn(hearing) {
+        let receiving = move || receive_from_peer(number, link, reader, &inputs);
+        if let Err(error) = std::thread::Builder::new().spawn(receiving) {
             // The peer finds its connection closed and makes another one.
             log::warn!(error:% = error; "no thread for an instance that connects");
         }
@@ -69,7 +69,7 @@
 }
 
 /// Passes on what a peer says for as long as it is connected.
-fn hear_peer(number: u64, link: Link, mut reader: LinkReader, inputs: &Sender<Input>) {
+fn receive_from_peer(number: u64, link: Link, mut reader: LinkReader, inputs: &Sender<Input>) {
     let mut instance = None;
     // The deciding thread ends only with the process.
     let _ = inputs.send(Input::Connected(number, Outbox::start(link)));
@@ -80,13 +80,13 @@
                 Input::Needs(needs)
             }
             Body::Subscribe(subscribe) => Input::Subscribe(number, subscribe),
-            Body::Successor(told) => match members::successor(&told) {
-                Some(holder) => Input::Succeeded(holder),
+            Body::Successor(told) => match members::decode_holder(&told) {
+                Some(holder) => Input::HolderAnnounced(holder),
                 None => continue,
             },
             Body::Promise(promise) => Input::Promised(promise),
             Body::Suspects(suspects) => Input::Suspects(suspects),
-            Body::Words(told) => Input::Words(told),
+            Body::Words(told) => Input::Signals(told),
             _ => continue,
         };
         let _ = inputs.send(input);
--- a/crates/instance/src/right.rs
+++ b/crates/instance/src/leadership.rs
@@ -5,9 +5,9 @@
 
 use crate::allotments;
 use crate::feeds::{Feed, follow};
-use crate::holder::{FeedNews, Input};
+use crate::holder::{Input, NumberedUpdate};
 use crate::poison;
-use crate::relay::{Tap, millis};
+use crate::relay::{RelayReceiver, millis};
 use crate::shared::{Need, Shared};
 use crossbeam::channel::Sender;
 use passway_process::logging::json::DECISION_TARGET;
@@ -29,23 +29,23 @@
 /// The key that names who has held the right lately, the last one last.
 const RECENT_KEY: &str = "passway/holders";
 /// Time-to-live of the holder's lease, unless the store has a longer shortest one.
-const LEASE_TIME: Duration = Duration::from_millis(1_200);
+const LEASE_TTL: Duration = Duration::from_millis(1_200);
 /// An instance with less processor than this lets others take the key: on the grown
 /// market site's calm day the holder used 0.135 of a core.
-const WEAK_PART: f64 = 0.2;
+const MIN_HOLDER_CPU_CORES: f64 = 0.2;
 /// A candidate asks the store itself for so long after a holder asked it for a promise:
 /// three of the holder's heartbeats.
-const ASKED_TIME: Duration = Duration::from_secs(1);
+const PROMISE_REQUEST_WINDOW: Duration = Duration::from_secs(1);
 
 /// The right to order, as this instance knows it.
 #[derive(Debug)]
-pub struct Right {
-    tenure: Mutex<Tenure>,
+pub struct LeadershipDriver {
+    leadership: Mutex<Tenure>,
     changed: Condvar,
     /// When a holder asked last for a promise.
-    asked_at: Mutex<Option<Instant>>,
+    promise_requested_at: Mutex<Option<Instant>>,
     /// What it was answered, so that each change is told.
-    answered: Mutex<Option<Result<(), NoPromise>>>,
+    last_promise_answer: Mutex<Option<Result<(), NoPromise>>>,
     is_weak: bool,
 }
 
@@ -53,12 +53,12 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn encode(shared: &Shared) -> Vec<u8> {
+fn encode_holder(shared: &Shared) -> Vec<u8> {
     let settings = &shared.settings;
     format!("{} {}", settings.instance, settings.peer_address).into_bytes()
 }
 
-fn decode(value: &StoredValue) -> Option<Holder> {
+fn decode_holder(value: &StoredValue) -> Option<Holder> {
     let text = std::str::from_utf8(&value.value).ok()?;
     let (instance, address) = text.split_once(' ')?;
     Some(Holder {
@@ -98,22 +98,22 @@
     })
 }
 
-impl Right {
+impl LeadershipDriver {
     /// Nothing is known yet of who holds the right.
     pub fn new(shared: &Shared) -> Self {
         let settings = &shared.settings;
         let bounds = shared.bounds.load();
-        let is_weak = settings.processor_part < WEAK_PART;
+        let is_weak = settings.processor_part < MIN_HOLDER_CPU_CORES;
         let limits = TenureLimits {
-            lease: LEASE_TIME.max(bounds.shortest_lease),
+            lease: LEASE_TTL.max(bounds.shortest_lease),
             gap: bounds.holder_gap,
             is_weak,
         };
         Self {
-            tenure: Mutex::new(Tenure::new(settings.instance.clone(), limits, clock::now())),
+            leadership: Mutex::new(Tenure::new(settings.instance.clone(), limits, clock::now())),
             changed: Condvar::new(),
-            asked_at: Mutex::default(),
-            answered: Mutex::default(),
+            promise_requested_at: Mutex::default(),
+            last_promise_answer: Mutex::default(),
             is_weak,
         }
     }
@@ -128,107 +128,111 @@
         self: &Arc<Self>,
         shared: &Arc<Shared>,
         store: &Arc<dyn SharedStore>,
-        tap: Tap,
+        tap: RelayReceiver,
         holder: Sender<Input>,
-        news: Sender<FeedNews>,
+        news: Sender<NumberedUpdate>,
     ) {
-        let feed = HolderFeed {
-            right: self.clone(),
+        let feed = LeadershipFeed {
+            leadership: self.clone(),
             shared: shared.clone(),
         };
         follow(store.clone(), tap, news, feed);
-        let (keeping, shared, store) = (self.clone(), shared.clone(), store.clone());
-        std::thread::spawn(move || keeping.keep(&shared, &*store, &holder));
+        let (driver, shared, store) = (self.clone(), shared.clone(), store.clone());
+        std::thread::spawn(move || driver.run(&shared, &*store, &holder));
     }
 
-    fn tenure(&self) -> MutexGuard<'_, Tenure> {
-        lock(&self.tenure)
+    fn leadership(&self) -> MutexGuard<'_, Tenure> {
+        lock(&self.leadership)
     }
 
     /// Changes what is known, and lets the thread that keeps the right look at it.
     fn update(&self, change: impl FnOnce(&mut Tenure)) {
-        change(&mut self.tenure());
+        change(&mut self.leadership());
         self.changed.notify_all();
     }
 
     /// Who holds the right.
     pub fn holder(&self) -> Option<Holder> {
-        self.tenure().holder().cloned()
+        self.leadership().holder().cloned()
     }
 
     /// Another instance says that it holds the right; whether that is news.
-    pub fn told(&self, holder: Holder) -> bool {
-        let is_news = self.tenure().told(holder);
+    pub fn learn_holder(&self, holder: Holder) -> bool {
+        let is_news = self.leadership().told(holder);
         self.changed.notify_all();
         is_news
     }
 
     /// My fencing number, if I may give an order now.
     pub fn fence(&self) -> Option<Fence> {
-        self.tenure().fence(clock::now())
+        self.leadership().fence(clock::now())
     }
 
     /// My fencing number for as long as my term lasts, also while I may not order.
     pub fn term(&self) -> Option<Fence> {
-        self.tenure().term(clock::now())
+        self.leadership().term(clock::now())
     }
 
     /// My fencing number, if the candidates are to promise that they do not take the right:
     /// the store did not answer the last renewal.
-    pub fn asks_promises(&self) -> Option<Fence> {
-        self.tenure().asks_promises(clock::now())
+    pub fn promise_fence(&self) -> Option<Fence> {
+        self.leadership().asks_promises(clock::now())
     }
 
     /// Whether this instance promises a holder not to take the right for a while.
     ///
     /// # Errors
     /// Why it does not.
-    pub fn promise(&self, asker: &InstanceId, store_answers: bool) -> Result<(), NoPromise> {
+    pub fn answer_promise_request(
+        &self,
+        asker: &InstanceId,
+        store_answers: bool,
+    ) -> Result<(), NoPromise> {
         let now = clock::now();
-        let before = lock(&self.asked_at).replace(now);
-        let answer = self.tenure().promise(asker, store_answers, now);
-        let is_first = before.is_none_or(|at| now > at + ASKED_TIME);
+        let before = lock(&self.promise_requested_at).replace(now);
+        let answer = self.leadership().promise(asker, store_answers, now);
+        let is_first = before.is_none_or(|at| now > at + PROMISE_REQUEST_WINDOW);
         let told = Some(answer);
-        if lock(&self.answered).replace(answer) != told || is_first {
+        if lock(&self.last_promise_answer).replace(answer) != told || is_first {
             log::info!(target: DECISION_TARGET, holder:% = asker, answer:? = answer; "asked for a promise not to take the right to order");
         }
         answer
     }
 
     /// The candidates of my term without whose word it does not go on beyond its lease.
-    pub fn without_promise(&self) -> Vec<InstanceId> {
-        self.tenure().without_promise(clock::now())
+    pub fn candidates_without_promise(&self) -> Vec<InstanceId> {
+        self.leadership().without_promise(clock::now())
     }
 
     /// Whether a holder has asked for a promise lately, so that this instance had better
     /// find out whether the store answers.
-    fn is_asked(&self) -> bool {
-        lock(&self.asked_at).is_some_and(|at| clock::since(at) < ASKED_TIME)
+    fn has_recent_promise_request(&self) -> bool {
+        lock(&self.promise_requested_at).is_some_and(|at| clock::since(at) < PROMISE_REQUEST_WINDOW)
     }
 
     /// A candidate promises, asked at a moment.
-    pub fn promised(&self, from: &InstanceId, fence: Fence, asked_at: Instant) {
-        self.update(|tenure| tenure.promised(from, fence, asked_at));
+    pub fn record_promise(&self, from: &InstanceId, fence: Fence, asked_at: Instant) {
+        self.update(|leadership| leadership.promised(from, fence, asked_at));
     }
 
     /// A candidate's process ends.
-    pub fn left(&self, from: &InstanceId, fence: Fence) {
-        self.update(|tenure| tenure.left(from, fence));
+    pub fn record_departure(&self, from: &InstanceId, fence: Fence) {
+        self.update(|leadership| leadership.left(from, fence));
     }
 
     /// The candidates that a term of mine should have.
-    pub fn want_candidates(&self, wanted: Vec<Candidate>) {
-        self.update(|tenure| tenure.want_candidates(wanted));
+    pub fn set_desired_candidates(&self, wanted: Vec<Candidate>) {
+        self.update(|leadership| leadership.want_candidates(wanted));
     }
 
     /// Whether nobody else had the right between this instance's last two terms.
     pub fn succeeds_itself(&self) -> bool {
-        self.tenure().succeeds_itself()
+        self.leadership().succeeds_itself()
     }
 
     /// Candidates that the store named before my term: they may carry another holder.
-    pub fn former_candidates(&self) -> Vec<Candidate> {
-        self.tenure().former_candidates().to_vec()
+    pub fn previous_candidates(&self) -> Vec<Candidate> {
+        self.leadership().former_candidates().to_vec()
     }
 
     /// Gives the right back, so that another instance can take it at once.
@@ -237,74 +241,74 @@
     }
 
     /// Takes in how long the store took to answer a call that was made at a moment.
-    fn note_answer<T>(&self, answer: &Result<T, StoreError>, asked_at: Instant) {
+    fn record_store_latency<T>(&self, answer: &Result<T, StoreError>, asked_at: Instant) {
         if answer.is_ok() {
-            self.tenure().answered_within(clock::since(asked_at));
+            self.leadership().answered_within(clock::since(asked_at));
         }
     }
 
     /// Takes and renews the right for as long as the process lives.
-    fn keep(&self, shared: &Shared, store: &dyn SharedStore, holder: &Sender<Input>) {
+    fn run(&self, shared: &Shared, store: &dyn SharedStore, holder: &Sender<Input>) {
         let mut held = None;
         loop {
-            let mut tenure = self.tenure();
-            tenure.set_gap(shared.bounds.load().holder_gap);
+            let mut leadership = self.leadership();
+            leadership.set_gap(shared.bounds.load().holder_gap);
             let drawn = rand::rng().random_range(0.0..1.0);
             let answers = !shared.store_health.is_failing();
             let now = clock::now();
-            let step = tenure.step(drawn, answers, now);
+            let step = leadership.step(drawn, answers, now);
             if matches!(step, Step::End(_))
                 && let Some(fence) = held.take()
             {
-                log_end(fence, &tenure, now);
+                log_term_end(fence, &leadership, now);
             }
             match step {
                 Step::Wait(until) => {
                     // It is looked again in any case.
                     let left = until.saturating_duration_since(now);
-                    drop(self.changed.wait_timeout(tenure, left));
+                    drop(self.changed.wait_timeout(leadership, left));
                 }
                 Step::Grant => {
-                    let time = tenure.lease_time();
-                    drop(tenure);
+                    let time = leadership.lease_time();
+                    drop(leadership);
                     let answer = store.grant_lease(time);
-                    self.note_answer(&answer, now);
-                    self.tenure().granted(answer, now);
+                    self.record_store_latency(&answer, now);
+                    self.leadership().granted(answer, now);
                 }
                 Step::Take(lease) => {
-                    let recent = tenure.recent_with_me();
-                    drop(tenure);
-                    let answer = store.write(&taking(shared, lease, &recent));
-                    self.note_answer(&answer, now);
-                    held = self.tenure().taken(&answer, clock::now());
+                    let recent = leadership.recent_with_me();
+                    drop(leadership);
+                    let answer = store.write(&acquisition_writes(shared, lease, &recent));
+                    self.record_store_latency(&answer, now);
+                    held = self.leadership().taken(&answer, clock::now());
                     if let Some(fence) = held {
                         log::info!(target: DECISION_TARGET, fence = fence; "holds the right to order");
-                        shared.allotments.term_begun();
+                        shared.allotments.notify_term_begun();
                         // The deciding thread ends only with the process.
                         let _ = holder.send(Input::TermBegun);
                     }
                 }
                 Step::Renew(lease) => {
-                    let longest = tenure.renewal_time();
-                    drop(tenure);
+                    let longest = leadership.renewal_time();
+                    drop(leadership);
                     let answer = store.renew_lease_within(lease, longest);
-                    self.note_answer(&answer, now);
+                    self.record_store_latency(&answer, now);
                     if answer == Ok(true) {
-                        shared.store_health.answered();
+                        shared.store_health.record_answer();
                     }
-                    self.tenure().renewed(answer, now, clock::now());
+                    self.leadership().renewed(answer, now, clock::now());
                 }
                 Step::List => {
-                    let recent = tenure.recent_with_candidates();
-                    drop(tenure);
-                    let answer = store.write(&[listing(&recent)]);
+                    let recent = leadership.recent_with_candidates();
+                    drop(leadership);
+                    let answer = store.write(&[recent_holders_write(&recent)]);
                     log::info!(target: DECISION_TARGET, candidates = recent.candidates.len(), answer:? = answer; "list of candidates");
-                    self.tenure().listed(&answer, recent, clock::now());
+                    self.leadership().listed(&answer, recent, clock::now());
                 }
                 Step::End(lease) => {
-                    drop(tenure);
-                    end(store, lease);
-                    self.tenure().ended(clock::now());
+                    drop(leadership);
+                    end_lease(store, lease);
+                    self.leadership().ended(clock::now());
                 }
                 Step::Stop => return,
             }
@@ -312,9 +316,9 @@
     }
 }
 
-fn log_end(fence: Fence, tenure: &Tenure, now: Instant) {
-    let without_promise = tenure.without_promise(now);
-    let end = tenure.last_end();
+fn log_term_end(fence: Fence, leadership: &Tenure, now: Instant) {
+    let without_promise = leadership.without_promise(now);
+    let end = leadership.last_end();
     let overdue_ms = end.map_or(0, |end| millis(end.overdue));
     log::info!(target: DECISION_TARGET, fence = fence, cause:? = end.map(|end| end.cause),
         unanswered = end.map_or(0, |end| end.unanswered), overdue_ms = overdue_ms,
@@ -325,20 +329,24 @@
 /// The writes that take the key if nobody has it, and if nobody had it since the list of
 /// holders was read. The key is the last: the revision of the whole is then its own, the
 /// fencing number that all others read.
-fn taking(shared: &Shared, lease: LeaseId, recent: &RecentHolders) -> [ConditionalWrite; 2] {
+fn acquisition_writes(
+    shared: &Shared,
+    lease: LeaseId,
+    recent: &RecentHolders,
+) -> [ConditionalWrite; 2] {
     [
-        listing(recent),
+        recent_holders_write(recent),
         ConditionalWrite {
             key: HOLDER_KEY.to_owned(),
             expected: 0,
-            value: Some(encode(shared)),
+            value: Some(encode_holder(shared)),
             lease: Some(lease),
         },
     ]
 }
 
 /// The write of the list of holders, if nobody wrote it since it was read.
-fn listing(recent: &RecentHolders) -> ConditionalWrite {
+fn recent_holders_write(recent: &RecentHolders) -> ConditionalWrite {
     ConditionalWrite {
         key: RECENT_KEY.to_owned(),
         expected: recent.revision,
@@ -347,77 +355,79 @@
     }
 }
 
-fn end(store: &dyn SharedStore, lease: LeaseId) {
+fn end_lease(store: &dyn SharedStore, lease: LeaseId) {
     if store.end_lease(lease).is_err() {
         log::debug!(lease = lease; "a lease could not be ended and runs out");
     }
 }
 
-struct HolderFeed {
-    right: Arc<Right>,
+struct LeadershipFeed {
+    leadership: Arc<LeadershipDriver>,
     shared: Arc<Shared>,
 }
 
-impl Feed for HolderFeed {
+impl Feed for LeadershipFeed {
     fn prefix(&self) -> String {
         OWN_PREFIX.to_owned()
     }
 
-    fn listed(&mut self, listing: &Listing) {
+    fn apply_listing(&mut self, listing: &Listing) {
         let find = |key| listing.values.iter().find(|value| value.key == key);
-        let holder = find(HOLDER_KEY).and_then(decode);
+        let holder = find(HOLDER_KEY).and_then(decode_holder);
         let recent = find(RECENT_KEY).map(decode_recent).unwrap_or_default();
         let refused = find(poison::KEY).map(|value| (value.revision, &*value.value));
         let (revision, value) = refused.unwrap_or_default();
-        self.shared.poison.seen_in_store(revision, value);
+        self.shared.poison.apply_stored(revision, value);
         let half_full = find(allotments::KEY).map(|value| (value.revision, &*value.value));
         let (revision, value) = half_full.unwrap_or_default();
-        self.shared.allotments.seen_in_store(revision, value);
-        self.right.update(|tenure| {
-            tenure.seen_recent(recent);
-            tenure.seen(holder);
+        self.shared.allotments.apply_stored(revision, value);
+        self.leadership.update(|leadership| {
+            leadership.seen_recent(recent);
+            leadership.seen(holder);
         });
     }
 
-    fn changed(&mut self, change: &StoreChange) -> bool {
+    fn apply_change(&mut self, change: &StoreChange) -> bool {
         match change {
             StoreChange::Written(value) if value.key == HOLDER_KEY => {
-                self.right.update(|tenure| tenure.seen(decode(value)));
+                self.leadership
+                    .update(|leadership| leadership.seen(decode_holder(value)));
             }
             StoreChange::Written(value) if value.key == RECENT_KEY => {
                 let recent = decode_recent(value);
-                self.right.update(|tenure| tenure.seen_recent(recent));
+                self.leadership
+                    .update(|leadership| leadership.seen_recent(recent));
             }
             StoreChange::Written(value) if value.key == poison::KEY => {
                 let poison = &self.shared.poison;
-                poison.seen_in_store(value.revision, &value.value);
+                poison.apply_stored(value.revision, &value.value);
             }
             StoreChange::Written(value) if value.key == allotments::KEY => {
                 let allotments = &self.shared.allotments;
-                allotments.seen_in_store(value.revision, &value.value);
+                allotments.apply_stored(value.revision, &value.value);
             }
             StoreChange::Removed { key, .. } if key == allotments::KEY => {
-                self.shared.allotments.seen_in_store(0, &[]);
+                self.shared.allotments.apply_stored(0, &[]);
             }
             StoreChange::Removed { key, .. } if key == poison::KEY => {
-                for suspect in self.shared.poison.removed_from_store() {
+                for suspect in self.shared.poison.clear_stored() {
                     self.shared.tell(Need::Suspect(suspect));
                 }
             }
             StoreChange::Removed { key, .. } if key == HOLDER_KEY => {
-                self.right.update(|tenure| tenure.seen(None));
+                self.leadership.update(|leadership| leadership.seen(None));
             }
             _ => {}
         }
         false
     }
 
-    fn settled(&mut self) -> Duration {
+    fn finish_batch(&mut self) -> Duration {
         Duration::ZERO
     }
 
-    fn must_ask(&self) -> bool {
-        self.right.is_asked()
+    fn must_query_store(&self) -> bool {
+        self.leadership.has_recent_promise_request()
     }
 
     fn shared(&self) -> &Shared {
--- a/crates/instance/src/lifecycle.rs
+++ b/crates/instance/src/lifecycle.rs
@@ -5,9 +5,9 @@
 use crate::dispatch::Dispatch;
 use crate::feeds::{self, ConfigurationFeed, UpstreamFeed};
 use crate::freshness::ConfigurationAge;
-use crate::poison::Poison;
+use crate::leadership::LeadershipDriver;
+use crate::poison::PoisonTracker;
 use crate::relay::Relay;
-use crate::right::Right;
 use crate::shared::Shared;
 use crate::{callers, holder, ready, report};
 use anyhow::{Context, Result};
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 pub struct Instance {
     shared: Arc<Shared>,
-    right: Arc<Right>,
+    right: Arc<LeadershipDriver>,
     callers: Callers,
     ready_address: SocketAddr,
 }
@@ -73,7 +73,7 @@
         let (needs, needed) = channel::unbounded();
         let shared = Arc::new(Shared::new(settings, surroundings.vocabulary, needs));
         let settings = &shared.settings;
-        let right = Arc::new(Right::new(&shared));
+        let right = Arc::new(LeadershipDriver::new(&shared));
         shared.set_right(right.clone());
         let ready_address = ready::listen(&shared, &right, settings.ready_address)?;
         let callers = callers::listen(&shared, settings.callers_address)?;
@@ -85,7 +85,7 @@
         right.start(
             &shared,
             store,
-            relay.resting(),
+            relay.unrelayed_receiver(),
             holder.clone(),
             news.clone(),
         );
@@ -106,8 +106,8 @@
                 right.clone(),
             ),
         );
-        Poison::keep(&shared, &right, store);
-        Allotments::keep(&shared, &right, store);
+        PoisonTracker::start_writer(&shared, &right, store);
+        Allotments::start_writer(&shared, &right, store);
         Dispatch::start(&shared);
         ConfigurationAge::start(&shared);
         report::start(&shared, &right, &relay, needed);
--- a/crates/instance/src/limits.rs
+++ b/crates/instance/src/limits.rs
@@ -1,9 +1,9 @@
 //! Keeping upstreams in need to what they say that they take, over all instances.
 //!
-//! What upstreams say is told to all ([`crate::words`]). Whoever would send a request to a limited upstream asks the holder, which
+//! What upstreams say is told to all ([`crate::signals`]). Whoever would send a request to a limited upstream asks the holder, which
 //! counts. Without an answer an instance has a small share, by what it knows of the fleet's size.
 
-use crate::keeper::{self, TermKeeper};
+use crate::coordinator::{self, TermCoordinator};
 use crate::shared::Shared;
 use passway_serving::limits::{self, EXACT, Shares};
 use passway_types::clock;
@@ -26,7 +26,7 @@
 /// This instance's part in keeping upstreams to their limits.
 #[derive(Debug, Default)]
 pub struct Limits {
-    counter: TermKeeper,
+    counter: TermCoordinator,
     shares: Mutex<Shares>,
 }
 
@@ -40,7 +40,7 @@
             rate_per_s: per_s,
             ..UseAsk::default()
         };
-        match shared.keeper.ask(shared, &ask) {
+        match shared.keeper.request(shared, &ask) {
             Ok(told) if told.verdict() == UseVerdict::Granted => Turn::Now,
             Ok(told) => Turn::After(Duration::from_millis(told.retry_after_ms)),
             Err(_) => self.share(shared, upstream, per_s),
@@ -64,10 +64,10 @@
         let known = shared.upstreams().limit_per_s(&upstream, clock::now());
         let per_s = known.map_or(ask.rate_per_s, |known| known.min(ask.rate_per_s));
         let allotment = limits::allotment(per_s);
-        let ruling = self.counter.of_term(fence, EXACT, |keeper| {
+        let ruling = self.counter.in_term(fence, EXACT, |keeper| {
             keeper.ask(&upstream, allotment, from, ask.cost, clock::now())
         });
-        keeper::told(ask, ruling)
+        coordinator::encode_decision(ask, ruling)
     }
 
     /// Forgets what was counted for upstreams that name no limit any more.
@@ -75,7 +75,8 @@
         let upstreams = shared.upstreams();
         let now = clock::now();
         let is_limited = |id: &str| upstreams.limit_per_s(id, now).is_some();
-        self.counter.of_any_term(|keeper| keeper.retain(is_limited));
+        self.counter
+            .in_latest_term(|keeper| keeper.retain(is_limited));
         let mut kept = self.shares.lock().unwrap_or_else(PoisonError::into_inner);
         kept.retain(is_limited);
     }
--- a/crates/instance/src/members.rs
+++ b/crates/instance/src/members.rs
@@ -20,9 +20,9 @@
 
 /// Instances that reach the store have come by then: they hear of the new holder at once and
 /// connect within a retry of their dialers.
-const COMING_TIME: Duration = Duration::from_millis(700);
+const RECONNECT_WINDOW: Duration = Duration::from_millis(700);
 /// For so long a new holder tries to reach the others; a cut of the store lasts some seconds.
-const ANNOUNCING_TIME: Duration = Duration::from_secs(10);
+const ANNOUNCEMENT_WINDOW: Duration = Duration::from_secs(10);
 
 /// Where instances listen for others, by name.
 pub type Addresses = BTreeMap<InstanceId, SocketAddr>;
@@ -48,7 +48,7 @@
 }
 
 /// The holder that a message names.
-pub fn successor(told: &Successor) -> Option<Holder> {
+pub fn decode_holder(told: &Successor) -> Option<Holder> {
     Some(Holder {
         instance: told.instance.as_str().into(),
         address: told.address.parse().ok()?,
@@ -63,28 +63,28 @@
 /// 430 MB for 295 of them, which delayed the holder's renewals behind them until it had lost
 /// the right.
 #[derive(Debug, Default)]
-pub struct Roster {
+pub struct MemberListTracker {
     /// The list as it was told last.
-    listed: Addresses,
+    last_sent: Addresses,
     /// The connections to which it was told.
-    told: BTreeSet<u64>,
+    sent_to: BTreeSet<u64>,
 }
 
-impl Roster {
+impl MemberListTracker {
     /// The connections, of those that may succeed the holder, to which the list is to be told
     /// now; they count as told.
-    pub fn due(
+    pub fn due_connections(
         &mut self,
         members: &Addresses,
         successors: impl Iterator<Item = u64>,
     ) -> BTreeSet<u64> {
-        if self.listed != *members {
-            self.listed.clone_from(members);
-            self.told.clear();
+        if self.last_sent != *members {
+            self.last_sent.clone_from(members);
+            self.sent_to.clear();
         }
         let successors: BTreeSet<u64> = successors.collect();
-        let due = successors.difference(&self.told).copied().collect();
-        self.told = successors;
+        let due = successors.difference(&self.sent_to).copied().collect();
+        self.sent_to = successors;
         due
     }
 }
@@ -94,14 +94,14 @@
 /// It is made once, and may come before this instance has noticed that the store does not
 /// answer it: a call takes up to a second to fail.
 #[derive(Debug, Default)]
-pub struct KeptAnnouncement(Option<(Holder, Instant)>);
+pub struct PendingAnnouncement(Option<(Holder, Instant)>);
 
-impl KeptAnnouncement {
+impl PendingAnnouncement {
     /// An announcement has come. An older term never replaces a newer one.
-    pub fn keep(&mut self, holder: Holder, now: Instant) {
+    pub fn store(&mut self, holder: Holder, now: Instant) {
         let newest = self.0.as_ref().map(|(known, _)| known.fence);
         if newest.is_none_or(|newest| holder.fence >= newest) {
-            self.0 = Some((holder, now + ANNOUNCING_TIME));
+            self.0 = Some((holder, now + ANNOUNCEMENT_WINDOW));
         }
     }
 
@@ -137,17 +137,17 @@
     }
 
     /// Connects to members that are not among those that have come; whether it is over.
-    pub fn go_on(&mut self, shared: &Shared, come: &Addresses, now: Instant) -> bool {
-        if now >= self.begun_at + ANNOUNCING_TIME {
+    pub fn advance(&mut self, shared: &Shared, connected: &Addresses, now: Instant) -> bool {
+        if now >= self.begun_at + ANNOUNCEMENT_WINDOW {
             return true;
         }
         let me = &shared.settings.instance;
-        let others_should_have_come = now >= self.begun_at + COMING_TIME;
+        let others_should_have_come = now >= self.begun_at + RECONNECT_WINDOW;
         let members = shared.members();
         let others = members.iter().filter(|_| others_should_have_come);
         let known = self.urgent.iter().chain(others);
         let missing: Addresses = known
-            .filter(|(name, _)| *name != me && !come.contains_key(*name))
+            .filter(|(name, _)| *name != me && !connected.contains_key(*name))
             .map(|(name, address)| (name.clone(), *address))
             .collect();
         drop(members);
--- a/crates/instance/src/metrics.rs
+++ b/crates/instance/src/metrics.rs
@@ -2,7 +2,7 @@
 //! where the balancer asks. Names and what to alarm on: `docs/OPERATIONS.md`.
 
 use crate::allotments::Decision;
-use crate::keeper::Unruled;
+use crate::coordinator::NoDecision;
 use crate::limits::Turn;
 use passway_types::prelude::*;
 use prometheus_client::encoding::EncodeLabelSet;
@@ -219,7 +219,11 @@
         let turns = self.turns.clone();
         let help = "Requests for a turn at an upstream that names a limit, by answer";
         registry.register("limited_turns", help, turns);
-        for unruled in [Unruled::NoHolder, Unruled::Silent, Unruled::NotKeeper] {
+        for unruled in [
+            NoDecision::NoHolder,
+            NoDecision::Silent,
+            NoDecision::NotCoordinator,
+        ] {
             let cause = unruled.name();
             let _zero = self.unruled.get_or_create(&CauseLabels { cause });
         }
@@ -278,7 +282,7 @@
     }
 
     /// Counts a question to the instance that counts for all on which nobody ruled.
-    pub fn unruled(&self, unruled: Unruled) {
+    pub fn unruled(&self, unruled: NoDecision) {
         let cause = unruled.name();
         self.unruled.get_or_create(&CauseLabels { cause }).inc();
     }
--- a/crates/instance/src/poison.rs
+++ b/crates/instance/src/poison.rs
@@ -4,15 +4,15 @@
 //! lies in the store, where the holder keeps the requests that are refused or may be after the
 //! next crash: a fleet that starts again knows them before it serves.
 
-mod alone;
-mod watch;
+mod exclusive;
+mod probe;
 
+use crate::leadership::LeadershipDriver;
 use crate::relay::millis_since;
-use crate::right::Right;
 use crate::shared::{Need, Shared};
-use alone::{Alone, digest_of};
-pub use alone::{Asked, Trial};
 use crossbeam::channel::{Receiver, Sender, TrySendError, bounded};
+pub use exclusive::{ExclusivePermit, PermitAnswer};
+use exclusive::{ExclusiveRuns, decode_digest};
 use passway_process::logging::json::DECISION_TARGET;
 pub use passway_serving::poison::OPEN_TIME;
 use passway_serving::poison::{
@@ -23,67 +23,67 @@
 use passway_types::prelude::*;
 use passway_wire::dispatch::Dispatch as Body;
 use passway_wire::message::{self, Break, Crash, Suspects};
+use probe::ProbedEngines;
+pub use probe::REFUSAL_TIMEOUT;
 use prost::Message;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
-pub use watch::REFUSAL_TIME;
-use watch::Watched;
 
 /// The key under which requests that crash upstreams lie in the store.
 pub const KEY: &str = "passway/poison";
 /// Requests that are told or kept at most, 150 bytes each: what a link of 10 Mbit/s carries in
 /// 60 ms.
-const MAX_TOLD: usize = 512;
+const MAX_SENT_SUSPECTS: usize = 512;
 /// From so many crashes on all instances are told of a request: the next one may be the last that is allowed, at
 /// whichever it comes.
-pub const TOLD_CRASHES: usize = 2;
+pub const MIN_BROADCAST_CRASHES: usize = 2;
 /// Longest time that a word on a crash takes to another instance: what is told as so long ago is up to so much
 /// longer ago.
-const MOST_TELLING_MS: u64 = 100;
+const MAX_PROPAGATION_MS: u64 = 100;
 /// Pause between two writes of the list: two calls a second at most, while engines crash.
-const WRITE_PAUSE: Duration = Duration::from_millis(500);
+const WRITE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The list as it lies in the store.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-struct Kept {
+struct StoredList {
     revision: StoreRevision,
     value: Vec<u8>,
 }
 
 /// What this instance knows of requests that crash upstreams.
 #[derive(Debug)]
-pub struct Poison {
+pub struct PoisonTracker {
     list: Mutex<PoisonList>,
     /// Whether nothing is known of any request; read on each request, without a lock.
     is_empty: AtomicBool,
     refused: AtomicUsize,
     /// Whether what the fleet knows was heard of since the process began.
-    is_told: AtomicBool,
-    kept: Mutex<Kept>,
+    has_fleet_list: AtomicBool,
+    stored: Mutex<StoredList>,
     /// Which requests run alone among those like them.
-    alone: Alone,
+    exclusive_runs: ExclusiveRuns,
     /// Engines that broke off and are asked whether they have ended.
-    watched: Watched,
+    probed_engines: ProbedEngines,
     /// Wakes the thread that keeps the list in the store.
-    wake: Sender<()>,
-    woken: Receiver<()>,
+    wakeup_sender: Sender<()>,
+    wakeup_receiver: Receiver<()>,
 }
 
-impl Default for Poison {
+impl Default for PoisonTracker {
     fn default() -> Self {
-        let (wake, woken) = bounded(1);
+        let (wakeup_sender, wakeup_receiver) = bounded(1);
         Self {
             list: Mutex::default(),
             is_empty: AtomicBool::new(true),
             refused: AtomicUsize::new(0),
-            is_told: AtomicBool::new(false),
-            kept: Mutex::default(),
-            alone: Alone::default(),
-            watched: Watched::default(),
-            wake,
-            woken,
+            has_fleet_list: AtomicBool::new(false),
+            stored: Mutex::default(),
+            exclusive_runs: ExclusiveRuns::default(),
+            probed_engines: ProbedEngines::default(),
+            wakeup_sender,
+            wakeup_receiver,
         }
     }
 }
@@ -92,20 +92,20 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Poison {
+impl PoisonTracker {
     /// Whether nothing is known of any request.
     pub fn is_empty(&self) -> bool {
         self.is_empty.load(Ordering::Acquire)
     }
 
     /// How many requests are refused.
-    pub fn refused(&self) -> usize {
+    pub fn refused_count(&self) -> usize {
         self.refused.load(Ordering::Acquire)
     }
 
     /// Whether what the fleet knows was heard of, from the store or from the holder.
-    pub fn is_told(&self) -> bool {
-        self.is_told.load(Ordering::Acquire)
+    pub fn has_fleet_list(&self) -> bool {
+        self.has_fleet_list.load(Ordering::Acquire)
     }
 
     /// For how long a request is refused yet; `None` if it may be run.
@@ -114,31 +114,31 @@
     }
 
     /// An upstream has crashed under a request that was sent at a moment. Returns what others are to be told.
-    pub fn crashed(
+    pub fn record_crash(
         &self,
         digest: RequestDigest,
         crash: UpstreamStart,
         sent_at: Instant,
     ) -> Option<Suspect> {
         let news = lock(&self.list).crashed_run(digest, crash, sent_at, clock::now());
-        self.changed();
+        self.update_counts();
         news
     }
 
     /// Whether a request may run while it is not known which upstreams have ended that broke off under it.
-    pub fn standing(&self, digest: RequestDigest) -> Standing {
+    pub fn run_status(&self, digest: RequestDigest) -> Standing {
         lock(&self.list).standing(digest, clock::now())
     }
 
     /// An engine broke off under a request, and nothing tells yet whether it has ended.
-    pub fn broke_off(
+    pub fn record_break(
         shared: &Arc<Shared>,
         digest: RequestDigest,
         start: &UpstreamStart,
         sent_at: Instant,
         address: SocketAddr,
     ) {
-        Self::doubt(shared, digest, start, sent_at, address);
+        Self::probe_after_break(shared, digest, start, sent_at, address);
         let now = clock::now();
         if lock(&shared.poison.list).note_break(start, now, now) {
             shared.tell(Need::Broke(start.clone(), now));
@@ -147,7 +147,7 @@
     }
 
     /// An engine may have ended under a request, which was sent at a moment: it is asked.
-    pub fn doubt(
+    pub fn probe_after_break(
         shared: &Arc<Shared>,
         digest: RequestDigest,
         start: &UpstreamStart,
@@ -157,42 +157,42 @@
         let poison = &shared.poison;
         let now = clock::now();
         let news = lock(&poison.list).broke_off(digest, start.clone(), sent_at, now);
-        poison.changed();
+        poison.update_counts();
         if let Some(news) = news {
-            Self::tell(shared, news);
+            Self::publish(shared, news);
         }
-        watch::watch(shared, digest, start, address);
+        probe::start(shared, digest, start, address);
     }
 
     /// An upstream that broke off under a request runs on. Returns what others are to be told.
-    fn lives(&self, digest: RequestDigest, start: UpstreamStart) -> Option<Suspect> {
+    fn record_alive(&self, digest: RequestDigest, start: UpstreamStart) -> Option<Suspect> {
         let news = lock(&self.list).lives(digest, start, clock::now());
-        self.changed();
+        self.update_counts();
         news
     }
 
     /// Starts of an upstream before a moment in Unix milliseconds, by its own clock, have ended. Returns
     /// what others are to be told.
-    pub fn ended(&self, upstream: &str, before_ms: u64) -> Vec<Suspect> {
+    pub fn record_ended(&self, upstream: &str, before_ms: u64) -> Vec<Suspect> {
         if self.is_empty() {
             return Vec::new();
         }
         let news = lock(&self.list).ended(upstream, before_ms, clock::now());
-        self.changed();
+        self.update_counts();
         news
     }
 
     /// A request has had an answer. Returns what others are to be told.
-    pub fn answered(&self, digest: RequestDigest) -> Option<Suspect> {
+    pub fn record_answer(&self, digest: RequestDigest) -> Option<Suspect> {
         let news = lock(&self.list).answered(digest);
         if news.is_some() {
-            self.changed();
+            self.update_counts();
         }
         news
     }
 
     /// Takes in which upstreams broke off at other instances. Returns them.
-    pub fn join_breaks(&self, told: &[Break]) -> Vec<(UpstreamStart, Instant)> {
+    pub fn merge_breaks(&self, told: &[Break]) -> Vec<(UpstreamStart, Instant)> {
         let now = clock::now();
         let mut list = lock(&self.list);
         let breaks = told.iter().map(|told| {
@@ -213,8 +213,8 @@
     /// Tells others what became known of a request: the holder, which tells all, and from the second crash on all
     /// instances that are known here as well. The next run may be the last that is allowed, wherever it comes, and the
     /// holder may be slow or gone.
-    pub fn tell(shared: &Shared, news: Suspect) {
-        if news.crashes.len() >= TOLD_CRASHES {
+    pub fn publish(shared: &Shared, news: Suspect) {
+        if news.crashes.len() >= MIN_BROADCAST_CRASHES {
             let suspects = encode(vec![news.clone()]);
             for address in shared.other_instances() {
                 shared
@@ -226,17 +226,17 @@
     }
 
     /// Joins in what the holder or the store tells. Returns the requests that were told, as they are known now.
-    pub fn join(&self, told: Suspects) -> Vec<Suspect> {
-        self.is_told.store(true, Ordering::Release);
-        self.take_in(told)
+    pub fn merge_fleet_list(&self, told: Suspects) -> Vec<Suspect> {
+        self.has_fleet_list.store(true, Ordering::Release);
+        self.merge(told)
     }
 
     /// Joins in what another instance tells, which is not all that the fleet knows.
-    pub fn join_from_peer(&self, told: Suspects) {
-        self.take_in(told);
+    pub fn merge_from_peer(&self, told: Suspects) {
+        self.merge(told);
     }
 
-    fn take_in(&self, told: Suspects) -> Vec<Suspect> {
+    fn merge(&self, told: Suspects) -> Vec<Suspect> {
         let told: Vec<Suspect> = told.suspects.into_iter().filter_map(decode).collect();
         if told.is_empty() {
             return told;
@@ -247,7 +247,7 @@
         let known = digests.iter().filter_map(|digest| list.get(*digest));
         let known = known.cloned().collect();
         drop(list);
-        self.changed();
+        self.update_counts();
         known
     }
 
@@ -257,40 +257,40 @@
     }
 
     /// The list lies so in the store; empty if it does not.
-    pub fn seen_in_store(&self, revision: StoreRevision, value: &[u8]) {
-        *lock(&self.kept) = Kept {
+    pub fn apply_stored(&self, revision: StoreRevision, value: &[u8]) {
+        *lock(&self.stored) = StoredList {
             revision,
             value: value.to_vec(),
         };
         match Suspects::decode(value) {
-            Ok(told) => drop(self.join(told)),
+            Ok(told) => drop(self.merge_fleet_list(told)),
             Err(error) => {
                 log::warn!(error:% = error; "the list of refused requests cannot be read");
             }
         }
-        self.look();
+        self.notify_writer();
     }
 
     /// An operator has taken the list out of the store: the requests on it may run again. Returns
     /// what others are to be told.
-    pub fn removed_from_store(&self) -> Vec<Suspect> {
-        *lock(&self.kept) = Kept::default();
+    pub fn clear_stored(&self) -> Vec<Suspect> {
+        *lock(&self.stored) = StoredList::default();
         let cleared = lock(&self.list).clear_kept();
         log::info!(target: DECISION_TARGET, cleared = cleared.len(); "requests that crash upstreams were cleared");
-        self.changed();
+        self.update_counts();
         cleared
     }
 
     /// Lets the thread that keeps the list look whether it lies in the store as it is.
-    pub fn look(&self) {
-        match self.wake.try_send(()) {
+    pub fn notify_writer(&self) {
+        match self.wakeup_sender.try_send(()) {
             // A look that is due already will do.
             Ok(()) | Err(TrySendError::Full(())) => {}
             Err(TrySendError::Disconnected(())) => log::error!("nobody keeps refused requests"),
         }
     }
 
-    fn changed(&self) {
+    fn update_counts(&self) {
         let list = lock(&self.list);
         let refused = list.refused();
         self.is_empty.store(list.is_empty(), Ordering::Release);
@@ -298,19 +298,19 @@
         if self.refused.swap(refused, Ordering::AcqRel) != refused {
             log::info!(target: DECISION_TARGET, refused = refused; "requests that crash upstreams");
         }
-        self.look();
+        self.notify_writer();
     }
 
     /// The write that makes the store hold what is to be known when all have gone; `None` if it
     /// does.
-    fn write(&self) -> Option<ConditionalWrite> {
+    fn pending_write(&self) -> Option<ConditionalWrite> {
         let mut kept = lock(&self.list).kept_suspects();
         // Times that passed would make it another value at each look.
         for suspect in &mut kept {
             suspect.runs.clear();
         }
         let value = encode(kept).encode_to_vec();
-        let kept = lock(&self.kept);
+        let kept = lock(&self.stored);
         (kept.value != value).then(|| ConditionalWrite {
             key: KEY.to_owned(),
             expected: kept.revision,
@@ -320,22 +320,26 @@
     }
 
     /// Keeps the list in the store while this instance has the right to order.
-    pub fn keep(shared: &Arc<Shared>, right: &Arc<Right>, store: &Arc<dyn SharedStore>) {
-        let (shared, right, store) = (shared.clone(), right.clone(), store.clone());
+    pub fn start_writer(
+        shared: &Arc<Shared>,
+        leadership: &Arc<LeadershipDriver>,
+        store: &Arc<dyn SharedStore>,
+    ) {
+        let (shared, leadership, store) = (shared.clone(), leadership.clone(), store.clone());
         std::thread::spawn(move || {
             let poison = &shared.poison;
-            while poison.woken.recv().is_ok() {
-                while right.term().is_some()
-                    && let Some(write) = poison.write()
+            while poison.wakeup_receiver.recv().is_ok() {
+                while leadership.term().is_some()
+                    && let Some(write) = poison.pending_write()
                 {
                     let answer = store.write(std::slice::from_ref(&write));
                     if let (Ok(WriteAnswer::Written(revision)), Some(value)) = (answer, write.value)
                     {
-                        *lock(&poison.kept) = Kept { revision, value };
+                        *lock(&poison.stored) = StoredList { revision, value };
                     }
                     // What more is heard of a crash goes into one write; or the watch tells what
                     // stands there now, or the store comes back.
-                    std::thread::sleep(WRITE_PAUSE);
+                    std::thread::sleep(WRITE_INTERVAL);
                 }
             }
         });
@@ -344,7 +348,7 @@
 
 /// The message about requests, the first ones if there are too many.
 pub fn encode(suspects: Vec<Suspect>) -> Suspects {
-    let suspects = suspects.into_iter().take(MAX_TOLD);
+    let suspects = suspects.into_iter().take(MAX_SENT_SUSPECTS);
     Suspects {
         suspects: suspects.map(encode_one).collect(),
         breaks: Vec::new(),
@@ -387,7 +391,7 @@
 
 /// One whose digest has another length comes from another build and is left out.
 fn decode(told: message::Suspect) -> Option<Suspect> {
-    let digest = digest_of(&told.digest)?;
+    let digest = decode_digest(&told.digest)?;
     let now = clock::now();
     let ago = |ms: u64| now.checked_sub(Duration::from_millis(ms)).unwrap_or(now);
     let mut runs = BTreeMap::new();
@@ -406,7 +410,7 @@
         if let Some((sent_ms, broke_ms)) = times {
             let run = RunSpan {
                 sent_at: ago(sent_ms),
-                broke_at: ago(broke_ms.saturating_add(MOST_TELLING_MS)),
+                broke_at: ago(broke_ms.saturating_add(MAX_PROPAGATION_MS)),
             };
             runs.insert(start.clone(), run);
         }
--- a/crates/instance/src/poison/alone.rs
+++ b/crates/instance/src/poison/exclusive.rs
@@ -4,8 +4,8 @@
 //! The instance that counts for all gives the turns. Without its word nobody has one: whoever cannot prove its turn
 //! waits and asks again, under the same number, so that an answer that was lost is not held against it.
 
-use super::{Poison, lock};
-use crate::keeper::Unruled;
+use super::{PoisonTracker, lock};
+use crate::coordinator::NoDecision;
 use crate::relay::millis;
 use crate::shared::Shared;
 use passway_process::logging::json::REQUEST_TARGET;
@@ -20,41 +20,41 @@
 
 /// Which requests run alone among those like them.
 #[derive(Debug, Default)]
-pub(super) struct Alone {
+pub(super) struct ExclusiveRuns {
     /// Those of this instance.
-    here: Mutex<HashSet<RequestDigest>>,
+    local: Mutex<HashSet<RequestDigest>>,
     /// Those of all instances, while this one counts for all.
-    turns: Mutex<RunTurns>,
+    granted: Mutex<RunTurns>,
 }
 
 /// What a request hears that asks to run alone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Asked {
+pub enum PermitAnswer {
     /// It may.
     Granted,
     /// Another one like it runs, here or at another instance.
     Taken,
     /// Nothing proves that no other one does.
-    Unproved(Unruled),
+    Unproved(NoDecision),
 }
 
 /// One request's turn to run alone among those like it at all instances; given back when this is dropped.
 #[derive(Debug)]
-pub struct Trial {
+pub struct ExclusivePermit {
     shared: Arc<Shared>,
     digest: RequestDigest,
     /// The number of its questions.
     id: u64,
     is_granted: bool,
     /// Whether a question was left without a ruling: the turn may have been granted nevertheless.
-    is_perhaps_granted: bool,
+    may_be_granted: bool,
     /// Why nobody ruled on the last question, so that each cause is told once.
-    unruled: Option<Unruled>,
+    no_decision: Option<NoDecision>,
     /// Whether an upstream broke off under it.
     has_broken: bool,
 }
 
-impl Trial {
+impl ExclusivePermit {
     /// A request that has not asked yet.
     pub fn new(shared: &Arc<Shared>, digest: RequestDigest) -> Self {
         Self {
@@ -62,8 +62,8 @@
             digest,
             id: rand::random(),
             is_granted: false,
-            is_perhaps_granted: false,
-            unruled: None,
+            may_be_granted: false,
+            no_decision: None,
             has_broken: false,
         }
     }
@@ -74,55 +74,55 @@
     }
 
     /// Asks for the turn, for a run of so long at most.
-    pub fn ask(&mut self, longest: Duration) -> Asked {
+    pub fn request(&mut self, max_run: Duration) -> PermitAnswer {
         if self.is_granted {
-            return Asked::Granted;
+            return PermitAnswer::Granted;
         }
         let shared = self.shared.clone();
-        let here = &shared.poison.alone.here;
-        if !lock(here).insert(self.digest) {
-            return Asked::Taken;
+        let local = &shared.poison.exclusive_runs.local;
+        if !lock(local).insert(self.digest) {
+            return PermitAnswer::Taken;
         }
-        let asked = self.ask_counter(longest);
-        self.is_granted = asked == Asked::Granted;
+        let asked = self.request_from_coordinator(max_run);
+        self.is_granted = asked == PermitAnswer::Granted;
         if !self.is_granted {
-            lock(here).remove(&self.digest);
+            lock(local).remove(&self.digest);
         }
         asked
     }
 
-    fn ask_counter(&mut self, longest: Duration) -> Asked {
+    fn request_from_coordinator(&mut self, max_run: Duration) -> PermitAnswer {
         let ask = UseAsk {
             id: self.id,
             digest: self.digest.0.to_vec(),
-            run_ms: millis(longest),
+            run_ms: millis(max_run),
             ..UseAsk::default()
         };
-        match self.shared.keeper.ask(&self.shared, &ask) {
-            Ok(told) if told.verdict() == UseVerdict::Granted => Asked::Granted,
+        match self.shared.keeper.request(&self.shared, &ask) {
+            Ok(told) if told.verdict() == UseVerdict::Granted => PermitAnswer::Granted,
             Ok(_) => {
-                self.is_perhaps_granted = false;
-                Asked::Taken
+                self.may_be_granted = false;
+                PermitAnswer::Taken
             }
-            Err(unruled) => {
-                self.is_perhaps_granted |= unruled == Unruled::Silent;
-                if self.unruled.replace(unruled) != Some(unruled) {
-                    log::info!(target: REQUEST_TARGET, digest:% = self.digest, cause:% = unruled;
+            Err(no_decision) => {
+                self.may_be_granted |= no_decision == NoDecision::Silent;
+                if self.no_decision.replace(no_decision) != Some(no_decision) {
+                    log::info!(target: REQUEST_TARGET, digest:% = self.digest, cause:% = no_decision;
                         "no turn to run alone is proved");
                 }
-                Asked::Unproved(unruled)
+                PermitAnswer::Unproved(no_decision)
             }
         }
     }
 
     /// An upstream broke off under it. Its turn lapses by itself: by then all know what that was.
-    pub fn broke(&mut self) {
+    pub fn record_break(&mut self) {
         self.has_broken = true;
     }
 
-    fn give_back(&self) {
+    fn release(&self) {
         let shared = &self.shared;
-        let Some(holder) = shared.right().and_then(|right| right.holder()) else {
+        let Some(holder) = shared.right().and_then(|leadership| leadership.holder()) else {
             return;
         };
         let back = UseBack {
@@ -131,41 +131,43 @@
             ..UseBack::default()
         };
         if holder.instance == shared.settings.instance {
-            shared.poison.take_back(shared.settings.peer_address, &back);
+            shared
+                .poison
+                .release_exclusive_run(shared.settings.peer_address, &back);
         } else {
             shared.dispatch.send(holder.address, Body::UseBack(back));
         }
     }
 }
 
-impl Drop for Trial {
+impl Drop for ExclusivePermit {
     fn drop(&mut self) {
         if self.is_granted {
-            lock(&self.shared.poison.alone.here).remove(&self.digest);
+            lock(&self.shared.poison.exclusive_runs.local).remove(&self.digest);
         }
-        if (self.is_granted || self.is_perhaps_granted) && !self.has_broken {
-            self.give_back();
+        if (self.is_granted || self.may_be_granted) && !self.has_broken {
+            self.release();
         }
     }
 }
 
 /// The digest that some bytes hold; `None` if they come from a build with others.
-pub(super) fn digest_of(bytes: &[u8]) -> Option<RequestDigest> {
+pub(super) fn decode_digest(bytes: &[u8]) -> Option<RequestDigest> {
     Some(RequestDigest(bytes.try_into().ok()?))
 }
 
-impl Poison {
+impl PoisonTracker {
     /// Answers an instance that asks to run a request alone, in a term of this instance.
-    pub fn rule(&self, fence: Fence, from: SocketAddr, ask: &UseAsk) -> UseTold {
+    pub fn decide_exclusive_run(&self, fence: Fence, from: SocketAddr, ask: &UseAsk) -> UseTold {
         let mut told = UseTold {
             id: ask.id,
             ..UseTold::default()
         };
-        let Some(digest) = digest_of(&ask.digest) else {
+        let Some(digest) = decode_digest(&ask.digest) else {
             return told;
         };
         let (run, time) = ((from, ask.id), Duration::from_millis(ask.run_ms));
-        match lock(&self.alone.turns).ask(fence, digest, run, time, clock::now()) {
+        match lock(&self.exclusive_runs.granted).ask(fence, digest, run, time, clock::now()) {
             Ok(()) => told.set_verdict(UseVerdict::Granted),
             Err(pause) => {
                 told.set_verdict(UseVerdict::Refused);
@@ -176,9 +178,9 @@
     }
 
     /// A run that was alone is over and has ended nothing.
-    pub fn take_back(&self, from: SocketAddr, back: &UseBack) {
-        if let Some(digest) = digest_of(&back.digest) {
-            lock(&self.alone.turns).give_back(digest, (from, back.id));
+    pub fn release_exclusive_run(&self, from: SocketAddr, back: &UseBack) {
+        if let Some(digest) = decode_digest(&back.digest) {
+            lock(&self.exclusive_runs.granted).give_back(digest, (from, back.id));
         }
     }
 }
--- a/crates/instance/src/poison/watch.rs
+++ b/crates/instance/src/poison/probe.rs
@@ -5,7 +5,7 @@
 
 use crate::control;
 use crate::http1::Connection;
-use crate::poison::Poison;
+use crate::poison::PoisonTracker;
 use crate::shared::Shared;
 use passway_process::logging::json::DECISION_TARGET;
 use passway_serving::poison::{OPEN_TIME, RequestDigest, UpstreamStart};
@@ -20,21 +20,21 @@
 /// Time for the port of an upstream that broke off to refuse a connection, as that of a process
 /// that has ended does within a round trip of some milliseconds. A cut link says nothing, and the
 /// request waits for this before it goes on elsewhere.
-pub const REFUSAL_TIME: Duration = Duration::from_millis(60);
+pub const REFUSAL_TIMEOUT: Duration = Duration::from_millis(60);
 /// Pause before an engine is asked first: one that lives answers a broken connection at once.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
+const FIRST_PROBE_DELAY: Duration = Duration::from_millis(50);
 /// Pause between two questions to an engine that does not answer.
-const ASK_PAUSE: Duration = Duration::from_millis(300);
+const PROBE_INTERVAL: Duration = Duration::from_millis(300);
 /// An engine that does not tell its start is not back so soon after its end: who answers then lives.
-const RESTART_TIME: Duration = Duration::from_secs(1);
+const MIN_RESTART_DURATION: Duration = Duration::from_secs(1);
 /// Engines that are asked at one time; of further ones the entries tell.
-const MOST_WATCHED: usize = 32;
+const MAX_PROBED_ENGINES: usize = 32;
 
 /// Starts of engines that are being asked for, and the requests that broke off there.
 #[derive(Debug, Default)]
-pub(super) struct Watched(Mutex<BTreeMap<UpstreamStart, BTreeSet<RequestDigest>>>);
+pub(super) struct ProbedEngines(Mutex<BTreeMap<UpstreamStart, BTreeSet<RequestDigest>>>);
 
-impl Watched {
+impl ProbedEngines {
     fn lock(&self) -> MutexGuard<'_, BTreeMap<UpstreamStart, BTreeSet<RequestDigest>>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -46,7 +46,7 @@
             digests.insert(digest);
             return false;
         }
-        let has_room = watched.len() < MOST_WATCHED;
+        let has_room = watched.len() < MAX_PROBED_ENGINES;
         if has_room {
             watched.insert(start.clone(), BTreeSet::from([digest]));
         }
@@ -76,12 +76,12 @@
             before_ms: reported_ms,
         });
     }
-    let is_same = reported_ms == known_ms && (known_ms > 0 || since_break < RESTART_TIME);
+    let is_same = reported_ms == known_ms && (known_ms > 0 || since_break < MIN_RESTART_DURATION);
     is_same.then_some(Verdict::Lives)
 }
 
 /// Finds out about the start of an engine that broke off under a request.
-pub(super) fn watch(
+pub(super) fn start(
     shared: &Arc<Shared>,
     digest: RequestDigest,
     start: &UpstreamStart,
@@ -90,33 +90,33 @@
     let Some(engines) = shared.engines() else {
         return;
     };
-    if !shared.poison.watched.add(digest, start) {
+    if !shared.poison.probed_engines.add(digest, start) {
         return;
     }
-    let watching = shared.clone();
+    let probing_shared = shared.clone();
     let asked = start.clone();
-    let asking = move || ask(&watching, &*engines, &asked, address);
-    if let Err(error) = std::thread::Builder::new().spawn(asking) {
+    let probing = move || probe(&probing_shared, &*engines, &asked, address);
+    if let Err(error) = std::thread::Builder::new().spawn(probing) {
         log::warn!(error:% = error; "no thread to ask an engine that broke off");
-        shared.poison.watched.take(start);
+        shared.poison.probed_engines.take(start);
     }
 }
 
 /// Whether nobody listens any more where an engine was that had not said that it leaves. Its port may have closed a
 /// little after its connections.
-fn has_gone(shared: &Shared, start: &UpstreamStart, address: SocketAddr) -> bool {
-    let refuses = Connection::connect(address, REFUSAL_TIME)
+fn refuses_connections(shared: &Shared, start: &UpstreamStart, address: SocketAddr) -> bool {
+    let refuses = Connection::connect(address, REFUSAL_TIMEOUT)
         .is_err_and(|error| error.kind() == ErrorKind::ConnectionRefused);
     refuses && !shared.upstreams().is_draining(&start.upstream)
 }
 
-fn ask(shared: &Shared, engines: &dyn Engines, start: &UpstreamStart, address: SocketAddr) {
+fn probe(shared: &Shared, engines: &dyn Engines, start: &UpstreamStart, address: SocketAddr) {
     let broke_at = clock::now();
-    let mut pause = FIRST_PAUSE;
+    let mut pause = FIRST_PROBE_DELAY;
     let mut found = None;
     while found.is_none() && clock::since(broke_at) < OPEN_TIME {
         std::thread::sleep(pause);
-        pause = ASK_PAUSE;
+        pause = PROBE_INTERVAL;
         if control::rests(shared, &start.upstream) {
             continue;
         }
@@ -127,19 +127,19 @@
         } else {
             // Whatever is sent there would break off too.
             shared.upstreams().doubt(&start.upstream, clock::now());
-            has_gone(shared, start, address).then_some(Verdict::Ended {
+            refuses_connections(shared, start, address).then_some(Verdict::Ended {
                 before_ms: start.started_at_ms + 1,
             })
         };
     }
     log::info!(target: DECISION_TARGET, upstream:% = start.upstream, found:? = found; "an upstream that broke off was asked");
-    let digests = shared.poison.watched.take(start);
+    let digests = shared.poison.probed_engines.take(start);
     match found {
         Some(Verdict::Lives) => {
             shared.upstreams().trust(&start.upstream, clock::now());
             for digest in digests {
-                if let Some(news) = shared.poison.lives(digest, start.clone()) {
-                    Poison::tell(shared, news);
+                if let Some(news) = shared.poison.record_alive(digest, start.clone()) {
+                    PoisonTracker::publish(shared, news);
                 }
             }
         }
--- a/crates/instance/src/ready.rs
+++ b/crates/instance/src/ready.rs
@@ -1,8 +1,8 @@
 //! The balancer's question whether this instance takes callers, and `/metrics` beside it.
 
 use crate::http1::{self, Connection, HttpError};
+use crate::leadership::LeadershipDriver;
 use crate::metrics::Standing;
-use crate::right::Right;
 use crate::shared::Shared;
 use anyhow::{Context, Result};
 use passway_types::clock;
@@ -24,7 +24,11 @@
 ///
 /// # Errors
 /// If the address cannot be bound.
-pub fn listen(shared: &Arc<Shared>, right: &Arc<Right>, address: SocketAddr) -> Result<SocketAddr> {
+pub fn listen(
+    shared: &Arc<Shared>,
+    right: &Arc<LeadershipDriver>,
+    address: SocketAddr,
+) -> Result<SocketAddr> {
     let listener = TcpListener::bind(address).with_context(|| format!("binding {address}"))?;
     let bound = listener.local_addr().context("the bound address")?;
     let (shared, right) = (shared.clone(), right.clone());
@@ -48,7 +52,7 @@
     Ok(bound)
 }
 
-fn standing(shared: &Shared, right: &Right) -> Standing {
+fn standing(shared: &Shared, right: &LeadershipDriver) -> Standing {
     let routes = shared.routes.load();
     let upstreams = shared.upstreams();
     let (limited_upstreams, leaving_upstreams) = (upstreams.limited(), upstreams.leaving().count());
@@ -60,7 +64,7 @@
         in_progress: shared.in_progress(),
         store_answers: !shared.store_health.is_failing(),
         configuration_age: shared.configuration_age.age(),
-        poison_requests: shared.poison.refused(),
+        poison_requests: shared.poison.refused_count(),
         waiting_bytes: passway_process::outbox::waiting_bytes(),
         limited_upstreams,
         leaving_upstreams,
@@ -68,7 +72,11 @@
     }
 }
 
-fn answer(shared: &Shared, right: &Right, mut connection: Connection) -> Result<(), HttpError> {
+fn answer(
+    shared: &Shared,
+    right: &LeadershipDriver,
+    mut connection: Connection,
+) -> Result<(), HttpError> {
     loop {
         let idle_until = clock::now() + REST;
         let head = http1::read_request_head(&mut connection, MAX_HEAD_BYTES, idle_until, STEP)?;
--- a/crates/instance/src/report.rs
+++ b/crates/instance/src/report.rs
@@ -1,11 +1,11 @@
 //! What this instance tells the holder of the right to order, and hears from it.
 
+use crate::leadership::LeadershipDriver;
 use crate::members;
 use crate::poison;
 use crate::relay::Relay;
-use crate::right::Right;
 use crate::shared::{Need, Shared};
-use crate::words;
+use crate::signals;
 use crossbeam::channel::{Receiver, RecvTimeoutError};
 use passway_process::dial::{Dialed, Dialer};
 use passway_process::outbox::Outbox;
@@ -24,20 +24,25 @@
 
 /// Time for which requests that were taken are told to a new holder: the time over
 /// which it averages.
-const RECENT: Duration = Duration::from_secs(4);
+const RECENT_WINDOW: Duration = Duration::from_secs(4);
 /// Pause between two reports of use when nothing waits.
-const REPORT_PAUSE: Duration = Duration::from_millis(400);
+const REPORT_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Pause between two requests for the holder's news.
-const SUBSCRIBE_PAUSE: Duration = Duration::from_millis(600);
+const SUBSCRIBE_INTERVAL: Duration = Duration::from_millis(600);
 
 type Link = Arc<Mutex<Option<Outbox>>>;
 
 /// Reports for as long as the process lives.
-pub fn start(shared: &Arc<Shared>, right: &Arc<Right>, relay: &Arc<Relay>, needs: Receiver<Need>) {
+pub fn start(
+    shared: &Arc<Shared>,
+    leadership: &Arc<LeadershipDriver>,
+    relay: &Arc<Relay>,
+    needs: Receiver<Need>,
+) {
     let reporter = Reporter {
         shared: shared.clone(),
-        right: right.clone(),
+        leadership: leadership.clone(),
         relay: relay.clone(),
         link: Link::default(),
         subscribed_at: None,
@@ -45,61 +50,61 @@
         dialed: None,
         taken: BTreeMap::new(),
         waiting: BTreeMap::new(),
-        missed: Vec::new(),
-        untold: BTreeSet::new(),
+        refused: Vec::new(),
+        unreported: BTreeSet::new(),
         suspects: Vec::new(),
         breaks: Vec::new(),
-        words: BTreeSet::new(),
+        signals: BTreeSet::new(),
         recent: VecDeque::new(),
-        is_new: Arc::default(),
+        is_new_connection: Arc::default(),
     };
     std::thread::spawn(move || reporter.run(&needs));
 }
 
 struct Reporter {
     shared: Arc<Shared>,
-    right: Arc<Right>,
+    leadership: Arc<LeadershipDriver>,
     relay: Arc<Relay>,
     link: Link,
     subscribed_at: Option<Instant>,
     last_running: Vec<Running>,
     dialed: Option<(Holder, Dialer)>,
-    taken: Taken,
+    taken: TakenCounts,
     /// What requests wait for here.
-    waiting: BTreeMap<WishKey, WaitingHere>,
+    waiting: BTreeMap<DemandKey, LocalWaiters>,
     /// Requests that were refused at once, and until when they count as waiting.
-    missed: Vec<(Instant, WishKey)>,
+    refused: Vec<(Instant, DemandKey)>,
     /// What of it the holder was not told.
-    untold: BTreeSet<WishKey>,
+    unreported: BTreeSet<DemandKey>,
     /// Requests of which something became known that the holder was not told.
     suspects: Vec<Suspect>,
     /// Upstreams that broke off here.
     breaks: Vec<(UpstreamStart, Instant)>,
     /// Upstreams that said something else of themselves than before.
-    words: BTreeSet<UpstreamId>,
+    signals: BTreeSet<UpstreamId>,
     /// What was taken lately, for a holder that begins its term.
-    recent: VecDeque<(Instant, WishKey)>,
+    recent: VecDeque<(Instant, DemandKey)>,
     /// Set when a connection to a holder has been made that was told nothing yet.
-    is_new: Arc<AtomicBool>,
+    is_new_connection: Arc<AtomicBool>,
 }
 
 /// A model or adapter of a service.
-type WishKey = (ServiceName, ModelName, Option<AdapterName>);
-type Taken = BTreeMap<WishKey, u32>;
+type DemandKey = (ServiceName, ModelName, Option<AdapterName>);
+type TakenCounts = BTreeMap<DemandKey, u32>;
 
 /// Requests of this instance that wait for one model or adapter.
 #[derive(Debug, Clone, Copy)]
-struct WaitingHere {
+struct LocalWaiters {
     count: u32,
     /// When the last of them gives up.
     until: Instant,
 }
 
-fn key(service: ServiceName, wish: ModelRef) -> WishKey {
+fn demand_key(service: ServiceName, wish: ModelRef) -> DemandKey {
     (service, wish.model, wish.adapter)
 }
 
-fn wish((service, model, adapter): &WishKey, count: u32, wait: Duration) -> Wish {
+fn encode_demand((service, model, adapter): &DemandKey, count: u32, wait: Duration) -> Wish {
     Wish {
         service: service.to_string(),
         model: model.to_string(),
@@ -111,87 +116,87 @@
 
 impl Reporter {
     fn run(mut self, needs: &Receiver<Need>) {
-        let mut report_at = clock::now() + REPORT_PAUSE;
+        let mut report_at = clock::now() + REPORT_INTERVAL;
         loop {
             let left = report_at.saturating_duration_since(clock::now());
             match needs.recv_timeout(left) {
-                Ok(need) => self.take(need),
+                Ok(need) => self.record(need),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
             while let Ok(need) = needs.try_recv() {
-                self.take(need);
+                self.record(need);
             }
             let due = clock::now() >= report_at;
             if due {
-                report_at = clock::now() + REPORT_PAUSE;
+                report_at = clock::now() + REPORT_INTERVAL;
             }
-            self.end_missed(clock::now());
-            self.dial();
+            self.expire_refused(clock::now());
+            self.connect_to_holder();
             self.subscribe();
             if due
-                || !self.untold.is_empty()
+                || !self.unreported.is_empty()
                 || !self.suspects.is_empty()
                 || !self.breaks.is_empty()
-                || !self.words.is_empty()
-                || self.is_new.load(Ordering::Acquire)
+                || !self.signals.is_empty()
+                || self.is_new_connection.load(Ordering::Acquire)
             {
                 self.send();
             }
         }
     }
 
-    fn wait_begins(&mut self, key: WishKey, until: Instant) {
-        let here = self.waiting.entry(key.clone());
-        let here = here.or_insert(WaitingHere { count: 0, until });
-        here.count += 1;
-        here.until = here.until.max(until);
-        self.untold.insert(key);
+    fn add_waiter(&mut self, key: DemandKey, until: Instant) {
+        let local = self.waiting.entry(key.clone());
+        let local = local.or_insert(LocalWaiters { count: 0, until });
+        local.count += 1;
+        local.until = local.until.max(until);
+        self.unreported.insert(key);
     }
 
-    fn wait_ends(&mut self, key: WishKey) {
-        if let Some(here) = self.waiting.get_mut(&key) {
-            here.count -= 1;
-            if here.count == 0 {
+    fn remove_waiter(&mut self, key: DemandKey) {
+        if let Some(local) = self.waiting.get_mut(&key) {
+            local.count -= 1;
+            if local.count == 0 {
                 self.waiting.remove(&key);
             }
         }
-        self.untold.insert(key);
+        self.unreported.insert(key);
     }
 
     /// Requests that were refused count as waiting no longer than they would have waited.
-    fn end_missed(&mut self, now: Instant) {
-        let over: Vec<WishKey> = self
-            .missed
+    fn expire_refused(&mut self, now: Instant) {
+        let over: Vec<DemandKey> = self
+            .refused
             .extract_if(.., |(until, _)| now >= *until)
             .map(|(_, key)| key)
             .collect();
         for key in over {
-            self.wait_ends(key);
+            self.remove_waiter(key);
         }
     }
 
-    fn take(&mut self, need: Need) {
+    fn record(&mut self, need: Need) {
         match need {
             Need::Waits {
                 service,
                 wish,
                 until,
-            } => self.wait_begins(key(service, wish), until),
-            Need::WaitEnds { service, wish } => self.wait_ends(key(service, wish)),
+            } => self.add_waiter(demand_key(service, wish), until),
+            Need::WaitEnds { service, wish } => self.remove_waiter(demand_key(service, wish)),
             Need::Missed {
                 service,
                 wish,
                 until,
             } => {
-                let key = key(service, wish);
-                self.missed.push((until, key.clone()));
-                self.wait_begins(key, until);
+                let key = demand_key(service, wish);
+                self.refused.push((until, key.clone()));
+                self.add_waiter(key, until);
             }
             Need::Suspect(suspect) => self.suspects.push(suspect),
             Need::Broke(start, at) => self.breaks.push((start, at)),
             Need::Word(upstream) => {
-                self.words.insert(upstream);
+                self.signals.insert(upstream);
             }
             // It is a reason to look, which follows in any case.
             Need::HolderReached => {}
@@ -200,11 +205,11 @@
                 while self
                     .recent
                     .front()
-                    .is_some_and(|(at, ..)| *at + RECENT < now)
+                    .is_some_and(|(at, ..)| *at + RECENT_WINDOW < now)
                 {
                     self.recent.pop_front();
                 }
-                let key = key(service, wish);
+                let key = demand_key(service, wish);
                 self.recent.push_back((now, key.clone()));
                 *self.taken.entry(key).or_default() += 1;
             }
@@ -212,8 +217,8 @@
     }
 
     /// Connects to the holder of the right, if it is another one than before.
-    fn dial(&mut self) {
-        let Some(holder) = self.right.holder() else {
+    fn connect_to_holder(&mut self) {
+        let Some(holder) = self.leadership.holder() else {
             return;
         };
         if self
@@ -229,28 +234,28 @@
             // Together: a word of the former holder that is being taken in comes before both.
             let mut link = link.lock().unwrap_or_else(PoisonError::into_inner);
             *link = None;
-            relay.succeeded();
+            relay.holder_changed();
         }
         self.subscribed_at = None;
-        let right = self.right.clone();
+        let leadership = self.leadership.clone();
         let dialed_holder = holder.clone();
-        let is_new = self.is_new.clone();
+        let is_new_connection = self.is_new_connection.clone();
         let dialer = Dialer::start(holder.address, move |dialed| {
             let mut link = link.lock().unwrap_or_else(PoisonError::into_inner);
-            if right.holder().as_ref() != Some(&dialed_holder) {
+            if leadership.holder().as_ref() != Some(&dialed_holder) {
                 // Another one holds the right by now; its own dialer speaks.
                 return;
             }
             match dialed {
                 Dialed::Connected(outbox) => {
                     *link = Some(outbox);
-                    is_new.store(true, Ordering::Release);
+                    is_new_connection.store(true, Ordering::Release);
                     drop(link);
                     shared.tell(Need::HolderReached);
                 }
                 Dialed::Disconnected => {
                     *link = None;
-                    relay.lost();
+                    relay.holder_disconnected();
                 }
                 Dialed::Received(Body::News(news)) => {
                     if let Some(instances) = usize::try_from(news.instances).ok().filter(|n| *n > 0)
@@ -261,7 +266,7 @@
                         let doubtful = news.doubtful.iter().map(|id| id.as_str().into());
                         shared.set_doubtful_engines(doubtful.collect());
                     }
-                    relay.heard(news);
+                    relay.receive(news);
                     drop(link);
                 }
                 Dialed::Received(Body::Members(told)) => {
@@ -271,11 +276,11 @@
                 Dialed::Received(Body::Successor(term)) => {
                     // Believed like any other word about the right: while the store is silent.
                     drop(link);
-                    let holder = members::successor(&term);
+                    let holder = members::decode_holder(&term);
                     let is_same = |named: &Holder| named.instance == dialed_holder.instance;
                     if let Some(holder) = holder.filter(is_same)
                         && shared.store_health.is_failing()
-                        && right.told(holder)
+                        && leadership.learn_holder(holder)
                     {
                         log::info!(fence = term.fence; "a new term of the same holder");
                     }
@@ -288,24 +293,25 @@
                 }
                 Dialed::Received(Body::Suspects(told)) => {
                     drop(link);
-                    for (start, at) in shared.poison.join_breaks(&told.breaks) {
+                    for (start, at) in shared.poison.merge_breaks(&told.breaks) {
                         shared.upstreams().doubt(&start.upstream, at);
                     }
                     // Only a word on requests says that what the fleet knows of them was told.
                     if !told.suspects.is_empty() || told.breaks.is_empty() {
-                        shared.poison.join(told);
+                        shared.poison.merge_fleet_list(told);
                     }
                 }
                 Dialed::Received(Body::Words(told)) => {
                     drop(link);
-                    words::join(&shared, told);
+                    signals::merge(&shared, told);
                 }
                 Dialed::Received(Body::Placements(placements)) => {
                     drop(link);
-                    placed(&shared, placements.engines);
+                    apply_placements(&shared, placements.engines);
                 }
                 Dialed::Received(Body::PromiseWanted(wanted)) => {
-                    if let Some(promise) = promise(&shared, &right, &dialed_holder, wanted)
+                    if let Some(promise) =
+                        answer_promise_request(&shared, &leadership, &dialed_holder, wanted)
                         && let Some(outbox) = link.as_ref()
                     {
                         outbox.send(Body::Promise(promise));
@@ -319,30 +325,30 @@
 
     /// Asks the holder for the store's news, once this instance knows it up to some point.
     fn subscribe(&mut self) {
-        let holder = self.right.holder();
+        let holder = self.leadership.holder();
         let is_me = holder.is_none_or(|h| h.instance == self.shared.settings.instance);
-        if self.is_new.load(Ordering::Acquire) {
+        if self.is_new_connection.load(Ordering::Acquire) {
             self.subscribed_at = None;
         }
         // The holder may not have begun its term when it was asked.
         let asked = self.subscribed_at;
-        let hears_all = self.relay.is_heard() && !self.relay.wants_again();
-        if is_me || hears_all || asked.is_some_and(|at| clock::since(at) < SUBSCRIBE_PAUSE) {
+        let hears_all = self.relay.is_holder_alive() && !self.relay.needs_resend();
+        if is_me || hears_all || asked.is_some_and(|at| clock::since(at) < SUBSCRIBE_INTERVAL) {
             return;
         }
         let mut link = self.link.lock().unwrap_or_else(PoisonError::into_inner);
         let Some(outbox) = link.as_ref() else {
             return;
         };
-        if self.relay.is_silent() {
+        if self.relay.is_holder_silent() {
             // The connection may have fallen silent; a new one tells whether the holder has.
             outbox.close();
             *link = None;
-            self.relay.lost();
+            self.relay.holder_disconnected();
             return;
         }
-        let known = self.relay.known();
-        let reads_itself = known.contains(&0) && !self.relay.wants_again();
+        let known = self.relay.known_revisions();
+        let reads_itself = known.contains(&0) && !self.relay.needs_resend();
         if reads_itself && !self.shared.store_health.is_failing() {
             // The store tells it soon, and the holder is spared telling everything.
             return;
@@ -351,7 +357,7 @@
             known: known.to_vec(),
             instance: self.shared.settings.instance.to_string(),
             address: self.shared.settings.peer_address.to_string(),
-            is_weak: self.right.is_weak(),
+            is_weak: self.leadership.is_weak(),
             placements: self.shared.upstreams().placement_digests().collect(),
         }));
         self.subscribed_at = Some(clock::now());
@@ -362,23 +368,23 @@
         let Some(outbox) = link.as_ref() else {
             // A new connection is told what was taken lately and what waits then.
             self.taken.clear();
-            self.untold.clear();
+            self.unreported.clear();
             self.suspects.clear();
             self.breaks.clear();
-            self.words.clear();
+            self.signals.clear();
             return;
         };
         let mut taken = std::mem::take(&mut self.taken);
-        let mut untold = std::mem::take(&mut self.untold);
+        let mut unreported = std::mem::take(&mut self.unreported);
         let mut suspects = poison::encode(std::mem::take(&mut self.suspects));
-        let named: Vec<UpstreamId> = std::mem::take(&mut self.words).into_iter().collect();
-        let mut said = words::encode_for_holder(&self.shared, Some(&named));
-        if self.is_new.swap(false, Ordering::AcqRel) {
+        let named: Vec<UpstreamId> = std::mem::take(&mut self.signals).into_iter().collect();
+        let mut said = signals::encode_for_holder(&self.shared, Some(&named));
+        if self.is_new_connection.swap(false, Ordering::AcqRel) {
             taken = recent_counts(&self.recent);
-            untold = self.waiting.keys().cloned().collect();
+            unreported = self.waiting.keys().cloned().collect();
             self.last_running.clear();
             suspects = self.shared.poison.suspects(1);
-            said = words::encode_for_holder(&self.shared, None);
+            said = signals::encode_for_holder(&self.shared, None);
         }
         if said != Words::default() {
             outbox.send(Body::Words(said));
@@ -388,14 +394,16 @@
             outbox.send(Body::Suspects(suspects));
         }
         let now = clock::now();
-        let waiting = untold.iter().map(|key| match self.waiting.get(key) {
-            Some(here) => wish(key, here.count, here.until.saturating_duration_since(now)),
-            None => wish(key, 0, Duration::ZERO),
+        let waiting = unreported.iter().map(|key| match self.waiting.get(key) {
+            Some(local) => {
+                encode_demand(key, local.count, local.until.saturating_duration_since(now))
+            }
+            None => encode_demand(key, 0, Duration::ZERO),
         });
         let waiting: Vec<Wish> = waiting.collect();
         let taken = taken
             .iter()
-            .map(|(key, count)| wish(key, *count, Duration::ZERO));
+            .map(|(key, count)| encode_demand(key, *count, Duration::ZERO));
         let taken: Vec<Wish> = taken.collect();
         let upstreams = self.shared.upstreams();
         let running = upstreams.running().map(|(engine, model, count)| Running {
@@ -420,15 +428,18 @@
 
 /// The answer to a holder that the store does not answer; `None` if this instance may take
 /// the right.
-fn promise(
+fn answer_promise_request(
     shared: &Shared,
-    right: &Right,
+    leadership: &LeadershipDriver,
     asker: &Holder,
     wanted: PromiseWanted,
 ) -> Option<Promise> {
     let leaves = shared.is_stopping();
     let store_answers = !shared.store_health.is_failing();
-    let promises = leaves || right.promise(&asker.instance, store_answers).is_ok();
+    let promises = leaves
+        || leadership
+            .answer_promise_request(&asker.instance, store_answers)
+            .is_ok();
     promises.then(|| Promise {
         instance: shared.settings.instance.to_string(),
         fence: wanted.fence,
@@ -438,15 +449,15 @@
 }
 
 /// Counts what was taken lately.
-fn recent_counts(recent: &VecDeque<(Instant, WishKey)>) -> Taken {
-    let mut taken = Taken::new();
+fn recent_counts(recent: &VecDeque<(Instant, DemandKey)>) -> TakenCounts {
+    let mut taken = TakenCounts::new();
     for (_, key) in recent {
         *taken.entry(key.clone()).or_default() += 1;
     }
     taken
 }
 
-fn placed(shared: &Shared, engines: Vec<EnginePlacement>) {
+fn apply_placements(shared: &Shared, engines: Vec<EnginePlacement>) {
     let mut upstreams = shared.upstreams();
     for placement in engines {
         let models = placement.models.into_iter().map(|model| ResidentModel {
--- a/crates/instance/src/shared.rs
+++ b/crates/instance/src/shared.rs
@@ -1,16 +1,16 @@
 //! What the threads of an instance share.
 
 use crate::allotments::Allotments;
+use crate::coordinator::CoordinatorClient;
 use crate::dispatch::Dispatch;
 use crate::freshness::ConfigurationAge;
 use crate::health::StoreHealth;
-use crate::keeper::KeeperLink;
+use crate::leadership::LeadershipDriver;
 use crate::limits::Limits;
 use crate::members::Addresses;
 use crate::metrics::Metrics;
-use crate::poison::Poison;
+use crate::poison::PoisonTracker;
 use crate::pool::ConnectionPool;
-use crate::right::Right;
 use arc_swap::{ArcSwap, ArcSwapOption};
 use crossbeam::channel::Sender;
 use passway_serving::poison::{Suspect, UpstreamStart};
@@ -101,13 +101,13 @@
     /// How new the configuration is for sure.
     pub configuration_age: ConfigurationAge,
     /// Questions to the instance that counts for all.
-    pub keeper: KeeperLink,
+    pub keeper: CoordinatorClient,
     /// What workspaces may use.
     pub allotments: Allotments,
     /// What goes to upstreams in need.
     pub limits: Limits,
     /// Requests that crash upstreams.
-    pub poison: Poison,
+    pub poison: PoisonTracker,
     /// The words of callers and upstreams.
     pub vocabulary: Box<dyn Vocabulary>,
     needs: Sender<Need>,
@@ -119,7 +119,7 @@
     usual_times: Mutex<UsualTimes>,
     doubtful_engines: Mutex<BTreeSet<UpstreamId>>,
     members: Mutex<Addresses>,
-    right: OnceLock<Arc<Right>>,
+    right: OnceLock<Arc<LeadershipDriver>>,
     engines: OnceLock<Arc<dyn Engines>>,
     upstreams_listed: AtomicBool,
     stopping: AtomicBool,
@@ -167,10 +167,10 @@
             metrics: Metrics::default(),
             pool: ConnectionPool::default(),
             configuration_age: ConfigurationAge::default(),
-            keeper: KeeperLink::default(),
+            keeper: CoordinatorClient::default(),
             allotments: Allotments::default(),
             limits: Limits::default(),
-            poison: Poison::default(),
+            poison: PoisonTracker::default(),
             vocabulary,
             needs,
             upstreams: Mutex::new(upstreams),
@@ -253,12 +253,12 @@
     }
 
     /// The right to order, as this instance knows it; `None` while the process starts.
-    pub fn right(&self) -> Option<&Arc<Right>> {
+    pub fn right(&self) -> Option<&Arc<LeadershipDriver>> {
         self.right.get()
     }
 
     /// Sets the right to order, once.
-    pub fn set_right(&self, right: Arc<Right>) {
+    pub fn set_right(&self, right: Arc<LeadershipDriver>) {
         // A process has one.
         let _ = self.right.set(right);
     }
@@ -277,7 +277,7 @@
     /// Starts of an upstream before a moment in Unix milliseconds, by its own clock, have ended without
     /// having said so: the requests that broke off there may be why.
     pub fn upstream_ended(&self, upstream: &str, before_ms: u64) {
-        for suspect in self.poison.ended(upstream, before_ms) {
+        for suspect in self.poison.record_ended(upstream, before_ms) {
             self.tell(Need::Suspect(suspect));
         }
     }
@@ -317,7 +317,7 @@
     /// Whether the keys that are known here may be acted on.
     fn may_act_on_keys(&self) -> bool {
         let bound = self.revocation();
-        bound.is_none_or(|bound| self.configuration_age.permits(bound))
+        bound.is_none_or(|bound| self.configuration_age.is_proved_within(bound))
     }
 
     /// Uses bounds that have changed.
@@ -358,7 +358,7 @@
     /// which requests crash them.
     pub fn can_serve(&self) -> bool {
         !self.is_stopping()
-            && self.poison.is_told()
+            && self.poison.has_fleet_list()
             && self.upstreams_listed.load(Ordering::Acquire)
             && self.routes.load().is_some()
     }
--- a/crates/instance/src/words.rs
+++ b/crates/instance/src/signals.rs
@@ -15,63 +15,63 @@
 
 /// Longest rest that is kept: one request in this time finds out whether the upstream still wants it, so
 /// that a figure that is wrong does not take an upstream away for good.
-pub const LONGEST_REST_MS: u64 = 600_000;
+pub const MAX_BACKOFF_MS: u64 = 600_000;
 
 /// Instances that were turned away at one time come back this long after each other, in the mean.
-const SPREAD_PER_INSTANCE: Duration = Duration::from_millis(2);
+const BACKOFF_SPREAD_PER_INSTANCE: Duration = Duration::from_millis(2);
 /// Longest time by which an instance comes back later than it may.
-const MOST_SPREAD: Duration = Duration::from_millis(500);
+const MAX_BACKOFF_SPREAD: Duration = Duration::from_millis(500);
 
 /// An answer that was heard.
 #[derive(Debug, Clone, Copy)]
-pub struct Heard<'a> {
+pub struct ReceivedSignals<'a> {
     /// The start of the upstream that was asked.
     pub start: &'a UpstreamStart,
     /// What the answer says of it.
-    pub words: &'a UpstreamWords,
+    pub signals: &'a UpstreamWords,
     /// Whether the upstream vouches for the answer.
-    pub vouched: bool,
+    pub is_authenticated: bool,
     /// When the question was sent.
     pub sent_at: Instant,
 }
 
 /// Takes in what an answer says of its upstream.
-pub fn hear(shared: &Shared, heard: Heard<'_>) {
-    let Heard { start, words, .. } = heard;
-    for word in words.unusable() {
+pub fn apply(shared: &Shared, received: ReceivedSignals<'_>) {
+    let ReceivedSignals { start, signals, .. } = received;
+    for word in signals.unusable() {
         shared.metrics.unusable_word(word);
     }
-    hear_limit(shared, heard);
-    if words.leaving == NamedLeaving::Leaves && leaves(shared, start) {
+    apply_limit(shared, received);
+    if signals.leaving == NamedLeaving::Leaves && record_leaving(shared, start) {
         shared.tell(Need::Word(start.upstream.clone()));
     }
-    match words.rest {
-        NamedRest::For(rest) if !rest.is_zero() => rests(shared, start, rest),
+    match signals.rest {
+        NamedRest::For(rest) if !rest.is_zero() => record_backoff(shared, start, rest),
         _ => shared
             .upstreams()
-            .note_no_rest(&start.upstream, heard.sent_at),
+            .note_no_rest(&start.upstream, received.sent_at),
     }
 }
 
-fn hear_limit(shared: &Shared, heard: Heard<'_>) {
-    let per_s = match heard.words.limit {
+fn apply_limit(shared: &Shared, received: ReceivedSignals<'_>) {
+    let per_s = match received.signals.limit {
         NamedLimit::PerSecond(per_s) => Some(per_s),
         // Only an answer that the upstream vouches for is its word that it is in no need.
-        NamedLimit::Absent if heard.vouched => None,
+        NamedLimit::Absent if received.is_authenticated => None,
         NamedLimit::Absent | NamedLimit::Unusable => return,
     };
     let word = LimitWord {
         per_s,
-        sent_at: heard.sent_at,
+        sent_at: received.sent_at,
         heard_at: clock::now(),
     };
-    if note_limit(shared, heard.start, word) {
-        shared.tell(Need::Word(heard.start.upstream.clone()));
+    if record_limit(shared, received.start, word) {
+        shared.tell(Need::Word(received.start.upstream.clone()));
     }
 }
 
 /// A start of an upstream leaves, as it said here or to another instance. Returns whether that is news.
-fn leaves(shared: &Shared, start: &UpstreamStart) -> bool {
+fn record_leaving(shared: &Shared, start: &UpstreamStart) -> bool {
     let now = clock::now();
     let mut upstreams = shared.upstreams();
     let is_news = upstreams.note_leaving(&start.upstream, start.started_at_ms, now);
@@ -84,12 +84,12 @@
 }
 
 /// An upstream wants nothing from this instance for some time.
-fn rests(shared: &Shared, start: &UpstreamStart, rest: Duration) {
-    let rest = rest.min(Duration::from_millis(LONGEST_REST_MS));
+fn record_backoff(shared: &Shared, start: &UpstreamStart, rest: Duration) {
+    let rest = rest.min(Duration::from_millis(MAX_BACKOFF_MS));
     let instances = u32::try_from(shared.instances()).unwrap_or(u32::MAX);
-    let spread = SPREAD_PER_INSTANCE
+    let spread = BACKOFF_SPREAD_PER_INSTANCE
         .saturating_mul(instances)
-        .min(MOST_SPREAD);
+        .min(MAX_BACKOFF_SPREAD);
     let until = clock::now() + rest + spread.mul_f64(rand::random());
     let mut upstreams = shared.upstreams();
     if upstreams.started_at_ms(&start.upstream) != start.started_at_ms {
@@ -105,7 +105,7 @@
 
 /// A start of an upstream has said how much it takes, here or at another instance. Returns whether that is
 /// another limit than before.
-pub fn note_limit(shared: &Shared, start: &UpstreamStart, word: LimitWord) -> bool {
+pub fn record_limit(shared: &Shared, start: &UpstreamStart, word: LimitWord) -> bool {
     let mut upstreams = shared.upstreams();
     // What was said by another start of it says nothing of this one.
     let is_of_this = upstreams.started_at_ms(&start.upstream) == start.started_at_ms;
@@ -167,7 +167,7 @@
 }
 
 /// Takes in what another instance tells. Returns the upstreams that it tells of.
-pub fn join(shared: &Shared, told: Words) -> Vec<UpstreamId> {
+pub fn merge(shared: &Shared, told: Words) -> Vec<UpstreamId> {
     let now = clock::now();
     let ago = |ms: u64| now.checked_sub(Duration::from_millis(ms)).unwrap_or(now);
     let mut named = Vec::new();
@@ -186,7 +186,7 @@
             sent_at: ago(told.sent_ms_ago),
             heard_at: ago(told.heard_ms_ago),
         };
-        note_limit(shared, &start, word);
+        record_limit(shared, &start, word);
         named.push(start.upstream);
     }
     for told in told.leaving {
@@ -194,7 +194,7 @@
             upstream: UpstreamId::from(told.upstream),
             started_at_ms: told.started_at_ms,
         };
-        leaves(shared, &start);
+        record_leaving(shared, &start);
         named.push(start.upstream);
     }
     named
--- a/crates/standins/src/bin/passway-config-memory.rs
+++ b/crates/standins/src/bin/passway-config-memory.rs
@@ -6,8 +6,8 @@
 use anyhow::{Context, Result};
 use clap::Parser;
 use passway_instance::feed_log::FeedLog;
-use passway_instance::news::Told;
-use passway_instance::relay::CONFIGURATION;
+use passway_instance::relay::CONFIGURATION_FEED;
+use passway_instance::updates::FeedUpdate;
 use passway_process::outbox::Outbox;
 use passway_serving::placement::policy::PolicyName;
 use passway_serving::placement::{Planner, USUAL_LOAD_WINDOW};
@@ -281,13 +281,13 @@
             revision,
             ..first.clone()
         };
-        let told = Told::Changes {
+        let told = FeedUpdate::Changes {
             from: revision - 1,
             to: revision,
             changes: vec![StoreChange::Written(value)],
         };
         // What is to be passed on is not made here: the queues are measured apart.
-        log.add(&told);
+        log.apply(&told);
     }
     case.print(&format!("log, {routes} routes, {changes} changes"));
     drop(log);
@@ -321,13 +321,13 @@
     let mut log = FeedLog::default();
     for revision in 1..=sent {
         let value = configuration(revision, SENT_ROUTES)?;
-        let told = Told::Changes {
+        let told = FeedUpdate::Changes {
             from: revision - 1,
             to: revision,
             changes: vec![StoreChange::Written(value)],
         };
-        log.add(&told);
-        let news = log.after(CONFIGURATION, revision - 1);
+        log.apply(&told);
+        let news = log.update_after(CONFIGURATION_FEED, revision - 1);
         let news = news.context("nothing to pass on")?;
         let frame = Frame::new(Body::News(news)).context("encoding news")?;
         for outbox in &outboxes {
--- a/tests/all/config_way.rs
+++ b/tests/all/config_way.rs
@@ -12,7 +12,7 @@
 use crate::followed::{ToldStore, beat, followed, shared, word};
 use crate::site::until;
 use bytes::Bytes;
-use passway_instance::relay::{CONFIGURATION, FEEDS, Relay, Tap};
+use passway_instance::relay::{CONFIGURATION_FEED, FEED_COUNT, Relay, RelayReceiver};
 use passway_serving::ports::{Listing, StoreChange, StoreError, StoredValue, WatchAnswer};
 use passway_types::prelude::*;
 use passway_wire::message::{News, NewsValue};
@@ -51,7 +51,7 @@
     let seen = followed(store, tap, &shared());
     until("the list", || seen.have(10));
     until("the holder's word", || {
-        relay.heard(News {
+        relay.receive(News {
             values: vec![NewsValue {
                 key: "op/config".into(),
                 value: Some(Bytes::new()),
@@ -65,13 +65,13 @@
 }
 
 /// A feed asks the store although the holder speaks, which has heard nothing of the store.
-fn asks_beside_words(relay: &Relay, tap: Tap) {
-    relay.heard(News::default());
+fn asks_beside_words(relay: &Relay, tap: RelayReceiver) {
+    relay.receive(News::default());
     let store = ToldStore::new(|_| Ok(empty_list()), |_| Ok(change()));
     let seen = followed(store, tap, &shared());
     until("the list", || seen.have(10));
     until("the store's word", || {
-        relay.heard(News::default());
+        relay.receive(News::default());
         seen.have(20)
     });
 }
@@ -89,7 +89,7 @@
 fn upstreams_asked_after_failure() {
     let (relay, [configuration, upstreams]) = Relay::new();
     let begun_at = Instant::now();
-    relay.heard(beat(begun_at, 1));
+    relay.receive(beat(begun_at, 1));
     let shared = shared();
     let once_lost = |number| {
         if number == 0 {
@@ -101,12 +101,12 @@
     let store = || ToldStore::new(|_| Ok(empty_list()), once_lost);
     let configuration = followed(store(), configuration, &shared);
     until("the configuration", || {
-        relay.heard(beat(begun_at, 1));
+        relay.receive(beat(begun_at, 1));
         configuration.have(10)
     });
     let upstreams = followed(store(), upstreams, &shared);
     until("the store's word on the upstreams", || {
-        relay.heard(beat(begun_at, 1));
+        relay.receive(beat(begun_at, 1));
         upstreams.have(20)
     });
 }
@@ -117,7 +117,7 @@
 #[test]
 fn resting_feed_wakes() {
     let (relay, _) = Relay::new();
-    asks_beside_words(&relay, relay.resting());
+    asks_beside_words(&relay, relay.unrelayed_receiver());
 }
 
 /// After a gap the store's history is gone too: everything is listed, nothing is forgotten.
@@ -125,7 +125,7 @@
 fn gap_outlasts_gone_history() {
     let (relay, [tap, _]) = Relay::new();
     let begun_at = Instant::now();
-    relay.heard(beat(begun_at, FEEDS));
+    relay.receive(beat(begun_at, FEED_COUNT));
     let list = |number| {
         let revision = if number == 0 { 10 } else { 30 };
         Ok(Listing {
@@ -136,9 +136,9 @@
     let store = ToldStore::new(list, |_| Ok(WatchAnswer::HistoryGone));
     let seen = followed(store, tap, &shared());
     until("the list", || seen.have(10));
-    relay.heard(word(25, 28));
+    relay.receive(word(25, 28));
     until("everything", || {
-        relay.heard(beat(begun_at, FEEDS));
+        relay.receive(beat(begun_at, FEED_COUNT));
         seen.have(30)
     });
 }
@@ -147,7 +147,7 @@
 #[test]
 fn gap_is_asked_for() {
     let (relay, [tap, _]) = Relay::new();
-    relay.heard(beat(Instant::now(), FEEDS));
+    relay.receive(beat(Instant::now(), FEED_COUNT));
     let once = |number| {
         if number == 0 {
             Ok(empty_list())
@@ -158,10 +158,10 @@
     let store = ToldStore::new(once, |_| Err(StoreError::NotDone));
     let seen = followed(store, tap, &shared());
     until("the list", || seen.have(10));
-    relay.heard(word(25, 28));
-    until("the wish for everything", || relay.wants_again());
-    assert_eq!(relay.known()[CONFIGURATION], 0);
-    relay.heard(word(0, 28));
+    relay.receive(word(25, 28));
+    until("the wish for everything", || relay.needs_resend());
+    assert_eq!(relay.known_revisions()[CONFIGURATION_FEED], 0);
+    relay.receive(word(0, 28));
     until("the holder's word", || seen.have(28));
-    assert!(!relay.wants_again());
+    assert!(!relay.needs_resend());
 }
