--- a/tests/all/feed_log.rs
+++ b/tests/all/feed_log.rs
@@ -1,8 +1,8 @@
 //! What an instance keeps of a feed to tell others, and how it travels.
 
 use passway_instance::feed_log::FeedLog;
-use passway_instance::news::{Bases, Told, newest};
-use passway_instance::relay::{CONFIGURATION, Relay};
+use passway_instance::relay::{CONFIGURATION_FEED, Relay};
+use passway_instance::updates::{CompressionBases, FeedUpdate, latest_changes};
 use passway_serving::ports::{Listing, StoreChange, StoreRevision, StoredValue};
 use prost::Message;
 use std::time::Duration;
@@ -21,17 +21,17 @@
     }
 }
 
-fn written(revision: StoreRevision) -> Told {
-    Told::Changes {
+fn written(revision: StoreRevision) -> FeedUpdate {
+    FeedUpdate::Changes {
         from: revision - 1,
         to: revision,
         changes: vec![StoreChange::Written(large("a", revision))],
     }
 }
 
-fn whole(keys: &[&str], revision: StoreRevision, at: StoreRevision) -> Told {
+fn whole(keys: &[&str], revision: StoreRevision, at: StoreRevision) -> FeedUpdate {
     let values = keys.iter().map(|key| large(key, at));
-    Told::Whole(Listing {
+    FeedUpdate::Snapshot(Listing {
         values: values.collect(),
         revision,
     })
@@ -40,14 +40,16 @@
 #[test]
 fn packed_against_known() {
     let mut log = FeedLog::default();
-    let mut bases = Bases::default();
-    log.add(&whole(&["a"], 10, 10));
-    let all = log.after(CONFIGURATION, 0).expect("all");
+    let mut bases = CompressionBases::default();
+    log.apply(&whole(&["a"], 10, 10));
+    let all = log.update_after(CONFIGURATION_FEED, 0).expect("all");
     let all = bases.decode(all).expect("readable");
     assert_eq!(all, whole(&["a"], 10, 10));
     for revision in 11..14 {
-        log.add(&written(revision));
-        let news = log.after(CONFIGURATION, revision - 1).expect("news");
+        log.apply(&written(revision));
+        let news = log
+            .update_after(CONFIGURATION_FEED, revision - 1)
+            .expect("news");
         let bytes = news.encoded_len();
         assert!(bytes < 1_000, "{bytes} bytes for a small difference");
         assert_eq!(bases.decode(news).expect("readable"), written(revision));
@@ -57,15 +59,15 @@
 #[test]
 fn other_base_refused() {
     let mut log = FeedLog::default();
-    log.add(&whole(&["a"], 10, 10));
-    log.add(&written(11));
-    let news = log.after(CONFIGURATION, 10).expect("news");
+    log.apply(&whole(&["a"], 10, 10));
+    log.apply(&written(11));
+    let news = log.update_after(CONFIGURATION_FEED, 10).expect("news");
     // It knows another value of the key than it should.
-    let mut bases = Bases::default();
-    bases.note(&whole(&["a"], 9, 9));
+    let mut bases = CompressionBases::default();
+    bases.record(&whole(&["a"], 9, 9));
     assert!(bases.decode(news).is_err());
     // One that has missed a version is told it without the one before.
-    let news = log.after(CONFIGURATION, 9).expect("news");
+    let news = log.update_after(CONFIGURATION_FEED, 9).expect("news");
     let told = bases.decode(news).expect("readable");
     assert_eq!(told, whole(&["a"], 11, 11));
 }
@@ -73,17 +75,17 @@
 #[test]
 fn newest_only() {
     let mut log = FeedLog::default();
-    log.add(&whole(&["a"], 10, 10));
+    log.apply(&whole(&["a"], 10, 10));
     let mut waiting = written(11);
-    log.add(&waiting);
+    log.apply(&waiting);
     for revision in 12..500 {
-        log.add(&written(revision));
-        waiting = waiting.followed_by(written(revision));
+        log.apply(&written(revision));
+        waiting = waiting.merged_with(written(revision));
     }
-    let news = log.after(CONFIGURATION, 10).expect("news");
+    let news = log.update_after(CONFIGURATION_FEED, 10).expect("news");
     assert_eq!((news.from, news.to, news.values.len()), (10, 499, 1));
     let newest = StoreChange::Written(large("a", 499));
-    let expected = Told::Changes {
+    let expected = FeedUpdate::Changes {
         from: 10,
         to: 499,
         changes: vec![newest],
@@ -93,22 +95,22 @@
 
 #[test]
 fn gap_is_left() {
-    let waiting = written(11).followed_by(written(20));
+    let waiting = written(11).merged_with(written(20));
     assert_eq!(waiting, written(20));
-    let listed = whole(&["a"], 10, 10).followed_by(written(11));
+    let listed = whole(&["a"], 10, 10).merged_with(written(11));
     assert_eq!(listed, whole(&["a"], 11, 11));
 }
 
 #[test]
 fn list_tells_differences() {
     let mut log = FeedLog::default();
-    log.add(&whole(&["a", "b"], 10, 10));
+    log.apply(&whole(&["a", "b"], 10, 10));
     // The store's history was gone, and it was listed again.
-    assert!(log.add(&whole(&["a"], 30, 10)));
-    let news = log.after(CONFIGURATION, 10).expect("news");
+    assert!(log.apply(&whole(&["a"], 30, 10)));
+    let news = log.update_after(CONFIGURATION_FEED, 10).expect("news");
     let told: Vec<_> = news.values.iter().map(|v| (&*v.key, &v.value)).collect();
     assert_eq!(told, [("b", &None)]);
-    assert!(!log.add(&whole(&["a"], 40, 10)));
+    assert!(!log.apply(&whole(&["a"], 40, 10)));
 }
 
 /// A listener reads a version from the store itself, and the holder tells it the same one.
@@ -116,12 +118,12 @@
 fn own_reading_is_no_gap() {
     let (relay, [tap, _]) = Relay::new();
     let mut log = FeedLog::default();
-    log.add(&whole(&["a"], 10, 10));
-    tap.taken(&whole(&["a"], 10, 10), 10);
-    tap.taken(&written(11), 11);
-    log.add(&written(11));
-    relay.heard(log.after(CONFIGURATION, 10).expect("news"));
-    assert!(!relay.wants_again(), "all is asked for anew");
+    log.apply(&whole(&["a"], 10, 10));
+    tap.record_applied(&whole(&["a"], 10, 10), 10);
+    tap.record_applied(&written(11), 11);
+    log.apply(&written(11));
+    relay.receive(log.update_after(CONFIGURATION_FEED, 10).expect("news"));
+    assert!(!relay.needs_resend(), "all is asked for anew");
 }
 
 /// As before, and the holder has missed that version.
@@ -129,12 +131,12 @@
 fn skipped_version_is_readable() {
     let (relay, [tap, _]) = Relay::new();
     let mut log = FeedLog::default();
-    log.add(&whole(&["a"], 10, 10));
-    tap.taken(&whole(&["a"], 10, 10), 10);
-    tap.taken(&written(11), 11);
-    log.add(&whole(&["a"], 12, 12));
-    relay.heard(log.after(CONFIGURATION, 10).expect("news"));
-    let told = tap.next(Duration::ZERO);
+    log.apply(&whole(&["a"], 10, 10));
+    tap.record_applied(&whole(&["a"], 10, 10), 10);
+    tap.record_applied(&written(11), 11);
+    log.apply(&whole(&["a"], 12, 12));
+    relay.receive(log.update_after(CONFIGURATION_FEED, 10).expect("news"));
+    let told = tap.wait_for_update(Duration::ZERO);
     assert!(told.is_some_and(|told| told.to() == 12), "12 is lost");
 }
 
@@ -143,16 +145,16 @@
 fn unreadable_until_known() {
     let (relay, [tap, _]) = Relay::new();
     let mut log = FeedLog::default();
-    log.add(&whole(&["a"], 10, 10));
-    log.add(&written(11));
-    tap.taken(&whole(&["a"], 9, 9), 9);
-    let packed = log.after(CONFIGURATION, 10).expect("news");
-    relay.heard(packed);
-    assert!(relay.wants_again());
-    assert_eq!(relay.known()[CONFIGURATION], 0);
-    tap.taken(&written(11), 11);
-    assert!(!relay.wants_again());
-    assert_eq!(relay.known()[CONFIGURATION], 11);
+    log.apply(&whole(&["a"], 10, 10));
+    log.apply(&written(11));
+    tap.record_applied(&whole(&["a"], 9, 9), 9);
+    let packed = log.update_after(CONFIGURATION_FEED, 10).expect("news");
+    relay.receive(packed);
+    assert!(relay.needs_resend());
+    assert_eq!(relay.known_revisions()[CONFIGURATION_FEED], 0);
+    tap.record_applied(&written(11), 11);
+    assert!(!relay.needs_resend());
+    assert_eq!(relay.known_revisions()[CONFIGURATION_FEED], 11);
 }
 
 /// A key that comes and goes within one answer to the holder, and that a listener has read
@@ -160,18 +162,18 @@
 #[test]
 fn short_lived_key_is_told_gone() {
     let mut log = FeedLog::default();
-    log.add(&whole(&["a"], 10, 10));
+    log.apply(&whole(&["a"], 10, 10));
     let short_lived = StoreChange::Written(large("b", 12));
     let removed = StoreChange::Removed {
         key: "b".into(),
         revision: 18,
     };
-    log.add(&Told::Changes {
+    log.apply(&FeedUpdate::Changes {
         from: 10,
         to: 20,
-        changes: newest([short_lived, removed].into_iter()),
+        changes: latest_changes([short_lived, removed].into_iter()),
     });
-    let news = log.after(CONFIGURATION, 15).expect("news");
+    let news = log.update_after(CONFIGURATION_FEED, 15).expect("news");
     let keys: Vec<_> = news.values.iter().map(|value| &*value.key).collect();
     assert_eq!(keys, ["b"], "told up to {}", news.to);
 }
@@ -180,9 +182,12 @@
 #[test]
 fn unseen_span_told_whole() {
     let mut log = FeedLog::default();
-    log.add(&whole(&["a"], 10, 10));
-    log.add(&whole(&["a"], 30, 10));
-    let from = |known| log.after(CONFIGURATION, known).map(|news| news.from);
+    log.apply(&whole(&["a"], 10, 10));
+    log.apply(&whole(&["a"], 30, 10));
+    let from = |known| {
+        log.update_after(CONFIGURATION_FEED, known)
+            .map(|news| news.from)
+    };
     assert_eq!(from(10), Some(10));
     assert_eq!(from(20), Some(0));
     assert_eq!(from(30), None);
@@ -191,14 +196,14 @@
 #[test]
 fn older_word_brings_nothing_back() {
     let all = whole(&[], 50, 50);
-    assert_eq!(all.clone().followed_by(written(14)), all);
-    assert_eq!(all.clone().followed_by(whole(&["a"], 14, 14)), all);
+    assert_eq!(all.clone().merged_with(written(14)), all);
+    assert_eq!(all.clone().merged_with(whole(&["a"], 14, 14)), all);
 }
 
 #[test]
 fn many_removals_forgotten() {
     let mut log = FeedLog::default();
-    log.add(&whole(&[], 10, 10));
+    log.apply(&whole(&[], 10, 10));
     for revision in (11..3_011).step_by(2) {
         let value = StoredValue {
             key: format!("k{revision}"),
@@ -209,15 +214,15 @@
             key: value.key.clone(),
             revision: revision + 1,
         };
-        log.add(&Told::Changes {
+        log.apply(&FeedUpdate::Changes {
             from: revision - 1,
             to: revision + 1,
             changes: vec![StoreChange::Written(value), removed],
         });
     }
     // Whoever knows too little is told all there is.
-    let news = log.after(CONFIGURATION, 10).expect("news");
+    let news = log.update_after(CONFIGURATION_FEED, 10).expect("news");
     assert_eq!((news.from, news.values.len()), (0, 0));
-    let news = log.after(CONFIGURATION, 3_000).expect("news");
+    let news = log.update_after(CONFIGURATION_FEED, 3_000).expect("news");
     assert_eq!((news.from, news.values.len()), (3_000, 5));
 }
--- a/tests/all/fleet_start.rs
+++ b/tests/all/fleet_start.rs
@@ -8,7 +8,7 @@
 //! order changed hands five times in 14 s.
 
 use crate::planned::{Planned, entry, resident};
-use passway_instance::members::{Addresses, Roster, encode};
+use passway_instance::members::{Addresses, MemberListTracker, encode};
 use passway_serving::placement::policy::PolicyName;
 use passway_serving::placement::{Placement, Planner, USUAL_LOAD_WINDOW};
 use passway_serving::ports::{Directory, StoredValue};
@@ -35,7 +35,7 @@
 
 #[test]
 fn members_by_heartbeat() {
-    let mut roster = Roster::default();
+    let mut member_list = MemberListTracker::default();
     let mut members = Addresses::new();
     let (mut bytes, mut most_at_once) = (0, 0);
     for heartbeat in 0..HEARTBEATS {
@@ -43,7 +43,7 @@
         for number in heartbeat * come..(heartbeat + 1) * come {
             members.insert(format!("frontend-hall-{number}").into(), address(number));
         }
-        let due = roster.due(&members, 0..SUCCESSORS.min((heartbeat + 1) * come));
+        let due = member_list.due_connections(&members, 0..SUCCESSORS.min((heartbeat + 1) * come));
         let sent = due.len() * encode(&members).encoded_len();
         bytes += sent;
         most_at_once = most_at_once.max(sent);
@@ -54,14 +54,20 @@
     );
     assert!(bytes < MOST_BYTES, "{bytes} bytes in all");
     // Nothing has changed, and nobody is told.
-    assert_eq!(roster.due(&members, 0..SUCCESSORS), BTreeSet::new());
+    assert_eq!(
+        member_list.due_connections(&members, 0..SUCCESSORS),
+        BTreeSet::new()
+    );
     // One that may succeed since is told, and so are all once the list has changed.
     assert_eq!(
-        roster.due(&members, 0..=SUCCESSORS),
+        member_list.due_connections(&members, 0..=SUCCESSORS),
         BTreeSet::from([SUCCESSORS])
     );
     members.remove("frontend-hall-0");
-    assert_eq!(roster.due(&members, 0..2), BTreeSet::from([0, 1]));
+    assert_eq!(
+        member_list.due_connections(&members, 0..2),
+        BTreeSet::from([0, 1])
+    );
 }
 
 fn engine(number: u8, models: &[&str]) -> UpstreamEntry {
--- a/tests/all/followed.rs
+++ b/tests/all/followed.rs
@@ -3,7 +3,7 @@
 use crate::site;
 use crossbeam::channel;
 use passway_instance::feeds::{Feed, follow};
-use passway_instance::relay::{CONFIGURATION, FEEDS, Tap};
+use passway_instance::relay::{CONFIGURATION_FEED, FEED_COUNT, RelayReceiver};
 use passway_instance::shared::Shared;
 use passway_serving::ports::{
     ConditionalWrite, LeaseId, Listing, SharedStore, StoreChange, StoreError, StoreRevision,
@@ -123,16 +123,16 @@
         "op/".into()
     }
 
-    fn listed(&mut self, listing: &Listing) {
+    fn apply_listing(&mut self, listing: &Listing) {
         self.revisions.note(listing.revision);
     }
 
-    fn changed(&mut self, change: &StoreChange) -> bool {
+    fn apply_change(&mut self, change: &StoreChange) -> bool {
         self.revisions.note(change.revision());
         true
     }
 
-    fn settled(&mut self) -> Duration {
+    fn finish_batch(&mut self) -> Duration {
         Duration::ZERO
     }
 
@@ -142,7 +142,7 @@
 }
 
 /// Follows a store; the revisions that are taken in.
-pub fn followed(store: Arc<ToldStore>, tap: Tap, shared: &Arc<Shared>) -> Revisions {
+pub fn followed(store: Arc<ToldStore>, tap: RelayReceiver, shared: &Arc<Shared>) -> Revisions {
     let revisions = Revisions::default();
     let (news, _heard) = channel::unbounded();
     let feed = Recorded {
@@ -156,7 +156,7 @@
 /// A word of the holder on the configuration, between two revisions and without a value.
 pub fn word(from: StoreRevision, to: StoreRevision) -> News {
     News {
-        feed: u32::try_from(CONFIGURATION).expect("small"),
+        feed: u32::try_from(CONFIGURATION_FEED).expect("small"),
         from,
         to,
         ..News::default()
@@ -171,7 +171,7 @@
     let known = |feed| if feed < feeds { now_ms } else { 0 };
     News {
         sent_ms: now_ms,
-        confirmed_ms: (0..FEEDS).map(known).collect(),
+        confirmed_ms: (0..FEED_COUNT).map(known).collect(),
         ..News::default()
     }
 }
--- a/tests/all/holder_link.rs
+++ b/tests/all/holder_link.rs
@@ -7,7 +7,7 @@
 use crate::followed::{beat, word};
 use crate::site::{self, PATIENCE, until};
 use passway_instance::Instance;
-use passway_instance::relay::{CONFIGURATION, FEEDS, Relay};
+use passway_instance::relay::{CONFIGURATION_FEED, FEED_COUNT, Relay};
 use passway_standins::platform::store::{Faults, MetadataStandIn};
 use passway_types::prelude::*;
 use passway_wire::message::{News, NewsValue, Subscribe};
@@ -47,7 +47,7 @@
     /// Says that it lives and knows all.
     fn beat(&self, link: &Link) {
         // The listener may have closed the link, which the test sees by reading.
-        let _ = link.send(Body::News(beat(self.begun_at, FEEDS)));
+        let _ = link.send(Body::News(beat(self.begun_at, FEED_COUNT)));
     }
 }
 
@@ -86,7 +86,7 @@
     let (_store, holder, _instance) = listener();
     let (link, mut reader) = holder.accept();
     let first = subscription(&mut reader).expect("a subscription");
-    let known = first.known[CONFIGURATION];
+    let known = first.known[CONFIGURATION_FEED];
     assert!(known > 0);
     let packed = NewsValue {
         key: "op/config".into(),
@@ -114,7 +114,7 @@
         again
     });
     let again = again.expect("another subscription");
-    assert_eq!(again.known[CONFIGURATION], 0);
+    assert_eq!(again.known[CONFIGURATION_FEED], 0);
 }
 
 /// A word that was long on its way tells what was known when it left.
@@ -123,28 +123,28 @@
     let (relay, _) = Relay::new();
     let word = |sent_ms, confirmed_ms| News {
         sent_ms,
-        confirmed_ms: vec![confirmed_ms; FEEDS],
+        confirmed_ms: vec![confirmed_ms; FEED_COUNT],
         ..News::default()
     };
-    let relies = || relay.relied_until(CONFIGURATION).is_some();
-    relay.heard(word(9_000, 9_000));
+    let relies = || relay.trusted_until(CONFIGURATION_FEED).is_some();
+    relay.receive(word(9_000, 9_000));
     assert!(relies());
     // Its sender has heard nothing for 3 s.
-    relay.heard(word(9_000, 6_000));
+    relay.receive(word(9_000, 6_000));
     assert!(!relies());
-    relay.heard(word(9_000, 9_000));
+    relay.receive(word(9_000, 9_000));
     assert!(relies());
     // 3 s on its way, and its sender knew all when it left.
-    relay.heard(word(6_000, 6_000));
+    relay.receive(word(6_000, 6_000));
     assert!(!relies());
     // A new connection to it on which all words are 3 s on their way.
-    relay.lost();
-    relay.heard(word(6_000, 6_000));
+    relay.holder_disconnected();
+    relay.receive(word(6_000, 6_000));
     assert!(!relies());
     // Another holder counts from another moment.
-    relay.succeeded();
+    relay.holder_changed();
     assert!(!relies());
-    relay.heard(word(500, 500));
+    relay.receive(word(500, 500));
     assert!(relies());
 }
 
@@ -168,10 +168,10 @@
         values: vec![NewsValue {
             key: "op/config".into(),
             value: Some(value.into()),
-            revision: known[CONFIGURATION] + 100,
+            revision: known[CONFIGURATION_FEED] + 100,
             ..NewsValue::default()
         }],
-        ..word(known[CONFIGURATION], known[CONFIGURATION] + 100)
+        ..word(known[CONFIGURATION_FEED], known[CONFIGURATION_FEED] + 100)
     };
     link.send(Body::News(word)).expect("sent");
     until("the version", || instance.version() == Some(9));
--- a/tests/all/relay_gap.rs
+++ b/tests/all/relay_gap.rs
@@ -4,8 +4,8 @@
 use crate::site::until;
 use bytes::Bytes;
 use passway_instance::feed_log::FeedLog;
-use passway_instance::news::Told;
-use passway_instance::relay::{CONFIGURATION, FEEDS, Relay};
+use passway_instance::relay::{CONFIGURATION_FEED, FEED_COUNT, Relay};
+use passway_instance::updates::FeedUpdate;
 use passway_serving::ports::{
     Listing, StoreChange, StoreError, StoreRevision, StoredValue, WatchAnswer,
 };
@@ -39,7 +39,7 @@
 fn gap_outlasts_heartbeats() {
     let (relay, [tap, _]) = Relay::new();
     let begun_at = Instant::now();
-    relay.heard(beat(begun_at, FEEDS));
+    relay.receive(beat(begun_at, FEED_COUNT));
     // Its first watches get no answer.
     let slow = |number| {
         if number < 3 {
@@ -52,10 +52,10 @@
     let seen = followed(store, tap, &shared());
     until("the list", || seen.have(10));
     // The holder tells of what came after 25; what lies between 10 and 25 is missing.
-    relay.heard(word(25, 30));
+    relay.receive(word(25, 30));
     until("what was missing", || {
         // The holder lives on and says so.
-        relay.heard(beat(begun_at, FEEDS));
+        relay.receive(beat(begun_at, FEED_COUNT));
         seen.have(20)
     });
 }
@@ -63,18 +63,18 @@
 #[test]
 fn quiet_revisions_told() {
     let mut log = FeedLog::default();
-    assert!(log.add(&Told::Whole(listing())));
-    assert_eq!(log.after(CONFIGURATION, 10), None);
-    let quiet = Told::Changes {
+    assert!(log.apply(&FeedUpdate::Snapshot(listing())));
+    assert_eq!(log.update_after(CONFIGURATION_FEED, 10), None);
+    let quiet = FeedUpdate::Changes {
         from: 10,
         to: 40,
         changes: Vec::new(),
     };
-    assert!(!log.add(&quiet));
-    assert!(!log.has_news(10));
-    let news = log.after(CONFIGURATION, 10).expect("news");
+    assert!(!log.apply(&quiet));
+    assert!(!log.has_changes_after(10));
+    let news = log.update_after(CONFIGURATION_FEED, 10).expect("news");
     assert_eq!((news.from, news.to, news.values.len()), (10, 40, 0));
-    assert_eq!(log.after(CONFIGURATION, 40), None);
+    assert_eq!(log.update_after(CONFIGURATION_FEED, 40), None);
 }
 
 /// An instance that is cut off from the store and follows the holder: an entry that the
@@ -87,14 +87,14 @@
     followed(silent, tap, &shared);
     let is_gone_at_once = || {
         let now = Instant::now();
-        shared.store_health.gone_at(now) == now
+        shared.store_health.missing_entry_expires_at(now) == now
     };
     until("an outage", || !is_gone_at_once());
     let mut to = 10;
     until("the holder's word for the store's", || {
         to += 1;
-        relay.heard(News {
-            feed: u32::try_from(CONFIGURATION).expect("small"),
+        relay.receive(News {
+            feed: u32::try_from(CONFIGURATION_FEED).expect("small"),
             from: 10,
             to,
             ..News::default()
--- a/tests/suspended/listener.rs
+++ b/tests/suspended/listener.rs
@@ -1,7 +1,7 @@
 //! What the holder has told.
 
 use crate::alone;
-use passway_instance::relay::{CONFIGURATION, Relay};
+use passway_instance::relay::{CONFIGURATION_FEED, Relay};
 use passway_types::clock;
 use passway_types::prelude::*;
 use passway_wire::message::News;
@@ -11,14 +11,14 @@
 fn relies_on_nobody() {
     let _alone = alone();
     let (relay, _taps) = Relay::new();
-    relay.heard(News {
+    relay.receive(News {
         sent_ms: 1_000,
         confirmed_ms: vec![1_000, 1_000],
         ..News::default()
     });
-    assert!(relay.is_heard());
-    assert!(relay.relied_until(CONFIGURATION).is_some());
+    assert!(relay.is_holder_alive());
+    assert!(relay.trusted_until(CONFIGURATION_FEED).is_some());
     clock::play_suspension(Duration::from_secs(10));
-    assert!(!relay.is_heard());
-    assert!(relay.relied_until(CONFIGURATION).is_none());
+    assert!(!relay.is_holder_alive());
+    assert!(relay.trusted_until(CONFIGURATION_FEED).is_none());
 }
