--- a/crates/instance/src/holder.rs
+++ b/crates/instance/src/holder.rs
@@ -1,6 +1,7 @@
-//! The holder of the right to order: hears what instances need and gives orders.
+//! The holder of leadership: receives what instances need and sends orders to engines.
 //!
-//! Every instance runs this thread; it decides only while [`LeadershipDriver`] says so.
+//! Every instance runs this thread. It makes decisions only while [`LeadershipDriver`] says that
+//! this instance is the holder.
 
 mod order_names;
 mod peers;
@@ -37,31 +38,34 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::TcpListener;
 
-/// What the deciding thread may have to take in besides; whoever has one more waits, and so do
-/// instances that send it. An engine's entry with all that it keeps has some 3 kB, so 3 MB.
+/// Maximum number of inputs queued for the holder thread. A thread that sends one more blocks, and
+/// so do the instances whose messages it forwards. An engine's entry takes about 3 kB with all its
+/// allocations, so the queue takes about 3 MB.
 const MAX_QUEUED_INPUTS: usize = 1_024;
 
-/// What is told of one feed, by its number.
+/// An update of one feed with the number of the feed.
 pub type NumberedUpdate = (usize, FeedUpdate);
 
-/// News that wait for the deciding thread; a feed that has one more waits. Each may hold as
-/// much as the store does, and shares it with what is in force.
+/// Maximum number of feed updates queued for the holder thread; a feed that has one more blocks.
+/// Each may be as large as the store's contents, which it shares with the data in use.
 const MAX_QUEUED_UPDATES: usize = 2;
 
-/// Longest time between two looks while nothing is heard.
+/// Longest wait of the holder thread when no input arrives.
 const IDLE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Pause between two looks whether orders may be given, in a term that may not give them now.
+/// Interval of checks whether orders may be sent, in a term that may not send them now.
 const LEADERSHIP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Pause between two words about placements, for each instance that hears them: 69
-/// instances are told every 34 ms at most, 6 every 3 ms.
+/// Minimum interval of placement messages, for each instance that receives them: 69 instances are
+/// sent one every 34 ms at most, 6 instances one every 3 ms.
 const PLACEMENT_INTERVAL_PER_PEER: Duration = Duration::from_micros(500);
 
-/// Longest pause between two passes of the planner for the time that they take.
+/// Maximum delay between two passes of the planner that follows from the time a pass takes.
 const MAX_PLAN_DELAY: Duration = Duration::from_millis(50);
 
-/// Starts to listen and to decide.
+/// Starts to accept connections of other instances and to make decisions.
+///
+/// Returns the senders of inputs and of feed updates.
 pub fn start(
     shared: &Arc<Shared>,
     leadership: &Arc<LeadershipDriver>,
@@ -70,10 +74,10 @@
     listener: TcpListener,
 ) -> (Sender<Input>, Sender<NumberedUpdate>) {
     let (sender, inputs) = bounded(MAX_QUEUED_INPUTS);
-    let (news_sender, news) = bounded(MAX_QUEUED_UPDATES);
-    let accepting = sender.clone();
-    std::thread::spawn(move || accept(&listener, &accepting));
-    let holding = HolderThread {
+    let (update_sender, updates) = bounded(MAX_QUEUED_UPDATES);
+    let peer_inputs = sender.clone();
+    std::thread::spawn(move || accept(&listener, &peer_inputs));
+    let thread = HolderThread {
         shared: shared.clone(),
         leadership: leadership.clone(),
         relay: relay.clone(),
@@ -104,53 +108,54 @@
         version: None,
         logged_refused_models: 0,
     };
-    std::thread::spawn(move || holding.run(&inputs, &news));
-    (sender, news_sender)
+    std::thread::spawn(move || thread.run(&inputs, &updates));
+    (sender, update_sender)
 }
 
 struct HolderThread {
     shared: Arc<Shared>,
     leadership: Arc<LeadershipDriver>,
-    /// What tells when the store answered this instance last.
+    /// Knows when the store last answered this instance.
     relay: Arc<Relay>,
     engines: Arc<dyn Engines>,
     sender: Sender<Input>,
     planner: Planner,
     peers: BTreeMap<u64, Outbox>,
-    /// Instances that hear the store's news from here.
+    /// Instances that receive the store's updates from this instance.
     subscribers: Subscribers,
-    /// Who may succeed this instance.
+    /// Instances that may succeed this instance as the holder.
     candidates: Candidates,
-    /// Candidates whose promise is lacking while they are asked for it, as was logged last.
+    /// The candidates without a promise, as last logged while promises were requested.
     logged_without_promise: Option<Vec<InstanceId>>,
-    /// Engines to which orders have no answer, as was told last.
+    /// Engines with unconfirmed orders, as last published.
     published_unconfirmed: BTreeSet<UpstreamId>,
-    /// Starts of upstreams that broke off, as was told, and until when that is remembered.
+    /// Starts of upstreams that broke off, as published, and when each may be forgotten.
     published_breaks: BTreeMap<UpstreamStart, Instant>,
-    /// Limits of upstreams in need, as was told last.
+    /// Limits of limited upstreams, as last published.
     published_limits: BTreeMap<UpstreamId, f64>,
-    /// Starts of upstreams that leave, as was told.
+    /// Starts of upstreams that are leaving, as published.
     published_leaving: BTreeMap<UpstreamId, u64>,
-    /// Who dispatches for engines.
+    /// Instances that dispatch requests to engines.
     dispatchers: Vec<Candidate>,
-    /// Who has been told of which members.
+    /// Which candidates were sent which list of members.
     member_list: MemberListTracker,
-    /// What times that are told to others are counted from.
+    /// Origin of the times in messages to other instances.
     clock_origin: Instant,
     /// How many instances share the fleet's allowances.
     instances: InstanceCount,
-    /// What is left to tell of a term that has begun.
+    /// Connections still to be made to announce a term that has begun.
     announcement: Option<Announcement>,
-    /// What another instance announced of its own term.
+    /// Another instance's announcement of its own term.
     pending_announcement: PendingAnnouncement,
     heartbeat_at: Instant,
-    /// When changed placements may be told again.
+    /// When changed placements may be published again.
     publish_at: Instant,
-    /// When it may be planned again.
+    /// When the planner may run again.
     plan_at: Instant,
     fence: Option<Fence>,
     version: Option<Revision>,
-    /// Models that are not loaded since their loads ended engines, as was logged last.
+    /// Number of models, as last logged, that are no longer loaded because their loads crashed
+    /// engines.
     logged_refused_models: usize,
 }
 
@@ -164,41 +169,41 @@
 }
 
 impl HolderThread {
-    fn run(mut self, inputs: &Receiver<Input>, news: &Receiver<NumberedUpdate>) {
+    fn run(mut self, inputs: &Receiver<Input>, updates: &Receiver<NumberedUpdate>) {
         loop {
             let now = clock::now();
             let wake_at = if self.fence.is_some() {
-                let telling = self.planner.has_changed().then_some(self.publish_at);
+                let publish_at = self.planner.has_changed().then_some(self.publish_at);
                 let next = if self.leadership.fence().is_some() {
                     self.planner.next_look_at(now)
                 } else {
                     now + LEADERSHIP_CHECK_INTERVAL
                 };
                 let next = next.max(self.plan_at).min(self.heartbeat_at);
-                telling.map_or(next, |at| next.min(at))
+                publish_at.map_or(next, |at| next.min(at))
             } else {
                 now + IDLE_INTERVAL
             };
-            let longest = wake_at.saturating_duration_since(now).min(IDLE_INTERVAL);
-            // The threads that send end only with the process.
+            let timeout = wake_at.saturating_duration_since(now).min(IDLE_INTERVAL);
+            // The sending threads run until the process exits, so the channels stay open.
             crossbeam::select! {
                 recv(inputs) -> input => {
                     if let Ok(input) = input {
                         self.handle(input);
                     }
                 }
-                recv(news) -> told => {
-                    if let Ok(told) = told {
-                        self.handle_update(&told);
+                recv(updates) -> update => {
+                    if let Ok(update) = update {
+                        self.handle_update(&update);
                     }
                 }
-                default(longest) => {}
+                default(timeout) => {}
             }
             while let Ok(input) = inputs.try_recv() {
                 self.handle(input);
             }
-            while let Ok(told) = news.try_recv() {
-                self.handle_update(&told);
+            while let Ok(update) = updates.try_recv() {
+                self.handle_update(&update);
             }
             self.decide();
         }
@@ -221,11 +226,11 @@
             }
             Input::Needs(needs) => self.handle_needs(&needs, now),
             Input::Subscribe(number, subscribe) => self.subscribe(number, &subscribe),
-            // It is a reason to look, which follows in any case.
+            // The message only wakes the thread; `decide` runs after every input.
             Input::TermBegun => {}
             Input::HolderAnnounced(holder) => self.pending_announcement.store(holder, now),
-            Input::Suspects(told) => self.merge_and_publish_suspects(told),
-            Input::Signals(told) => self.merge_and_publish_signals(told),
+            Input::Suspects(suspects) => self.merge_and_publish_suspects(suspects),
+            Input::Signals(signals) => self.merge_and_publish_signals(signals),
             Input::Promised(promise) => self.handle_promise(&promise),
             Input::UpstreamSeen(entry) => self.planner.heard(entry, now),
             Input::UpstreamsListed(ids) => self.planner.retain(&ids),
@@ -243,14 +248,14 @@
         }
     }
 
-    /// Takes in what a feed was told, and tells it to those who listen.
-    fn handle_update(&mut self, news: &NumberedUpdate) {
-        if self.subscribers.add_update(news) {
+    /// Records a feed update and forwards it to the subscribers.
+    fn handle_update(&mut self, update: &NumberedUpdate) {
+        if self.subscribers.add_update(update) {
             self.subscribers.send_updates(&self.peers, false);
         }
     }
 
-    /// Tells an instance what it lacks, and from now on what comes.
+    /// Sends an instance everything it lacks, and registers it for later updates.
     fn subscribe(&mut self, number: u64, subscribe: &Subscribe) {
         if self.fence.is_none() || !self.peers.contains_key(&number) {
             return;
@@ -261,28 +266,29 @@
             self.candidates.add(name, address, subscribe.is_weak);
         }
         let known = |feed| subscribe.known.get(feed).copied().unwrap_or(0);
-        let told = std::array::from_fn(known);
-        self.subscribers.add(number, member, told);
+        let sent = std::array::from_fn(known);
+        self.subscribers.add(number, member, sent);
         self.send_term(number);
         self.subscribers.send_updates(&self.peers, true);
         self.send_heartbeats([number], 0);
         let suspects = self.shared.poison.suspects(MIN_BROADCAST_CRASHES);
         self.send_to(number, &Body::Suspects(suspects));
-        let said = signals::encode(&self.shared, None);
-        if said != Words::default() {
-            self.send_to(number, &Body::Words(said));
+        let signals = signals::encode(&self.shared, None);
+        if signals != Words::default() {
+            self.send_to(number, &Body::Words(signals));
         }
         let known = subscribe.placements.iter().copied().collect();
-        let lacking = self.planner.placements_unlike(&known);
-        if !lacking.is_empty() {
-            self.send_to(number, &placements_body(lacking));
+        let missing = self.planner.placements_unlike(&known);
+        if !missing.is_empty() {
+            self.send_to(number, &placements_body(missing));
         }
         if !self.dispatchers.is_empty() {
             self.send_to(number, &self.dispatchers_body());
         }
     }
 
-    /// Follows a holder that was announced, if the store does not answer: else it tells better.
+    /// Follows an announced holder if the store does not answer. Otherwise the store's information
+    /// is better.
     fn follow_announced(&mut self, now: Instant) {
         let is_cut_off =
             self.shared.store_health.is_failing() || self.leadership.promise_fence().is_some();
@@ -293,7 +299,7 @@
         }
     }
 
-    /// A candidate has answered what it was asked in `ask_candidates`.
+    /// Handles a candidate's answer to `request_promises`.
     fn handle_promise(&mut self, promise: &Promise) {
         let name = InstanceId::from(promise.instance.as_str());
         if promise.leaves {
@@ -306,8 +312,8 @@
         }
     }
 
-    /// Chooses who may succeed this instance, and asks them for their promises while the
-    /// store does not answer.
+    /// Chooses the candidates for the next term, and requests their promises while the store does
+    /// not answer.
     fn request_promises(&mut self, now: Instant) {
         let settings = &self.shared.settings;
         let me = Candidate {
@@ -321,10 +327,10 @@
             self.logged_without_promise = None;
             return;
         };
-        let without = self.leadership.candidates_without_promise();
-        if self.logged_without_promise.as_ref() != Some(&without) {
-            log::info!(target: DECISION_TARGET, fence = fence, without_promise:? = without; "asks candidates to carry the right to order");
-            self.logged_without_promise = Some(without);
+        let without_promise = self.leadership.candidates_without_promise();
+        if self.logged_without_promise.as_ref() != Some(&without_promise) {
+            log::info!(target: DECISION_TARGET, fence = fence, without_promise:? = without_promise; "asks candidates to carry the right to order");
+            self.logged_without_promise = Some(without_promise);
         }
         let body = Body::PromiseWanted(PromiseWanted {
             fence,
@@ -337,7 +343,7 @@
         }
     }
 
-    /// Shows the others that the lease still holds.
+    /// Shows the other instances, if that is due, that this instance's lease is still valid.
     fn send_due_heartbeat(&mut self, now: Instant) {
         if now >= self.heartbeat_at {
             self.heartbeat_at = now + HEARTBEAT_INTERVAL;
@@ -356,7 +362,7 @@
         }
     }
 
-    /// Tells those of the term that has begun who have not come by themselves.
+    /// Announces a term that has begun to instances that have not connected by themselves.
     fn announce(&mut self, now: Instant) {
         let Some(mut announcement) = self.announcement.take() else {
             return;
@@ -365,7 +371,8 @@
             self.announcement = Some(announcement);
             return;
         }
-        // Whoever did not come in all this time is forgotten, or the list would only grow.
+        // Instances that did not connect in this time are forgotten; otherwise the list would only
+        // grow.
         *self.shared.members() = self.members();
     }
 
@@ -421,14 +428,16 @@
             self.published_leaving.clear();
             self.member_list = MemberListTracker::default();
             self.dispatchers = self.shared.dispatch.list();
-            // Whoever heard the news from here asks the store now.
+            // Closing the connections makes the previous subscribers query the store.
             for number in self.subscribers.clear() {
                 if let Some(outbox) = self.peers.remove(&number) {
                     outbox.close();
                 }
             }
             let urgent = self.leadership.previous_candidates().into_iter();
-            let urgent: Addresses = urgent.map(|one| (one.instance, one.address)).collect();
+            let urgent: Addresses = urgent
+                .map(|candidate| (candidate.instance, candidate.address))
+                .collect();
             self.announcement = fence.map(|fence| Announcement::begin(fence, urgent, clock::now()));
             if fence.is_some() {
                 self.reset_instance_count(clock::now());
@@ -449,7 +458,8 @@
             self.planner.set_resting(resting);
             let actions = self.planner.decide(now);
             let took = clock::since(now);
-            // Whatever else it has to do, the thread plans for half of its time at most.
+            // The planner takes at most half of the thread's time, so that other work is not
+            // starved.
             self.plan_at = clock::now() + took.clamp(Duration::ZERO, MAX_PLAN_DELAY);
             self.shared.metrics.planned(took);
             self.log_refused_models();
@@ -461,7 +471,7 @@
         self.publish_changes(now);
     }
 
-    /// Tells which models are not loaded any more since their loads ended engines.
+    /// Logs which models are no longer loaded because their loads crashed engines.
     fn log_refused_models(&mut self) {
         let refused: Vec<_> = self.planner.refused_models().collect();
         if refused.len() != self.logged_refused_models {
@@ -470,7 +480,7 @@
         }
     }
 
-    /// A term begins, and the instances come to it one after the other.
+    /// Counts instances anew for a term that begins, because they connect one after the other.
     fn reset_instance_count(&mut self, now: Instant) {
         if self.leadership.succeeds_itself() {
             self.instances.resume(now);
@@ -479,7 +489,7 @@
         }
     }
 
-    /// The planner begins with what this instance knew as a listener.
+    /// Starts the planner with what this instance learned as a subscriber.
     fn begin_term(&mut self) {
         let mut upstreams = self.shared.upstreams();
         upstreams.forget_closing();
@@ -495,7 +505,7 @@
     fn execute(&mut self, action: Action, fence: Fence) {
         let (engines, leadership) = (self.engines.clone(), self.leadership.clone());
         let (sender, shared) = (self.sender.clone(), self.shared.clone());
-        let unsent = match &action {
+        let not_sent = match &action {
             Action::Order(order) => Input::OrderAnswered(order.clone(), OrderAnswer::NotSent),
             Action::Ask { engine, .. } => Input::EngineReported(engine.clone(), None),
         };
@@ -514,12 +524,12 @@
                     Input::EngineReported(engine, report)
                 }
             };
-            // The deciding thread ends only with the process.
+            // The channel closes only when the process exits.
             let _ = sender.send(input);
         };
         if let Err(error) = std::thread::Builder::new().spawn(run_action) {
-            log::warn!(error:% = error; "no thread for an order or a question");
-            self.handle(unsent);
+            log::warn!(error:% = error; "cannot start a thread for an order or a query to an engine");
+            self.handle(not_sent);
         }
     }
 }
--- a/crates/instance/src/holder/order_names.rs
+++ b/crates/instance/src/holder/order_names.rs
@@ -2,7 +2,7 @@
 
 use passway_serving::ports::OrderAnswer;
 
-/// The answer's label in metrics.
+/// The label of an answer in metrics.
 pub(super) fn name_of(answer: OrderAnswer) -> &'static str {
     match answer {
         OrderAnswer::Taken => "taken",
--- a/crates/instance/src/holder/peers.rs
+++ b/crates/instance/src/holder/peers.rs
@@ -1,4 +1,4 @@
-//! Hearing instances that connect, and what the deciding thread takes in.
+//! Receives messages from instances that connect, and defines the inputs of the holder thread.
 
 use crate::members;
 use anyhow::{Context, Result};
@@ -14,64 +14,64 @@
 use std::collections::BTreeSet;
 use std::net::{SocketAddr, TcpListener};
 
-/// What the deciding thread hears.
+/// Inputs of the holder thread.
 #[derive(Debug)]
 pub enum Input {
-    /// An instance has connected.
+    /// An instance has connected; with the number of its connection.
     Connected(u64, Outbox),
-    /// Its connection ended.
+    /// The connection of an instance has ended; with the instance's name, if known.
     Disconnected(u64, Option<InstanceId>),
     /// What an instance needs.
     Needs(Needs),
-    /// An instance wants the store's news.
+    /// An instance subscribes to the store's updates.
     Subscribe(u64, Subscribe),
     /// A term of this instance has begun.
     TermBegun,
-    /// Another instance holds the right to order.
+    /// Another instance announced that it is the holder.
     HolderAnnounced(Holder),
-    /// An instance knows of requests under which upstreams crashed.
+    /// An instance reports requests under which upstreams crashed.
     Suspects(Suspects),
-    /// An instance knows how much upstreams take.
+    /// An instance reports signals of upstreams.
     Signals(Words),
-    /// A candidate promises not to take the right to order.
+    /// A candidate promises not to acquire leadership.
     Promised(Promise),
-    /// An upstream has said something of itself.
+    /// The store has a new or changed entry of an upstream.
     UpstreamSeen(UpstreamEntry),
-    /// Only these upstreams are there.
+    /// The store lists only these upstreams.
     UpstreamsListed(BTreeSet<UpstreamId>),
     /// An order was answered.
     OrderAnswered(PlannedOrder, OrderAnswer),
-    /// An engine told its state.
+    /// An engine reported its state; `None` if it did not answer.
     EngineReported(UpstreamId, Option<EngineReport>),
 }
 
 /// Binds the address for other instances.
 ///
 /// # Errors
-/// If it cannot be bound.
+/// If the address cannot be bound.
 pub fn bind(address: SocketAddr) -> Result<TcpListener> {
     TcpListener::bind(address).with_context(|| format!("binding {address}"))
 }
 
-/// Hears whoever connects for as long as the process lives.
+/// Accepts connections of other instances until the process exits.
 pub(super) fn accept(listener: &TcpListener, inputs: &Sender<Input>) {
     for (number, stream) in (0..).zip(listener.incoming()) {
         let Ok((link, reader)) = stream.and_then(Link::from_stream) else {
             continue;
         };
         let inputs = inputs.clone();
-        let receiving = move || receive_from_peer(number, link, reader, &inputs);
-        if let Err(error) = std::thread::Builder::new().spawn(receiving) {
-            // The peer finds its connection closed and makes another one.
-            log::warn!(error:% = error; "no thread for an instance that connects");
+        let receive = move || receive_from_peer(number, link, reader, &inputs);
+        if let Err(error) = std::thread::Builder::new().spawn(receive) {
+            // The peer finds its connection closed and opens another one.
+            log::warn!(error:% = error; "cannot start a thread for a connecting instance");
         }
     }
 }
 
-/// Passes on what a peer says for as long as it is connected.
+/// Forwards the messages of a peer until its connection ends.
 fn receive_from_peer(number: u64, link: Link, mut reader: LinkReader, inputs: &Sender<Input>) {
     let mut instance = None;
-    // The deciding thread ends only with the process.
+    // The channel closes only when the process exits.
     let _ = inputs.send(Input::Connected(number, Outbox::start(link)));
     while let Ok(Some(body)) = reader.receive() {
         let input = match body {
@@ -80,13 +80,13 @@
                 Input::Needs(needs)
             }
             Body::Subscribe(subscribe) => Input::Subscribe(number, subscribe),
-            Body::Successor(told) => match members::decode_holder(&told) {
+            Body::Successor(announced) => match members::decode_holder(&announced) {
                 Some(holder) => Input::HolderAnnounced(holder),
                 None => continue,
             },
             Body::Promise(promise) => Input::Promised(promise),
             Body::Suspects(suspects) => Input::Suspects(suspects),
-            Body::Words(told) => Input::Signals(told),
+            Body::Words(signals) => Input::Signals(signals),
             _ => continue,
         };
         let _ = inputs.send(input);
--- a/crates/instance/src/holder/publishing.rs
+++ b/crates/instance/src/holder/publishing.rs
@@ -1,5 +1,5 @@
-//! What the holder tells other instances: its heartbeat, members, who dispatches for engines,
-//! to which engines orders are on their way, and placements.
+//! Messages from the holder to other instances: heartbeats, members, dispatchers, engines with
+//! unconfirmed orders, and placements.
 
 use super::{HolderThread, PLACEMENT_INTERVAL_PER_PEER};
 use crate::members::{self, Addresses};
@@ -17,8 +17,8 @@
 use passway_wire::{Body, Frame};
 use std::collections::BTreeSet;
 
-/// A limit that has changed by less, as a part of it, is not told again: what counts is what the
-/// holder knows, whom all ask.
+/// A limit that changed by less than this ratio is not published again. An outdated limit is
+/// harmless, because every instance asks the holder before it sends to a limited upstream.
 const MIN_PUBLISHED_CHANGE_RATIO: f64 = 0.1;
 
 fn encode_placement(placement: Placement) -> EnginePlacement {
@@ -34,16 +34,17 @@
 }
 
 impl HolderThread {
-    /// Where those can be reached that listen here, and this instance itself.
+    /// Addresses of the instances that subscribe here, and of this instance.
     pub(super) fn members(&self) -> Addresses {
         let settings = &self.shared.settings;
-        let me = (settings.instance.clone(), settings.peer_address);
+        let this_instance = (settings.instance.clone(), settings.peer_address);
         let others = self.subscribers.members().map(|(_, member)| member.clone());
-        others.chain([me]).collect()
+        others.chain([this_instance]).collect()
     }
 
-    /// Tells one that listens which term this is: one that is cut off from the store comes back
-    /// to the same holder by itself and would take it for the term before.
+    /// Sends a subscriber the term of this holder. An instance that is cut off from the store
+    /// reconnects to the same holder by itself, and would otherwise take the new term for the
+    /// previous one.
     pub(super) fn send_term(&self, number: u64) {
         let Some(fence) = self.fence else {
             return;
@@ -57,17 +58,17 @@
         self.send_to(number, &Body::Successor(term));
     }
 
-    /// Tells those that may succeed this instance who listens here. One that went may come
-    /// back, and stays known until the next holder has waited for it in vain.
+    /// Sends the list of members to those candidates that lack it. A member whose connection ended
+    /// may come back, so it stays on the list until the next holder has waited for it in vain.
     pub(super) fn publish_members(&mut self) {
-        let here = self.members();
+        let connected = self.members();
         let mut known = self.shared.members();
-        known.extend(here);
+        known.extend(connected);
         let subscribers = self.subscribers.members();
-        let successors = subscribers.filter(|(_, (name, _))| self.candidates.is_candidate(name));
+        let candidates = subscribers.filter(|(_, (name, _))| self.candidates.is_candidate(name));
         let due = self
             .member_list
-            .due_connections(&known, successors.map(|(number, _)| number));
+            .due_connections(&known, candidates.map(|(number, _)| number));
         if due.is_empty() {
             return;
         }
@@ -77,36 +78,36 @@
         send_to_all(outboxes, body);
     }
 
-    /// Tells those that may succeed this instance to which engines orders are on their way, ahead
-    /// of the orders: whether the answer to one gets lost is known too late for that.
+    /// Sends the candidates the engines with unconfirmed orders, before the orders are sent. Once
+    /// the answer to an order is lost, it is too late to publish that.
     pub(super) fn publish_unconfirmed(&mut self, now: Instant) {
         let unconfirmed: BTreeSet<UpstreamId> = self.planner.doubtful(now).cloned().collect();
         if unconfirmed == self.published_unconfirmed {
             return;
         }
         self.published_unconfirmed = unconfirmed;
-        let news = News {
+        let message = News {
             confirmed_ms: Vec::new(),
             ..self.heartbeat(0, now)
         };
         let members = self.subscribers.members();
-        let successors = members.filter(|(_, (name, _))| self.candidates.is_candidate(name));
-        let outboxes = successors.filter_map(|(number, _)| self.peers.get(&number));
-        send_to_all(outboxes, Body::News(news));
+        let candidates = members.filter(|(_, (name, _))| self.candidates.is_candidate(name));
+        let outboxes = candidates.filter_map(|(number, _)| self.peers.get(&number));
+        send_to_all(outboxes, Body::News(message));
     }
 
-    /// Joins in what an instance knows of requests that crash upstreams, and tells all.
-    pub(super) fn merge_and_publish_suspects(&mut self, told: Suspects) {
+    /// Merges what an instance reports of requests that crash upstreams, and publishes the result.
+    pub(super) fn merge_and_publish_suspects(&mut self, received: Suspects) {
         let now = clock::now();
-        let mut breaks = self.shared.poison.merge_breaks(&told.breaks);
-        // Many instances see one upstream break off, and all are told once.
+        let mut breaks = self.shared.poison.merge_breaks(&received.breaks);
+        // Many instances see the same upstream break off; it is published once.
         self.published_breaks.retain(|_, until| now < *until);
         breaks.retain(|(start, _)| !self.published_breaks.contains_key(start));
         let until = now + poison::OPEN_TIME;
-        let told_now = breaks.iter().map(|(start, _)| (start.clone(), until));
-        self.published_breaks.extend(told_now);
+        let published = breaks.iter().map(|(start, _)| (start.clone(), until));
+        self.published_breaks.extend(published);
         let breaks = poison::encode_breaks(&breaks);
-        let mut known = self.shared.poison.merge_fleet_list(told);
+        let mut known = self.shared.poison.merge_fleet_list(received);
         known.retain(|suspect| suspect.crashes.len() >= MIN_BROADCAST_CRASHES);
         if self.fence.is_some() && !(known.is_empty() && breaks.is_empty()) {
             let suspects = Suspects {
@@ -117,46 +118,50 @@
         }
     }
 
-    /// Joins in what upstreams said of themselves to an instance, and tells all what is news: whoever has
-    /// not heard it from the upstream itself sends there as before.
-    pub(super) fn merge_and_publish_signals(&mut self, told: Words) {
+    /// Merges the upstreams' signals that an instance received, and publishes what changed. An
+    /// instance that has not received a signal from the upstream itself would otherwise keep
+    /// sending there.
+    pub(super) fn merge_and_publish_signals(&mut self, received: Words) {
         let now = clock::now();
-        for told in &told.resting {
-            let until = now + Duration::from_millis(told.left_ms.min(MAX_BACKOFF_MS));
-            let engine = UpstreamId::from(told.upstream.as_str());
-            self.planner.note_rest(&engine, told.started_at_ms, until);
+        for backoff in &received.resting {
+            let until = now + Duration::from_millis(backoff.left_ms.min(MAX_BACKOFF_MS));
+            let engine = UpstreamId::from(backoff.upstream.as_str());
+            self.planner
+                .note_rest(&engine, backoff.started_at_ms, until);
         }
-        let mut named = signals::merge(&self.shared, told);
-        named.retain(|id| {
-            // Both are taken in.
-            let limits = self.update_limit(id);
-            let leaves = self.update_leaving(id);
-            limits || leaves
+        let mut changed = signals::merge(&self.shared, received);
+        changed.retain(|id| {
+            // Both calls have effects, so the second must not be skipped.
+            let limit_changed = self.update_limit(id);
+            let leaving_changed = self.update_leaving(id);
+            limit_changed || leaving_changed
         });
-        if self.fence.is_some() && !named.is_empty() {
-            let body = Body::Words(signals::encode(&self.shared, Some(&named)));
+        if self.fence.is_some() && !changed.is_empty() {
+            let body = Body::Words(signals::encode(&self.shared, Some(&changed)));
             send_to_all(self.peers.values(), body);
         }
     }
 
-    /// Takes in how much an upstream takes. Returns whether that is to be told.
+    /// Updates the limit of an upstream. Returns whether it must be published.
     fn update_limit(&mut self, id: &UpstreamId) -> bool {
-        let before = self.published_limits.get(id).copied();
-        let now = self.shared.upstreams().named_limit_per_s(id);
-        self.planner.set_limit(id, now);
-        let is_news = match (before, now) {
-            (Some(before), Some(now)) => (now - before).abs() > MIN_PUBLISHED_CHANGE_RATIO * before,
-            (before, now) => before.is_some() != now.is_some(),
+        let published = self.published_limits.get(id).copied();
+        let current = self.shared.upstreams().named_limit_per_s(id);
+        self.planner.set_limit(id, current);
+        let must_publish = match (published, current) {
+            (Some(published), Some(current)) => {
+                (current - published).abs() > MIN_PUBLISHED_CHANGE_RATIO * published
+            }
+            (published, current) => published.is_some() != current.is_some(),
         };
-        match now {
-            Some(per_s) if is_news => drop(self.published_limits.insert(id.clone(), per_s)),
+        match current {
+            Some(per_s) if must_publish => drop(self.published_limits.insert(id.clone(), per_s)),
             Some(_) => {}
             None => drop(self.published_limits.remove(id)),
         }
-        is_news
+        must_publish
     }
 
-    /// Takes in that an upstream leaves, if it does. Returns whether that is to be told.
+    /// Updates that an upstream is leaving, if it is. Returns whether that must be published.
     fn update_leaving(&mut self, id: &UpstreamId) -> bool {
         let upstreams = self.shared.upstreams();
         let known = upstreams.leaving().find(|(leaving, _)| *leaving == id);
@@ -168,17 +173,17 @@
         self.published_leaving.insert(id.clone(), started_at_ms) != Some(started_at_ms)
     }
 
-    /// Chooses who dispatches for engines, and tells all if that has changed. Until the fleet
-    /// has come the ones before stay, or none.
+    /// Chooses the dispatchers, and publishes them if they changed. The previous ones, or none,
+    /// stay until the size of the fleet is known.
     pub(super) fn publish_dispatchers(&mut self, instances: Option<usize>) {
         let Some(instances) = instances else {
             return;
         };
         let wanted = dispatch::dispatchers_wanted(instances, self.planner.engines());
-        let me = &self.shared.settings.instance;
+        let this_instance = &self.shared.settings.instance;
         let chosen = self
             .candidates
-            .choose_dispatchers(&self.dispatchers, wanted, me);
+            .choose_dispatchers(&self.dispatchers, wanted, this_instance);
         if chosen != self.dispatchers {
             self.dispatchers = chosen;
             send_to_all(self.peers.values(), self.dispatchers_body());
@@ -187,7 +192,7 @@
 
     pub(super) fn dispatchers_body(&self) -> Body {
         let chosen = self.dispatchers.iter();
-        let chosen = chosen.map(|one| (one.instance.clone(), one.address));
+        let chosen = chosen.map(|dispatcher| (dispatcher.instance.clone(), dispatcher.address));
         Body::Dispatchers(members::encode(&chosen.collect()))
     }
 
@@ -197,7 +202,7 @@
         }
     }
 
-    /// The word that the holder lives, and up to when it knows the feeds.
+    /// The message that the holder is alive, and up to when it knows the feeds.
     pub(super) fn heartbeat(&self, instances: usize, now: Instant) -> News {
         News {
             instances: u32::try_from(instances).unwrap_or(u32::MAX),
@@ -212,8 +217,8 @@
         }
     }
 
-    /// Sends heartbeats to listeners. To one that has not been told the newest it says only
-    /// that the holder lives: what the listener was told before grows old.
+    /// Sends heartbeats to subscribers. A subscriber that lacks updates only receives that the
+    /// holder is alive, so that the age of what it knows keeps growing.
     pub(super) fn send_heartbeats(
         &self,
         subscribers: impl IntoIterator<Item = u64>,
@@ -222,31 +227,35 @@
         let is_behind = |number: &u64| self.subscribers.is_behind(*number);
         let (behind, current): (Vec<u64>, Vec<u64>) = subscribers.into_iter().partition(is_behind);
         let heartbeat = self.heartbeat(instances, clock::now());
-        let alive = News {
+        let alive_only = News {
             confirmed_ms: Vec::new(),
             ..heartbeat.clone()
         };
-        for (numbers, news) in [(current, heartbeat), (behind, alive)] {
+        for (numbers, message) in [(current, heartbeat), (behind, alive_only)] {
             let outboxes = numbers.iter().filter_map(|number| self.peers.get(number));
-            send_to_all(outboxes, Body::News(news));
+            send_to_all(outboxes, Body::News(message));
         }
     }
 
-    /// Tells those whose requests wait for what has come, and those that dispatch for engines.
+    /// Sends arrived models to the instances whose requests wait for them, and to the dispatchers.
     pub(super) fn publish_awaited(&self, awaited: Vec<(Placement, BTreeSet<InstanceId>)>) {
         for (placement, waiting) in awaited {
             let body = placements_body(vec![placement]);
-            let hears = |name: &InstanceId| {
-                waiting.contains(name) || self.dispatchers.iter().any(|one| one.instance == *name)
+            let must_receive = |name: &InstanceId| {
+                waiting.contains(name)
+                    || self
+                        .dispatchers
+                        .iter()
+                        .any(|dispatcher| dispatcher.instance == *name)
             };
             let members = self.subscribers.members();
-            let told = members.filter(|(_, (name, _))| hears(name));
-            let outboxes = told.filter_map(|(number, _)| self.peers.get(&number));
+            let receivers = members.filter(|(_, (name, _))| must_receive(name));
+            let outboxes = receivers.filter_map(|(number, _)| self.peers.get(&number));
             send_to_all(outboxes, body);
         }
     }
 
-    /// Tells all instances what has changed, the less often the more there are.
+    /// Sends changed placements to all instances, less often the more instances there are.
     pub(super) fn publish_changes(&mut self, now: Instant) {
         let awaited = self.planner.take_awaited();
         self.publish_awaited(awaited);
@@ -262,11 +271,11 @@
     }
 }
 
-/// Sends one message to many; it is encoded and kept once.
+/// Sends one message to many peers; it is encoded and stored once.
 pub(super) fn send_to_all<'a>(outboxes: impl Iterator<Item = &'a Outbox>, body: Body) {
     match Frame::new(body) {
         Ok(frame) => outboxes.for_each(|outbox| outbox.send_frame(frame.clone())),
-        Err(error) => log::error!(error:% = error; "a message cannot be sent"),
+        Err(error) => log::error!(error:% = error; "cannot encode a message"),
     }
 }
 
--- a/crates/instance/src/leadership.rs
+++ b/crates/instance/src/leadership.rs
@@ -1,7 +1,8 @@
-//! The right to give orders: one key under a lease, held by one instance at a time.
+//! Leadership, i.e. the right to send orders to engines: one key in the store under a lease, held
+//! by one instance at a time.
 //!
-//! [`Tenure`] decides; here are the thread that makes its calls to the store and the
-//! feed that tells it what stands there.
+//! [`Tenure`] makes the decisions. This module runs the thread that carries them out against the
+//! store, and the feed that reports the current state of the key.
 
 use crate::allotments;
 use crate::feeds::{Feed, follow};
@@ -22,29 +23,29 @@
 use rand::RngExt;
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 
-/// The prefix of passway's own keys.
+/// Prefix of passway's own keys in the store.
 const OWN_PREFIX: &str = "passway/";
-/// The key that the holder keeps: its name and address.
+/// Key of the current holder; its value is the holder's name and address.
 const HOLDER_KEY: &str = "passway/holder";
-/// The key that names who has held the right lately, the last one last.
+/// Key of the list of recent holders, newest last, and of the current candidates.
 const RECENT_KEY: &str = "passway/holders";
-/// Time-to-live of the holder's lease, unless the store has a longer shortest one.
+/// Time-to-live of the holder's lease, unless the shortest lease that the store grants is longer.
 const LEASE_TTL: Duration = Duration::from_millis(1_200);
-/// An instance with less processor than this lets others take the key: on the grown
-/// market site's calm day the holder used 0.135 of a core.
+/// Instances with fewer processor cores than this let others acquire leadership first. The holder
+/// of a large fleet used 0.135 of a core on a calm day.
 const MIN_HOLDER_CPU_CORES: f64 = 0.2;
-/// A candidate asks the store itself for so long after a holder asked it for a promise:
-/// three of the holder's heartbeats.
+/// How long a candidate keeps checking the store itself after a holder requested a promise: three
+/// heartbeats of the holder.
 const PROMISE_REQUEST_WINDOW: Duration = Duration::from_secs(1);
 
-/// The right to order, as this instance knows it.
+/// Runs the leadership state machine of this instance with a thread and the store.
 #[derive(Debug)]
 pub struct LeadershipDriver {
     leadership: Mutex<Tenure>,
     changed: Condvar,
-    /// When a holder asked last for a promise.
+    /// When a holder last requested a promise.
     promise_requested_at: Mutex<Option<Instant>>,
-    /// What it was answered, so that each change is told.
+    /// The last answer to such a request; a changed answer is logged.
     last_promise_answer: Mutex<Option<Result<(), NoPromise>>>,
     is_weak: bool,
 }
@@ -68,10 +69,12 @@
     })
 }
 
-/// One line with the names of holders, one with candidates and their addresses.
+/// Encodes the names of recent holders in the first line and the candidates with their addresses in
+/// the second.
 fn encode_recent(recent: &RecentHolders) -> Vec<u8> {
     let candidates = recent.candidates.iter();
-    let candidates = candidates.map(|one| format!("{}={}", one.instance, one.address));
+    let candidates =
+        candidates.map(|candidate| format!("{}={}", candidate.instance, candidate.address));
     let candidates: Vec<String> = candidates.collect();
     format!("{}\n{}", recent.names.join(" "), candidates.join(" ")).into_bytes()
 }
@@ -88,8 +91,8 @@
     }
 }
 
-/// One whose address cannot be read is left out: it finds itself on no list, and waits like
-/// any other instance that is no candidate.
+/// Returns `None` for a candidate whose address cannot be parsed. That instance does not find
+/// itself on the list and waits like any instance that is not a candidate.
 fn decode_candidate(text: &str) -> Option<Candidate> {
     let (instance, address) = text.rsplit_once('=')?;
     Some(Candidate {
@@ -99,7 +102,7 @@
 }
 
 impl LeadershipDriver {
-    /// Nothing is known yet of who holds the right.
+    /// Creates the state of an instance that does not know any holder yet.
     pub fn new(shared: &Shared) -> Self {
         let settings = &shared.settings;
         let bounds = shared.bounds.load();
@@ -118,160 +121,166 @@
         }
     }
 
-    /// Whether others had better hold the right, since this instance has little processor.
+    /// Whether this instance has too little processor capacity for the holder's work, so that other
+    /// instances should be preferred as holders.
     pub fn is_weak(&self) -> bool {
         self.is_weak
     }
 
-    /// Follows the key and takes it whenever nobody holds it.
+    /// Starts the thread that acquires leadership whenever nobody holds it, and the feed of
+    /// passway's own keys.
     pub fn start(
         self: &Arc<Self>,
         shared: &Arc<Shared>,
         store: &Arc<dyn SharedStore>,
-        tap: RelayReceiver,
-        holder: Sender<Input>,
-        news: Sender<NumberedUpdate>,
+        receiver: RelayReceiver,
+        holder_inputs: Sender<Input>,
+        updates: Sender<NumberedUpdate>,
     ) {
         let feed = LeadershipFeed {
             leadership: self.clone(),
             shared: shared.clone(),
         };
-        follow(store.clone(), tap, news, feed);
+        follow(store.clone(), receiver, updates, feed);
         let (driver, shared, store) = (self.clone(), shared.clone(), store.clone());
-        std::thread::spawn(move || driver.run(&shared, &*store, &holder));
+        std::thread::spawn(move || driver.run(&shared, &*store, &holder_inputs));
     }
 
     fn leadership(&self) -> MutexGuard<'_, Tenure> {
         lock(&self.leadership)
     }
 
-    /// Changes what is known, and lets the thread that keeps the right look at it.
+    /// Changes the leadership state and wakes the thread that acts on it.
     fn update(&self, change: impl FnOnce(&mut Tenure)) {
         change(&mut self.leadership());
         self.changed.notify_all();
     }
 
-    /// Who holds the right.
+    /// The current holder, if one is known.
     pub fn holder(&self) -> Option<Holder> {
         self.leadership().holder().cloned()
     }
 
-    /// Another instance says that it holds the right; whether that is news.
+    /// Takes in another instance's message that it is the holder. Returns whether the message
+    /// changed the known holder.
     pub fn learn_holder(&self, holder: Holder) -> bool {
-        let is_news = self.leadership().told(holder);
+        let is_new = self.leadership().told(holder);
         self.changed.notify_all();
-        is_news
+        is_new
     }
 
-    /// My fencing number, if I may give an order now.
+    /// This instance's fencing number, if it may send orders now.
     pub fn fence(&self) -> Option<Fence> {
         self.leadership().fence(clock::now())
     }
 
-    /// My fencing number for as long as my term lasts, also while I may not order.
+    /// This instance's fencing number while its term lasts, including times when it may not send
+    /// orders.
     pub fn term(&self) -> Option<Fence> {
         self.leadership().term(clock::now())
     }
 
-    /// My fencing number, if the candidates are to promise that they do not take the right:
-    /// the store did not answer the last renewal.
+    /// This instance's fencing number if it needs the candidates' promises not to acquire
+    /// leadership, because the store did not answer the last renewal.
     pub fn promise_fence(&self) -> Option<Fence> {
         self.leadership().asks_promises(clock::now())
     }
 
-    /// Whether this instance promises a holder not to take the right for a while.
+    /// Promises another holder not to acquire leadership for a while, if this instance can.
     ///
     /// # Errors
-    /// Why it does not.
+    /// The reason why this instance does not promise.
     pub fn answer_promise_request(
         &self,
         asker: &InstanceId,
         store_answers: bool,
     ) -> Result<(), NoPromise> {
         let now = clock::now();
-        let before = lock(&self.promise_requested_at).replace(now);
+        let previous_request_at = lock(&self.promise_requested_at).replace(now);
         let answer = self.leadership().promise(asker, store_answers, now);
-        let is_first = before.is_none_or(|at| now > at + PROMISE_REQUEST_WINDOW);
-        let told = Some(answer);
-        if lock(&self.last_promise_answer).replace(answer) != told || is_first {
+        let is_first = previous_request_at.is_none_or(|at| now > at + PROMISE_REQUEST_WINDOW);
+        let new_answer = Some(answer);
+        if lock(&self.last_promise_answer).replace(answer) != new_answer || is_first {
             log::info!(target: DECISION_TARGET, holder:% = asker, answer:? = answer; "asked for a promise not to take the right to order");
         }
         answer
     }
 
-    /// The candidates of my term without whose word it does not go on beyond its lease.
+    /// The candidates of the current term whose promise is missing. Without it, the term cannot
+    /// extend beyond its lease.
     pub fn candidates_without_promise(&self) -> Vec<InstanceId> {
         self.leadership().without_promise(clock::now())
     }
 
-    /// Whether a holder has asked for a promise lately, so that this instance had better
-    /// find out whether the store answers.
+    /// Whether a holder requested a promise recently. This instance should then check for itself
+    /// whether the store answers.
     fn has_recent_promise_request(&self) -> bool {
         lock(&self.promise_requested_at).is_some_and(|at| clock::since(at) < PROMISE_REQUEST_WINDOW)
     }
 
-    /// A candidate promises, asked at a moment.
-    pub fn record_promise(&self, from: &InstanceId, fence: Fence, asked_at: Instant) {
-        self.update(|leadership| leadership.promised(from, fence, asked_at));
+    /// Records a candidate's promise, given in answer to a request sent at `requested_at`.
+    pub fn record_promise(&self, from: &InstanceId, fence: Fence, requested_at: Instant) {
+        self.update(|leadership| leadership.promised(from, fence, requested_at));
     }
 
-    /// A candidate's process ends.
+    /// Records that a candidate's process is stopping.
     pub fn record_departure(&self, from: &InstanceId, fence: Fence) {
         self.update(|leadership| leadership.left(from, fence));
     }
 
-    /// The candidates that a term of mine should have.
-    pub fn set_desired_candidates(&self, wanted: Vec<Candidate>) {
-        self.update(|leadership| leadership.want_candidates(wanted));
+    /// Sets the candidates that a term of this instance should have.
+    pub fn set_desired_candidates(&self, candidates: Vec<Candidate>) {
+        self.update(|leadership| leadership.want_candidates(candidates));
     }
 
-    /// Whether nobody else had the right between this instance's last two terms.
+    /// Whether no other instance was the holder between this instance's last two terms.
     pub fn succeeds_itself(&self) -> bool {
         self.leadership().succeeds_itself()
     }
 
-    /// Candidates that the store named before my term: they may carry another holder.
+    /// The candidates that the store listed before this instance's term. They may be extending the
+    /// leadership of another holder without the store.
     pub fn previous_candidates(&self) -> Vec<Candidate> {
         self.leadership().former_candidates().to_vec()
     }
 
-    /// Gives the right back, so that another instance can take it at once.
+    /// Releases leadership, so that another instance can acquire it at once.
     pub fn release(&self) {
         self.update(Tenure::release);
     }
 
-    /// Takes in how long the store took to answer a call that was made at a moment.
-    fn record_store_latency<T>(&self, answer: &Result<T, StoreError>, asked_at: Instant) {
+    /// Records how long the store took to answer a call that was sent at `sent_at`.
+    fn record_store_latency<T>(&self, answer: &Result<T, StoreError>, sent_at: Instant) {
         if answer.is_ok() {
-            self.leadership().answered_within(clock::since(asked_at));
+            self.leadership().answered_within(clock::since(sent_at));
         }
     }
 
-    /// Takes and renews the right for as long as the process lives.
-    fn run(&self, shared: &Shared, store: &dyn SharedStore, holder: &Sender<Input>) {
-        let mut held = None;
+    /// Acquires and renews leadership until the process exits.
+    fn run(&self, shared: &Shared, store: &dyn SharedStore, holder_inputs: &Sender<Input>) {
+        let mut held_fence = None;
         loop {
             let mut leadership = self.leadership();
             leadership.set_gap(shared.bounds.load().holder_gap);
-            let drawn = rand::rng().random_range(0.0..1.0);
-            let answers = !shared.store_health.is_failing();
+            let random = rand::rng().random_range(0.0..1.0);
+            let store_answers = !shared.store_health.is_failing();
             let now = clock::now();
-            let step = leadership.step(drawn, answers, now);
+            let step = leadership.step(random, store_answers, now);
             if matches!(step, Step::End(_))
-                && let Some(fence) = held.take()
+                && let Some(fence) = held_fence.take()
             {
                 log_term_end(fence, &leadership, now);
             }
             match step {
                 Step::Wait(until) => {
-                    // It is looked again in any case.
-                    let left = until.saturating_duration_since(now);
-                    drop(self.changed.wait_timeout(leadership, left));
+                    // The loop checks the state again after a wakeup as well as after the timeout.
+                    let timeout = until.saturating_duration_since(now);
+                    drop(self.changed.wait_timeout(leadership, timeout));
                 }
                 Step::Grant => {
-                    let time = leadership.lease_time();
+                    let ttl = leadership.lease_time();
                     drop(leadership);
-                    let answer = store.grant_lease(time);
+                    let answer = store.grant_lease(ttl);
                     self.record_store_latency(&answer, now);
                     self.leadership().granted(answer, now);
                 }
@@ -280,18 +289,18 @@
                     drop(leadership);
                     let answer = store.write(&acquisition_writes(shared, lease, &recent));
                     self.record_store_latency(&answer, now);
-                    held = self.leadership().taken(&answer, clock::now());
-                    if let Some(fence) = held {
+                    held_fence = self.leadership().taken(&answer, clock::now());
+                    if let Some(fence) = held_fence {
                         log::info!(target: DECISION_TARGET, fence = fence; "holds the right to order");
                         shared.allotments.notify_term_begun();
-                        // The deciding thread ends only with the process.
-                        let _ = holder.send(Input::TermBegun);
+                        // The channel closes only when the process exits.
+                        let _ = holder_inputs.send(Input::TermBegun);
                     }
                 }
                 Step::Renew(lease) => {
-                    let longest = leadership.renewal_time();
+                    let timeout = leadership.renewal_time();
                     drop(leadership);
-                    let answer = store.renew_lease_within(lease, longest);
+                    let answer = store.renew_lease_within(lease, timeout);
                     self.record_store_latency(&answer, now);
                     if answer == Ok(true) {
                         shared.store_health.record_answer();
@@ -318,17 +327,19 @@
 
 fn log_term_end(fence: Fence, leadership: &Tenure, now: Instant) {
     let without_promise = leadership.without_promise(now);
-    let end = leadership.last_end();
-    let overdue_ms = end.map_or(0, |end| millis(end.overdue));
-    log::info!(target: DECISION_TARGET, fence = fence, cause:? = end.map(|end| end.cause),
-        unanswered = end.map_or(0, |end| end.unanswered), overdue_ms = overdue_ms,
+    let last_end = leadership.last_end();
+    let overdue_ms = last_end.map_or(0, |end| millis(end.overdue));
+    log::info!(target: DECISION_TARGET, fence = fence, cause:? = last_end.map(|end| end.cause),
+        unanswered = last_end.map_or(0, |end| end.unanswered), overdue_ms = overdue_ms,
         without_promise:? = without_promise;
         "lost the right to order");
 }
 
-/// The writes that take the key if nobody has it, and if nobody had it since the list of
-/// holders was read. The key is the last: the revision of the whole is then its own, the
-/// fencing number that all others read.
+/// The writes that acquire the key if no instance holds it and the list of recent holders has not
+/// changed since it was read.
+///
+/// The key comes last: the revision of the whole transaction is then the revision of the key, which
+/// all other instances read as the fencing number.
 fn acquisition_writes(
     shared: &Shared,
     lease: LeaseId,
@@ -345,7 +356,7 @@
     ]
 }
 
-/// The write of the list of holders, if nobody wrote it since it was read.
+/// The write of the list of recent holders, conditional on the revision that was read.
 fn recent_holders_write(recent: &RecentHolders) -> ConditionalWrite {
     ConditionalWrite {
         key: RECENT_KEY.to_owned(),
@@ -357,7 +368,7 @@
 
 fn end_lease(store: &dyn SharedStore, lease: LeaseId) {
     if store.end_lease(lease).is_err() {
-        log::debug!(lease = lease; "a lease could not be ended and runs out");
+        log::debug!(lease = lease; "cannot end a lease; the lease expires by itself");
     }
 }
 
