--- a/crates/instance/src/candidates.rs
+++ b/crates/instance/src/candidates.rs
@@ -1,8 +1,8 @@
-//! Which instances may take the right to order at once, as its holder chooses them.
+//! Chooses the candidates, i.e. the instances that may acquire leadership at once.
 //!
-//! In an outage of the store the holder needs the promise of each of them every 300 ms, so
-//! they are few however large the fleet is, and those that have the processor for the
-//! holder's work.
+//! While the store does not answer, the holder needs a promise of each candidate every 300 ms. The
+//! number of candidates is therefore small however large the fleet is, and instances with enough
+//! processor capacity for the holder's work are preferred.
 
 use passway_serving::hash;
 use passway_serving::tenure::Candidate;
@@ -10,14 +10,16 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Most candidates, the holder among them: a question and a promise each, ten times in
-/// three seconds.
+/// Maximum number of candidates, including the holder. Each costs a request and a promise ten times
+/// in three seconds.
 const MAX_CANDIDATES: usize = 9;
-/// With fewer that have enough processor, others are candidates too: the loss of one or two
-/// must not leave the right to those that wait out the gap between two holders.
+/// If fewer instances than this have enough processor capacity, weak ones become candidates too.
+/// Otherwise, losing one or two would leave no candidate, and other instances wait for the gap
+/// between two holders before they acquire leadership.
 const MIN_STRONG_CANDIDATES: usize = 3;
-/// An instance whose connection is gone for longer is no candidate any more; one that was
-/// reset comes back sooner, and would cost two writes otherwise.
+/// An instance that is disconnected for longer than this is no longer a candidate. An instance
+/// whose connection was reset reconnects sooner; dropping it at once would cost two writes to the
+/// store.
 const DISCONNECT_GRACE: Duration = Duration::from_secs(3);
 
 #[derive(Debug, Clone, Copy)]
@@ -27,16 +29,16 @@
     disconnected_at: Option<Instant>,
 }
 
-/// The instances that listen to a holder, as far as they may succeed it.
+/// The instances that subscribe to this holder and may succeed it.
 #[derive(Debug, Default)]
 pub struct Candidates {
     members: BTreeMap<InstanceId, Member>,
-    /// What was chosen last.
+    /// The candidates chosen last.
     chosen: Vec<Candidate>,
 }
 
 impl Candidates {
-    /// An instance listens.
+    /// Adds an instance that subscribed.
     pub fn add(&mut self, instance: InstanceId, address: SocketAddr, is_weak: bool) {
         let member = Member {
             address,
@@ -46,21 +48,20 @@
         self.members.insert(instance, member);
     }
 
-    /// An instance's connection is gone.
+    /// Records that the connection of an instance ended.
     pub fn mark_disconnected(&mut self, instance: &InstanceId, now: Instant) {
         if let Some(member) = self.members.get_mut(instance) {
             member.disconnected_at = Some(now);
         }
     }
 
-    /// An instance's process ends.
+    /// Removes an instance whose process is stopping.
     pub fn remove(&mut self, instance: &InstanceId) {
         self.members.remove(instance);
     }
 
-    /// Chooses anew; the candidates if they are others than before. They include `me`, whose
-    /// term it is.
-    pub fn choose(&mut self, me: &Candidate, now: Instant) -> Option<Vec<Candidate>> {
+    /// Chooses the candidates, including `this_instance`, whose term it is. Returns them if they changed.
+    pub fn choose(&mut self, this_instance: &Candidate, now: Instant) -> Option<Vec<Candidate>> {
         self.members.retain(|_, member| {
             member
                 .disconnected_at
@@ -68,14 +69,15 @@
         });
         let others = |is_weak: bool| {
             let members = self.members.iter();
-            let alike =
-                members.filter(move |(name, m)| m.is_weak == is_weak && **name != me.instance);
-            alike.map(|(instance, member)| Candidate {
+            let matching = members.filter(move |(name, member)| {
+                member.is_weak == is_weak && **name != this_instance.instance
+            });
+            matching.map(|(instance, member)| Candidate {
                 instance: instance.clone(),
                 address: member.address,
             })
         };
-        let mut chosen = vec![me.clone()];
+        let mut chosen = vec![this_instance.clone()];
         chosen.extend(others(false).take(MAX_CANDIDATES - 1));
         if chosen.len() < MIN_STRONG_CANDIDATES {
             let missing = MAX_CANDIDATES - chosen.len();
@@ -89,20 +91,20 @@
         Some(chosen)
     }
 
-    /// Instances that may dispatch for engines, as many as are wanted: those that do already
-    /// and are still here, then those with more processor, spread by name. The holder, which
-    /// has enough to do, is none of them.
+    /// Chooses `wanted` instances to dispatch requests to engines: connected instances with enough
+    /// processor capacity come first, among these the current dispatchers, and the rest is ordered
+    /// by a hash of the names. The holder is never chosen, since it has enough other work.
     pub fn choose_dispatchers(
         &self,
         current: &[Candidate],
         wanted: usize,
-        me: &InstanceId,
+        this_instance: &InstanceId,
     ) -> Vec<Candidate> {
         let connected = self
             .members
             .iter()
             .filter(|(_, member)| member.disconnected_at.is_none());
-        let connected = connected.filter(|(name, _)| *name != me);
+        let connected = connected.filter(|(name, _)| *name != this_instance);
         let mut ranked: Vec<(bool, bool, u64, Candidate)> = connected
             .map(|(instance, member)| {
                 let candidate = Candidate {
@@ -120,8 +122,10 @@
         chosen
     }
 
-    /// Whether an instance was chosen last.
+    /// Whether an instance is among the candidates chosen last.
     pub fn is_candidate(&self, instance: &InstanceId) -> bool {
-        self.chosen.iter().any(|one| one.instance == *instance)
+        self.chosen
+            .iter()
+            .any(|candidate| candidate.instance == *instance)
     }
 }
--- a/crates/instance/src/feed_log.rs
+++ b/crates/instance/src/feed_log.rs
@@ -1,4 +1,4 @@
-//! The latest of one feed, for instances that hear it from here.
+//! The latest state of one feed, for instances that receive it from this instance.
 
 use crate::compression::{self, MIN_COMPRESSED_BYTES};
 use crate::updates::FeedUpdate;
@@ -6,60 +6,62 @@
 use passway_wire::message::{News, NewsValue};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Keys that went away and are remembered for instances that connect; whoever knows less is
-/// told everything.
+/// Maximum number of removed keys that are remembered for instances that connect. An instance that
+/// knows an older state receives the whole feed.
 const MAX_REMOVALS: usize = 400;
 
-/// Spans of unseen revisions that are remembered.
+/// Maximum number of remembered spans of unseen revisions.
 const MAX_UNSEEN_SPANS: usize = 8;
 
-/// One value of each key, and what large ones took the place of.
+/// The newest value of each key, and the previous one of large values.
 ///
-/// Only the newest value of a key is of use to anybody, so the log holds what the store
-/// holds, and for each large value the one before, which the newest is packed against.
+/// Only the newest value of a key is useful to a receiver, so the log holds what the store holds,
+/// and for each large value the previous one as the base of compression.
 #[derive(Debug, Default)]
 pub struct FeedLog {
     values: BTreeMap<String, StoredValue>,
-    /// The value before, of keys whose values are large.
+    /// Previous values of keys whose values are large.
     previous_values: BTreeMap<String, StoredValue>,
-    /// Keys that went away, in the order in which they did.
+    /// Removed keys, ordered by the revision of their removal.
     removals: VecDeque<(StoreRevision, String)>,
-    /// Removals after this revision are kept.
+    /// All removals after this revision are remembered.
     removals_complete_since: StoreRevision,
-    /// Spans of revisions of which only the end is known, since all was listed anew there: a
-    /// key may have come and gone between. Whoever knows a moment inside is told everything.
+    /// Spans of revisions of which only the end is known, because the feed was listed anew there: a
+    /// key may have been written and removed in between. An instance that knows a revision inside a
+    /// span receives the whole feed.
     unseen_spans: VecDeque<(StoreRevision, StoreRevision)>,
-    /// Up to where this tells.
+    /// The revision up to which the log is complete.
     to: StoreRevision,
-    /// The last revision at which anything has changed that is told.
+    /// The revision of the last change in the log.
     changed_revision: StoreRevision,
 }
 
 impl FeedLog {
-    /// Takes in news; whether there is anything to tell.
-    pub fn apply(&mut self, told: &FeedUpdate) -> bool {
-        let before = self.changed_revision;
-        match told {
+    /// Applies an update. Returns whether there is a change to send.
+    pub fn apply(&mut self, update: &FeedUpdate) -> bool {
+        let previous_revision = self.changed_revision;
+        match update {
             FeedUpdate::Snapshot(listing) => self.apply_snapshot(listing),
             FeedUpdate::Changes { changes, .. } => {
                 changes.iter().for_each(|change| self.apply_change(change))
             }
         }
-        self.to = self.to.max(told.to());
-        self.changed_revision != before
+        self.to = self.to.max(update.to());
+        self.changed_revision != previous_revision
     }
 
-    /// Up to where this tells.
+    /// The revision up to which the log is complete.
     pub fn to(&self) -> StoreRevision {
         self.to
     }
 
-    /// Whether one that knows the feed up to a revision lacks a change.
+    /// Whether an instance that knows the feed up to a revision lacks a change.
     pub fn has_changes_after(&self, known: StoreRevision) -> bool {
         known < self.changed_revision
     }
 
-    /// Takes in all values: what differs counts as changed, and the rest is not told again.
+    /// Applies a full listing. Only the differences count as changed, so that unchanged values are
+    /// not sent again.
     fn apply_snapshot(&mut self, listing: &Listing) {
         if self.to == 0 {
             self.removals_complete_since = listing.revision;
@@ -71,7 +73,11 @@
                 self.removals_complete_since = self.removals_complete_since.max(end);
             }
         }
-        let listed: BTreeSet<&str> = listing.values.iter().map(|v| v.key.as_str()).collect();
+        let listed: BTreeSet<&str> = listing
+            .values
+            .iter()
+            .map(|value| value.key.as_str())
+            .collect();
         let known = self.values.keys();
         let missing = known.filter(|key| !listed.contains(key.as_str()));
         let missing: Vec<String> = missing.cloned().collect();
@@ -91,13 +97,15 @@
         }
         match change {
             StoreChange::Written(value) => {
-                let before = self.values.insert(value.key.clone(), value.clone());
-                if let Some(before) = before.filter(|old| old.value.len() >= MIN_COMPRESSED_BYTES) {
-                    self.previous_values.insert(value.key.clone(), before);
+                let previous = self.values.insert(value.key.clone(), value.clone());
+                if let Some(previous) =
+                    previous.filter(|previous| previous.value.len() >= MIN_COMPRESSED_BYTES)
+                {
+                    self.previous_values.insert(value.key.clone(), previous);
                 }
             }
             StoreChange::Removed { key, revision } => {
-                // It is told also if its coming was not seen here: others may have read it.
+                // Recorded even if the key is unknown here: another instance may have read it.
                 self.values.remove(key);
                 self.previous_values.remove(key);
                 self.removals.push_back((*revision, key.clone()));
@@ -111,15 +119,15 @@
         self.changed_revision = self.changed_revision.max(change.revision());
     }
 
-    /// What an instance lacks that knows the feed up to a revision.
+    /// What an instance lacks that knows the feed up to a revision; `None` if it lacks nothing.
     pub fn update_after(&self, feed: usize, known: StoreRevision) -> Option<News> {
         if known >= self.to {
             return None;
         }
-        let is_unseen = |(begin, end): &(_, _)| *begin < known && known < *end;
+        let is_inside = |(begin, end): &(_, _)| *begin < known && known < *end;
         let is_whole = known == 0
             || known < self.removals_complete_since
-            || self.unseen_spans.iter().any(is_unseen);
+            || self.unseen_spans.iter().any(is_inside);
         let from = if is_whole { 0 } else { known };
         let values = self.values.values().filter(|value| value.revision > from);
         let mut values: Vec<NewsValue> = values
@@ -143,7 +151,7 @@
         })
     }
 
-    /// Tells one that it lacks something that cannot be told it, so that it asks the store.
+    /// The message that a receiver lacks a change too large to send, so that it queries the store.
     pub fn gap_marker(&self, feed: usize) -> News {
         News {
             feed: u32::try_from(feed).unwrap_or(u32::MAX),
@@ -153,7 +161,7 @@
         }
     }
 
-    /// A value for one that knows the feed up to a revision.
+    /// Encodes a value for an instance that knows the feed up to a revision.
     fn encode_value(&self, value: &StoredValue, known: StoreRevision) -> NewsValue {
         let plain = NewsValue {
             key: value.key.clone(),
@@ -165,16 +173,16 @@
             return plain;
         }
         let base = self.previous_values.get(&value.key);
-        let base = base.filter(|before| before.revision <= known);
-        match compression::pack(&value.value, base.map(|before| &*before.value)) {
-            Ok(packed) => NewsValue {
-                value: Some(packed.into()),
+        let base = base.filter(|base| base.revision <= known);
+        match compression::compress(&value.value, base.map(|base| &*base.value)) {
+            Ok(compressed) => NewsValue {
+                value: Some(compressed.into()),
                 plain_bytes: value.value.len() as u64,
-                base: base.map_or(0, |before| before.revision),
+                base: base.map_or(0, |base| base.revision),
                 ..plain
             },
             Err(error) => {
-                log::warn!(key = value.key, error:% = error; "a value cannot be packed and is sent plain");
+                log::warn!(key = value.key, error:% = error; "cannot compress a value; it is sent uncompressed");
                 plain
             }
         }
--- a/crates/instance/src/holder.rs
+++ b/crates/instance/src/holder.rs
@@ -316,11 +316,11 @@
     /// not answer.
     fn request_promises(&mut self, now: Instant) {
         let settings = &self.shared.settings;
-        let me = Candidate {
+        let this_instance = Candidate {
             instance: settings.instance.clone(),
             address: settings.peer_address,
         };
-        if let Some(chosen) = self.candidates.choose(&me, now) {
+        if let Some(chosen) = self.candidates.choose(&this_instance, now) {
             self.leadership.set_desired_candidates(chosen);
         }
         let Some(fence) = self.leadership.promise_fence() else {
--- a/crates/instance/src/members.rs
+++ b/crates/instance/src/members.rs
@@ -1,12 +1,11 @@
-//! Instances that are known from the holder of the right to order, and how a new holder
-//! reaches those that cannot learn of it from the store.
+//! Instances that the holder of leadership knows, and how a new holder reaches those that cannot
+//! learn of it from the store.
 //!
-//! An instance that is cut off from the store follows the holder for as long as that holds
-//! the right. When the right goes to another one it cannot learn so: it goes on by what it
-//! knew, its needs reach nobody, and requests for models that stand nowhere are refused (on
-//! a calm day with such a cut of 7 s, all of the day's refusals). So a holder tells all who
-//! listen where each of them can be reached, and a new one connects to those that have not
-//! come by themselves.
+//! An instance that is cut off from the store follows the holder during the holder's term, but
+//! cannot learn of its successor. It would keep acting on old data, nobody would receive its needs,
+//! and it would refuse requests for models that are not loaded. Such a cut of 7 s caused all
+//! refusals of a calm day. A holder therefore sends the candidates the addresses of all
+//! subscribers, and a new holder connects to those that did not connect by themselves.
 
 use crate::shared::Shared;
 use passway_process::dial::{Dialed, Dialer};
@@ -18,16 +17,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Instances that reach the store have come by then: they hear of the new holder at once and
-/// connect within a retry of their dialers.
+/// Instances that reach the store have connected by then: they learn of the new holder at once, and
+/// their dialers retry within this time.
 const RECONNECT_WINDOW: Duration = Duration::from_millis(700);
-/// For so long a new holder tries to reach the others; a cut of the store lasts some seconds.
+/// How long a new holder tries to reach the other instances. A cut of the store lasts some seconds.
 const ANNOUNCEMENT_WINDOW: Duration = Duration::from_secs(10);
 
-/// Where instances listen for others, by name.
+/// Addresses where instances listen for other instances, by name.
 pub type Addresses = BTreeMap<InstanceId, SocketAddr>;
 
-/// The addresses that a message tells; those that cannot be read are left out.
+/// Decodes the addresses in a message, leaving out unreadable ones.
 pub fn decode(members: &Members) -> Addresses {
     let addresses = members.members.iter().filter_map(|member| {
         let address = member.address.parse().ok()?;
@@ -36,7 +35,7 @@
     addresses.collect()
 }
 
-/// The message that tells addresses.
+/// Encodes addresses as a message.
 pub fn encode(addresses: &Addresses) -> Members {
     let members = addresses.iter().map(|(instance, address)| Member {
         instance: instance.to_string(),
@@ -47,57 +46,56 @@
     }
 }
 
-/// The holder that a message names.
-pub fn decode_holder(told: &Successor) -> Option<Holder> {
+/// The holder that a message names; `None` if its address is unreadable.
+pub fn decode_holder(message: &Successor) -> Option<Holder> {
     Some(Holder {
-        instance: told.instance.as_str().into(),
-        address: told.address.parse().ok()?,
-        fence: told.fence,
+        instance: message.instance.as_str().into(),
+        address: message.address.parse().ok()?,
+        fence: message.fence,
     })
 }
 
-/// Who has been told of which members.
+/// Tracks which connections were sent which list of members.
 ///
-/// Only those that may succeed the holder need the list, and they are told by heartbeat: to
-/// tell each of `n` instances of each that comes costs `n`³/3 addresses while a fleet starts,
-/// 430 MB for 295 of them, which delayed the holder's renewals behind them until it had lost
-/// the right.
+/// Only candidates need the list, and they receive it with the heartbeat. Sending each of `n`
+/// instances every other one as it connects costs `n`³/3 addresses while a fleet starts. With 295
+/// instances that was 430 MB, which delayed the holder's renewals until it lost leadership.
 #[derive(Debug, Default)]
 pub struct MemberListTracker {
-    /// The list as it was told last.
+    /// The list that was sent last.
     last_sent: Addresses,
-    /// The connections to which it was told.
+    /// The connections to which that list was sent.
     sent_to: BTreeSet<u64>,
 }
 
 impl MemberListTracker {
-    /// The connections, of those that may succeed the holder, to which the list is to be told
-    /// now; they count as told.
+    /// Returns the candidates' connections that must be sent the list now, and records it as sent
+    /// to all candidates.
     pub fn due_connections(
         &mut self,
         members: &Addresses,
-        successors: impl Iterator<Item = u64>,
+        candidates: impl Iterator<Item = u64>,
     ) -> BTreeSet<u64> {
         if self.last_sent != *members {
             self.last_sent.clone_from(members);
             self.sent_to.clear();
         }
-        let successors: BTreeSet<u64> = successors.collect();
-        let due = successors.difference(&self.sent_to).copied().collect();
-        self.sent_to = successors;
+        let candidates: BTreeSet<u64> = candidates.collect();
+        let due = candidates.difference(&self.sent_to).copied().collect();
+        self.sent_to = candidates;
         due
     }
 }
 
-/// The announcement of a new holder, kept until this instance has use for it.
+/// Another holder's announcement, kept until this instance needs it.
 ///
-/// It is made once, and may come before this instance has noticed that the store does not
-/// answer it: a call takes up to a second to fail.
+/// A holder announces its term once. The announcement may arrive before this instance notices that
+/// the store does not answer, because a call takes up to a second to fail.
 #[derive(Debug, Default)]
 pub struct PendingAnnouncement(Option<(Holder, Instant)>);
 
 impl PendingAnnouncement {
-    /// An announcement has come. An older term never replaces a newer one.
+    /// Stores an announcement. An older term never replaces a newer one.
     pub fn store(&mut self, holder: Holder, now: Instant) {
         let newest = self.0.as_ref().map(|(known, _)| known.fence);
         if newest.is_none_or(|newest| holder.fence >= newest) {
@@ -105,7 +103,7 @@
         }
     }
 
-    /// The holder to follow, once `is_cut_off`; each announcement is given out once.
+    /// Takes the announced holder once `is_cut_off`; each announcement is returned once.
     pub fn take(&mut self, is_cut_off: bool, now: Instant) -> Option<Holder> {
         self.0.take_if(|(_, until)| now >= *until);
         let (holder, _) = self.0.take_if(|_| is_cut_off)?;
@@ -113,20 +111,20 @@
     }
 }
 
-/// The words of a new holder to those that have not come by themselves.
+/// The announcement of a new term to instances that did not connect by themselves.
 #[derive(Debug)]
 pub struct Announcement {
     fence: Fence,
     begun_at: Instant,
-    /// Those that are told at once: they may carry another holder without the store, which
-    /// stops when it hears of this one.
+    /// Instances to notify at once: they may be extending another holder's leadership without the
+    /// store, and that holder stops when it learns of this one.
     urgent: Addresses,
-    /// Connections to those that did not come; dropped when they have.
+    /// Connections to instances that did not connect; dropped when they do.
     dialers: BTreeMap<InstanceId, Dialer>,
 }
 
 impl Announcement {
-    /// A term begins.
+    /// Begins the announcement of a term.
     pub fn begin(fence: Fence, urgent: Addresses, now: Instant) -> Self {
         Self {
             fence,
@@ -136,25 +134,26 @@
         }
     }
 
-    /// Connects to members that are not among those that have come; whether it is over.
+    /// Connects to members that are not among the connected ones. Returns whether the announcement
+    /// is complete.
     pub fn advance(&mut self, shared: &Shared, connected: &Addresses, now: Instant) -> bool {
         if now >= self.begun_at + ANNOUNCEMENT_WINDOW {
             return true;
         }
-        let me = &shared.settings.instance;
-        let others_should_have_come = now >= self.begun_at + RECONNECT_WINDOW;
+        let this_instance = &shared.settings.instance;
+        let others_should_have_connected = now >= self.begun_at + RECONNECT_WINDOW;
         let members = shared.members();
-        let others = members.iter().filter(|_| others_should_have_come);
+        let others = members.iter().filter(|_| others_should_have_connected);
         let known = self.urgent.iter().chain(others);
         let missing: Addresses = known
-            .filter(|(name, _)| *name != me && !connected.contains_key(*name))
+            .filter(|(name, _)| *name != this_instance && !connected.contains_key(*name))
             .map(|(name, address)| (name.clone(), *address))
             .collect();
         drop(members);
         self.dialers.retain(|name, _| missing.contains_key(name));
         for (name, address) in missing {
-            let word = Body::Successor(Successor {
-                instance: me.to_string(),
+            let message = Body::Successor(Successor {
+                instance: this_instance.to_string(),
                 address: shared.settings.peer_address.to_string(),
                 fence: self.fence,
             });
@@ -163,8 +162,8 @@
                 let mut connection: Option<Outbox> = None;
                 Dialer::start(address, move |dialed| match dialed {
                     Dialed::Connected(outbox) => {
-                        outbox.send(word.clone());
-                        // Kept open until it was read.
+                        outbox.send(message.clone());
+                        // Keeps the connection open until the peer has read the message.
                         connection.replace(outbox);
                     }
                     Dialed::Disconnected => drop(connection.take()),
@@ -172,6 +171,6 @@
                 })
             });
         }
-        others_should_have_come && self.dialers.is_empty()
+        others_should_have_connected && self.dialers.is_empty()
     }
 }
--- a/crates/instance/src/relay.rs
+++ b/crates/instance/src/relay.rs
@@ -1,10 +1,9 @@
-//! The store's news by way of the holder of the right to order.
+//! The store's updates as the holder of leadership relays them.
 //!
-//! A watch of each instance on each prefix would cost the store as many calls as
-//! there are instances. The holder watches for all; the others hear from it for as
-//! long as it shows that it lives, holds its lease and has heard the store itself a moment
-//! ago, and ask the store themselves at all other times. Changes carry the store's
-//! revisions, so a gap is seen.
+//! If each instance watched each prefix, the store would get as many calls as there are instances.
+//! Instead, the holder watches for all. The other instances rely on the holder while it is alive,
+//! its lease is valid and the store answered it recently; at all other times they query the store
+//! themselves. Changes carry the store's revisions, so a receiver detects gaps.
 
 use crate::updates::{CompressionBases, FeedUpdate};
 use crossbeam::channel::{Receiver, Sender, bounded};
@@ -21,36 +20,36 @@
 /// Number of feeds that are relayed.
 pub const FEED_COUNT: usize = 2;
 
-/// A holder that is silent for this long is not relied on: three of its heartbeats.
+/// A holder that sent nothing for this long is not relied on: three of its heartbeats.
 const MAX_HOLDER_SILENCE: Duration = Duration::from_secs(1);
-/// A holder that knows a feed up to a moment longer ago than this is not relied on for it,
-/// though it speaks: its watch of 0.8 s, its heartbeat of 0.3 s, and 0.4 s for a store that
-/// answers slowly and for the way.
+/// A holder whose last confirmation of a feed by the store is older than this is not relied on for
+/// the feed, even if the holder is alive. This allows for its watch of 0.8 s, its heartbeat of 0.3
+/// s, and 0.4 s for a slow store and the network.
 const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(1_500);
-/// Pause between two words of the holder when there is no news.
+/// Interval of the holder's messages when there are no updates.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 
 #[derive(Debug, Default)]
 struct State {
     last_received_at: Option<Instant>,
-    /// The moment that the holder counts from, by the quickest of its words. How much later
-    /// than that a word seems to be is how long it was on its way.
+    /// The origin of the holder's times, on the clock of this instance, as the fastest message
+    /// shows it. A message that seems later than that was delayed on its way by the difference.
     holder_clock_origin: Option<Instant>,
-    /// When the store confirmed last to the holder that it knows all of a feed.
+    /// When the store last confirmed to the holder that the holder knows all of a feed.
     confirmed_at: [Option<Instant>; FEED_COUNT],
-    /// When the store answered last here, for each feed.
+    /// When the store last answered this instance, for each feed.
     store_answered_at: [Option<Instant>; FEED_COUNT],
     known: [StoreRevision; FEED_COUNT],
-    /// What was heard and not taken in yet, merged.
+    /// Received updates that are not applied yet, merged.
     pending: [Option<FeedUpdate>; FEED_COUNT],
-    /// Up to where a feed is not known, since a word could not be read or is missing; it is to
-    /// be told whole, unless the store has told that by then.
+    /// The revision up to which a feed has a gap, because a message was unreadable or missing. The
+    /// holder must resend the whole feed, unless the store supplies it first.
     gap_until: [Option<StoreRevision>; FEED_COUNT],
     bases: [CompressionBases; FEED_COUNT],
 }
 
 impl State {
-    /// Takes in up to when the holder knew the feeds, by a word that has just come.
+    /// Records up to when the holder knew the feeds, as a message shows that has just arrived.
     fn record_times(&mut self, news: &News, now: Instant) {
         self.last_received_at = Some(now);
         if news.sent_ms == 0 {
@@ -71,36 +70,37 @@
     }
 }
 
-/// A time in whole milliseconds.
-pub fn millis(time: Duration) -> u64 {
-    u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
+/// A duration in whole milliseconds.
+pub fn millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Milliseconds between two moments.
+/// Milliseconds between two instants; 0 if `at` is before `since`.
 pub fn millis_since(since: Instant, at: Instant) -> u64 {
     millis(at.saturating_duration_since(since))
 }
 
-/// What an instance hears of the holder.
+/// What this instance receives from the holder.
 #[derive(Debug)]
 pub struct Relay {
     state: Mutex<State>,
-    /// Wakes the feeds' threads.
+    /// Wake up the threads of the feeds.
     wakeup_senders: [Sender<()>; FEED_COUNT],
 }
 
-/// One feed's end of a relay.
+/// The receiving end of a relay for one feed.
 #[derive(Debug)]
 pub struct RelayReceiver {
     /// The relay.
     pub relay: Arc<Relay>,
-    /// The feed's number; `None` for one that is not relayed but rests meanwhile.
+    /// The feed's number; `None` for a feed that is not relayed, but does not query the store while
+    /// the holder is relied on.
     pub feed: Option<usize>,
     wakeups: Option<Receiver<()>>,
 }
 
 impl Relay {
-    /// A relay that nothing was heard of, and its feeds' ends.
+    /// Creates a relay without any received message, and the receivers of its feeds.
     pub fn new() -> (Arc<Self>, [RelayReceiver; FEED_COUNT]) {
         let (configuration, configuration_wakeups) = bounded(1);
         let (upstreams, upstream_wakeups) = bounded(1);
@@ -120,7 +120,7 @@
         (relay, receivers)
     }
 
-    /// An end for a feed that only rests while the holder is relied on.
+    /// A receiver for a feed that is not relayed and only pauses while the holder is relied on.
     pub fn unrelayed_receiver(self: &Arc<Self>) -> RelayReceiver {
         RelayReceiver {
             relay: self.clone(),
@@ -133,13 +133,14 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether the holder speaks.
+    /// Whether a message of the holder arrived recently.
     pub fn is_holder_alive(&self) -> bool {
         let last_received_at = self.state().last_received_at;
         last_received_at.is_some_and(|at| clock::since(at) < MAX_HOLDER_SILENCE)
     }
 
-    /// Until when the holder is relied on for a feed, if it speaks and knows the feed.
+    /// Until when the holder may be relied on for a feed; `None` if it is not alive or its
+    /// knowledge of the feed is too old.
     pub fn trusted_until(&self, feed: usize) -> Option<Instant> {
         let state = self.state();
         let silent_at = state.last_received_at? + MAX_HOLDER_SILENCE;
@@ -148,52 +149,52 @@
         (clock::now() < until).then_some(until)
     }
 
-    /// When the store answered last for each feed, in milliseconds since a moment; 0 for never.
+    /// When the store last answered for each feed, in milliseconds since `since`; 0 for never.
     pub fn store_answered_ms(&self, since: Instant) -> Vec<u64> {
         let store_answered_at = self.state().store_answered_at;
-        let count = |at: Instant| millis_since(since, at).max(1);
+        let millis_at = |at: Instant| millis_since(since, at).max(1);
         store_answered_at
             .iter()
-            .map(|at| at.map_or(0, count))
+            .map(|at| at.map_or(0, millis_at))
             .collect()
     }
 
-    /// Whether the holder has spoken and has fallen silent since.
+    /// Whether the holder sent messages on this connection and then fell silent.
     pub fn is_holder_silent(&self) -> bool {
         let last_received_at = self.state().last_received_at;
         last_received_at.is_some_and(|at| clock::since(at) >= MAX_HOLDER_SILENCE)
     }
 
-    /// The connection to the holder is gone, and it is not relied on any more. The moment that
-    /// it counts from stays: all words of the next connection may be long on their way.
+    /// The connection to the holder has ended, so the holder is not relied on any more. The origin
+    /// of the holder's times stays known, because all messages of the next connection may be
+    /// delayed.
     pub fn holder_disconnected(&self) {
         let mut state = self.state();
         state.last_received_at = None;
         state.confirmed_at = [None; FEED_COUNT];
     }
 
-    /// There is another holder.
+    /// Another instance has become the holder.
     pub fn holder_changed(&self) {
         self.holder_disconnected();
         self.state().holder_clock_origin = None;
     }
 
-    /// What is known of each feed; 0 for one that is to be told whole.
+    /// The known revision of each feed; 0 for a feed that must be sent in full.
     pub fn known_revisions(&self) -> [StoreRevision; FEED_COUNT] {
         let state = self.state();
         std::array::from_fn(|feed| {
-            let is_unknown = state.gap_until[feed].is_some();
-            if is_unknown { 0 } else { state.known[feed] }
+            let has_gap = state.gap_until[feed].is_some();
+            if has_gap { 0 } else { state.known[feed] }
         })
     }
 
-    /// Whether the holder is to be asked again, since a word of it could not be read or is
-    /// missing.
+    /// Whether the holder must resend a feed, because a message was unreadable or missing.
     pub fn needs_resend(&self) -> bool {
         self.state().gap_until.iter().any(Option::is_some)
     }
 
-    /// Takes in a word of the holder.
+    /// Takes in a message from the holder.
     pub fn receive(&self, news: News) {
         let mut state = self.state();
         state.record_times(&news, clock::now());
@@ -203,13 +204,13 @@
         }
         let to = news.to;
         match state.bases[feed].decode(news) {
-            Ok(told) => {
-                let before = state.pending[feed].take();
-                let told = match before {
-                    Some(before) => before.merged_with(told),
-                    None => told,
+            Ok(update) => {
+                let previous = state.pending[feed].take();
+                let update = match previous {
+                    Some(previous) => previous.merged_with(update),
+                    None => update,
                 };
-                state.pending[feed] = Some(told);
+                state.pending[feed] = Some(update);
             }
             Err(error) => {
                 log::warn!(feed = feed, error:% = format!("{error:#}"); "a word of the holder cannot be read");
@@ -217,59 +218,59 @@
             }
         }
         drop(state);
-        // A wake that waits already will do.
+        // If the channel is full, a wakeup is already pending.
         let _ = self.wakeup_senders[feed].try_send(());
     }
 }
 
 impl RelayReceiver {
-    /// What the holder told since the last call.
+    /// Takes what the holder sent since the last call.
     fn take_pending(&self) -> Option<FeedUpdate> {
         let feed = self.feed?;
         self.relay.state().pending[feed].take()
     }
 
-    /// Until when the holder is relied on if it tells nothing more; `None` if it is not now. A
-    /// feed that rests meanwhile does so for as long as the holder knows the configuration: one
-    /// that does not may have lost the right without knowing that either.
+    /// Until when the holder may be relied on if it sends nothing more; `None` if it may not be
+    /// relied on now. A feed that is not relayed depends on the configuration's feed: a holder that
+    /// does not know the configuration may have lost leadership without noticing.
     pub fn trusted_until(&self) -> Option<Instant> {
         self.relay
             .trusted_until(self.feed.unwrap_or(CONFIGURATION_FEED))
     }
 
-    /// Something is missing in the holder's news, up to a revision.
+    /// Reports a gap in the holder's updates, up to a revision.
     pub fn report_gap(&self, to: StoreRevision) {
         if let Some(feed) = self.feed {
             self.relay.state().gap_until[feed] = Some(to);
         }
     }
 
-    /// The store has answered, with all that it knew at a moment.
+    /// Records that the store answered with everything it knew at an instant.
     pub fn record_store_answer(&self, at: Instant) {
         if let Some(feed) = self.feed {
             self.relay.state().store_answered_at[feed] = Some(at);
         }
     }
 
-    /// Waits up to `longest` for what the holder tells.
-    pub fn wait_for_update(&self, longest: Duration) -> Option<FeedUpdate> {
-        let told = self.take_pending();
-        if told.is_some() || longest.is_zero() {
-            return told;
+    /// Waits up to `timeout` for an update from the holder.
+    pub fn wait_for_update(&self, timeout: Duration) -> Option<FeedUpdate> {
+        let update = self.take_pending();
+        if update.is_some() || timeout.is_zero() {
+            return update;
         }
         match &self.wakeups {
-            // In either case it is looked whether anything waits.
-            Some(wakeups) => drop(wakeups.recv_timeout(longest)),
-            None => std::thread::sleep(longest),
+            // The receiver checks for updates after a wakeup as well as after the timeout.
+            Some(wakeups) => drop(wakeups.recv_timeout(timeout)),
+            None => std::thread::sleep(timeout),
         }
         self.take_pending()
     }
 
-    /// Records what is taken in, and up to where the feed is known then.
-    pub fn record_applied(&self, told: &FeedUpdate, known: StoreRevision) {
+    /// Records an update that was applied, and the revision up to which the feed is known now.
+    pub fn record_applied(&self, update: &FeedUpdate, known: StoreRevision) {
         if let Some(feed) = self.feed {
             let mut state = self.relay.state();
-            state.bases[feed].record(told);
+            state.bases[feed].record(update);
             state.known[feed] = known;
             let gap_until = &mut state.gap_until[feed];
             *gap_until = gap_until.filter(|to| *to > known);
--- a/crates/instance/src/subscribers.rs
+++ b/crates/instance/src/subscribers.rs
@@ -1,4 +1,5 @@
-//! Instances that hear the store's news from the holder, and up to where each was told.
+//! Instances that receive the store's updates from the holder, and the revisions that were sent to
+//! each.
 
 use crate::feed_log::FeedLog;
 use crate::holder::NumberedUpdate;
@@ -10,96 +11,95 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A listener with more than this on its way hears no news until it has taken it, and then the
-/// newest only: what a link of 10 Mbit/s carries in 50 ms.
+/// A subscriber with more unsent bytes than this gets no updates until they are sent, and then only
+/// the newest ones. A link of 10 Mbit/s carries this much in 50 ms.
 const MAX_BACKLOG_BYTES: usize = 64 << 10;
 
-/// Frames that are kept to be shared. Subscribers know one revision or the next; those of a term
-/// that begins know a few more.
+/// Maximum number of cached frames. Subscribers know the same revision or the next one; at the
+/// start of a term they know a few more.
 const MAX_CACHED_FRAMES: usize = 16;
 
-/// An instance's name and where it listens.
+/// An instance's name and the address where it listens for other instances.
 pub type Member = (InstanceId, SocketAddr);
 
 #[derive(Debug)]
 struct Subscriber {
-    /// Who it is, if it has told that.
+    /// The instance, if its subscription named one.
     member: Option<Member>,
-    /// Up to where it was told each feed.
-    told: [StoreRevision; FEED_COUNT],
+    /// The revision up to which each feed was sent.
+    sent: [StoreRevision; FEED_COUNT],
 }
 
-/// The instances that listen, by the numbers of their connections, and what there is to tell.
+/// The subscribed instances, by the numbers of their connections, and the feeds to send.
 #[derive(Debug, Default)]
 pub struct Subscribers {
     by_connection: BTreeMap<u64, Subscriber>,
     logs: [FeedLog; FEED_COUNT],
-    /// What is told, by feed and by what is known already: most listeners know the same, and
-    /// share one frame. Empty whenever a log has changed.
+    /// Encoded updates by feed and by known revision: most subscribers know the same revision and
+    /// share one frame. Cleared whenever a log changes.
     frames: BTreeMap<(usize, StoreRevision), Option<Frame>>,
-    /// Whether one of them has not taken yet what it was told before.
+    /// Whether a subscriber still has a backlog of unsent updates.
     has_backlog: bool,
 }
 
 impl Subscribers {
-    /// Takes in news; whether there is anything to tell.
-    pub fn add_update(&mut self, (feed, told): &NumberedUpdate) -> bool {
+    /// Records a feed update. Returns whether there is a change to send.
+    pub fn add_update(&mut self, (feed, update): &NumberedUpdate) -> bool {
         self.frames.clear();
-        self.logs[*feed].apply(told)
+        self.logs[*feed].apply(update)
     }
 
-    /// An instance listens on a connection and knows the feeds up to some revisions.
-    pub fn add(&mut self, number: u64, member: Option<Member>, told: [StoreRevision; FEED_COUNT]) {
+    /// Adds the subscriber on a connection, which knows the feeds up to the given revisions.
+    pub fn add(&mut self, number: u64, member: Option<Member>, sent: [StoreRevision; FEED_COUNT]) {
         self.by_connection
-            .insert(number, Subscriber { member, told });
+            .insert(number, Subscriber { member, sent });
     }
 
-    /// A connection is gone; who listened there.
+    /// Removes the subscriber on a connection. Returns its name and address, if known.
     pub fn remove(&mut self, number: u64) -> Option<Member> {
         self.by_connection.remove(&number)?.member
     }
 
-    /// Nobody is told anything any more; the connections on which they listened.
+    /// Removes all subscribers. Returns the numbers of their connections.
     pub fn clear(&mut self) -> Vec<u64> {
-        let all = std::mem::take(&mut self.by_connection);
-        all.into_keys().collect()
+        let subscribers = std::mem::take(&mut self.by_connection);
+        subscribers.into_keys().collect()
     }
 
-    /// How many there are.
+    /// Number of subscribers.
     pub fn count(&self) -> usize {
         self.by_connection.len()
     }
 
-    /// Who listens, as far as they have told that, and on which connections.
+    /// Names and addresses of the subscribers, as far as they are known, with their connections.
     pub fn members(&self) -> impl Iterator<Item = (u64, &Member)> {
-        let all = self.by_connection.iter();
-        all.filter_map(|(number, subscriber)| Some((*number, subscriber.member.as_ref()?)))
+        let subscribers = self.by_connection.iter();
+        subscribers.filter_map(|(number, subscriber)| Some((*number, subscriber.member.as_ref()?)))
     }
 
-    /// The connections on which instances listen.
+    /// The connections of the subscribers.
     pub fn connections(&self) -> impl Iterator<Item = u64> {
         self.by_connection.keys().copied()
     }
 
-    /// Whether one of them has not taken yet what it was told before.
+    /// Whether a subscriber still has a backlog of unsent updates.
     pub fn has_backlog(&self) -> bool {
         self.has_backlog
     }
 
-    /// Whether a listener lacks a change.
+    /// Whether a subscriber lacks a change.
     pub fn is_behind(&self, number: u64) -> bool {
-        let told = self
+        let sent = self
             .by_connection
             .get(&number)
-            .map(|subscriber| subscriber.told);
-        let mut feeds = self.logs.iter().zip(told.iter().flatten());
+            .map(|subscriber| subscriber.sent);
+        let mut feeds = self.logs.iter().zip(sent.iter().flatten());
         feeds.any(|(log, known)| log.has_changes_after(*known))
     }
 
-    /// Tells each listener the newest of what it lacks, unless it has not taken yet what it
-    /// was told before. That nothing has changed up to a later revision is told `also_quiet`
-    /// only; without it a listener would go on from a revision that the store has forgotten
-    /// when it asks it itself again.
+    /// Sends each subscriber the newest of what it lacks, unless it has a backlog. Revisions
+    /// without changes are only sent with `include_quiet`. Without them, a subscriber that queries
+    /// the store later would start from a revision that the store has already forgotten.
     pub fn send_updates(&mut self, outboxes: &BTreeMap<u64, Outbox>, include_quiet: bool) {
         self.has_backlog = false;
         for (number, subscriber) in &mut self.by_connection {
@@ -107,7 +107,7 @@
                 continue;
             };
             for (feed, log) in self.logs.iter().enumerate() {
-                let known = subscriber.told[feed];
+                let known = subscriber.sent[feed];
                 let is_quiet = !log.has_changes_after(known);
                 if is_quiet && (!include_quiet || known >= log.to()) {
                     continue;
@@ -124,18 +124,18 @@
                 if let Some(frame) = frame {
                     outbox.send_frame(frame.clone());
                 }
-                subscriber.told[feed] = log.to();
+                subscriber.sent[feed] = log.to();
             }
         }
     }
 }
 
-/// What an instance lacks that knows a feed up to a revision, as it goes over a link. If that
-/// is too large, that there is something, so that the instance asks the store.
+/// The encoded update for an instance that knows a feed up to a revision. If the update is too
+/// large, a gap marker takes its place, so that the instance queries the store.
 fn update_frame(log: &FeedLog, feed: usize, known: StoreRevision) -> Option<Frame> {
     let frame = Frame::new(Body::News(log.update_after(feed, known)?));
     let frame = frame.or_else(|error| {
-        log::error!(feed = feed, error:% = error; "news cannot be sent");
+        log::error!(feed = feed, error:% = error; "cannot encode an update");
         Frame::new(Body::News(log.gap_marker(feed)))
     });
     frame.ok()
--- a/crates/instance/src/updates.rs
+++ b/crates/instance/src/updates.rs
@@ -1,5 +1,5 @@
-//! What the store tells of a feed, as it travels between the threads of an instance and, by
-//! way of the holder of the right to order, between instances.
+//! Updates of a feed of the store, passed between the threads of an instance and, relayed by the
+//! holder of leadership, between instances.
 
 use crate::compression::{self, MIN_COMPRESSED_BYTES};
 use anyhow::{Context, Result};
@@ -7,24 +7,24 @@
 use passway_wire::message::{News, NewsValue};
 use std::collections::BTreeMap;
 
-/// News of one feed.
+/// An update of one feed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FeedUpdate {
     /// All values.
     Snapshot(Listing),
     /// Changes between two revisions.
     Changes {
-        /// The revision that they follow on.
+        /// The revision that the changes follow.
         from: StoreRevision,
-        /// The revision up to which they tell.
+        /// The revision up to which the changes are complete.
         to: StoreRevision,
-        /// The changes in their order.
+        /// The changes, ordered by revision.
         changes: Vec<StoreChange>,
     },
 }
 
 impl FeedUpdate {
-    /// The revision up to which it tells.
+    /// The revision up to which the update is complete.
     pub fn to(&self) -> StoreRevision {
         match self {
             Self::Snapshot(listing) => listing.revision,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The values that it tells; keys that went away count too.
+    /// Number of values in the update; removed keys count too.
     pub fn value_count(&self) -> usize {
         match self {
             Self::Snapshot(listing) => listing.values.len(),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Bytes of the values that it tells.
+    /// Size of the values in the update, in bytes.
     pub fn size_bytes(&self) -> usize {
         let size = |change: &StoreChange| match change {
             StoreChange::Written(value) => value.value.len(),
@@ -52,10 +52,11 @@
         }
     }
 
-    /// This and what came after it, with the newest change of each key only: what waits to be
-    /// taken in is never larger than what the store holds. If something is missing between
-    /// the two, only the newer one is left, and whoever takes it in sees the gap. What this
-    /// tells already is not told again, since it may have changed since.
+    /// Merges this update with a newer one, keeping only the newest change of each key, so that
+    /// unapplied updates never take more memory than the store's contents. If there is a gap
+    /// between the two updates, the result is the newer one, and the receiver detects the gap.
+    /// Changes of the newer update that this one already contains are dropped, because the keys may
+    /// have changed since.
     #[must_use]
     pub fn merged_with(self, newer: Self) -> Self {
         let known = self.to();
@@ -66,7 +67,9 @@
             return Self::Changes { from, to, changes };
         }
         let to = to.max(known);
-        let later = changes.into_iter().filter(|c| c.revision() > known);
+        let later = changes
+            .into_iter()
+            .filter(|change| change.revision() > known);
         match self {
             Self::Snapshot(listing) => Self::Snapshot(Listing {
                 values: apply_changes(listing.values, later),
@@ -81,7 +84,7 @@
     }
 }
 
-/// The newest change of each key, in the order of revisions.
+/// The newest change of each key, ordered by revision.
 pub fn latest_changes(changes: impl Iterator<Item = StoreChange>) -> Vec<StoreChange> {
     let mut by_key: BTreeMap<String, StoreChange> = BTreeMap::new();
     for change in changes {
@@ -95,35 +98,35 @@
     changes
 }
 
-/// Values after changes.
+/// Applies changes to values.
 fn apply_changes(
     values: Vec<StoredValue>,
     changes: impl IntoIterator<Item = StoreChange>,
 ) -> Vec<StoredValue> {
     let values = values.into_iter().map(StoreChange::Written);
-    let left = latest_changes(values.chain(changes)).into_iter();
-    let left = left.filter_map(|change| match change {
+    let current = latest_changes(values.chain(changes)).into_iter();
+    let current = current.filter_map(|change| match change {
         StoreChange::Written(value) => Some(value),
         StoreChange::Removed { .. } => None,
     });
-    left.collect()
+    current.collect()
 }
 
-/// Large values that others may be packed against: of each key the newest one known and the
-/// one before, since the sender may not have heard yet of the newest.
+/// Large values that serve as bases of compression. For each key, the newest known value and the
+/// one before it are kept, because the sender may not know the newest one yet.
 #[derive(Debug, Default)]
 pub struct CompressionBases(BTreeMap<String, Vec<StoredValue>>);
 
-/// Values that are kept of a key.
+/// Maximum number of values kept for each key.
 const MAX_BASES_PER_KEY: usize = 2;
 
 impl CompressionBases {
-    /// Takes in what was told.
-    pub fn record(&mut self, told: &FeedUpdate) {
-        match told {
+    /// Records the values of an update.
+    pub fn record(&mut self, update: &FeedUpdate) {
+        match update {
             FeedUpdate::Snapshot(listing) => {
-                let listed = |key: &str| listing.values.iter().any(|value| value.key == key);
-                self.0.retain(|key, _| listed(key));
+                let is_listed = |key: &str| listing.values.iter().any(|value| value.key == key);
+                self.0.retain(|key, _| is_listed(key));
                 listing
                     .values
                     .iter()
@@ -163,45 +166,50 @@
         retained.iter().find(|known| known.revision == revision)
     }
 
-    /// Decodes news and takes them in.
+    /// Decodes a message into an update, and records its values.
     ///
     /// # Errors
-    /// If a value was packed against one that is not known here.
-    pub fn decode(&mut self, news: News) -> Result<FeedUpdate> {
-        let changes: Result<Vec<StoreChange>> =
-            news.values.into_iter().map(|v| self.change(v)).collect();
+    /// If a value was compressed against a base that is not known here.
+    pub fn decode(&mut self, message: News) -> Result<FeedUpdate> {
+        let changes: Result<Vec<StoreChange>> = message
+            .values
+            .into_iter()
+            .map(|value| self.decode_change(value))
+            .collect();
         let changes = changes?;
-        let told = if news.from > 0 {
+        let update = if message.from > 0 {
             FeedUpdate::Changes {
-                from: news.from,
-                to: news.to,
+                from: message.from,
+                to: message.to,
                 changes,
             }
         } else {
             FeedUpdate::Snapshot(Listing {
                 values: apply_changes(Vec::new(), changes),
-                revision: news.to,
+                revision: message.to,
             })
         };
-        self.record(&told);
-        Ok(told)
+        self.record(&update);
+        Ok(update)
     }
 
-    fn change(&self, told: NewsValue) -> Result<StoreChange> {
-        let (key, revision) = (told.key, told.revision);
-        let Some(mut value) = told.value else {
+    fn decode_change(&self, received: NewsValue) -> Result<StoreChange> {
+        let (key, revision) = (received.key, received.revision);
+        let Some(mut value) = received.value else {
             return Ok(StoreChange::Removed { key, revision });
         };
-        if told.plain_bytes > 0 {
+        if received.plain_bytes > 0 {
             if let Some(known) = self.newest(&key).filter(|known| known.revision >= revision) {
-                // It has come from the store already, and what it was packed against may be gone.
+                // The store already supplied this value, and its base may have been dropped.
                 return Ok(StoreChange::Written(known.clone()));
             }
-            let base = self.at_revision(&key, told.base).map(|known| &*known.value);
-            let plain_bytes = usize::try_from(told.plain_bytes)?;
-            let plain = compression::unpack(&value, base, plain_bytes);
+            let base = self
+                .at_revision(&key, received.base)
+                .map(|known| &*known.value);
+            let plain_bytes = usize::try_from(received.plain_bytes)?;
+            let plain = compression::decompress(&value, base, plain_bytes);
             value = plain
-                .with_context(|| format!("unpacking {key} against {}", told.base))?
+                .with_context(|| format!("decompressing {key} against {}", received.base))?
                 .into();
         }
         Ok(StoreChange::Written(StoredValue {
