--- a/crates/instance/src/allotments.rs
+++ b/crates/instance/src/allotments.rs
@@ -1,7 +1,9 @@
-//! What workspaces use of their allotments: asking the keeper, and being it.
+//! Counts what workspaces use of their allotments, in requests to the coordinator and as the
+//! coordinator.
 //!
-//! The keeper keeps in the store which workspaces' buckets are at least half full. A successor takes that out
-//! of there before it relies on it, so that it is relied on once.
+//! The coordinator stores the names of the workspaces whose token buckets are at least half full.
+//! Its successor removes them from the store before it relies on them, so that they are used only
+//! once.
 
 use crate::coordinator::{self, TermCoordinator};
 use crate::leadership::LeadershipDriver;
@@ -19,40 +21,41 @@
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// The key under which the names of workspaces with half full buckets lie in the store.
+/// Key in the store of the names of workspaces whose buckets are at least half full.
 pub const KEY: &str = "passway/half-full";
-/// Pause between two looks whether that has changed: a call a second at most.
+/// Interval of checks whether the stored names must change, which costs the store at most one call
+/// a second.
 const STORE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Pause between two tries to take over what the keeper before has left.
+/// Delay between two attempts to take over the previous coordinator's names.
 const TAKEOVER_RETRY_DELAY: Duration = Duration::from_millis(150);
-/// A keeper takes over what the one before has left within this time, or not at all.
+/// A coordinator takes over the previous one's names within this time, or not at all.
 const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What becomes of a request by its workspace's allotment.
+/// The decision on a request by its workspace's allotment.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Decision {
-    /// It may go.
+    /// The request may run.
     Granted,
-    /// The workspace has used what it may; when to come back.
+    /// The allotment is used up; retry after this time.
     Refused(Duration),
-    /// Nobody can say now.
+    /// No decision is available now.
     Unknown,
 }
 
-/// What lies in the store.
+/// The names in the store and their revision.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 struct StoredNames {
     revision: StoreRevision,
     half_full: BTreeSet<WorkspaceName>,
 }
 
-/// This instance's part in keeping workspaces to their allotments.
+/// This instance's part in enforcing the workspaces' allotments.
 #[derive(Debug)]
 pub struct Allotments {
     coordinator: TermCoordinator,
     parts: Mutex<Parts>,
     stored: Mutex<StoredNames>,
-    /// Wakes the thread that keeps them in the store.
+    /// Wakes the thread that writes the names to the store.
     wakeup_sender: Sender<()>,
     wakeup_receiver: Receiver<()>,
 }
@@ -75,13 +78,13 @@
 }
 
 impl Allotments {
-    /// Whether a request of a workspace may go that counts so much.
+    /// Requests a decision on a request of a workspace that costs `cost` units.
     pub fn request(&self, shared: &Shared, workspace: &Workspace, cost: f64) -> Decision {
         let Some(allotment) = workspace.allotment else {
             return Decision::Granted;
         };
         let now = clock::now();
-        let ask = UseAsk {
+        let request = UseAsk {
             id: rand::random(),
             workspace: workspace.name.to_string(),
             cost,
@@ -90,70 +93,86 @@
             upstream: String::new(),
             ..UseAsk::default()
         };
-        let told = shared.keeper.request(shared, &ask);
+        let answer = shared.keeper.request(shared, &request);
         let window = shared.bounds.load().quota.window;
         let mut parts = lock(&self.parts);
-        let Ok(told) = told else {
-            let fits = parts.take(&workspace.name, cost, rand::random(), now);
-            return if fits {
+        let Ok(answer) = answer else {
+            let is_granted = parts.take(&workspace.name, cost, rand::random(), now);
+            return if is_granted {
                 Decision::Granted
             } else {
                 Decision::Unknown
             };
         };
-        if told.verdict() == UseVerdict::Granted {
-            parts.told(&workspace.name, told.part_per_s, window, now);
+        if answer.verdict() == UseVerdict::Granted {
+            parts.told(&workspace.name, answer.part_per_s, window, now);
             return Decision::Granted;
         }
-        Decision::Refused(Duration::from_millis(told.retry_after_ms))
+        Decision::Refused(Duration::from_millis(answer.retry_after_ms))
     }
 
-    /// A request that was granted did not run and never will. If the message is lost, that costs
-    /// its workspace what the request counts.
+    /// Releases the cost of a granted request that did not run and never will. If the message is
+    /// lost, the workspace loses these units.
     pub fn release(&self, shared: &Shared, workspace: &Workspace, cost: f64) {
         let Some(holder) = shared.right().and_then(|leadership| leadership.holder()) else {
             return;
         };
-        let back = UseBack {
+        let released = UseBack {
             workspace: workspace.name.to_string(),
             cost,
             ..UseBack::default()
         };
         let settings = &shared.settings;
         if holder.instance == settings.instance {
-            self.record_release(shared, settings.peer_address, &back);
+            self.record_release(shared, settings.peer_address, &released);
         } else {
-            shared.dispatch.send(holder.address, Body::UseBack(back));
+            shared
+                .dispatch
+                .send(holder.address, Body::UseBack(released));
         }
     }
 
-    /// Answers an instance's question, in a term of this instance.
-    pub fn decide(&self, shared: &Shared, fence: Fence, from: SocketAddr, ask: &UseAsk) -> UseTold {
-        let name = WorkspaceName::from(ask.workspace.as_str());
-        let asked = Allotment {
-            rate_per_s: ask.rate_per_s,
-            burst: ask.burst,
+    /// Decides on an instance's request in a term of this instance.
+    pub fn decide(
+        &self,
+        shared: &Shared,
+        fence: Fence,
+        from: SocketAddr,
+        request: &UseAsk,
+    ) -> UseTold {
+        let name = WorkspaceName::from(request.workspace.as_str());
+        let requested = Allotment {
+            rate_per_s: request.rate_per_s,
+            burst: request.burst,
         };
         let routes = shared.routes.load();
-        let allotment = allotment_of(routes.as_deref(), &name).unwrap_or(asked);
-        let ruling = self.coordinator.in_term(fence, quota(shared), |keeper| {
-            keeper.ask(&name, allotment, from, ask.cost, clock::now())
-        });
-        coordinator::encode_decision(ask, ruling)
+        let allotment = allotment_of(routes.as_deref(), &name).unwrap_or(requested);
+        let decision = self
+            .coordinator
+            .in_term(fence, quota(shared), |coordinator| {
+                coordinator.ask(&name, allotment, from, request.cost, clock::now())
+            });
+        coordinator::encode_decision(request, decision)
     }
 
-    /// Takes back what a request counted that was granted here.
-    pub fn record_release(&self, shared: &Shared, from: SocketAddr, back: &UseBack) {
+    /// Returns the cost of a request that this instance granted to the bucket of its workspace.
+    pub fn record_release(&self, shared: &Shared, from: SocketAddr, released: &UseBack) {
         let routes = shared.routes.load();
-        let Some(allotment) = allotment_of(routes.as_deref(), &back.workspace) else {
+        let Some(allotment) = allotment_of(routes.as_deref(), &released.workspace) else {
             return;
         };
-        self.coordinator.in_latest_term(|keeper| {
-            keeper.give_back(&back.workspace, allotment, from, back.cost, clock::now());
+        self.coordinator.in_latest_term(|coordinator| {
+            coordinator.give_back(
+                &released.workspace,
+                allotment,
+                from,
+                released.cost,
+                clock::now(),
+            );
         });
     }
 
-    /// The names lie so in the store; none if they do not.
+    /// Records the names that are in the store now; none if the key is missing.
     pub fn apply_stored(&self, revision: StoreRevision, value: &[u8]) {
         let text = String::from_utf8_lossy(value);
         let names = text.lines().filter(|name| !name.is_empty());
@@ -163,13 +182,14 @@
         };
     }
 
-    /// A term has begun.
+    /// Wakes the writer thread when a term has begun.
     pub fn notify_term_begun(&self) {
-        // A look that is due already will do.
+        // If the channel is full, a wakeup is already pending.
         let _ = self.wakeup_sender.try_send(());
     }
 
-    /// Writes names to the store unless they lie there; whether they do then.
+    /// Writes names to the store unless they are already there. Returns whether the store has them
+    /// now.
     fn write(&self, store: &dyn SharedStore, names: BTreeSet<WorkspaceName>) -> bool {
         let stored = lock(&self.stored).clone();
         if stored.half_full == names {
@@ -193,7 +213,8 @@
         true
     }
 
-    /// Keeps in the store which buckets are half full, while this instance is the keeper.
+    /// Starts the thread that stores which buckets are at least half full while this instance is
+    /// the coordinator.
     pub fn start_writer(
         shared: &Arc<Shared>,
         leadership: &Arc<LeadershipDriver>,
@@ -204,7 +225,8 @@
             let allotments = &shared.allotments;
             let mut taken_over = None;
             loop {
-                // A term may have begun, or the time is over: it is looked in either case.
+                // A term may have begun, or the interval has passed; the thread checks in both
+                // cases.
                 let _ = allotments
                     .wakeup_receiver
                     .recv_timeout(STORE_CHECK_INTERVAL);
@@ -221,7 +243,7 @@
         });
     }
 
-    /// Relies on what the keeper before has left, once it does not lie in the store any more.
+    /// Uses the names that the previous coordinator stored, once they are removed from the store.
     fn take_over(
         &self,
         shared: &Shared,
@@ -229,41 +251,44 @@
         fence: Fence,
         store: &dyn SharedStore,
     ) {
-        let until = clock::now() + TAKEOVER_TIMEOUT;
-        while leadership.term() == Some(fence) && clock::now() < until {
-            let left = lock(&self.stored).half_full.clone();
+        let deadline_at = clock::now() + TAKEOVER_TIMEOUT;
+        while leadership.term() == Some(fence) && clock::now() < deadline_at {
+            let names = lock(&self.stored).half_full.clone();
             if self.write(store, BTreeSet::new()) {
                 let routes = shared.routes.load();
                 let allotment = |name: &str| allotment_of(routes.as_deref(), name);
-                self.coordinator.in_term(fence, quota(shared), |keeper| {
-                    keeper.begin_half_full(left, allotment);
-                });
+                self.coordinator
+                    .in_term(fence, quota(shared), |coordinator| {
+                        coordinator.begin_half_full(names, allotment);
+                    });
                 return;
             }
             std::thread::sleep(TAKEOVER_RETRY_DELAY);
         }
     }
 
-    /// Tells the next keeper which buckets are half full now.
+    /// Stores which buckets are at least half full, for the next coordinator.
     fn store_half_full(&self, shared: &Shared, fence: Fence, store: &dyn SharedStore) {
         let routes = shared.routes.load();
         let allotment = |name: &str| allotment_of(routes.as_deref(), name);
-        let names = self.coordinator.in_term(fence, quota(shared), |keeper| {
-            keeper.half_full(allotment, clock::now())
-        });
-        // What could not be written is looked at again.
+        let names = self
+            .coordinator
+            .in_term(fence, quota(shared), |coordinator| {
+                coordinator.half_full(allotment, clock::now())
+            });
+        // If the write fails, the next check tries again.
         self.write(store, names);
     }
 
-    /// Forgets workspaces that a new configuration does not name.
+    /// Forgets workspaces that a new configuration does not contain.
     pub fn retain(&self, table: &RouteTable) {
-        let is_there = |name: &str| {
+        let is_configured = |name: &str| {
             let workspaces = table.workspaces.as_ref();
-            workspaces.is_some_and(|all| all.named(name).is_some())
+            workspaces.is_some_and(|workspaces| workspaces.named(name).is_some())
         };
-        lock(&self.parts).retain(is_there);
+        lock(&self.parts).retain(is_configured);
         self.coordinator
-            .in_latest_term(|keeper| keeper.retain(is_there));
+            .in_latest_term(|coordinator| coordinator.retain(is_configured));
     }
 }
 
--- a/crates/instance/src/coordinator.rs
+++ b/crates/instance/src/coordinator.rs
@@ -1,7 +1,8 @@
-//! Asking the instance that counts for all, and what it counts.
+//! Requests to the coordinator, and the counts of the coordinator.
 //!
-//! The holder of the right to order counts what workspaces use, what goes to upstreams in need and what runs alone, for
-//! as long as its term lasts by its own clock: there are never two that count.
+//! The coordinator is the holder of leadership. It counts what workspaces use, what is sent to
+//! limited upstreams and which requests run exclusively. It does so only until its term ends by its
+//! own clock, so that two instances never count at the same time.
 
 use crate::questions::Questions;
 use crate::relay::millis;
@@ -16,17 +17,17 @@
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// A keeper that did not answer is not asked for this long.
+/// A coordinator that did not answer gets no requests for this long.
 const SILENT_BACKOFF: Duration = Duration::from_millis(300);
-/// One that was asked and is not the keeper is not asked again for this long: a term begins, or has
-/// ended, and everybody hears of that within some hundred milliseconds.
+/// An instance that turned out not to be the coordinator gets no requests for this long. A term is
+/// about to begin or has ended, and all instances learn of that within a few hundred milliseconds.
 const NOT_COORDINATOR_BACKOFF: Duration = Duration::from_millis(100);
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A keeper that is not asked, and until when.
+/// A coordinator that gets no requests until an instant, and why.
 #[derive(Debug, Clone, PartialEq)]
 struct BackoffState {
     holder: Holder,
@@ -34,20 +35,20 @@
     until: Instant,
 }
 
-/// Why nobody ruled on a question. None of these permits anything by itself: what an instance does without a ruling is
-/// said where it asks.
+/// Why there is no decision on a request. None of these permits anything by itself: each caller
+/// defines what it does without a decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoDecision {
-    /// No holder of the right to order is known.
+    /// No holder of leadership is known.
     NoHolder,
     /// The holder does not answer, or did not a moment ago.
     Silent,
-    /// The holder that is known does not hold the right now.
+    /// The known holder is not the coordinator now.
     NotCoordinator,
 }
 
 impl NoDecision {
-    /// Its name in logs and metrics.
+    /// Name of the reason in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::NoHolder => "no holder",
@@ -63,7 +64,7 @@
     }
 }
 
-/// This instance's questions to the keeper.
+/// Sends this instance's requests to the coordinator.
 #[derive(Debug, Default)]
 pub struct CoordinatorClient {
     pending: Questions<UseTold>,
@@ -71,98 +72,99 @@
 }
 
 impl CoordinatorClient {
-    /// The keeper's ruling.
+    /// Requests a decision of the coordinator.
     ///
     /// # Errors
-    /// Why there is none.
-    pub fn request(&self, shared: &Shared, ask: &UseAsk) -> Result<UseTold, NoDecision> {
-        let ruling = self.try_request(shared, ask);
-        if let Err(unruled) = ruling {
-            shared.metrics.unruled(unruled);
+    /// Why there is no decision.
+    pub fn request(&self, shared: &Shared, request: &UseAsk) -> Result<UseTold, NoDecision> {
+        let decision = self.try_request(shared, request);
+        if let Err(reason) = decision {
+            shared.metrics.unruled(reason);
         }
-        ruling
+        decision
     }
 
-    fn try_request(&self, shared: &Shared, ask: &UseAsk) -> Result<UseTold, NoDecision> {
+    fn try_request(&self, shared: &Shared, request: &UseAsk) -> Result<UseTold, NoDecision> {
         let holder = shared.right().and_then(|leadership| leadership.holder());
         let holder = holder.ok_or(NoDecision::NoHolder)?;
         let settings = &shared.settings;
         if holder.instance == settings.instance {
-            return checked_answer(decide(shared, settings.peer_address, ask));
+            return checked_answer(decide(shared, settings.peer_address, request));
         }
         let now = clock::now();
-        let is_silent = |silent: &&BackoffState| silent.holder == holder && now < silent.until;
-        if let Some(silent) = lock(&self.backoff).as_ref().filter(is_silent) {
-            return Err(silent.cause);
+        let is_backing_off =
+            |backoff: &&BackoffState| backoff.holder == holder && now < backoff.until;
+        if let Some(backoff) = lock(&self.backoff).as_ref().filter(is_backing_off) {
+            return Err(backoff.cause);
         }
-        let body = Body::UseAsk(ask.clone());
+        let body = Body::UseAsk(request.clone());
         let address = holder.address;
-        let told = self
+        let answer = self
             .pending
-            .ask(ask.id, || shared.dispatch.send(address, body.clone()));
-        let ruling = told.ok_or(NoDecision::Silent).and_then(checked_answer);
-        if let Err(cause) = ruling {
-            let pause = match cause {
+            .ask(request.id, || shared.dispatch.send(address, body.clone()));
+        let decision = answer.ok_or(NoDecision::Silent).and_then(checked_answer);
+        if let Err(cause) = decision {
+            let backoff = match cause {
                 NoDecision::Silent | NoDecision::NoHolder => SILENT_BACKOFF,
                 NoDecision::NotCoordinator => NOT_COORDINATOR_BACKOFF,
             };
             *lock(&self.backoff) = Some(BackoffState {
                 holder,
                 cause,
-                until: clock::now() + pause,
+                until: clock::now() + backoff,
             });
         }
-        ruling
+        decision
     }
 
-    /// Takes in the answer to a question of this instance.
-    pub fn receive_answer(&self, told: UseTold) {
-        self.pending.answered(told.id, told);
+    /// Receives the answer to a request of this instance.
+    pub fn receive_answer(&self, answer: UseTold) {
+        self.pending.answered(answer.id, answer);
     }
 }
 
-/// An answer, if whoever gave it keeps the counts.
-fn checked_answer(told: UseTold) -> Result<UseTold, NoDecision> {
-    if told.verdict() == UseVerdict::NotKeeper {
+/// The answer, unless its sender is not the coordinator.
+fn checked_answer(answer: UseTold) -> Result<UseTold, NoDecision> {
+    if answer.verdict() == UseVerdict::NotKeeper {
         return Err(NoDecision::NotCoordinator);
     }
-    Ok(told)
+    Ok(answer)
 }
 
-/// Answers an instance's question; only the keeper rules.
-pub fn decide(shared: &Shared, from: SocketAddr, ask: &UseAsk) -> UseTold {
+/// Answers an instance's request. Only the coordinator makes a decision.
+pub fn decide(shared: &Shared, from: SocketAddr, request: &UseAsk) -> UseTold {
     let Some(fence) = shared.right().and_then(|leadership| leadership.term()) else {
         return UseTold {
-            id: ask.id,
+            id: request.id,
             ..UseTold::default()
         };
     };
-    if !ask.digest.is_empty() {
-        shared.poison.decide_exclusive_run(fence, from, ask)
-    } else if ask.upstream.is_empty() {
-        shared.allotments.decide(shared, fence, from, ask)
+    if !request.digest.is_empty() {
+        shared.poison.decide_exclusive_run(fence, from, request)
+    } else if request.upstream.is_empty() {
+        shared.allotments.decide(shared, fence, from, request)
     } else {
-        shared.limits.rule(shared, fence, from, ask)
+        shared.limits.rule(shared, fence, from, request)
     }
 }
 
-/// The answer that a ruling makes to a question.
-pub fn encode_decision(ask: &UseAsk, ruling: Ruling) -> UseTold {
-    let mut told = UseTold {
-        id: ask.id,
+/// Encodes a decision as the answer to a request.
+pub fn encode_decision(request: &UseAsk, decision: Ruling) -> UseTold {
+    let mut answer = UseTold {
+        id: request.id,
         ..UseTold::default()
     };
-    match ruling {
+    match decision {
         Ruling::Granted { part_per_s } => {
-            told.set_verdict(UseVerdict::Granted);
-            told.part_per_s = part_per_s;
+            answer.set_verdict(UseVerdict::Granted);
+            answer.part_per_s = part_per_s;
         }
         Ruling::Refused { retry_after } => {
-            told.set_verdict(UseVerdict::Refused);
-            told.retry_after_ms = millis(retry_after);
+            answer.set_verdict(UseVerdict::Refused);
+            answer.retry_after_ms = millis(retry_after);
         }
     }
-    told
+    answer
 }
 
 #[derive(Debug)]
@@ -171,12 +173,12 @@
     keeper: Keeper,
 }
 
-/// What is counted in the newest term of this instance.
+/// The counts of the latest term of this instance.
 #[derive(Debug, Default)]
 pub struct TermCoordinator(Mutex<Option<TermCounts>>);
 
 impl TermCoordinator {
-    /// Acts on the keeper of a term, which counts from nothing in each.
+    /// Calls `act` on the counts of a term, which begin empty in each term.
     pub fn in_term<T>(
         &self,
         fence: Fence,
@@ -184,15 +186,15 @@
         act: impl FnOnce(&mut Keeper) -> T,
     ) -> T {
         let mut counts = lock(&self.0);
-        counts.take_if(|one| one.fence != fence);
-        let new = || TermCounts {
+        counts.take_if(|counts| counts.fence != fence);
+        let new_counts = || TermCounts {
             fence,
             keeper: Keeper::new(bounds, clock::now()),
         };
-        act(&mut counts.get_or_insert_with(new).keeper)
+        act(&mut counts.get_or_insert_with(new_counts).keeper)
     }
 
-    /// Acts on the keeper of the newest term, if there was one.
+    /// Calls `act` on the counts of the latest term, if there was one.
     pub fn in_latest_term(&self, act: impl FnOnce(&mut Keeper)) {
         if let Some(counts) = lock(&self.0).as_mut() {
             act(&mut counts.keeper);
--- a/crates/instance/src/feeds.rs
+++ b/crates/instance/src/feeds.rs
@@ -1,4 +1,4 @@
-//! What the store tells: the configuration and the upstreams, each by its own watch.
+//! Feeds of the store's data: the configuration and the upstreams, each with its own watch.
 
 mod configuration;
 mod upstreams;
@@ -17,76 +17,77 @@
 use passway_types::clock;
 use passway_types::prelude::*;
 
-/// Longest wait of one watch of a feed that others hear by way of the holder; a connection
-/// that was cut silently is noticed 0.5 s after it. A version has 2 s to be in force
-/// everywhere in a small fleet and 3 s in a large one (users' pages); this leaves the rest of
-/// them for asking anew.
+/// Longest watch of a relayed feed. The instance notices a silently cut connection 0.5 s later. A
+/// new version must be in effect everywhere within 2 s in a small fleet and 3 s in a large one
+/// (users' pages), so this leaves time for another query.
 const RELAYED_WATCH_TIMEOUT: Duration = Duration::from_millis(800);
-/// The same of a feed that each instance follows for itself.
+/// Longest watch of a feed that each instance follows by itself.
 const OWN_WATCH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Questions that prove the configuration within the bound on keys that were taken away.
+/// Number of queries that must fit into the time within which revoked keys stop working.
 const PROOFS_PER_REVOCATION_BOUND: u32 = 6;
 
-/// Longest wait for the holder's news before its standing is looked at again: upstreams whose
-/// time is over are forgotten as often.
+/// Longest wait for the holder's updates before the instance checks whether the holder may still be
+/// relied on. Upstreams that expired are forgotten at the same interval.
 const RELAY_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Calls in a row that count as failed at least once the holder is not answered either: the
-/// pause is 0.6 s then rather than 0.15 s, at up to a hundred instances at one time.
+/// Number of failures assumed at least if the holder gets no answer from the store either. The
+/// backoff is then 0.6 s instead of 0.15 s, which up to a hundred instances would otherwise use at
+/// once.
 const MIN_OUTAGE_FAILURES: u32 = 2;
 
-/// Backoff between two looks, after a call that failed, whether the store answers others here:
-/// short against the first pause before it is asked again in any case.
+/// Interval of checks, after a failed call, whether the store answers another feed of this
+/// instance. It is short compared with the first backoff, after which the store is queried in any
+/// case.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Where news come from.
+/// Where an update comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Source {
     /// The store itself.
     Store,
-    /// The holder of the right to order.
+    /// The holder of leadership.
     Holder,
 }
 
 /// Why a feed is behind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Interruption {
-    /// The holder is not relied on any more, after a second or so.
+    /// The holder is no longer relied on, for about a second.
     HolderLost,
-    /// The store did not answer, for nobody knows how long.
+    /// The store did not answer, for an unknown time.
     StoreSilent,
 }
 
-/// Takes in what lies under a prefix.
+/// Applies the data under a prefix of the store.
 pub trait Feed: Send {
     /// The prefix.
     fn prefix(&self) -> String;
-    /// Everything was read.
+    /// Applies a listing of all values.
     fn apply_listing(&mut self, listing: &Listing);
-    /// Something has changed; whether other instances must hear of it.
+    /// Applies a change. Returns whether other instances must receive it.
     fn apply_change(&mut self, change: &StoreChange) -> bool;
-    /// The store, asked at a moment, has told everything that was not known, and that was taken in.
+    /// Notes that everything the store knew when the query was sent is applied now.
     fn confirmed(&mut self, _asked_at: Instant) {}
-    /// Looks after what is due by time alone.
+    /// Does what is due by time alone.
     fn tick(&mut self) {}
-    /// All changes that are known were taken in; the pause before asking for more.
+    /// Finishes a batch of changes. Returns the delay before the next query.
     fn finish_batch(&mut self) -> Duration;
-    /// Whether all values are cheaper than the changes that lie behind: a watch tells each
-    /// change that was made meanwhile, a list the last of them only.
+    /// Whether to list all values instead of watching for the missed changes: a watch returns every
+    /// change that was made meanwhile, a list only the last value of each key.
     fn prefers_listing(&self, _after: Interruption) -> bool {
         false
     }
-    /// Whether the store is to be asked although the holder is relied on.
+    /// Whether to query the store even if the holder may be relied on.
     fn must_query_store(&self) -> bool {
         false
     }
-    /// What the instance shares.
+    /// The shared state of the instance.
     fn shared(&self) -> &Shared;
 }
 
-/// Follows a prefix for as long as the process lives: by the holder of the right to
-/// order while it is relied on, else by the store and by what the holder tells meanwhile.
+/// Follows a prefix until the process exits: through the holder of leadership while it may be
+/// relied on, otherwise through the store and whatever the holder still sends.
 pub fn follow(
     store: Arc<dyn SharedStore>,
     receiver: RelayReceiver,
@@ -109,12 +110,12 @@
     std::thread::spawn(move || follower.run());
 }
 
-/// The time for which the store is not asked after a call that failed.
+/// When the store may be queried again after a failed call.
 #[derive(Debug, Clone, Copy)]
 struct Backoff {
-    /// From then on it is asked if it has answered somebody else here.
+    /// From then on, the store is queried if it has answered another feed of this instance.
     earliest_at: Instant,
-    /// From then on it is asked in any case.
+    /// From then on, the store is queried in any case.
     retry_at: Instant,
 }
 
@@ -133,26 +134,27 @@
     receiver: RelayReceiver,
     updates: Sender<NumberedUpdate>,
     feed: F,
-    /// The point from which to go on; `None` before the first list.
+    /// The revision up to which the feed is known; `None` before the first listing.
     known: Option<StoreRevision>,
-    /// Whether the store is to be asked for all values rather than for what has changed.
+    /// Whether the next query must list all values instead of watching for changes.
     must_list: bool,
-    /// Whether the holder was relied on last.
+    /// Whether the last pass relied on the holder.
     trusted_holder: bool,
-    /// Whether something is missing in the holder's news: it is not relied on until the store
-    /// has told it, or the holder itself.
+    /// Whether there is a gap in the holder's updates. The holder is not relied on until the store
+    /// or the holder has closed the gap.
     has_gap: bool,
-    /// Calls in a row that the store did not answer.
+    /// Number of consecutive calls that the store did not answer.
     failures: u32,
     backoff: Backoff,
 }
 
 impl<F: Feed> Follower<F> {
-    /// Hears the holder at all times, and asks the store while the holder is not relied on.
+    /// Receives the holder's updates at all times, and queries the store while the holder may not
+    /// be relied on.
     fn run(mut self) {
         loop {
             self.feed.tick();
-            // What the holder told while the store was asked.
+            // Applies updates that the holder sent during the query.
             self.receive(Duration::ZERO);
             if let Some(until) = self.trusted_until() {
                 self.trusted_holder = true;
@@ -166,40 +168,41 @@
         }
     }
 
-    /// Until when the holder's news are enough; `None` if they are not now.
+    /// Until when the holder's updates are sufficient; `None` if they are not now.
     fn trusted_until(&self) -> Option<Instant> {
-        let must_ask = self.known.is_none() || self.has_gap || self.feed.must_query_store();
-        self.receiver.trusted_until().filter(|_| !must_ask)
+        let must_query_store = self.known.is_none() || self.has_gap || self.feed.must_query_store();
+        self.receiver.trusted_until().filter(|_| !must_query_store)
     }
 
-    /// Whether the store may be asked now. While the holder speaks, and neither it nor this
-    /// instance is answered, the configuration's feed alone finds out whether the store is back.
+    /// Whether the store may be queried now. If the holder is alive but neither it nor this
+    /// instance gets answers from the store, only the configuration's feed checks whether the store
+    /// is back.
     fn may_query_store(&self) -> bool {
         let now = clock::now();
         let is_failing = self.feed.shared().store_health.is_failing();
         let relay = &self.receiver.relay;
-        let another_asks = self.receiver.feed != Some(CONFIGURATION_FEED)
+        let other_feed_probes = self.receiver.feed != Some(CONFIGURATION_FEED)
             && relay.is_holder_alive()
             && relay.trusted_until(CONFIGURATION_FEED).is_none();
-        if is_failing && another_asks && !self.feed.must_query_store() {
+        if is_failing && other_feed_probes && !self.feed.must_query_store() {
             return false;
         }
         now >= self.backoff.retry_at || (now >= self.backoff.earliest_at && !is_failing)
     }
 
-    /// Waits a while for the holder's news.
-    fn receive(&mut self, longest: Duration) {
-        if let Some(told) = self.receiver.wait_for_update(longest) {
-            self.apply_relayed(told);
+    /// Waits up to `timeout` for an update from the holder.
+    fn receive(&mut self, timeout: Duration) {
+        if let Some(update) = self.receiver.wait_for_update(timeout) {
+            self.apply_relayed(update);
         }
     }
 
-    /// Asks the store once and pauses as its answer or silence calls for.
+    /// Queries the store once, and then waits or sets the backoff, depending on the answer.
     fn poll_store(&mut self) {
-        // A feed that is not relayed heard nothing while the holder was relied on.
-        let lists =
+        // A feed that is not relayed received nothing while the holder was relied on.
+        let prefers_listing =
             self.receiver.feed.is_none() || self.feed.prefers_listing(Interruption::HolderLost);
-        self.must_list |= std::mem::take(&mut self.trusted_holder) && lists;
+        self.must_list |= std::mem::take(&mut self.trusted_holder) && prefers_listing;
         match self.query_store() {
             Ok(()) => {
                 self.failures = 0;
@@ -208,29 +211,30 @@
             }
             Err(error) => {
                 log::debug!(prefix = self.prefix, error:? = error; "the store gave no answer");
-                // An answer that did not come in time may have held many versions.
+                // The store may have written many versions before an answer that did not arrive in
+                // time.
                 self.must_list |= self.feed.prefers_listing(Interruption::StoreSilent);
                 let health = &self.feed.shared().store_health;
                 health.record_failure();
                 let now = clock::now();
-                let probes = self.receiver.feed == Some(CONFIGURATION_FEED);
-                // The holder is not answered either: an outage, more likely than not.
-                let outage = if self.receiver.relay.is_holder_alive() {
+                let is_prober = self.receiver.feed == Some(CONFIGURATION_FEED);
+                // If the holder gets no answer either, an outage of the store is the likely cause.
+                let min_failures = if self.receiver.relay.is_holder_alive() {
                     MIN_OUTAGE_FAILURES
                 } else {
                     0
                 };
-                let failures = self.failures.max(outage);
+                let failures = self.failures.max(min_failures);
                 self.backoff = Backoff {
                     earliest_at: now + HEALTH_CHECK_INTERVAL,
-                    retry_at: now + health.backoff_after(failures, probes),
+                    retry_at: now + health.backoff_after(failures, is_prober),
                 };
                 self.failures += 1;
             }
         }
     }
 
-    /// One list or watch.
+    /// Lists or watches once.
     fn query_store(&mut self) -> Result<(), StoreError> {
         let Some(after) = self.known.filter(|_| !self.must_list) else {
             let asked_at = clock::now();
@@ -241,30 +245,31 @@
             self.feed.confirmed(asked_at);
             return Ok(());
         };
-        let wait = self.watch_timeout();
+        let timeout = self.watch_timeout();
         let asked_at = clock::now();
-        match self.store.watch(&self.prefix, after, wait)? {
+        match self.store.watch(&self.prefix, after, timeout)? {
             WatchAnswer::HistoryGone => self.must_list = true,
             WatchAnswer::Changes { changes, revision } => {
-                // A large answer may have begun long ago; one without changes has just come.
-                let is_quiet = changes.is_empty();
-                let known_at = if is_quiet { clock::now() } else { asked_at };
+                // A large answer may have taken long to arrive; an answer without changes was sent
+                // just now.
+                let is_unchanged = changes.is_empty();
+                let known_at = if is_unchanged { clock::now() } else { asked_at };
                 self.receiver.record_store_answer(known_at);
-                let told = FeedUpdate::Changes {
+                let update = FeedUpdate::Changes {
                     from: after,
                     to: revision.max(after),
                     changes: updates::latest_changes(changes.into_iter()),
                 };
-                self.apply(told, Source::Store);
+                self.apply(update, Source::Store);
                 self.feed.confirmed(asked_at);
             }
         }
         Ok(())
     }
 
-    /// How long the store may wait with its answer. The configuration is proved by answers, and
-    /// counts as old as the question: a question, the next one, and what others need to hear of
-    /// the answer must lie in the time within which keys that were taken away stop.
+    /// How long the store may delay its answer to a watch. Answers prove the configuration, and the
+    /// proof is as old as the query: one query, the next one, and the time until other instances
+    /// know of the answer must fit into the time within which revoked keys stop working.
     fn watch_timeout(&self) -> Duration {
         let Some(feed) = self.receiver.feed else {
             return OWN_WATCH_TIMEOUT;
@@ -276,34 +281,35 @@
         })
     }
 
-    /// Takes in what the holder told, unless something is missing in between.
-    fn apply_relayed(&mut self, told: FeedUpdate) {
+    /// Applies an update from the holder, unless there is a gap before it.
+    fn apply_relayed(&mut self, update: FeedUpdate) {
         let known = self.known.unwrap_or(0);
-        match &told {
+        match &update {
             FeedUpdate::Snapshot(listing) if listing.revision < known => return,
             FeedUpdate::Changes { to, .. } if *to <= known => return,
             FeedUpdate::Changes { from, .. } if *from > known => {
                 log::info!(prefix = self.prefix, from = *from, known = known; "a gap in the holder's news");
                 self.has_gap = true;
-                self.receiver.report_gap(told.to());
+                self.receiver.report_gap(update.to());
                 return;
             }
             _ => {}
         }
-        // A store that turned this instance away for long is asked soon once the holder is lost.
+        // Resets the backoff: even if the store refused this instance for long, it is queried soon
+        // after the holder is lost.
         self.failures = 0;
         self.feed.shared().store_health.record_relayed();
-        self.apply(told, Source::Holder);
+        self.apply(update, Source::Holder);
         self.feed.finish_batch();
     }
 
-    fn apply(&mut self, told: FeedUpdate, source: Source) {
-        if self.receiver.feed == Some(CONFIGURATION_FEED) && told.value_count() > 0 {
-            log::info!(source:? = source, known = self.known, to = told.to(), bytes = told.size_bytes(); "configuration heard");
+    fn apply(&mut self, update: FeedUpdate, source: Source) {
+        if self.receiver.feed == Some(CONFIGURATION_FEED) && update.value_count() > 0 {
+            log::info!(source:? = source, known = self.known, to = update.to(), bytes = update.size_bytes(); "configuration heard");
         }
         self.has_gap = false;
-        self.receiver.record_applied(&told, told.to());
-        let told = match told {
+        self.receiver.record_applied(&update, update.to());
+        let update = match update {
             FeedUpdate::Snapshot(listing) => {
                 self.feed.apply_listing(&listing);
                 self.known = Some(listing.revision);
@@ -311,7 +317,9 @@
             }
             FeedUpdate::Changes { from, to, changes } => {
                 self.known = Some(to);
-                let relevant = changes.into_iter().filter(|c| self.feed.apply_change(c));
+                let relevant = changes
+                    .into_iter()
+                    .filter(|change| self.feed.apply_change(change));
                 FeedUpdate::Changes {
                     from,
                     to,
@@ -320,8 +328,8 @@
             }
         };
         if let Some(feed) = self.receiver.feed {
-            // The deciding thread ends only with the process.
-            let _ = self.updates.send((feed, told));
+            // The channel closes only when the process exits.
+            let _ = self.updates.send((feed, update));
         }
     }
 }
--- a/crates/instance/src/feeds/configuration.rs
+++ b/crates/instance/src/feeds/configuration.rs
@@ -9,26 +9,26 @@
 use passway_types::prelude::*;
 use std::collections::BTreeSet;
 
-/// Versions that came within this time are a series: more of them may lie behind.
+/// If the last two versions arrived within this time, more of them may have been missed.
 const VERSION_BURST_WINDOW: Duration = Duration::from_secs(5);
 
-/// The name under which halls that are not known are counted.
+/// The metric label under which unknown halls are counted.
 const UNKNOWN_HALL_LABEL: &str = "hall";
 
-/// Takes in the configuration.
+/// Applies the configuration.
 pub struct ConfigurationFeed {
-    /// What the instance shares.
+    /// The shared state of the instance.
     pub shared: Arc<Shared>,
-    /// Decodes it.
+    /// Decodes the configuration.
     pub directory: Arc<dyn Directory>,
-    /// When the last version and the one before it came.
+    /// When the last version and the one before it arrived.
     last_versions_at: [Option<Instant>; 2],
     /// Halls that operators have emptied.
     emptied_halls: BTreeSet<DataHall>,
 }
 
 impl ConfigurationFeed {
-    /// A feed that has heard nothing yet.
+    /// Creates a feed that has received nothing yet.
     pub fn new(shared: Arc<Shared>, directory: Arc<dyn Directory>) -> Self {
         Self {
             shared,
@@ -38,14 +38,14 @@
         }
     }
 
-    /// Halls of which nobody is to be sent anything are closed from now on, and no others.
+    /// Closes the emptied halls, and opens all others.
     fn apply_emptied_halls(&self) {
         let mut upstreams = self.shared.upstreams();
-        let before = upstreams.emptied().clone();
+        let previous = upstreams.emptied().clone();
         if !upstreams.set_emptied(self.emptied_halls.clone(), clock::now()) {
             return;
         }
-        let unknown = self.emptied_halls.difference(&before);
+        let unknown = self.emptied_halls.difference(&previous);
         let unknown = unknown.filter(|hall| !upstreams.knows_hall(hall));
         let unknown: Vec<DataHall> = unknown.cloned().collect();
         drop(upstreams);
@@ -61,7 +61,7 @@
         match self.directory.configuration(value) {
             Ok(Some(table)) => {
                 let known = self.shared.routes.load();
-                // A version never gives way to an older one.
+                // An older version never replaces a newer one.
                 if known
                     .as_ref()
                     .is_some_and(|known| known.version >= table.version)
@@ -117,7 +117,7 @@
     }
 
     fn confirmed(&mut self, asked_at: Instant) {
-        // One that cannot be used counts as not written: the last good one stays in force.
+        // An unusable version counts as not written: the last usable one stays in effect.
         if let Some(table) = &*self.shared.routes.load() {
             let age = &self.shared.configuration_age;
             age.record_store_answer(table.version, asked_at);
@@ -128,17 +128,17 @@
         Duration::ZERO
     }
 
-    /// A list has the whole configuration, 180 kB for 1,375 models, and all instances ask at
-    /// the same moment when the holder is lost: 53 MB for 295 of them, 0.4 s of the store's
-    /// link. A watch has nothing if no version came meanwhile, and each that did if some have.
+    /// A listing contains the whole configuration, 180 kB for 1,375 models. All instances query at
+    /// the same time when the holder is lost: 53 MB for 295 of them, 0.4 s on the store's link. A
+    /// watch returns nothing if no version was written meanwhile, but otherwise every version.
     fn prefers_listing(&self, after: Interruption) -> bool {
         let is_recent =
             |at: Option<Instant>| at.is_some_and(|at| clock::since(at) < VERSION_BURST_WINDOW);
         after == Interruption::StoreSilent || self.last_versions_at.into_iter().all(is_recent)
     }
 
-    /// While the holder is relied on it is asked how old its proof is; the store is, too, where that has
-    /// proved nothing for long.
+    /// While the holder is relied on, its answers to queries prove the configuration. The store is
+    /// queried too if those have proved nothing for long.
     fn must_query_store(&self) -> bool {
         let shared = &self.shared;
         let bound = shared.revocation();
--- a/crates/instance/src/feeds/upstreams.rs
+++ b/crates/instance/src/feeds/upstreams.rs
@@ -13,33 +13,33 @@
 use passway_types::prelude::*;
 use std::collections::BTreeSet;
 
-/// Takes in the upstreams.
+/// Applies the upstreams' entries.
 pub struct UpstreamFeed {
-    /// What the instance shares.
+    /// The shared state of the instance.
     pub shared: Arc<Shared>,
-    /// Decodes it.
+    /// Decodes the entries.
     pub directory: Arc<dyn Directory>,
-    /// The thread that orders, if this instance may.
+    /// Inputs of the holder thread.
     pub holder_inputs: Sender<Input>,
-    /// Whether it may.
+    /// Whether this instance is the holder.
     pub leadership: Arc<LeadershipDriver>,
-    /// Keys whose entries cannot be used, so that each is told once.
+    /// Keys of unusable entries, so that each is logged once.
     unusable: BTreeSet<String>,
 }
 
-/// Changes of upstreams within this time are taken in by one call.
+/// Changes of upstreams within this time are fetched by one call.
 const BATCH_DELAY: Duration = Duration::from_millis(400);
-/// The same at the holder of the right to order, which waits for engines' words.
+/// The same at the holder of leadership, which waits for the effects of its orders.
 const HOLDER_BATCH_DELAY: Duration = Duration::from_millis(30);
-/// What each upstream adds to it, so that more of them do not make more calls.
+/// Added to the holder's delay for each upstream, so that more upstreams do not cause more calls.
 const HOLDER_BATCH_DELAY_PER_UPSTREAM: Duration = Duration::from_micros(1_200);
-/// Longest such pause. Each of the two orders of a swap shows its effect in an engine's entry,
-/// half a pause late in the mean: with 317 ms, as 264 upstreams would make it, a third of a
-/// swap of 1 s was waiting for that.
+/// Maximum of the holder's delay. The effects of the two orders of a model swap show in the
+/// engine's entry half a delay late on average. With 317 ms, as 264 upstreams would make it, a
+/// third of a swap of 1 s was waiting.
 const MAX_HOLDER_BATCH_DELAY: Duration = Duration::from_millis(110);
 
 impl UpstreamFeed {
-    /// A feed that has heard nothing yet.
+    /// Creates a feed that has received nothing yet.
     pub fn new(
         shared: Arc<Shared>,
         directory: Arc<dyn Directory>,
@@ -56,20 +56,20 @@
     }
 
     fn send_to_holder(&self, input: Input) {
-        // The deciding thread ends only with the process.
+        // The channel closes only when the process exits.
         let _ = self.holder_inputs.send(input);
     }
 
-    /// Forgets upstreams that are gone, here and at the holder.
+    /// Forgets expired upstreams, in this instance and in the holder thread.
     fn expire(&self) {
         let mut upstreams = self.shared.upstreams();
-        let gone = upstreams.expire(clock::now());
-        if gone.is_empty() {
+        let expired = upstreams.expire(clock::now());
+        if expired.is_empty() {
             return;
         }
-        let left = upstreams.entries().map(|entry| entry.id.clone()).collect();
+        let remaining = upstreams.entries().map(|entry| entry.id.clone()).collect();
         drop(upstreams);
-        for entry in &gone {
+        for entry in &expired {
             log::info!(target: DECISION_TARGET, upstream:% = entry.id; "an upstream is gone");
             self.shared.pool.forget(&entry.id);
             if !entry.draining {
@@ -77,11 +77,11 @@
             }
         }
         self.shared.limits.retain(&self.shared);
-        self.send_to_holder(Input::UpstreamsListed(left));
+        self.send_to_holder(Input::UpstreamsListed(remaining));
     }
 
-    /// What an upstream says of itself; `None` if the entry names none that can be used. It
-    /// may have been written by something else.
+    /// Decodes an upstream's entry; `None` if it is unusable, since it may have been written by
+    /// another program.
     fn decode(&mut self, value: &StoredValue) -> Option<UpstreamEntry> {
         let entry = self.directory.upstream(value, clock::now());
         match entry.and_then(|entry| self.check_service(entry)) {
@@ -102,8 +102,9 @@
         }
     }
 
-    /// An upstream stays with its service: what moves it to one that the configuration does
-    /// not know is not its own word, and must not pass for the newest one.
+    /// Checks that a known upstream does not move to a service that the configuration does not
+    /// know. Such an entry was not written by the upstream itself, and must not count as its newest
+    /// one.
     fn check_service(&self, entry: UpstreamEntry) -> anyhow::Result<UpstreamEntry> {
         let table = self.shared.routes.load();
         let is_known = |service| {
@@ -111,8 +112,9 @@
             services.is_some_and(|services| services.contains_key(service))
         };
         let upstreams = self.shared.upstreams();
-        let before = upstreams.service_of(&entry.id);
-        let moves = before.is_some_and(|before| *before != entry.service && is_known(before));
+        let current_service = upstreams.service_of(&entry.id);
+        let moves =
+            current_service.is_some_and(|current| *current != entry.service && is_known(current));
         ensure!(
             !moves || is_known(&entry.service),
             "an unknown service, {}",
@@ -122,7 +124,7 @@
         Ok(entry)
     }
 
-    /// Connections to what upstreams were before they started again lead nowhere.
+    /// Closes connections to upstreams that have restarted, because the old ones are dead.
     fn drop_restarted_connections(&self) {
         let restarted = self.shared.upstreams().take_restarted();
         for id in restarted {
@@ -133,13 +135,13 @@
         }
     }
 
-    /// An upstream is not listed any more.
+    /// Records that an upstream is no longer listed.
     fn mark_missing(&self, id: &str) {
-        let gone_at = self
+        let expires_at = self
             .shared
             .store_health
             .missing_entry_expires_at(clock::now());
-        self.shared.upstreams().miss(id, gone_at);
+        self.shared.upstreams().miss(id, expires_at);
         self.expire();
     }
 }
@@ -158,8 +160,8 @@
             self.send_to_holder(Input::UpstreamSeen(entry.clone()));
         }
         let now = clock::now();
-        let gone_at = self.shared.store_health.missing_entry_expires_at(now);
-        self.shared.upstreams().replace(entries, gone_at, now);
+        let expires_at = self.shared.store_health.missing_entry_expires_at(now);
+        self.shared.upstreams().replace(entries, expires_at, now);
         self.drop_restarted_connections();
         self.expire();
         self.shared.set_upstreams_listed();
@@ -176,10 +178,10 @@
                     return true;
                 };
                 self.send_to_holder(Input::UpstreamSeen(entry.clone()));
-                // What stands on an engine travels by placements, which are shorter.
-                let is_told = self.shared.upstreams().update(entry, clock::now());
+                // Models on an engine are published as placements, which are shorter.
+                let must_publish = self.shared.upstreams().update(entry, clock::now());
                 self.drop_restarted_connections();
-                is_told
+                must_publish
             }
             StoreChange::Removed { key, .. } => {
                 self.unusable.remove(key);
@@ -200,8 +202,8 @@
         if self.leadership.term().is_some() {
             let upstreams = self.shared.upstreams().entries().count();
             let upstreams = u32::try_from(upstreams).unwrap_or(u32::MAX);
-            let pause = HOLDER_BATCH_DELAY_PER_UPSTREAM.saturating_mul(upstreams);
-            pause.clamp(HOLDER_BATCH_DELAY, MAX_HOLDER_BATCH_DELAY)
+            let delay = HOLDER_BATCH_DELAY_PER_UPSTREAM.saturating_mul(upstreams);
+            delay.clamp(HOLDER_BATCH_DELAY, MAX_HOLDER_BATCH_DELAY)
         } else {
             BATCH_DELAY
         }
--- a/crates/instance/src/freshness.rs
+++ b/crates/instance/src/freshness.rs
@@ -1,9 +1,9 @@
-//! How new the configuration of this instance is for sure, and the questions that prove it.
+//! Proves how recent this instance's configuration is, with queries to other instances.
 //!
-//! The configuration's feed proves it whenever the store answers. An instance that hears the holder
-//! of the right to order does not ask the store; it asks the holder how old the holder's proof is,
-//! once a second, and others if the holder does not answer or knows no better. The holder's answer
-//! also shows that it can be asked what workspaces may use.
+//! The configuration's feed proves it whenever the store answers. An instance that relies on the
+//! holder of leadership does not query the store. Once a second it asks the holder how old the
+//! holder's proof is, and asks other instances if the holder does not answer or has no better
+//! proof. The holder's answer also shows that the holder can be asked about workspaces' allotments.
 
 use crate::questions::Questions;
 use crate::relay::{millis, millis_since};
@@ -18,29 +18,31 @@
 use std::net::SocketAddr;
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 
-/// Part of the bound after which a proof is asked for: four more questions fit into the rest.
+/// Divides the bound to get the age at which a proof is renewed; four more queries fit into the
+/// rest.
 const REFRESH_DIVISOR: u32 = 5;
-/// Part of the bound after which a proof is old enough to ask others than the holder, and the store.
+/// Divides the bound to get the age at which other instances and the store are queried, too.
 pub const STALE_DIVISOR: u32 = 2;
-/// Other instances that are asked at a time.
+/// Number of other instances that are queried at a time.
 const PEERS_PER_QUERY: usize = 2;
-/// Pause between two looks where no proof is needed.
+/// Interval of checks while no proof is needed.
 const IDLE_INTERVAL: Duration = Duration::from_secs(1);
-/// The holder is asked so often, whether a proof is needed or not: it keeps allotments.
+/// The holder is queried at this interval even without need for a proof, because it counts
+/// allotments.
 const HOLDER_QUERY_INTERVAL: Duration = Duration::from_secs(1);
-/// Pause after questions that proved nothing.
+/// Delay after queries that proved nothing.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// What an instance can prove of its configuration.
+/// What an instance can prove of its configuration's age.
 #[derive(Debug, Default)]
 pub struct ConfigurationAge {
     state: Mutex<Freshness>,
-    /// Something was proved.
+    /// Notified when the proof has changed.
     proof_updated: Condvar,
-    /// A request needs a proof.
+    /// Notified when a request needs a proof.
     proof_wanted: Condvar,
     pending: Questions<VersionTold>,
-    /// When the holder of the right to order answered last.
+    /// When the holder of leadership last answered.
     holder_answered_at: Mutex<Option<Instant>>,
 }
 
@@ -54,12 +56,13 @@
         self.proof_updated.notify_all();
     }
 
-    /// A version is in force: it was put into effect before this is called.
+    /// Records the version in effect. The version must take effect before this is called.
     pub fn set_in_force(&self, version: Revision) {
         self.update(|freshness| freshness.set_in_force(version));
     }
 
-    /// The store, asked at a moment, has told all that it has; that is in force.
+    /// Records that the store, queried at `asked_at`, had no newer version than `version`, which
+    /// is in effect.
     pub fn record_store_answer(&self, version: Revision, asked_at: Instant) {
         self.update(|freshness| freshness.confirm(Confirmation { version, asked_at }));
     }
@@ -70,34 +73,34 @@
         Some(clock::since(proof.asked_at))
     }
 
-    /// Whether keys may be acted on now.
+    /// Whether the proof is recent enough to act on workspaces' keys.
     pub fn is_proved_within(&self, bound: Duration) -> bool {
         let until = self.state().permits_until(bound);
         until.is_some_and(|until| clock::now() < until)
     }
 
-    /// Has the configuration proved anew, and waits for that up to a moment; whether keys may be
-    /// acted on then.
+    /// Requests a new proof, and waits for it until `until`. Returns whether workspaces' keys may
+    /// be acted on then.
     pub fn wait_until_proved(&self, bound: Duration, until: Instant) -> bool {
         loop {
             if self.is_proved_within(bound) {
                 return true;
             }
-            let left = until.saturating_duration_since(clock::now());
-            if left.is_zero() {
+            let timeout = until.saturating_duration_since(clock::now());
+            if timeout.is_zero() {
                 return false;
             }
             self.proof_wanted.notify_all();
             let state = self.state();
-            // It is looked again in any case.
+            // The loop checks again after a notification as well as after the timeout.
             drop(
                 self.proof_updated
-                    .wait_timeout(state, left.min(RETRY_DELAY)),
+                    .wait_timeout(state, timeout.min(RETRY_DELAY)),
             );
         }
     }
 
-    /// Time since the holder of the right to order has answered; `None` if none has yet.
+    /// Time since the holder of leadership last answered; `None` if it never did.
     pub fn holder_silence(&self) -> Option<Duration> {
         self.holder_answered_at().map(clock::since)
     }
@@ -107,29 +110,29 @@
         answered_at.unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Answers another instance's question.
-    pub fn answer_query(&self, ask: &VersionAsk) -> VersionTold {
+    /// Answers another instance's query.
+    pub fn answer_query(&self, query: &VersionAsk) -> VersionTold {
         let proof = self.state().proof();
         VersionTold {
-            id: ask.id,
+            id: query.id,
             version: proof.map_or(0, |proof| proof.version),
             age_ms: proof.map_or(0, |proof| millis_since(proof.asked_at, clock::now()) + 1),
         }
     }
 
-    /// Takes in the answer to a question of this instance.
+    /// Receives the answer to a query of this instance.
     pub fn receive_answer(&self, answer: VersionTold) {
         self.pending.answered(answer.id, answer);
     }
 
-    /// Asks an instance; whether it could prove anything.
+    /// Queries an instance. Returns whether it proved anything.
     fn query(&self, shared: &Shared, address: SocketAddr) -> bool {
         let id = rand::random();
         let asked_at = clock::now();
-        let ask = Body::VersionAsk(VersionAsk { id });
+        let query = Body::VersionAsk(VersionAsk { id });
         let answer = self
             .pending
-            .ask(id, || shared.dispatch.send(address, ask.clone()));
+            .ask(id, || shared.dispatch.send(address, query.clone()));
         let Some(answer) = answer.filter(|answer| answer.version > 0) else {
             return false;
         };
@@ -146,14 +149,14 @@
         true
     }
 
-    /// Asks the holder, and others if that does not help.
+    /// Queries the holder, and other instances if that is not sufficient.
     fn query_peers(&self, shared: &Shared, bound: Duration) {
-        let me = &shared.settings.instance;
+        let this_instance = &shared.settings.instance;
         let holder = shared.right().and_then(|leadership| leadership.holder());
-        let answers = holder
-            .as_ref()
-            .is_some_and(|holder| holder.instance == *me || self.query(shared, holder.address));
-        if answers {
+        let holder_answers = holder.as_ref().is_some_and(|holder| {
+            holder.instance == *this_instance || self.query(shared, holder.address)
+        });
+        if holder_answers {
             *self.holder_answered_at() = Some(clock::now());
         }
         if self.is_younger(bound / STALE_DIVISOR) {
@@ -162,19 +165,23 @@
         let others = shared.other_instances();
         let others: Vec<SocketAddr> = others
             .into_iter()
-            .filter(|address| holder.as_ref().is_none_or(|one| one.address != *address))
+            .filter(|address| {
+                holder
+                    .as_ref()
+                    .is_none_or(|holder| holder.address != *address)
+            })
             .collect();
         for address in others.sample(&mut rand::rng(), PEERS_PER_QUERY) {
             self.query(shared, *address);
         }
     }
 
-    /// Whether there is a proof that is younger than this.
+    /// Whether there is a proof that is younger than `age`.
     pub fn is_younger(&self, age: Duration) -> bool {
         self.age().is_some_and(|proof| proof < age)
     }
 
-    /// Proves the configuration for as long as the process lives.
+    /// Starts the thread that keeps the configuration proved.
     pub fn start(shared: &Arc<Shared>) {
         let shared = shared.clone();
         std::thread::spawn(move || shared.configuration_age.run(&shared));
@@ -193,32 +200,37 @@
                 }
             }
             let has_allotments = shared.has_allotments();
-            let pause = if bound.is_some() || has_allotments {
-                // Without a bound any proof is young enough.
+            let delay = if bound.is_some() || has_allotments {
+                // Without a bound, any proof is recent enough.
                 self.refresh_if_due(shared, bound.unwrap_or(Duration::MAX), has_allotments)
             } else {
                 IDLE_INTERVAL
             };
             let state = self.state();
-            // It is looked again in any case.
-            drop(self.proof_wanted.wait_timeout(state, pause));
+            // The loop checks again after a notification as well as after the timeout.
+            drop(self.proof_wanted.wait_timeout(state, delay));
         }
     }
 
-    /// Asks if that is due; the pause until it may be again.
-    fn refresh_if_due(&self, shared: &Shared, bound: Duration, asks_holder: bool) -> Duration {
+    /// Queries other instances if that is due. Returns the delay until the next check.
+    fn refresh_if_due(
+        &self,
+        shared: &Shared,
+        bound: Duration,
+        must_query_holder: bool,
+    ) -> Duration {
         let due_in = || {
-            let proof = self
+            let proof_due = self
                 .age()
                 .map(|age| (bound / REFRESH_DIVISOR).saturating_sub(age));
-            let proof = proof.unwrap_or_default();
+            let proof_due = proof_due.unwrap_or_default();
             let silence = self.holder_silence();
-            let holder = silence.map(|silence| HOLDER_QUERY_INTERVAL.saturating_sub(silence));
-            let holder = holder.unwrap_or_default();
-            if asks_holder {
-                proof.min(holder)
+            let holder_due = silence.map(|silence| HOLDER_QUERY_INTERVAL.saturating_sub(silence));
+            let holder_due = holder_due.unwrap_or_default();
+            if must_query_holder {
+                proof_due.min(holder_due)
             } else {
-                proof
+                proof_due
             }
         };
         if due_in().is_zero() {
--- a/crates/instance/src/health.rs
+++ b/crates/instance/src/health.rs
@@ -1,4 +1,4 @@
-//! Whether the store answers, shared by all that ask it, so that few calls go to one
+//! Tracks whether the store answers, for all threads that query it, so that few calls go to a store
 //! that does not.
 
 use passway_serving::absence::Outages;
@@ -8,25 +8,25 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// First pause after a call that failed.
+/// Backoff after the first failed call.
 const FIRST_BACKOFF: Duration = Duration::from_millis(150);
-/// Longest pause of the one that finds out whether the store is back, in a small fleet.
+/// Maximum backoff of the feed that checks whether the store is back, in a small fleet.
 const MAX_PROBE_BACKOFF_SMALL_FLEET: Duration = Duration::from_millis(600);
-/// The same in a large one: what an instance hears of the configuration within this is
-/// soon enough after an outage (users' pages: 3 s).
+/// The same in a large fleet. After an outage, an instance must receive a new configuration within
+/// 3 s (users' pages), so this is soon enough.
 const MAX_PROBE_BACKOFF: Duration = Duration::from_millis(1_800);
-/// What each instance adds, so that an outage costs a fleet of ninety a third of the calls
-/// that the pause of a small one would.
+/// Added to the maximum backoff for each instance. An outage then costs a fleet of ninety instances
+/// a third of the calls that the backoff of a small fleet would.
 const PROBE_BACKOFF_PER_INSTANCE: Duration = Duration::from_millis(20);
-/// Longest pause of the others; they go on as soon as it is.
+/// Maximum backoff of the other feeds in a small fleet; they resume once the store is back.
 const MAX_OTHER_BACKOFF_SMALL_FLEET: Duration = Duration::from_secs(2);
 
-/// Whether the store answered last.
+/// Whether the store answered the last call.
 #[derive(Debug, Default)]
 pub struct StoreHealth {
     is_failing: AtomicBool,
     outages: Mutex<Outages>,
-    /// Instances that ask the store, as far as is known.
+    /// Number of instances that query the store, as far as known.
     instances: AtomicU32,
 }
 
@@ -35,26 +35,27 @@
         self.outages.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A call was answered.
+    /// Records that a call was answered.
     pub fn record_answer(&self) {
         self.outages().answered(clock::now());
         self.is_failing.store(false, Ordering::Release);
     }
 
-    /// The holder of the right to order tells what the store says. What it tells as gone is
-    /// gone: an instance that is cut off itself calls the store no more while it listens, and
-    /// would take its own cut for an outage in which entries lapse until it called again.
+    /// Records an update that the holder relayed from the store. A removal that it contains counts
+    /// at once. Otherwise, an instance that is cut off from the store and does not query it while
+    /// it follows the holder would treat its own cut as an outage, during which entries expire only
+    /// later.
     pub fn record_relayed(&self) {
         self.outages().answered(clock::now());
     }
 
-    /// A call was not answered, or refused.
+    /// Records that a call was refused or not answered.
     pub fn record_failure(&self) {
         self.outages().failed(clock::now());
         self.is_failing.store(true, Ordering::Release);
     }
 
-    /// When an entry that is missing now means that its upstream is gone.
+    /// When the upstream of an entry that is missing now counts as removed.
     pub fn missing_entry_expires_at(&self, now: Instant) -> Instant {
         self.outages().gone_at(now)
     }
@@ -64,7 +65,7 @@
         self.is_failing.load(Ordering::Acquire)
     }
 
-    /// So many instances ask the store.
+    /// Sets the number of instances that query the store.
     pub fn set_instances(&self, instances: usize) {
         let instances = u32::try_from(instances).unwrap_or(u32::MAX);
         self.instances.store(instances, Ordering::Release);
@@ -76,7 +77,7 @@
         backoff.clamp(MAX_PROBE_BACKOFF_SMALL_FLEET, MAX_PROBE_BACKOFF)
     }
 
-    /// The pause after a call that failed, with so many failures in a row before it.
+    /// The backoff after a failed call, with the number of consecutive failures before it.
     pub fn backoff_after(&self, failures: u32, is_prober: bool) -> Duration {
         let longest = if is_prober {
             self.max_probe_backoff()
--- a/crates/instance/src/poison.rs
+++ b/crates/instance/src/poison.rs
@@ -1,8 +1,9 @@
-//! Requests that crash upstreams, as this instance knows them and as they are told and kept.
+//! Requests that crash upstreams: what this instance knows of them, exchanges with other instances
+//! and stores.
 //!
-//! Each instance joins in what it sees itself, what the holder of the right to order tells, and what
-//! lies in the store, where the holder keeps the requests that are refused or may be after the
-//! next crash: a fleet that starts again knows them before it serves.
+//! Each instance merges what it observes, what the holder of leadership publishes, and what is in
+//! the store. The holder stores the requests that are refused, or may be after the next crash, so
+//! that a fleet that restarts knows them before it serves.
 
 mod exclusive;
 mod probe;
@@ -31,21 +32,22 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// The key under which requests that crash upstreams lie in the store.
+/// Key in the store of the requests that crash upstreams.
 pub const KEY: &str = "passway/poison";
-/// Requests that are told or kept at most, 150 bytes each: what a link of 10 Mbit/s carries in
-/// 60 ms.
+/// Maximum number of requests that are sent or stored, at 150 bytes each. A link of 10 Mbit/s
+/// carries them in 60 ms.
 const MAX_SENT_SUSPECTS: usize = 512;
-/// From so many crashes on all instances are told of a request: the next one may be the last that is allowed, at
-/// whichever it comes.
+/// From this number of crashes on, a request is published to all instances: the next crash may be
+/// the last one allowed, at whichever instance it happens.
 pub const MIN_BROADCAST_CRASHES: usize = 2;
-/// Longest time that a word on a crash takes to another instance: what is told as so long ago is up to so much
-/// longer ago.
+/// Longest time that a report of a crash takes to another instance. A received age may be too low
+/// by up to this much.
 const MAX_PROPAGATION_MS: u64 = 100;
-/// Pause between two writes of the list: two calls a second at most, while engines crash.
+/// Interval of writes of the list, which costs the store at most two calls a second while engines
+/// crash.
 const WRITE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The list as it lies in the store.
+/// The list as stored.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 struct StoredList {
     revision: StoreRevision,
@@ -56,17 +58,17 @@
 #[derive(Debug)]
 pub struct PoisonTracker {
     list: Mutex<PoisonList>,
-    /// Whether nothing is known of any request; read on each request, without a lock.
+    /// Whether the list is empty; each request reads this without a lock.
     is_empty: AtomicBool,
     refused: AtomicUsize,
-    /// Whether what the fleet knows was heard of since the process began.
+    /// Whether the fleet's list was received since the process started.
     has_fleet_list: AtomicBool,
     stored: Mutex<StoredList>,
-    /// Which requests run alone among those like them.
+    /// Requests that must run exclusively among their copies.
     exclusive_runs: ExclusiveRuns,
-    /// Engines that broke off and are asked whether they have ended.
+    /// Engines that broke off and are probed for whether they have crashed.
     probed_engines: ProbedEngines,
-    /// Wakes the thread that keeps the list in the store.
+    /// Wakes the thread that writes the list to the store.
     wakeup_sender: Sender<()>,
     wakeup_receiver: Receiver<()>,
 }
@@ -98,39 +100,42 @@
         self.is_empty.load(Ordering::Acquire)
     }
 
-    /// How many requests are refused.
+    /// Number of requests that are refused.
     pub fn refused_count(&self) -> usize {
         self.refused.load(Ordering::Acquire)
     }
 
-    /// Whether what the fleet knows was heard of, from the store or from the holder.
+    /// Whether the fleet's list was received, from the store or from the holder.
     pub fn has_fleet_list(&self) -> bool {
         self.has_fleet_list.load(Ordering::Acquire)
     }
 
-    /// For how long a request is refused yet; `None` if it may be run.
+    /// How much longer a request is refused; `None` if it may run.
     pub fn refused_for(&self, digest: RequestDigest) -> Option<Duration> {
         lock(&self.list).refused_for(digest, clock::now())
     }
 
-    /// An upstream has crashed under a request that was sent at a moment. Returns what others are to be told.
+    /// Records that an upstream crashed under a request that was sent at `sent_at`. Returns what to
+    /// publish.
     pub fn record_crash(
         &self,
         digest: RequestDigest,
         crash: UpstreamStart,
         sent_at: Instant,
     ) -> Option<Suspect> {
-        let news = lock(&self.list).crashed_run(digest, crash, sent_at, clock::now());
+        let update = lock(&self.list).crashed_run(digest, crash, sent_at, clock::now());
         self.update_counts();
-        news
+        update
     }
 
-    /// Whether a request may run while it is not known which upstreams have ended that broke off under it.
+    /// Whether a request may run while it is unknown whether upstreams that broke off under it have
+    /// crashed.
     pub fn run_status(&self, digest: RequestDigest) -> Standing {
         lock(&self.list).standing(digest, clock::now())
     }
 
-    /// An engine broke off under a request, and nothing tells yet whether it has ended.
+    /// Records that an engine broke off under a request, if it is unknown yet whether the engine
+    /// has crashed.
     pub fn record_break(
         shared: &Arc<Shared>,
         digest: RequestDigest,
@@ -146,7 +151,7 @@
         }
     }
 
-    /// An engine may have ended under a request, which was sent at a moment: it is asked.
+    /// Probes an engine that may have crashed under a request that was sent at `sent_at`.
     pub fn probe_after_break(
         shared: &Arc<Shared>,
         digest: RequestDigest,
@@ -156,51 +161,52 @@
     ) {
         let poison = &shared.poison;
         let now = clock::now();
-        let news = lock(&poison.list).broke_off(digest, start.clone(), sent_at, now);
+        let update = lock(&poison.list).broke_off(digest, start.clone(), sent_at, now);
         poison.update_counts();
-        if let Some(news) = news {
-            Self::publish(shared, news);
+        if let Some(update) = update {
+            Self::publish(shared, update);
         }
         probe::start(shared, digest, start, address);
     }
 
-    /// An upstream that broke off under a request runs on. Returns what others are to be told.
+    /// Records that an upstream that broke off under a request is still running. Returns what to
+    /// publish.
     fn record_alive(&self, digest: RequestDigest, start: UpstreamStart) -> Option<Suspect> {
-        let news = lock(&self.list).lives(digest, start, clock::now());
+        let update = lock(&self.list).lives(digest, start, clock::now());
         self.update_counts();
-        news
+        update
     }
 
-    /// Starts of an upstream before a moment in Unix milliseconds, by its own clock, have ended. Returns
-    /// what others are to be told.
+    /// Records that all starts of an upstream before `before_ms` have terminated, in Unix
+    /// milliseconds by the upstream's clock. Returns what to publish.
     pub fn record_ended(&self, upstream: &str, before_ms: u64) -> Vec<Suspect> {
         if self.is_empty() {
             return Vec::new();
         }
-        let news = lock(&self.list).ended(upstream, before_ms, clock::now());
+        let update = lock(&self.list).ended(upstream, before_ms, clock::now());
         self.update_counts();
-        news
+        update
     }
 
-    /// A request has had an answer. Returns what others are to be told.
+    /// Records that a request was answered. Returns what to publish.
     pub fn record_answer(&self, digest: RequestDigest) -> Option<Suspect> {
-        let news = lock(&self.list).answered(digest);
-        if news.is_some() {
+        let update = lock(&self.list).answered(digest);
+        if update.is_some() {
             self.update_counts();
         }
-        news
+        update
     }
 
-    /// Takes in which upstreams broke off at other instances. Returns them.
-    pub fn merge_breaks(&self, told: &[Break]) -> Vec<(UpstreamStart, Instant)> {
+    /// Merges the upstreams that broke off at other instances, and returns them.
+    pub fn merge_breaks(&self, received: &[Break]) -> Vec<(UpstreamStart, Instant)> {
         let now = clock::now();
         let mut list = lock(&self.list);
-        let breaks = told.iter().map(|told| {
+        let breaks = received.iter().map(|received| {
             let start = UpstreamStart {
-                upstream: told.upstream.as_str().into(),
-                started_at_ms: told.started_at_ms,
+                upstream: received.upstream.as_str().into(),
+                started_at_ms: received.started_at_ms,
             };
-            let at = now.checked_sub(Duration::from_millis(told.ms_ago));
+            let at = now.checked_sub(Duration::from_millis(received.ms_ago));
             (start, at.unwrap_or(now))
         });
         let breaks: Vec<_> = breaks.collect();
@@ -210,40 +216,42 @@
         breaks
     }
 
-    /// Tells others what became known of a request: the holder, which tells all, and from the second crash on all
-    /// instances that are known here as well. The next run may be the last that is allowed, wherever it comes, and the
-    /// holder may be slow or gone.
-    pub fn publish(shared: &Shared, news: Suspect) {
-        if news.crashes.len() >= MIN_BROADCAST_CRASHES {
-            let suspects = encode(vec![news.clone()]);
+    /// Reports an update of a suspect request to the holder, which publishes it to all instances.
+    /// From the second crash on, all known instances receive it directly, too: the next run may be
+    /// the last one allowed, at whichever instance it happens, and the holder may be slow or
+    /// terminated.
+    pub fn publish(shared: &Shared, update: Suspect) {
+        if update.crashes.len() >= MIN_BROADCAST_CRASHES {
+            let suspects = encode(vec![update.clone()]);
             for address in shared.other_instances() {
                 shared
                     .dispatch
                     .send(address, Body::Suspects(suspects.clone()));
             }
         }
-        shared.tell(Need::Suspect(news));
+        shared.tell(Need::Suspect(update));
     }
 
-    /// Joins in what the holder or the store tells. Returns the requests that were told, as they are known now.
-    pub fn merge_fleet_list(&self, told: Suspects) -> Vec<Suspect> {
+    /// Merges the fleet's list from the holder or the store. Returns the received requests with
+    /// everything known about them.
+    pub fn merge_fleet_list(&self, received: Suspects) -> Vec<Suspect> {
         self.has_fleet_list.store(true, Ordering::Release);
-        self.merge(told)
+        self.merge(received)
     }
 
-    /// Joins in what another instance tells, which is not all that the fleet knows.
-    pub fn merge_from_peer(&self, told: Suspects) {
-        self.merge(told);
+    /// Merges what another instance sent, which is not the fleet's whole list.
+    pub fn merge_from_peer(&self, received: Suspects) {
+        self.merge(received);
     }
 
-    fn merge(&self, told: Suspects) -> Vec<Suspect> {
-        let told: Vec<Suspect> = told.suspects.into_iter().filter_map(decode).collect();
-        if told.is_empty() {
-            return told;
+    fn merge(&self, received: Suspects) -> Vec<Suspect> {
+        let received: Vec<Suspect> = received.suspects.into_iter().filter_map(decode).collect();
+        if received.is_empty() {
+            return received;
         }
-        let digests: Vec<RequestDigest> = told.iter().map(|suspect| suspect.digest).collect();
+        let digests: Vec<RequestDigest> = received.iter().map(|suspect| suspect.digest).collect();
         let mut list = lock(&self.list);
-        list.join(told, clock::now());
+        list.join(received, clock::now());
         let known = digests.iter().filter_map(|digest| list.get(*digest));
         let known = known.cloned().collect();
         drop(list);
@@ -251,28 +259,28 @@
         known
     }
 
-    /// What is known of requests that at least so many crashes tell of, as it is told.
+    /// Encodes the requests with at least `min_crashes` crashes.
     pub fn suspects(&self, min_crashes: usize) -> Suspects {
         encode(lock(&self.list).suspects(min_crashes))
     }
 
-    /// The list lies so in the store; empty if it does not.
+    /// Records the list that is in the store now; empty if the key is missing.
     pub fn apply_stored(&self, revision: StoreRevision, value: &[u8]) {
         *lock(&self.stored) = StoredList {
             revision,
             value: value.to_vec(),
         };
         match Suspects::decode(value) {
-            Ok(told) => drop(self.merge_fleet_list(told)),
+            Ok(received) => drop(self.merge_fleet_list(received)),
             Err(error) => {
-                log::warn!(error:% = error; "the list of refused requests cannot be read");
+                log::warn!(error:% = error; "cannot decode the stored list of refused requests");
             }
         }
         self.notify_writer();
     }
 
-    /// An operator has taken the list out of the store: the requests on it may run again. Returns
-    /// what others are to be told.
+    /// Clears the list because an operator has removed it from the store: its requests may run
+    /// again. Returns what to publish.
     pub fn clear_stored(&self) -> Vec<Suspect> {
         *lock(&self.stored) = StoredList::default();
         let cleared = lock(&self.list).clear_kept();
@@ -281,12 +289,14 @@
         cleared
     }
 
-    /// Lets the thread that keeps the list look whether it lies in the store as it is.
+    /// Wakes the thread that writes the list, to check whether the stored list is current.
     pub fn notify_writer(&self) {
         match self.wakeup_sender.try_send(()) {
-            // A look that is due already will do.
+            // If the channel is full, a wakeup is already pending.
             Ok(()) | Err(TrySendError::Full(())) => {}
-            Err(TrySendError::Disconnected(())) => log::error!("nobody keeps refused requests"),
+            Err(TrySendError::Disconnected(())) => {
+                log::error!("refused requests are no longer stored")
+            }
         }
     }
 
@@ -301,25 +311,25 @@
         self.notify_writer();
     }
 
-    /// The write that makes the store hold what is to be known when all have gone; `None` if it
-    /// does.
+    /// The write that makes the stored list current; `None` if it is.
     fn pending_write(&self) -> Option<ConditionalWrite> {
         let mut kept = lock(&self.list).kept_suspects();
-        // Times that passed would make it another value at each look.
+        // The age of a run would make the value differ at each check.
         for suspect in &mut kept {
             suspect.runs.clear();
         }
         let value = encode(kept).encode_to_vec();
-        let kept = lock(&self.stored);
-        (kept.value != value).then(|| ConditionalWrite {
+        let stored = lock(&self.stored);
+        (stored.value != value).then(|| ConditionalWrite {
             key: KEY.to_owned(),
-            expected: kept.revision,
+            expected: stored.revision,
             value: Some(value),
             lease: None,
         })
     }
 
-    /// Keeps the list in the store while this instance has the right to order.
+    /// Starts the thread that writes the list to the store while this instance is the holder of
+    /// leadership.
     pub fn start_writer(
         shared: &Arc<Shared>,
         leadership: &Arc<LeadershipDriver>,
@@ -337,8 +347,8 @@
                     {
                         *lock(&poison.stored) = StoredList { revision, value };
                     }
-                    // What more is heard of a crash goes into one write; or the watch tells what
-                    // stands there now, or the store comes back.
+                    // The pause collects further reports of a crash into one write. After a failed
+                    // write, the watch returns the stored list meanwhile, or the store recovers.
                     std::thread::sleep(WRITE_INTERVAL);
                 }
             }
@@ -346,7 +356,7 @@
     }
 }
 
-/// The message about requests, the first ones if there are too many.
+/// Encodes requests; if there are too many, only the first ones.
 pub fn encode(suspects: Vec<Suspect>) -> Suspects {
     let suspects = suspects.into_iter().take(MAX_SENT_SUSPECTS);
     Suspects {
@@ -355,7 +365,7 @@
     }
 }
 
-/// Upstreams that broke off, as they are told.
+/// Encodes upstreams that broke off.
 pub fn encode_breaks(breaks: &[(UpstreamStart, Instant)]) -> Vec<Break> {
     let now = clock::now();
     let breaks = breaks.iter().map(|(start, at)| Break {
@@ -389,13 +399,13 @@
     }
 }
 
-/// One whose digest has another length comes from another build and is left out.
-fn decode(told: message::Suspect) -> Option<Suspect> {
-    let digest = decode_digest(&told.digest)?;
+/// Decodes a request; `None` if the length of its digest shows that another build sent it.
+fn decode(received: message::Suspect) -> Option<Suspect> {
+    let digest = decode_digest(&received.digest)?;
     let now = clock::now();
     let ago = |ms: u64| now.checked_sub(Duration::from_millis(ms)).unwrap_or(now);
     let mut runs = BTreeMap::new();
-    let crashes = told.crashes.into_iter().map(|crash| {
+    let crashes = received.crashes.into_iter().map(|crash| {
         let times = crash.sent_ms_ago.zip(crash.broke_ms_ago);
         let start = UpstreamStart {
             upstream: crash.upstream.into(),
--- a/crates/instance/src/poison/exclusive.rs
+++ b/crates/instance/src/poison/exclusive.rs
@@ -1,8 +1,9 @@
-//! Requests that run one at a time over all instances, since the next upstream that ends is the last that is
-//! allowed.
+//! Requests that run one at a time over all instances, because the next crash of an upstream is the
+//! last one allowed.
 //!
-//! The instance that counts for all gives the turns. Without its word nobody has one: whoever cannot prove its turn
-//! waits and asks again, under the same number, so that an answer that was lost is not held against it.
+//! The coordinator grants permits for such runs. Without its decision no request has a permit: a
+//! request that cannot prove its permit waits and asks again. It uses the same id, so that a permit
+//! whose answer was lost does not block the request itself.
 
 use super::{PoisonTracker, lock};
 use crate::coordinator::NoDecision;
@@ -18,44 +19,44 @@
 use std::net::SocketAddr;
 use std::sync::Mutex;
 
-/// Which requests run alone among those like them.
+/// Requests that must run exclusively among their copies.
 #[derive(Debug, Default)]
 pub(super) struct ExclusiveRuns {
-    /// Those of this instance.
+    /// Requests of this instance that run or ask for a permit.
     local: Mutex<HashSet<RequestDigest>>,
-    /// Those of all instances, while this one counts for all.
+    /// Permits of all instances, while this instance is the coordinator.
     granted: Mutex<RunTurns>,
 }
 
-/// What a request hears that asks to run alone.
+/// The answer to a request for a permit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PermitAnswer {
-    /// It may.
+    /// The request may run.
     Granted,
-    /// Another one like it runs, here or at another instance.
+    /// A copy of the request has the permit, at this or another instance.
     Taken,
-    /// Nothing proves that no other one does.
+    /// Nothing proves that no copy is running.
     Unproved(NoDecision),
 }
 
-/// One request's turn to run alone among those like it at all instances; given back when this is dropped.
+/// A request's permit to run exclusively among its copies at all instances. It is released on drop.
 #[derive(Debug)]
 pub struct ExclusivePermit {
     shared: Arc<Shared>,
     digest: RequestDigest,
-    /// The number of its questions.
+    /// The id under which the request asks for the permit.
     id: u64,
     is_granted: bool,
-    /// Whether a question was left without a ruling: the turn may have been granted nevertheless.
+    /// Whether an answer is missing, so that the permit may have been granted.
     may_be_granted: bool,
-    /// Why nobody ruled on the last question, so that each cause is told once.
+    /// Why the last decision was missing; each reason is logged once.
     no_decision: Option<NoDecision>,
-    /// Whether an upstream broke off under it.
+    /// Whether an upstream broke off during the run.
     has_broken: bool,
 }
 
 impl ExclusivePermit {
-    /// A request that has not asked yet.
+    /// Creates the permit of a request that has not asked yet.
     pub fn new(shared: &Arc<Shared>, digest: RequestDigest) -> Self {
         Self {
             shared: shared.clone(),
@@ -73,7 +74,7 @@
         self.is_granted
     }
 
-    /// Asks for the turn, for a run of so long at most.
+    /// Requests the permit for a run of at most `max_run`.
     pub fn request(&mut self, max_run: Duration) -> PermitAnswer {
         if self.is_granted {
             return PermitAnswer::Granted;
@@ -83,23 +84,23 @@
         if !lock(local).insert(self.digest) {
             return PermitAnswer::Taken;
         }
-        let asked = self.request_from_coordinator(max_run);
-        self.is_granted = asked == PermitAnswer::Granted;
+        let answer = self.request_from_coordinator(max_run);
+        self.is_granted = answer == PermitAnswer::Granted;
         if !self.is_granted {
             lock(local).remove(&self.digest);
         }
-        asked
+        answer
     }
 
     fn request_from_coordinator(&mut self, max_run: Duration) -> PermitAnswer {
-        let ask = UseAsk {
+        let request = UseAsk {
             id: self.id,
             digest: self.digest.0.to_vec(),
             run_ms: millis(max_run),
             ..UseAsk::default()
         };
-        match self.shared.keeper.request(&self.shared, &ask) {
-            Ok(told) if told.verdict() == UseVerdict::Granted => PermitAnswer::Granted,
+        match self.shared.keeper.request(&self.shared, &request) {
+            Ok(answer) if answer.verdict() == UseVerdict::Granted => PermitAnswer::Granted,
             Ok(_) => {
                 self.may_be_granted = false;
                 PermitAnswer::Taken
@@ -115,7 +116,8 @@
         }
     }
 
-    /// An upstream broke off under it. Its turn lapses by itself: by then all know what that was.
+    /// Records that an upstream broke off during the run. The permit then expires by itself: by
+    /// that time, all instances know whether the upstream crashed.
     pub fn record_break(&mut self) {
         self.has_broken = true;
     }
@@ -125,7 +127,7 @@
         let Some(holder) = shared.right().and_then(|leadership| leadership.holder()) else {
             return;
         };
-        let back = UseBack {
+        let released = UseBack {
             digest: self.digest.0.to_vec(),
             id: self.id,
             ..UseBack::default()
@@ -133,9 +135,11 @@
         if holder.instance == shared.settings.instance {
             shared
                 .poison
-                .release_exclusive_run(shared.settings.peer_address, &back);
+                .release_exclusive_run(shared.settings.peer_address, &released);
         } else {
-            shared.dispatch.send(holder.address, Body::UseBack(back));
+            shared
+                .dispatch
+                .send(holder.address, Body::UseBack(released));
         }
     }
 }
@@ -151,36 +155,42 @@
     }
 }
 
-/// The digest that some bytes hold; `None` if they come from a build with others.
+/// Decodes a digest; `None` if its length shows that another build sent it.
 pub(super) fn decode_digest(bytes: &[u8]) -> Option<RequestDigest> {
     Some(RequestDigest(bytes.try_into().ok()?))
 }
 
 impl PoisonTracker {
-    /// Answers an instance that asks to run a request alone, in a term of this instance.
-    pub fn decide_exclusive_run(&self, fence: Fence, from: SocketAddr, ask: &UseAsk) -> UseTold {
-        let mut told = UseTold {
-            id: ask.id,
+    /// Decides, in a term of this instance, whether an instance may run a request exclusively.
+    pub fn decide_exclusive_run(
+        &self,
+        fence: Fence,
+        from: SocketAddr,
+        request: &UseAsk,
+    ) -> UseTold {
+        let mut answer = UseTold {
+            id: request.id,
             ..UseTold::default()
         };
-        let Some(digest) = decode_digest(&ask.digest) else {
-            return told;
+        let Some(digest) = decode_digest(&request.digest) else {
+            return answer;
         };
-        let (run, time) = ((from, ask.id), Duration::from_millis(ask.run_ms));
-        match lock(&self.exclusive_runs.granted).ask(fence, digest, run, time, clock::now()) {
-            Ok(()) => told.set_verdict(UseVerdict::Granted),
-            Err(pause) => {
-                told.set_verdict(UseVerdict::Refused);
-                told.retry_after_ms = millis(pause);
+        let (run, max_duration) = ((from, request.id), Duration::from_millis(request.run_ms));
+        match lock(&self.exclusive_runs.granted).ask(fence, digest, run, max_duration, clock::now())
+        {
+            Ok(()) => answer.set_verdict(UseVerdict::Granted),
+            Err(retry_after) => {
+                answer.set_verdict(UseVerdict::Refused);
+                answer.retry_after_ms = millis(retry_after);
             }
         }
-        told
+        answer
     }
 
-    /// A run that was alone is over and has ended nothing.
-    pub fn release_exclusive_run(&self, from: SocketAddr, back: &UseBack) {
-        if let Some(digest) = decode_digest(&back.digest) {
-            lock(&self.exclusive_runs.granted).give_back(digest, (from, back.id));
+    /// Releases the permit of a run that ended without a crash.
+    pub fn release_exclusive_run(&self, from: SocketAddr, released: &UseBack) {
+        if let Some(digest) = decode_digest(&released.digest) {
+            lock(&self.exclusive_runs.granted).give_back(digest, (from, released.id));
         }
     }
 }
--- a/crates/instance/src/poison/probe.rs
+++ b/crates/instance/src/poison/probe.rs
@@ -1,7 +1,9 @@
-//! Finding out whether an upstream that broke off under a request has ended, where its port tells nothing.
+//! Finds out whether an upstream that broke off under a request has crashed, if its port does not
+//! show that.
 //!
-//! A supervisor keeps the port open, and a machine that fell silent refuses nothing. So the engine is asked
-//! for its report until it tells its start; its entry tells the same when it goes or names a later start.
+//! A supervisor keeps the port open, and a machine that does not respond refuses nothing. The
+//! engine is therefore asked for its report until it names its start. Its entry in the store shows
+//! the same when it disappears or names a later start.
 
 use crate::control;
 use crate::http1::Connection;
@@ -17,20 +19,23 @@
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Time for the port of an upstream that broke off to refuse a connection, as that of a process
-/// that has ended does within a round trip of some milliseconds. A cut link says nothing, and the
-/// request waits for this before it goes on elsewhere.
+/// How long the port of an upstream that broke off may take to refuse a connection. The port of a
+/// terminated process refuses within a round trip of a few milliseconds. If the link is cut, the
+/// request waits for this long before it is retried elsewhere.
 pub const REFUSAL_TIMEOUT: Duration = Duration::from_millis(60);
-/// Pause before an engine is asked first: one that lives answers a broken connection at once.
+/// Delay before the first query of an engine. A running engine answers at once after a broken
+/// connection.
 const FIRST_PROBE_DELAY: Duration = Duration::from_millis(50);
-/// Pause between two questions to an engine that does not answer.
+/// Interval of queries of an engine that does not answer.
 const PROBE_INTERVAL: Duration = Duration::from_millis(300);
-/// An engine that does not tell its start is not back so soon after its end: who answers then lives.
+/// An engine needs at least this long to restart. If an engine that does not report its start
+/// answers sooner, it did not crash.
 const MIN_RESTART_DURATION: Duration = Duration::from_secs(1);
-/// Engines that are asked at one time; of further ones the entries tell.
+/// Maximum number of engines that are probed at the same time. The entries in the store show what
+/// happened to others.
 const MAX_PROBED_ENGINES: usize = 32;
 
-/// Starts of engines that are being asked for, and the requests that broke off there.
+/// Starts of engines that are probed, and the requests that broke off there.
 #[derive(Debug, Default)]
 pub(super) struct ProbedEngines(Mutex<BTreeMap<UpstreamStart, BTreeSet<RequestDigest>>>);
 
@@ -39,31 +44,31 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes a request; whether somebody is to begin to ask.
+    /// Adds a request. Returns whether the caller must start a probe of the engine.
     fn add(&self, digest: RequestDigest, start: &UpstreamStart) -> bool {
-        let mut watched = self.lock();
-        if let Some(digests) = watched.get_mut(start) {
+        let mut probed = self.lock();
+        if let Some(digests) = probed.get_mut(start) {
             digests.insert(digest);
             return false;
         }
-        let has_room = watched.len() < MAX_PROBED_ENGINES;
-        if has_room {
-            watched.insert(start.clone(), BTreeSet::from([digest]));
+        let has_capacity = probed.len() < MAX_PROBED_ENGINES;
+        if has_capacity {
+            probed.insert(start.clone(), BTreeSet::from([digest]));
         }
-        has_room
+        has_capacity
     }
 
-    /// Ends the questions; the requests that broke off there.
+    /// Removes the start of an engine. Returns the requests that broke off there.
     fn take(&self, start: &UpstreamStart) -> BTreeSet<RequestDigest> {
         self.lock().remove(start).unwrap_or_default()
     }
 }
 
-/// What a report tells of a start of an engine.
+/// What a report shows about a start of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Verdict {
     Lives,
-    /// It has ended; a start of this moment or later answers.
+    /// The engine has terminated; a start at `before_ms` or later answers.
     Ended {
         before_ms: u64,
     },
@@ -76,11 +81,12 @@
             before_ms: reported_ms,
         });
     }
-    let is_same = reported_ms == known_ms && (known_ms > 0 || since_break < MIN_RESTART_DURATION);
-    is_same.then_some(Verdict::Lives)
+    let is_same_start =
+        reported_ms == known_ms && (known_ms > 0 || since_break < MIN_RESTART_DURATION);
+    is_same_start.then_some(Verdict::Lives)
 }
 
-/// Finds out about the start of an engine that broke off under a request.
+/// Starts to probe an engine that broke off under a request.
 pub(super) fn start(
     shared: &Arc<Shared>,
     digest: RequestDigest,
@@ -93,30 +99,30 @@
     if !shared.poison.probed_engines.add(digest, start) {
         return;
     }
-    let probing_shared = shared.clone();
-    let asked = start.clone();
-    let probing = move || probe(&probing_shared, &*engines, &asked, address);
-    if let Err(error) = std::thread::Builder::new().spawn(probing) {
-        log::warn!(error:% = error; "no thread to ask an engine that broke off");
+    let thread_shared = shared.clone();
+    let probed_start = start.clone();
+    let run_probe = move || probe(&thread_shared, &*engines, &probed_start, address);
+    if let Err(error) = std::thread::Builder::new().spawn(run_probe) {
+        log::warn!(error:% = error; "cannot start a thread to probe an engine that broke off");
         shared.poison.probed_engines.take(start);
     }
 }
 
-/// Whether nobody listens any more where an engine was that had not said that it leaves. Its port may have closed a
-/// little after its connections.
+/// Whether connections to the address of an engine are refused that did not announce that it
+/// leaves. A port may close a little later than its connections.
 fn refuses_connections(shared: &Shared, start: &UpstreamStart, address: SocketAddr) -> bool {
-    let refuses = Connection::connect(address, REFUSAL_TIMEOUT)
+    let is_refused = Connection::connect(address, REFUSAL_TIMEOUT)
         .is_err_and(|error| error.kind() == ErrorKind::ConnectionRefused);
-    refuses && !shared.upstreams().is_draining(&start.upstream)
+    is_refused && !shared.upstreams().is_draining(&start.upstream)
 }
 
 fn probe(shared: &Shared, engines: &dyn Engines, start: &UpstreamStart, address: SocketAddr) {
     let broke_at = clock::now();
-    let mut pause = FIRST_PROBE_DELAY;
+    let mut delay = FIRST_PROBE_DELAY;
     let mut found = None;
     while found.is_none() && clock::since(broke_at) < OPEN_TIME {
-        std::thread::sleep(pause);
-        pause = PROBE_INTERVAL;
+        std::thread::sleep(delay);
+        delay = PROBE_INTERVAL;
         if control::rests(shared, &start.upstream) {
             continue;
         }
@@ -125,7 +131,7 @@
         found = if let Some(report) = report {
             verdict(start, report.started_at_ms, since_break)
         } else {
-            // Whatever is sent there would break off too.
+            // Requests sent there would break off, too.
             shared.upstreams().doubt(&start.upstream, clock::now());
             refuses_connections(shared, start, address).then_some(Verdict::Ended {
                 before_ms: start.started_at_ms + 1,
@@ -138,8 +144,8 @@
         Some(Verdict::Lives) => {
             shared.upstreams().trust(&start.upstream, clock::now());
             for digest in digests {
-                if let Some(news) = shared.poison.record_alive(digest, start.clone()) {
-                    PoisonTracker::publish(shared, news);
+                if let Some(update) = shared.poison.record_alive(digest, start.clone()) {
+                    PoisonTracker::publish(shared, update);
                 }
             }
         }
--- a/crates/instance/src/report.rs
+++ b/crates/instance/src/report.rs
@@ -1,4 +1,5 @@
-//! What this instance tells the holder of the right to order, and hears from it.
+//! The connection to the holder of leadership: reports what this instance needs, and receives what
+//! the holder sends.
 
 use crate::leadership::LeadershipDriver;
 use crate::members;
@@ -22,18 +23,17 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// Time for which requests that were taken are told to a new holder: the time over
-/// which it averages.
+/// Requests within this time are reported to a new holder, which averages over the same time.
 const RECENT_WINDOW: Duration = Duration::from_secs(4);
-/// Pause between two reports of use when nothing waits.
+/// Interval of reports if nothing urgent happens.
 const REPORT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Pause between two requests for the holder's news.
+/// Delay before a subscription to the holder's updates is sent again.
 const SUBSCRIBE_INTERVAL: Duration = Duration::from_millis(600);
 
 type Link = Arc<Mutex<Option<Outbox>>>;
 
-/// Reports for as long as the process lives.
+/// Starts the thread that reports to the holder until the process exits.
 pub fn start(
     shared: &Arc<Shared>,
     leadership: &Arc<LeadershipDriver>,
@@ -70,21 +70,21 @@
     last_running: Vec<Running>,
     dialed: Option<(Holder, Dialer)>,
     taken: TakenCounts,
-    /// What requests wait for here.
+    /// Requests of this instance that wait for a model or adapter.
     waiting: BTreeMap<DemandKey, LocalWaiters>,
-    /// Requests that were refused at once, and until when they count as waiting.
+    /// Requests that were refused at once, and until when each counts as waiting.
     refused: Vec<(Instant, DemandKey)>,
-    /// What of it the holder was not told.
+    /// Changes of `waiting` that were not reported to the holder yet.
     unreported: BTreeSet<DemandKey>,
-    /// Requests of which something became known that the holder was not told.
+    /// Updates of suspect requests that were not reported to the holder yet.
     suspects: Vec<Suspect>,
-    /// Upstreams that broke off here.
+    /// Upstreams that broke off under requests of this instance.
     breaks: Vec<(UpstreamStart, Instant)>,
-    /// Upstreams that said something else of themselves than before.
+    /// Upstreams whose signals changed.
     signals: BTreeSet<UpstreamId>,
-    /// What was taken lately, for a holder that begins its term.
+    /// Recent requests, for a holder that begins its term.
     recent: VecDeque<(Instant, DemandKey)>,
-    /// Set when a connection to a holder has been made that was told nothing yet.
+    /// Whether nothing was reported yet on the current connection to a holder.
     is_new_connection: Arc<AtomicBool>,
 }
 
@@ -96,7 +96,7 @@
 #[derive(Debug, Clone, Copy)]
 struct LocalWaiters {
     count: u32,
-    /// When the last of them gives up.
+    /// When the last of the requests gives up.
     until: Instant,
 }
 
@@ -104,12 +104,12 @@
     (service, wish.model, wish.adapter)
 }
 
-fn encode_demand((service, model, adapter): &DemandKey, count: u32, wait: Duration) -> Wish {
+fn encode_demand((service, model, adapter): &DemandKey, count: u32, timeout: Duration) -> Wish {
     Wish {
         service: service.to_string(),
         model: model.to_string(),
         adapter: adapter.as_deref().unwrap_or_default().to_owned(),
-        wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
+        wait_ms: u32::try_from(timeout.as_millis()).unwrap_or(u32::MAX),
         count,
     }
 }
@@ -118,8 +118,8 @@
     fn run(mut self, needs: &Receiver<Need>) {
         let mut report_at = clock::now() + REPORT_INTERVAL;
         loop {
-            let left = report_at.saturating_duration_since(clock::now());
-            match needs.recv_timeout(left) {
+            let timeout = report_at.saturating_duration_since(clock::now());
+            match needs.recv_timeout(timeout) {
                 Ok(need) => self.record(need),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
@@ -127,14 +127,14 @@
             while let Ok(need) = needs.try_recv() {
                 self.record(need);
             }
-            let due = clock::now() >= report_at;
-            if due {
+            let is_report_due = clock::now() >= report_at;
+            if is_report_due {
                 report_at = clock::now() + REPORT_INTERVAL;
             }
             self.expire_refused(clock::now());
             self.connect_to_holder();
             self.subscribe();
-            if due
+            if is_report_due
                 || !self.unreported.is_empty()
                 || !self.suspects.is_empty()
                 || !self.breaks.is_empty()
@@ -147,31 +147,31 @@
     }
 
     fn add_waiter(&mut self, key: DemandKey, until: Instant) {
-        let local = self.waiting.entry(key.clone());
-        let local = local.or_insert(LocalWaiters { count: 0, until });
-        local.count += 1;
-        local.until = local.until.max(until);
+        let waiters = self.waiting.entry(key.clone());
+        let waiters = waiters.or_insert(LocalWaiters { count: 0, until });
+        waiters.count += 1;
+        waiters.until = waiters.until.max(until);
         self.unreported.insert(key);
     }
 
     fn remove_waiter(&mut self, key: DemandKey) {
-        if let Some(local) = self.waiting.get_mut(&key) {
-            local.count -= 1;
-            if local.count == 0 {
+        if let Some(waiters) = self.waiting.get_mut(&key) {
+            waiters.count -= 1;
+            if waiters.count == 0 {
                 self.waiting.remove(&key);
             }
         }
         self.unreported.insert(key);
     }
 
-    /// Requests that were refused count as waiting no longer than they would have waited.
+    /// Refused requests count as waiting no longer than they would have waited.
     fn expire_refused(&mut self, now: Instant) {
-        let over: Vec<DemandKey> = self
+        let expired: Vec<DemandKey> = self
             .refused
             .extract_if(.., |(until, _)| now >= *until)
             .map(|(_, key)| key)
             .collect();
-        for key in over {
+        for key in expired {
             self.remove_waiter(key);
         }
     }
@@ -198,7 +198,7 @@
             Need::Word(upstream) => {
                 self.signals.insert(upstream);
             }
-            // It is a reason to look, which follows in any case.
+            // The message only wakes the thread, which then reports what is due.
             Need::HolderReached => {}
             Need::Taken { service, wish } => {
                 let now = clock::now();
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Connects to the holder of the right, if it is another one than before.
+    /// Connects to the holder of leadership if it has changed.
     fn connect_to_holder(&mut self) {
         let Some(holder) = self.leadership.holder() else {
             return;
@@ -231,7 +231,8 @@
         let (shared, link) = (self.shared.clone(), self.link.clone());
         let relay = self.relay.clone();
         {
-            // Together: a word of the former holder that is being taken in comes before both.
+            // Both changes happen under the lock, so that a message of the previous holder that is
+            // being applied comes before both.
             let mut link = link.lock().unwrap_or_else(PoisonError::into_inner);
             *link = None;
             relay.holder_changed();
@@ -243,7 +244,8 @@
         let dialer = Dialer::start(holder.address, move |dialed| {
             let mut link = link.lock().unwrap_or_else(PoisonError::into_inner);
             if leadership.holder().as_ref() != Some(&dialed_holder) {
-                // Another one holds the right by now; its own dialer speaks.
+                // Another instance is the holder by now, and the dialer for it handles the
+                // messages.
                 return;
             }
             match dialed {
@@ -269,41 +271,43 @@
                     relay.receive(news);
                     drop(link);
                 }
-                Dialed::Received(Body::Members(told)) => {
+                Dialed::Received(Body::Members(members)) => {
                     drop(link);
-                    *shared.members() = members::decode(&told);
+                    *shared.members() = members::decode(&members);
                 }
                 Dialed::Received(Body::Successor(term)) => {
-                    // Believed like any other word about the right: while the store is silent.
+                    // Like any message about leadership, it only counts while the store does not
+                    // answer.
                     drop(link);
                     let holder = members::decode_holder(&term);
-                    let is_same = |named: &Holder| named.instance == dialed_holder.instance;
-                    if let Some(holder) = holder.filter(is_same)
+                    let is_same_instance =
+                        |announced: &Holder| announced.instance == dialed_holder.instance;
+                    if let Some(holder) = holder.filter(is_same_instance)
                         && shared.store_health.is_failing()
                         && leadership.learn_holder(holder)
                     {
                         log::info!(fence = term.fence; "a new term of the same holder");
                     }
                 }
-                Dialed::Received(Body::Dispatchers(told)) => {
+                Dialed::Received(Body::Dispatchers(dispatchers)) => {
                     drop(link);
-                    let list = members::decode(&told).into_iter();
+                    let list = members::decode(&dispatchers).into_iter();
                     let list = list.map(|(instance, address)| Candidate { instance, address });
                     shared.dispatch.set(list.collect());
                 }
-                Dialed::Received(Body::Suspects(told)) => {
+                Dialed::Received(Body::Suspects(suspects)) => {
                     drop(link);
-                    for (start, at) in shared.poison.merge_breaks(&told.breaks) {
+                    for (start, at) in shared.poison.merge_breaks(&suspects.breaks) {
                         shared.upstreams().doubt(&start.upstream, at);
                     }
-                    // Only a word on requests says that what the fleet knows of them was told.
-                    if !told.suspects.is_empty() || told.breaks.is_empty() {
-                        shared.poison.merge_fleet_list(told);
+                    // Only a message about requests shows that the fleet's list was received.
+                    if !suspects.suspects.is_empty() || suspects.breaks.is_empty() {
+                        shared.poison.merge_fleet_list(suspects);
                     }
                 }
-                Dialed::Received(Body::Words(told)) => {
+                Dialed::Received(Body::Words(signals)) => {
                     drop(link);
-                    signals::merge(&shared, told);
+                    signals::merge(&shared, signals);
                 }
                 Dialed::Received(Body::Placements(placements)) => {
                     drop(link);
@@ -323,17 +327,21 @@
         self.dialed = Some((holder, dialer));
     }
 
-    /// Asks the holder for the store's news, once this instance knows it up to some point.
+    /// Subscribes to the holder's updates, once this instance knows the feeds up to some revision.
     fn subscribe(&mut self) {
         let holder = self.leadership.holder();
-        let is_me = holder.is_none_or(|h| h.instance == self.shared.settings.instance);
+        let has_no_other_holder =
+            holder.is_none_or(|holder| holder.instance == self.shared.settings.instance);
         if self.is_new_connection.load(Ordering::Acquire) {
             self.subscribed_at = None;
         }
-        // The holder may not have begun its term when it was asked.
-        let asked = self.subscribed_at;
-        let hears_all = self.relay.is_holder_alive() && !self.relay.needs_resend();
-        if is_me || hears_all || asked.is_some_and(|at| clock::since(at) < SUBSCRIBE_INTERVAL) {
+        // A subscription may be lost if the holder had not begun its term yet, so it is repeated.
+        let requested_at = self.subscribed_at;
+        let receives_all = self.relay.is_holder_alive() && !self.relay.needs_resend();
+        if has_no_other_holder
+            || receives_all
+            || requested_at.is_some_and(|at| clock::since(at) < SUBSCRIBE_INTERVAL)
+        {
             return;
         }
         let mut link = self.link.lock().unwrap_or_else(PoisonError::into_inner);
@@ -341,16 +349,16 @@
             return;
         };
         if self.relay.is_holder_silent() {
-            // The connection may have fallen silent; a new one tells whether the holder has.
+            // Either the connection or the holder may have failed; a new connection shows which.
             outbox.close();
             *link = None;
             self.relay.holder_disconnected();
             return;
         }
         let known = self.relay.known_revisions();
-        let reads_itself = known.contains(&0) && !self.relay.needs_resend();
-        if reads_itself && !self.shared.store_health.is_failing() {
-            // The store tells it soon, and the holder is spared telling everything.
+        let reads_store = known.contains(&0) && !self.relay.needs_resend();
+        if reads_store && !self.shared.store_health.is_failing() {
+            // The store answers soon, which saves the holder sending everything.
             return;
         }
         outbox.send(Body::Subscribe(Subscribe {
@@ -366,7 +374,8 @@
     fn send(&mut self) {
         let link = self.link.lock().unwrap_or_else(PoisonError::into_inner);
         let Some(outbox) = link.as_ref() else {
-            // A new connection is told what was taken lately and what waits then.
+            // Without a connection the changes are dropped: a new connection starts with a full
+            // report.
             self.taken.clear();
             self.unreported.clear();
             self.suspects.clear();
@@ -378,16 +387,16 @@
         let mut unreported = std::mem::take(&mut self.unreported);
         let mut suspects = poison::encode(std::mem::take(&mut self.suspects));
         let named: Vec<UpstreamId> = std::mem::take(&mut self.signals).into_iter().collect();
-        let mut said = signals::encode_for_holder(&self.shared, Some(&named));
+        let mut signals = signals::encode_for_holder(&self.shared, Some(&named));
         if self.is_new_connection.swap(false, Ordering::AcqRel) {
             taken = recent_counts(&self.recent);
             unreported = self.waiting.keys().cloned().collect();
             self.last_running.clear();
             suspects = self.shared.poison.suspects(1);
-            said = signals::encode_for_holder(&self.shared, None);
+            signals = signals::encode_for_holder(&self.shared, None);
         }
-        if said != Words::default() {
-            outbox.send(Body::Words(said));
+        if signals != Words::default() {
+            outbox.send(Body::Words(signals));
         }
         suspects.breaks = poison::encode_breaks(&std::mem::take(&mut self.breaks));
         if !suspects.suspects.is_empty() || !suspects.breaks.is_empty() {
@@ -395,9 +404,11 @@
         }
         let now = clock::now();
         let waiting = unreported.iter().map(|key| match self.waiting.get(key) {
-            Some(local) => {
-                encode_demand(key, local.count, local.until.saturating_duration_since(now))
-            }
+            Some(waiters) => encode_demand(
+                key,
+                waiters.count,
+                waiters.until.saturating_duration_since(now),
+            ),
             None => encode_demand(key, 0, Duration::ZERO),
         });
         let waiting: Vec<Wish> = waiting.collect();
@@ -412,7 +423,8 @@
             count,
         });
         let mut running: Vec<Running> = running.collect();
-        running.sort_by(|one, other| (&one.engine, &one.model).cmp(&(&other.engine, &other.model)));
+        running
+            .sort_by(|left, right| (&left.engine, &left.model).cmp(&(&right.engine, &right.model)));
         if waiting.is_empty() && taken.is_empty() && running == self.last_running {
             return;
         }
@@ -426,17 +438,17 @@
     }
 }
 
-/// The answer to a holder that the store does not answer; `None` if this instance may take
-/// the right.
+/// The answer to a holder that the store does not answer; `None` if this instance may acquire
+/// leadership.
 fn answer_promise_request(
     shared: &Shared,
     leadership: &LeadershipDriver,
     asker: &Holder,
     wanted: PromiseWanted,
 ) -> Option<Promise> {
-    let leaves = shared.is_stopping();
+    let is_stopping = shared.is_stopping();
     let store_answers = !shared.store_health.is_failing();
-    let promises = leaves
+    let promises = is_stopping
         || leadership
             .answer_promise_request(&asker.instance, store_answers)
             .is_ok();
@@ -444,11 +456,11 @@
         instance: shared.settings.instance.to_string(),
         fence: wanted.fence,
         asked_ms: wanted.asked_ms,
-        leaves,
+        leaves: is_stopping,
     })
 }
 
-/// Counts what was taken lately.
+/// Counts the recent requests by model and adapter.
 fn recent_counts(recent: &VecDeque<(Instant, DemandKey)>) -> TakenCounts {
     let mut taken = TakenCounts::new();
     for (_, key) in recent {
--- a/crates/instance/src/signals.rs
+++ b/crates/instance/src/signals.rs
@@ -1,7 +1,9 @@
-//! What upstreams say of themselves in their answers: taking it in, and telling it on.
+//! Signals that upstreams send in their answers: applying them, and forwarding them to other
+//! instances.
 //!
-//! Each instance tells the holder of the right to order what it hears, and the holder all: how much an
-//! upstream takes, and that it leaves. What an upstream wants from this instance alone stays here.
+//! Each instance reports the limits and leaving upstreams that it learns of to the holder of
+//! leadership, which publishes them to all. A backoff that an upstream requests from this instance
+//! is not published.
 
 use crate::relay::{millis, millis_since};
 use crate::shared::{Need, Shared};
@@ -13,40 +15,40 @@
 use passway_types::prelude::*;
 use passway_wire::message::{LeavingUpstream, RestingUpstream, UpstreamLimit, Words};
 
-/// Longest rest that is kept: one request in this time finds out whether the upstream still wants it, so
-/// that a figure that is wrong does not take an upstream away for good.
+/// Longest accepted backoff. After this time, a request finds out whether the upstream still wants
+/// the backoff, so that a wrong value does not exclude an upstream for good.
 pub const MAX_BACKOFF_MS: u64 = 600_000;
 
-/// Instances that were turned away at one time come back this long after each other, in the mean.
+/// Instances that were refused at the same time retry this long after each other, on average.
 const BACKOFF_SPREAD_PER_INSTANCE: Duration = Duration::from_millis(2);
-/// Longest time by which an instance comes back later than it may.
+/// Maximum time by which an instance retries later than it may.
 const MAX_BACKOFF_SPREAD: Duration = Duration::from_millis(500);
 
-/// An answer that was heard.
+/// The signals of an answer.
 #[derive(Debug, Clone, Copy)]
 pub struct ReceivedSignals<'a> {
     /// The start of the upstream that was asked.
     pub start: &'a UpstreamStart,
-    /// What the answer says of it.
+    /// The signals.
     pub signals: &'a UpstreamWords,
-    /// Whether the upstream vouches for the answer.
+    /// Whether the upstream itself vouches for the answer.
     pub is_authenticated: bool,
-    /// When the question was sent.
+    /// When the request was sent.
     pub sent_at: Instant,
 }
 
-/// Takes in what an answer says of its upstream.
+/// Applies the signals of an upstream's answer.
 pub fn apply(shared: &Shared, received: ReceivedSignals<'_>) {
     let ReceivedSignals { start, signals, .. } = received;
-    for word in signals.unusable() {
-        shared.metrics.unusable_word(word);
+    for signal in signals.unusable() {
+        shared.metrics.unusable_word(signal);
     }
     apply_limit(shared, received);
     if signals.leaving == NamedLeaving::Leaves && record_leaving(shared, start) {
         shared.tell(Need::Word(start.upstream.clone()));
     }
     match signals.rest {
-        NamedRest::For(rest) if !rest.is_zero() => record_backoff(shared, start, rest),
+        NamedRest::For(backoff) if !backoff.is_zero() => record_backoff(shared, start, backoff),
         _ => shared
             .upstreams()
             .note_no_rest(&start.upstream, received.sent_at),
@@ -56,41 +58,42 @@
 fn apply_limit(shared: &Shared, received: ReceivedSignals<'_>) {
     let per_s = match received.signals.limit {
         NamedLimit::PerSecond(per_s) => Some(per_s),
-        // Only an answer that the upstream vouches for is its word that it is in no need.
+        // A missing limit only means that there is none if the upstream vouches for the answer.
         NamedLimit::Absent if received.is_authenticated => None,
         NamedLimit::Absent | NamedLimit::Unusable => return,
     };
-    let word = LimitWord {
+    let limit = LimitWord {
         per_s,
         sent_at: received.sent_at,
         heard_at: clock::now(),
     };
-    if record_limit(shared, received.start, word) {
+    if record_limit(shared, received.start, limit) {
         shared.tell(Need::Word(received.start.upstream.clone()));
     }
 }
 
-/// A start of an upstream leaves, as it said here or to another instance. Returns whether that is news.
+/// Records that a start of an upstream is leaving, as signalled to this or another instance.
+/// Returns whether that was unknown before.
 fn record_leaving(shared: &Shared, start: &UpstreamStart) -> bool {
     let now = clock::now();
     let mut upstreams = shared.upstreams();
-    let is_news = upstreams.note_leaving(&start.upstream, start.started_at_ms, now);
+    let is_new = upstreams.note_leaving(&start.upstream, start.started_at_ms, now);
     drop(upstreams);
-    if is_news {
+    if is_new {
         log::info!(target: DECISION_TARGET, upstream:% = start.upstream; "an upstream says that it leaves");
         shared.upstreams_changed();
     }
-    is_news
+    is_new
 }
 
-/// An upstream wants nothing from this instance for some time.
-fn record_backoff(shared: &Shared, start: &UpstreamStart, rest: Duration) {
-    let rest = rest.min(Duration::from_millis(MAX_BACKOFF_MS));
+/// Records that an upstream asked this instance to back off.
+fn record_backoff(shared: &Shared, start: &UpstreamStart, backoff: Duration) {
+    let backoff = backoff.min(Duration::from_millis(MAX_BACKOFF_MS));
     let instances = u32::try_from(shared.instances()).unwrap_or(u32::MAX);
     let spread = BACKOFF_SPREAD_PER_INSTANCE
         .saturating_mul(instances)
         .min(MAX_BACKOFF_SPREAD);
-    let until = clock::now() + rest + spread.mul_f64(rand::random());
+    let until = clock::now() + backoff + spread.mul_f64(rand::random());
     let mut upstreams = shared.upstreams();
     if upstreams.started_at_ms(&start.upstream) != start.started_at_ms {
         return;
@@ -100,20 +103,20 @@
     shared.upstreams_changed();
     shared.tell(Need::Word(start.upstream.clone()));
     shared.metrics.rest();
-    log::info!(target: DECISION_TARGET, upstream:% = start.upstream, rest_ms = millis(rest); "an upstream asks for rest");
+    log::info!(target: DECISION_TARGET, upstream:% = start.upstream, rest_ms = millis(backoff); "an upstream asks for rest");
 }
 
-/// A start of an upstream has said how much it takes, here or at another instance. Returns whether that is
-/// another limit than before.
-pub fn record_limit(shared: &Shared, start: &UpstreamStart, word: LimitWord) -> bool {
+/// Records the limit that a start of an upstream signalled to this or another instance. Returns
+/// whether the limit changed.
+pub fn record_limit(shared: &Shared, start: &UpstreamStart, limit: LimitWord) -> bool {
     let mut upstreams = shared.upstreams();
-    // What was said by another start of it says nothing of this one.
-    let is_of_this = upstreams.started_at_ms(&start.upstream) == start.started_at_ms;
-    let has_changed = is_of_this && upstreams.note_limit(&start.upstream, word);
+    // A signal of another start of the upstream does not apply to this one.
+    let is_current_start = upstreams.started_at_ms(&start.upstream) == start.started_at_ms;
+    let has_changed = is_current_start && upstreams.note_limit(&start.upstream, limit);
     drop(upstreams);
     if has_changed {
-        log::info!(target: DECISION_TARGET, upstream:% = start.upstream, per_s:? = word.per_s; "an upstream says what it takes");
-        if word.per_s.is_none() {
+        log::info!(target: DECISION_TARGET, upstream:% = start.upstream, per_s:? = limit.per_s; "an upstream says what it takes");
+        if limit.per_s.is_none() {
             shared.limits.retain(shared);
         }
         shared.upstreams_changed();
@@ -121,7 +124,7 @@
     has_changed
 }
 
-/// The words of some upstreams, or of all that have said something, as they are told.
+/// Encodes the limits and leaving state of the named upstreams, or of all that sent signals.
 pub fn encode(shared: &Shared, named: Option<&[UpstreamId]>) -> Words {
     if named.is_some_and(<[UpstreamId]>::is_empty) {
         return Words::default();
@@ -130,12 +133,12 @@
     let upstreams = shared.upstreams();
     let is_named = |id: &UpstreamId| named.is_none_or(|named| named.contains(id));
     let limits = upstreams.limit_words().filter(|(id, ..)| is_named(id));
-    let limits = limits.map(|(id, started_at_ms, word)| UpstreamLimit {
+    let limits = limits.map(|(id, started_at_ms, limit)| UpstreamLimit {
         upstream: id.to_string(),
         started_at_ms,
-        per_s: word.per_s,
-        sent_ms_ago: millis_since(word.sent_at, now),
-        heard_ms_ago: millis_since(word.heard_at, now),
+        per_s: limit.per_s,
+        sent_ms_ago: millis_since(limit.sent_at, now),
+        heard_ms_ago: millis_since(limit.heard_at, now),
     });
     let leaving = upstreams.leaving().filter(|(id, _)| is_named(id));
     let leaving = leaving.map(|(id, started_at_ms)| LeavingUpstream {
@@ -149,11 +152,11 @@
     }
 }
 
-/// What this instance tells the holder of some upstreams, or of all: their words, and which of them want
-/// nothing from this instance.
+/// Encodes what this instance reports to the holder about the named upstreams, or about all:
+/// limits, leaving state, and which of them asked this instance to back off.
 pub fn encode_for_holder(shared: &Shared, named: Option<&[UpstreamId]>) -> Words {
     let now = clock::now();
-    let mut words = encode(shared, named);
+    let mut message = encode(shared, named);
     let upstreams = shared.upstreams();
     let is_named = |id: &UpstreamId| named.is_none_or(|named| named.contains(id));
     let resting = upstreams.resting(now).filter(|(id, _)| is_named(id));
@@ -162,40 +165,40 @@
         started_at_ms: upstreams.started_at_ms(id),
         left_ms: millis(until.saturating_duration_since(now)),
     });
-    words.resting = resting.collect();
-    words
+    message.resting = resting.collect();
+    message
 }
 
-/// Takes in what another instance tells. Returns the upstreams that it tells of.
-pub fn merge(shared: &Shared, told: Words) -> Vec<UpstreamId> {
+/// Merges what another instance sent. Returns the upstreams that are concerned.
+pub fn merge(shared: &Shared, received: Words) -> Vec<UpstreamId> {
     let now = clock::now();
     let ago = |ms: u64| now.checked_sub(Duration::from_millis(ms)).unwrap_or(now);
-    let mut named = Vec::new();
-    for told in told.limits {
+    let mut concerned = Vec::new();
+    for received_limit in received.limits {
         let start = UpstreamStart {
-            upstream: UpstreamId::from(told.upstream),
-            started_at_ms: told.started_at_ms,
+            upstream: UpstreamId::from(received_limit.upstream),
+            started_at_ms: received_limit.started_at_ms,
         };
         if shared.upstreams().started_at_ms(&start.upstream) != start.started_at_ms {
             continue;
         }
-        let word = LimitWord {
-            per_s: told
+        let limit = LimitWord {
+            per_s: received_limit
                 .per_s
                 .filter(|per_s| per_s.is_finite() && *per_s >= 0.0),
-            sent_at: ago(told.sent_ms_ago),
-            heard_at: ago(told.heard_ms_ago),
+            sent_at: ago(received_limit.sent_ms_ago),
+            heard_at: ago(received_limit.heard_ms_ago),
         };
-        record_limit(shared, &start, word);
-        named.push(start.upstream);
+        record_limit(shared, &start, limit);
+        concerned.push(start.upstream);
     }
-    for told in told.leaving {
+    for leaving in received.leaving {
         let start = UpstreamStart {
-            upstream: UpstreamId::from(told.upstream),
-            started_at_ms: told.started_at_ms,
+            upstream: UpstreamId::from(leaving.upstream),
+            started_at_ms: leaving.started_at_ms,
         };
         record_leaving(shared, &start);
-        named.push(start.upstream);
+        concerned.push(start.upstream);
     }
-    named
+    concerned
 }
