--- a/crates/instance/src/feed_log.rs
+++ b/crates/instance/src/feed_log.rs
@@ -43,7 +43,7 @@
         match update {
             FeedUpdate::Snapshot(listing) => self.apply_snapshot(listing),
             FeedUpdate::Changes { changes, .. } => {
-                changes.iter().for_each(|change| self.apply_change(change))
+                changes.iter().for_each(|c| self.record_change(c))
             }
         }
         self.to = self.to.max(update.to());
@@ -83,14 +83,14 @@
         let missing: Vec<String> = missing.cloned().collect();
         for key in missing {
             let revision = listing.revision;
-            self.apply_change(&StoreChange::Removed { key, revision });
+            self.record_change(&StoreChange::Removed { key, revision });
         }
         for value in &listing.values {
-            self.apply_change(&StoreChange::Written(value.clone()));
+            self.record_change(&StoreChange::Written(value.clone()));
         }
     }
 
-    fn apply_change(&mut self, change: &StoreChange) {
+    fn record_change(&mut self, change: &StoreChange) {
         let known = self.values.get(change.key()).map(|value| value.revision);
         if known.is_some_and(|known| known >= change.revision()) {
             return;
