--- a/crates/instance/src/feed_log.rs
+++ b/crates/instance/src/feed_log.rs
@@ -42,9 +42,7 @@
         let previous_revision = self.changed_revision;
         match update {
             FeedUpdate::Snapshot(listing) => self.apply_snapshot(listing),
-            FeedUpdate::Changes { changes, .. } => {
-                changes.iter().for_each(|c| self.record_change(c))
-            }
+            FeedUpdate::Changes { changes, .. } => changes.iter().for_each(|c| self.record(c)),
         }
         self.to = self.to.max(update.to());
         self.changed_revision != previous_revision
@@ -83,14 +81,14 @@
         let missing: Vec<String> = missing.cloned().collect();
         for key in missing {
             let revision = listing.revision;
-            self.record_change(&StoreChange::Removed { key, revision });
+            self.record(&StoreChange::Removed { key, revision });
         }
         for value in &listing.values {
-            self.record_change(&StoreChange::Written(value.clone()));
+            self.record(&StoreChange::Written(value.clone()));
         }
     }
 
-    fn record_change(&mut self, change: &StoreChange) {
+    fn record(&mut self, change: &StoreChange) {
         let known = self.values.get(change.key()).map(|value| value.revision);
         if known.is_some_and(|known| known >= change.revision()) {
             return;
