--- a/crates/instance/src/report.rs
+++ b/crates/instance/src/report.rs
@@ -54,7 +54,7 @@
         unreported: BTreeSet::new(),
         suspects: Vec::new(),
         breaks: Vec::new(),
-        signals: BTreeSet::new(),
+        changed_signals: BTreeSet::new(),
         recent: VecDeque::new(),
         is_new_connection: Arc::default(),
     };
@@ -81,7 +81,7 @@
     /// Upstreams that broke off under requests of this instance.
     breaks: Vec<(UpstreamStart, Instant)>,
     /// Upstreams whose signals changed.
-    signals: BTreeSet<UpstreamId>,
+    changed_signals: BTreeSet<UpstreamId>,
     /// Recent requests, for a holder that begins its term.
     recent: VecDeque<(Instant, DemandKey)>,
     /// Whether nothing was reported yet on the current connection to a holder.
@@ -138,7 +138,7 @@
                 || !self.unreported.is_empty()
                 || !self.suspects.is_empty()
                 || !self.breaks.is_empty()
-                || !self.signals.is_empty()
+                || !self.changed_signals.is_empty()
                 || self.is_new_connection.load(Ordering::Acquire)
             {
                 self.send();
@@ -196,7 +196,7 @@
             Need::Suspect(suspect) => self.suspects.push(suspect),
             Need::Broke(start, at) => self.breaks.push((start, at)),
             Need::Word(upstream) => {
-                self.signals.insert(upstream);
+                self.changed_signals.insert(upstream);
             }
             // The message only wakes the thread, which then reports what is due.
             Need::HolderReached => {}
@@ -380,13 +380,15 @@
             self.unreported.clear();
             self.suspects.clear();
             self.breaks.clear();
-            self.signals.clear();
+            self.changed_signals.clear();
             return;
         };
         let mut taken = std::mem::take(&mut self.taken);
         let mut unreported = std::mem::take(&mut self.unreported);
         let mut suspects = poison::encode(std::mem::take(&mut self.suspects));
-        let named: Vec<UpstreamId> = std::mem::take(&mut self.signals).into_iter().collect();
+        let named: Vec<UpstreamId> = std::mem::take(&mut self.changed_signals)
+            .into_iter()
+            .collect();
         let mut signals = signals::encode_for_holder(&self.shared, Some(&named));
         if self.is_new_connection.swap(false, Ordering::AcqRel) {
             taken = recent_counts(&self.recent);
--- a/tests/all/closed_halls.rs
+++ b/tests/all/closed_halls.rs
@@ -1,7 +1,7 @@
 //! Halls to which a request may not go: those that operators have emptied, and those of other regions than bind its
 //! route or its workspace.
 
-use crate::saying::SayingServer;
+use crate::signalling::SignallingServer;
 use crate::site::{self, ask, request, settings, start_with, until};
 use passway_serving::halls::AllowedRegions;
 use passway_serving::ports::{Directory, StoredValue};
@@ -40,7 +40,7 @@
 #[test]
 fn emptied_hall_gets_nothing() {
     let store = site::store(&[]);
-    let (here, there) = (SayingServer::start(), SayingServer::start());
+    let (here, there) = (SignallingServer::start(), SignallingServer::start());
     list_in(&store, "i-0", here.address(), "hall0");
     list_in(&store, "i-1", there.address(), "hall1");
     let instance = site::ready("one", &store);
@@ -68,9 +68,9 @@
 
 /// The store turns the instance away after the word was heard: the hall stays closed.
 #[test]
-fn closed_while_store_is_away() {
+fn hall_stays_closed_without_store() {
     let store = site::store(&[]);
-    let (here, there) = (SayingServer::start(), SayingServer::start());
+    let (here, there) = (SignallingServer::start(), SignallingServer::start());
     list_in(&store, "i-0", here.address(), "hall0");
     list_in(&store, "i-1", there.address(), "hall1");
     store.put("op/evacuate/hall0", &json!({}));
@@ -136,7 +136,7 @@
 
 /// A bound request reached an upstream of any region.
 #[test]
-fn regions_bind() {
+fn regions_restrict_choice() {
     let mut table = table();
     let only = |names: &[&str]| AllowedRegions::only(names.iter().map(|name| (*name).into()));
     let any = AllowedRegions::ANY;
--- a/tests/all/cold_upstreams.rs
+++ b/tests/all/cold_upstreams.rs
@@ -1,6 +1,6 @@
 //! Upstreams that are cold from their start get no more than they bear, over all instances.
 
-use crate::saying::SayingServer;
+use crate::signalling::SignallingServer;
 use crate::site::{self, ask, request, until};
 use passway_serving::upstreams::{ColdBound, UpstreamEntry, UpstreamTable};
 use passway_standins::platform::documents::{configuration, plain_entry};
@@ -63,7 +63,7 @@
     document["services"][0]["cold_start_s"] = json!(30.0);
     let store = site::store(&[]);
     store.put("op/config", &document);
-    let server = SayingServer::start();
+    let server = SignallingServer::start();
     let mut cold = plain_entry(server.address());
     cold["cold_left_ms"] = json!(30_000);
     cold["slots"] = json!(64);
--- a/tests/all/config_memory.rs
+++ b/tests/all/config_memory.rs
@@ -18,20 +18,20 @@
 use std::time::Duration;
 
 /// Versions in quick succession.
-const VERSIONS: u64 = 40;
+const VERSION_COUNT: u64 = 40;
 /// Routes that are added to each; some 0.5 MB.
-const ROUTES: u64 = 2_500;
+const ROUTE_COUNT: u64 = 2_500;
 /// What a listener may get in bytes: a few versions, not all forty (20 MB).
-const MOST_BYTES: usize = 4 << 20;
+const MAX_BYTES: usize = 4 << 20;
 
 /// Pause of a slow listener before each message.
-const SLOW_PAUSE: Duration = Duration::from_millis(100);
+const SLOW_READ_DELAY: Duration = Duration::from_millis(100);
 
 /// A version with many routes.
 fn large(version: u64) -> Value {
     let mut large = configuration(version, &["m0"]);
     let routes = large["routes"].as_array_mut().expect("routes");
-    routes.extend((0..ROUTES).map(|number| {
+    routes.extend((0..ROUTE_COUNT).map(|number| {
         // Prefixes that do not repeat, as operators' do not.
         let prefix = format!("/{:x}/", number.wrapping_mul(0x9E37_79B9_7F4A_7C15));
         json!({"name": format!("more-{number}"), "host": HOST, "prefix": prefix,
@@ -42,14 +42,14 @@
 }
 
 /// Times that a listener connects: a holder on a busy machine may lose its term.
-const CONNECTIONS: usize = 5;
+const MAX_CONNECTIONS: usize = 5;
 
 /// Connects to the holder and asks for its news until it knows that somebody came.
-fn listen(holder: &Instance, name: &str) -> LinkReader {
+fn subscribe(holder: &Instance, name: &str) -> LinkReader {
     until("the holder", || holder.holder().is_some());
     let address = holder.holder().expect("itself").address;
     let (link, reader) = Link::connect(address, Duration::from_secs(5)).expect("a link");
-    let subscribe = || {
+    let send_subscription = || {
         link.send(Body::Subscribe(Subscribe {
             known: vec![1, 1],
             instance: name.into(),
@@ -60,7 +60,7 @@
     };
     until("its coming", || {
         // A connection that the holder has closed meanwhile ends when it is read.
-        subscribe().is_err() || holder.knows_member(name)
+        send_subscription().is_err() || holder.knows_member(name)
     });
     reader
 }
@@ -76,8 +76,8 @@
         };
         let Body::News(news) = body else { continue };
         bytes += news.encoded_len();
-        let is_there = |news: &News| news.values.iter().any(|value| value.key == key);
-        if is_there(&news) {
+        let has_key = |news: &News| news.values.iter().any(|value| value.key == key);
+        if has_key(&news) {
             return (bytes, true);
         }
     }
@@ -86,10 +86,10 @@
 /// Bytes of all news until a key is named; `None` if that does not come about.
 fn bytes_until(holder: &Instance, name: &str, key: &str, pause: Duration) -> Option<usize> {
     let mut all = 0;
-    for _ in 0..CONNECTIONS {
-        let (bytes, is_there) = read_until(&mut listen(holder, name), key, pause);
+    for _ in 0..MAX_CONNECTIONS {
+        let (bytes, has_key) = read_until(&mut subscribe(holder, name), key, pause);
         all += bytes;
-        if is_there {
+        if has_key {
             return Some(all);
         }
     }
@@ -103,9 +103,9 @@
     until("the right to order", || instance.fence().is_some());
     let (slow, late) = std::thread::scope(|scope| {
         // One that takes versions more slowly than they come, as over a full link.
-        let slow = scope.spawn(|| bytes_until(&instance, "slow", "op/end", SLOW_PAUSE));
+        let slow = scope.spawn(|| bytes_until(&instance, "slow", "op/end", SLOW_READ_DELAY));
         until("its coming", || instance.knows_member("slow"));
-        for version in 2..=VERSIONS {
+        for version in 2..=VERSION_COUNT {
             store.put("op/config", &large(version));
             until("the version", || instance.version() == Some(version));
         }
@@ -117,7 +117,7 @@
     });
     for (listener, bytes) in [("slow", slow), ("late", late)] {
         assert!(
-            bytes.is_some_and(|bytes| bytes < MOST_BYTES),
+            bytes.is_some_and(|bytes| bytes < MAX_BYTES),
             "bytes for the {listener} one: {bytes:?}"
         );
     }
--- a/tests/all/config_way.rs
+++ b/tests/all/config_paths.rs
@@ -9,7 +9,7 @@
 //! its own knowledge was. Proved by the first two tests, in which the other way is open; the
 //! others are ways that were found shut when the mend was looked at.
 
-use crate::followed::{ToldStore, beat, followed, shared, word};
+use crate::scripted_store::{ScriptedStore, follow_store, heartbeat, shared, update_message};
 use crate::site::until;
 use bytes::Bytes;
 use passway_instance::relay::{CONFIGURATION_FEED, FEED_COUNT, Relay, RelayReceiver};
@@ -38,8 +38,8 @@
 }
 
 #[test]
-fn told_while_turned_away() {
-    let (relay, [tap, _]) = Relay::new();
+fn holder_update_applied_while_store_refuses() {
+    let (relay, [receiver, _]) = Relay::new();
     let once = |number| {
         if number == 0 {
             Ok(empty_list())
@@ -47,9 +47,9 @@
             Err(StoreError::NotDone)
         }
     };
-    let store = ToldStore::new(once, |_| Ok(WatchAnswer::HistoryGone));
-    let seen = followed(store, tap, &shared());
-    until("the list", || seen.have(10));
+    let store = ScriptedStore::new(once, |_| Ok(WatchAnswer::HistoryGone));
+    let seen = follow_store(store, receiver, &shared());
+    until("the list", || seen.contains(10));
     until("the holder's word", || {
         relay.receive(News {
             values: vec![NewsValue {
@@ -58,38 +58,38 @@
                 revision: 20,
                 ..NewsValue::default()
             }],
-            ..word(10, 20)
+            ..update_message(10, 20)
         });
-        seen.have(20)
+        seen.contains(20)
     });
 }
 
 /// A feed asks the store although the holder speaks, which has heard nothing of the store.
-fn asks_beside_words(relay: &Relay, tap: RelayReceiver) {
+fn queries_store_despite_heartbeats(relay: &Relay, receiver: RelayReceiver) {
     relay.receive(News::default());
-    let store = ToldStore::new(|_| Ok(empty_list()), |_| Ok(change()));
-    let seen = followed(store, tap, &shared());
-    until("the list", || seen.have(10));
+    let store = ScriptedStore::new(|_| Ok(empty_list()), |_| Ok(change()));
+    let seen = follow_store(store, receiver, &shared());
+    until("the list", || seen.contains(10));
     until("the store's word", || {
         relay.receive(News::default());
-        seen.have(20)
+        seen.contains(20)
     });
 }
 
 #[test]
-fn silent_knowledge() {
-    let (relay, [tap, _]) = Relay::new();
-    asks_beside_words(&relay, tap);
+fn holder_without_confirmation_not_trusted() {
+    let (relay, [receiver, _]) = Relay::new();
+    queries_store_despite_heartbeats(&relay, receiver);
 }
 
 /// A holder that knows the configuration up to now and the upstreams no more: an instance
 /// relies on it for the one and asks the store for the other, also after a call that failed.
 /// The failure was kept for as long as nobody else asked, and nobody did.
 #[test]
-fn upstreams_asked_after_failure() {
+fn upstreams_queried_after_failure() {
     let (relay, [configuration, upstreams]) = Relay::new();
     let begun_at = Instant::now();
-    relay.receive(beat(begun_at, 1));
+    relay.receive(heartbeat(begun_at, 1));
     let shared = shared();
     let once_lost = |number| {
         if number == 0 {
@@ -98,16 +98,16 @@
             Ok(change())
         }
     };
-    let store = || ToldStore::new(|_| Ok(empty_list()), once_lost);
-    let configuration = followed(store(), configuration, &shared);
+    let store = || ScriptedStore::new(|_| Ok(empty_list()), once_lost);
+    let configuration = follow_store(store(), configuration, &shared);
     until("the configuration", || {
-        relay.receive(beat(begun_at, 1));
-        configuration.have(10)
+        relay.receive(heartbeat(begun_at, 1));
+        configuration.contains(10)
     });
-    let upstreams = followed(store(), upstreams, &shared);
+    let upstreams = follow_store(store(), upstreams, &shared);
     until("the store's word on the upstreams", || {
-        relay.receive(beat(begun_at, 1));
-        upstreams.have(20)
+        relay.receive(heartbeat(begun_at, 1));
+        upstreams.contains(20)
     });
 }
 
@@ -115,17 +115,17 @@
 /// Cut off from the store, such a holder kept its term for 3 s after its lease; nobody looked
 /// whether the right was free, and those that reached nobody else heard nothing for 4.4 s.
 #[test]
-fn resting_feed_wakes() {
+fn unrelayed_feed_queries_store() {
     let (relay, _) = Relay::new();
-    asks_beside_words(&relay, relay.unrelayed_receiver());
+    queries_store_despite_heartbeats(&relay, relay.unrelayed_receiver());
 }
 
 /// After a gap the store's history is gone too: everything is listed, nothing is forgotten.
 #[test]
-fn gap_outlasts_gone_history() {
-    let (relay, [tap, _]) = Relay::new();
+fn gap_closed_after_history_gone() {
+    let (relay, [receiver, _]) = Relay::new();
     let begun_at = Instant::now();
-    relay.receive(beat(begun_at, FEED_COUNT));
+    relay.receive(heartbeat(begun_at, FEED_COUNT));
     let list = |number| {
         let revision = if number == 0 { 10 } else { 30 };
         Ok(Listing {
@@ -133,21 +133,21 @@
             revision,
         })
     };
-    let store = ToldStore::new(list, |_| Ok(WatchAnswer::HistoryGone));
-    let seen = followed(store, tap, &shared());
-    until("the list", || seen.have(10));
-    relay.receive(word(25, 28));
+    let store = ScriptedStore::new(list, |_| Ok(WatchAnswer::HistoryGone));
+    let seen = follow_store(store, receiver, &shared());
+    until("the list", || seen.contains(10));
+    relay.receive(update_message(25, 28));
     until("everything", || {
-        relay.receive(beat(begun_at, FEED_COUNT));
-        seen.have(30)
+        relay.receive(heartbeat(begun_at, FEED_COUNT));
+        seen.contains(30)
     });
 }
 
 /// A gap is closed by the holder too, which is asked for everything.
 #[test]
-fn gap_is_asked_for() {
-    let (relay, [tap, _]) = Relay::new();
-    relay.receive(beat(Instant::now(), FEED_COUNT));
+fn gap_resent_by_holder() {
+    let (relay, [receiver, _]) = Relay::new();
+    relay.receive(heartbeat(Instant::now(), FEED_COUNT));
     let once = |number| {
         if number == 0 {
             Ok(empty_list())
@@ -155,13 +155,13 @@
             Err(StoreError::NotDone)
         }
     };
-    let store = ToldStore::new(once, |_| Err(StoreError::NotDone));
-    let seen = followed(store, tap, &shared());
-    until("the list", || seen.have(10));
-    relay.receive(word(25, 28));
+    let store = ScriptedStore::new(once, |_| Err(StoreError::NotDone));
+    let seen = follow_store(store, receiver, &shared());
+    until("the list", || seen.contains(10));
+    relay.receive(update_message(25, 28));
     until("the wish for everything", || relay.needs_resend());
     assert_eq!(relay.known_revisions()[CONFIGURATION_FEED], 0);
-    relay.receive(word(0, 28));
-    until("the holder's word", || seen.have(28));
+    relay.receive(update_message(0, 28));
+    until("the holder's word", || seen.contains(28));
     assert!(!relay.needs_resend());
 }
--- a/tests/all/dispatch_way.rs
+++ b/tests/all/dispatch_way.rs
@@ -1,7 +1,7 @@
 //! An instance asks the dispatcher of an engine, and is one itself; the test plays the holder
 //! of the right to order, which tells who dispatches, and the other end of each question.
 
-use crate::holder_link::{Holder, subscription};
+use crate::holder_link::{PlayedHolder, subscription};
 use crate::site::{self, PATIENCE, stream, until};
 use passway_instance::Instance;
 use passway_standins::platform::model_server::{Faults, ModelServer};
@@ -25,7 +25,7 @@
 /// for the instance itself.
 fn world(dispatchers: &[Option<SocketAddr>]) -> World {
     let store = site::store(&["m0"]);
-    let holder = Holder::begin(&store);
+    let holder = PlayedHolder::begin(&store);
     let server = |id| ModelServer::start(&store, id, "engines", 2, &["m0"], &[]);
     let servers = [server("i-0"), server("i-1")];
     let instance = site::ready("one", &store);
--- a/tests/all/feed_log.rs
+++ b/tests/all/feed_log.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn packed_against_known() {
+fn compressed_against_known_base() {
     let mut log = FeedLog::default();
     let mut bases = CompressionBases::default();
     log.apply(&whole(&["a"], 10, 10));
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn other_base_refused() {
+fn unknown_base_refused() {
     let mut log = FeedLog::default();
     log.apply(&whole(&["a"], 10, 10));
     log.apply(&written(11));
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn gap_is_left() {
+fn gap_is_kept() {
     let waiting = written(11).merged_with(written(20));
     assert_eq!(waiting, written(20));
     let listed = whole(&["a"], 10, 10).merged_with(written(11));
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn list_tells_differences() {
+fn listing_sends_differences() {
     let mut log = FeedLog::default();
     log.apply(&whole(&["a", "b"], 10, 10));
     // The store's history was gone, and it was listed again.
@@ -115,12 +115,12 @@
 
 /// A listener reads a version from the store itself, and the holder tells it the same one.
 #[test]
-fn own_reading_is_no_gap() {
-    let (relay, [tap, _]) = Relay::new();
+fn value_read_from_store_is_no_gap() {
+    let (relay, [receiver, _]) = Relay::new();
     let mut log = FeedLog::default();
     log.apply(&whole(&["a"], 10, 10));
-    tap.record_applied(&whole(&["a"], 10, 10), 10);
-    tap.record_applied(&written(11), 11);
+    receiver.record_applied(&whole(&["a"], 10, 10), 10);
+    receiver.record_applied(&written(11), 11);
     log.apply(&written(11));
     relay.receive(log.update_after(CONFIGURATION_FEED, 10).expect("news"));
     assert!(!relay.needs_resend(), "all is asked for anew");
@@ -129,30 +129,30 @@
 /// As before, and the holder has missed that version.
 #[test]
 fn skipped_version_is_readable() {
-    let (relay, [tap, _]) = Relay::new();
+    let (relay, [receiver, _]) = Relay::new();
     let mut log = FeedLog::default();
     log.apply(&whole(&["a"], 10, 10));
-    tap.record_applied(&whole(&["a"], 10, 10), 10);
-    tap.record_applied(&written(11), 11);
+    receiver.record_applied(&whole(&["a"], 10, 10), 10);
+    receiver.record_applied(&written(11), 11);
     log.apply(&whole(&["a"], 12, 12));
     relay.receive(log.update_after(CONFIGURATION_FEED, 10).expect("news"));
-    let told = tap.wait_for_update(Duration::ZERO);
+    let told = receiver.wait_for_update(Duration::ZERO);
     assert!(told.is_some_and(|told| told.to() == 12), "12 is lost");
 }
 
 /// What cannot be read is asked for until it is known, from the holder or from the store.
 #[test]
 fn unreadable_until_known() {
-    let (relay, [tap, _]) = Relay::new();
+    let (relay, [receiver, _]) = Relay::new();
     let mut log = FeedLog::default();
     log.apply(&whole(&["a"], 10, 10));
     log.apply(&written(11));
-    tap.record_applied(&whole(&["a"], 9, 9), 9);
+    receiver.record_applied(&whole(&["a"], 9, 9), 9);
     let packed = log.update_after(CONFIGURATION_FEED, 10).expect("news");
     relay.receive(packed);
     assert!(relay.needs_resend());
     assert_eq!(relay.known_revisions()[CONFIGURATION_FEED], 0);
-    tap.record_applied(&written(11), 11);
+    receiver.record_applied(&written(11), 11);
     assert!(!relay.needs_resend());
     assert_eq!(relay.known_revisions()[CONFIGURATION_FEED], 11);
 }
@@ -160,7 +160,7 @@
 /// A key that comes and goes within one answer to the holder, and that a listener has read
 /// from the store in between.
 #[test]
-fn short_lived_key_is_told_gone() {
+fn short_lived_key_removal_sent() {
     let mut log = FeedLog::default();
     log.apply(&whole(&["a"], 10, 10));
     let short_lived = StoreChange::Written(large("b", 12));
@@ -180,7 +180,7 @@
 
 /// What came and went between two lists is not known to the holder.
 #[test]
-fn unseen_span_told_whole() {
+fn unseen_span_sent_whole() {
     let mut log = FeedLog::default();
     log.apply(&whole(&["a"], 10, 10));
     log.apply(&whole(&["a"], 30, 10));
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn older_word_brings_nothing_back() {
+fn older_update_restores_nothing() {
     let all = whole(&[], 50, 50);
     assert_eq!(all.clone().merged_with(written(14)), all);
     assert_eq!(all.clone().merged_with(whole(&["a"], 14, 14)), all);
--- a/tests/all/fleet_start.rs
+++ b/tests/all/fleet_start.rs
@@ -22,11 +22,11 @@
 const INSTANCES: u64 = 300;
 const ENGINES: u8 = 255;
 /// Those that may succeed the holder.
-const SUCCESSORS: u64 = 9;
+const CANDIDATES: u64 = 9;
 /// Heartbeats within the second in which they come.
 const HEARTBEATS: u64 = 4;
 /// What the holder's link carries between two renewals.
-const MOST_BYTES: usize = 600_000;
+const MAX_BYTES: usize = 600_000;
 
 fn address(number: u64) -> SocketAddr {
     let [.., high, low] = number.to_be_bytes();
@@ -37,31 +37,29 @@
 fn members_by_heartbeat() {
     let mut member_list = MemberListTracker::default();
     let mut members = Addresses::new();
-    let (mut bytes, mut most_at_once) = (0, 0);
+    let (mut bytes, mut max_at_once) = (0, 0);
     for heartbeat in 0..HEARTBEATS {
-        let come = INSTANCES / HEARTBEATS;
-        for number in heartbeat * come..(heartbeat + 1) * come {
+        let connecting = INSTANCES / HEARTBEATS;
+        for number in heartbeat * connecting..(heartbeat + 1) * connecting {
             members.insert(format!("frontend-hall-{number}").into(), address(number));
         }
-        let due = member_list.due_connections(&members, 0..SUCCESSORS.min((heartbeat + 1) * come));
+        let due =
+            member_list.due_connections(&members, 0..CANDIDATES.min((heartbeat + 1) * connecting));
         let sent = due.len() * encode(&members).encoded_len();
         bytes += sent;
-        most_at_once = most_at_once.max(sent);
+        max_at_once = max_at_once.max(sent);
     }
-    assert!(
-        most_at_once < MOST_BYTES / 4,
-        "{most_at_once} bytes at once"
-    );
-    assert!(bytes < MOST_BYTES, "{bytes} bytes in all");
+    assert!(max_at_once < MAX_BYTES / 4, "{max_at_once} bytes at once");
+    assert!(bytes < MAX_BYTES, "{bytes} bytes in all");
     // Nothing has changed, and nobody is told.
     assert_eq!(
-        member_list.due_connections(&members, 0..SUCCESSORS),
+        member_list.due_connections(&members, 0..CANDIDATES),
         BTreeSet::new()
     );
     // One that may succeed since is told, and so are all once the list has changed.
     assert_eq!(
-        member_list.due_connections(&members, 0..=SUCCESSORS),
-        BTreeSet::from([SUCCESSORS])
+        member_list.due_connections(&members, 0..=CANDIDATES),
+        BTreeSet::from([CANDIDATES])
     );
     members.remove("frontend-hall-0");
     assert_eq!(
@@ -145,7 +143,7 @@
 
 /// Whoever waits for a model is told at once that it has come, and nobody else.
 #[test]
-fn awaited_told_at_once() {
+fn awaited_model_sent_at_once() {
     let mut planned = Planned::new();
     planned.orders(passway_serving::ports::OrderAnswer::Taken);
     planned.report(false, 0, &["m0"]);
--- a/tests/all/held_bodies.rs
+++ b/tests/all/held_bodies.rs
@@ -1,6 +1,6 @@
 //! Bodies of all requests together are bounded, and one that does not fit is refused.
 
-use crate::followed::shared;
+use crate::scripted_store::shared;
 use passway_instance::shared::MAX_HELD_BODIES_BYTES;
 
 /// A body as large as callers may send on most sites.
--- a/tests/all/holder_heard.rs
+++ b/tests/all/holder_heard.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn only_newer_believed() {
+fn only_newer_holder_accepted() {
     let mut tenure = tenure();
     tenure.seen(Some(holder("two", 5)));
     assert!(!tenure.told(holder("three", 4)), "an older term");
@@ -89,7 +89,7 @@
 /// The announcement of a new holder reaches an instance before the instance has noticed that
 /// it is cut off. It is made once, so it must count when the cut is noticed.
 #[test]
-fn early_word_kept() {
+fn early_announcement_kept() {
     let store = site::store(&["m0"]);
     let way = store.serve_way();
     let instance = site::start_at("one", way.address());
@@ -156,7 +156,7 @@
 #[test]
 fn same_holder_again() {
     let store = site::store(&["m0"]);
-    let holder = crate::holder_link::Holder::begin(&store);
+    let holder = crate::holder_link::PlayedHolder::begin(&store);
     let way = store.serve_way();
     let instance = site::start_at("one", way.address());
     until("readiness", || instance.is_ready());
--- a/tests/all/holder_link.rs
+++ b/tests/all/holder_link.rs
@@ -4,7 +4,7 @@
 //! again and again; a new one waited for the pause that the old one had begun; a word that
 //! could not be read was made up for by the store alone.
 
-use crate::followed::{beat, word};
+use crate::scripted_store::{heartbeat, update_message};
 use crate::site::{self, PATIENCE, until};
 use passway_instance::Instance;
 use passway_instance::relay::{CONFIGURATION_FEED, FEED_COUNT, Relay};
@@ -16,15 +16,15 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 /// Pause between two words of a holder that speaks.
-const BEAT_PAUSE: Duration = Duration::from_millis(100);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A holder that the test plays.
-pub struct Holder {
+pub struct PlayedHolder {
     listener: TcpListener,
     begun_at: Instant,
 }
 
-impl Holder {
+impl PlayedHolder {
     /// Has the key in the store, for good.
     pub fn begin(store: &MetadataStandIn) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
@@ -45,9 +45,9 @@
     }
 
     /// Says that it lives and knows all.
-    fn beat(&self, link: &Link) {
+    fn send_heartbeat(&self, link: &Link) {
         // The listener may have closed the link, which the test sees by reading.
-        let _ = link.send(Body::News(beat(self.begun_at, FEED_COUNT)));
+        let _ = link.send(Body::News(heartbeat(self.begun_at, FEED_COUNT)));
     }
 }
 
@@ -60,19 +60,19 @@
     }
 }
 
-fn listener() -> (MetadataStandIn, Holder, Instance) {
+fn listener() -> (MetadataStandIn, PlayedHolder, Instance) {
     let store = site::store(&["m0"]);
-    let holder = Holder::begin(&store);
+    let holder = PlayedHolder::begin(&store);
     let instance = site::ready("one", &store);
     (store, holder, instance)
 }
 
 #[test]
-fn silent_link_made_anew() {
+fn silent_link_reopened() {
     let (_store, holder, _instance) = listener();
     let (link, mut reader) = holder.accept();
     assert!(subscription(&mut reader).is_some());
-    holder.beat(&link);
+    holder.send_heartbeat(&link);
     // Nothing more is said, and the link stays open at this end. It is not asked on again and
     // again, until it ends by a time-out of its own.
     let asked = std::iter::from_fn(|| subscription(&mut reader)).count();
@@ -82,79 +82,79 @@
 }
 
 #[test]
-fn unreadable_word_told_whole() {
+fn unreadable_update_resent_whole() {
     let (_store, holder, _instance) = listener();
     let (link, mut reader) = holder.accept();
     let first = subscription(&mut reader).expect("a subscription");
     let known = first.known[CONFIGURATION_FEED];
     assert!(known > 0);
-    let packed = NewsValue {
+    let compressed = NewsValue {
         key: "op/config".into(),
         value: Some(vec![1; 100].into()),
         revision: known + 5,
         plain_bytes: 10_000,
         base: known + 4,
     };
-    holder.beat(&link);
-    let word = News {
-        values: vec![packed],
-        ..word(known, known + 5)
+    holder.send_heartbeat(&link);
+    let update = News {
+        values: vec![compressed],
+        ..update_message(known, known + 5)
     };
-    link.send(Body::News(word)).expect("sent");
-    let is_asked = AtomicBool::new(false);
-    let again = std::thread::scope(|scope| {
+    link.send(Body::News(update)).expect("sent");
+    let is_resubscribed = AtomicBool::new(false);
+    let resubscription = std::thread::scope(|scope| {
         scope.spawn(|| {
-            while !is_asked.load(Ordering::Acquire) {
-                holder.beat(&link);
-                std::thread::sleep(BEAT_PAUSE);
+            while !is_resubscribed.load(Ordering::Acquire) {
+                holder.send_heartbeat(&link);
+                std::thread::sleep(HEARTBEAT_INTERVAL);
             }
         });
-        let again = subscription(&mut reader);
-        is_asked.store(true, Ordering::Release);
-        again
+        let resubscription = subscription(&mut reader);
+        is_resubscribed.store(true, Ordering::Release);
+        resubscription
     });
-    let again = again.expect("another subscription");
-    assert_eq!(again.known[CONFIGURATION_FEED], 0);
+    let resubscription = resubscription.expect("another subscription");
+    assert_eq!(resubscription.known[CONFIGURATION_FEED], 0);
 }
 
 /// A word that was long on its way tells what was known when it left.
 #[test]
-fn waited_word_is_old() {
+fn delayed_message_counts_as_old() {
     let (relay, _) = Relay::new();
-    let word = |sent_ms, confirmed_ms| News {
+    let heartbeat = |sent_ms, confirmed_ms| News {
         sent_ms,
         confirmed_ms: vec![confirmed_ms; FEED_COUNT],
         ..News::default()
     };
-    let relies = || relay.trusted_until(CONFIGURATION_FEED).is_some();
-    relay.receive(word(9_000, 9_000));
-    assert!(relies());
+    let is_trusted = || relay.trusted_until(CONFIGURATION_FEED).is_some();
+    relay.receive(heartbeat(9_000, 9_000));
+    assert!(is_trusted());
     // Its sender has heard nothing for 3 s.
-    relay.receive(word(9_000, 6_000));
-    assert!(!relies());
-    relay.receive(word(9_000, 9_000));
-    assert!(relies());
+    relay.receive(heartbeat(9_000, 6_000));
+    assert!(!is_trusted());
+    relay.receive(heartbeat(9_000, 9_000));
+    assert!(is_trusted());
     // 3 s on its way, and its sender knew all when it left.
-    relay.receive(word(6_000, 6_000));
-    assert!(!relies());
+    relay.receive(heartbeat(6_000, 6_000));
+    assert!(!is_trusted());
     // A new connection to it on which all words are 3 s on their way.
     relay.holder_disconnected();
-    relay.receive(word(6_000, 6_000));
-    assert!(!relies());
+    relay.receive(heartbeat(6_000, 6_000));
+    assert!(!is_trusted());
     // Another holder counts from another moment.
     relay.holder_changed();
-    assert!(!relies());
-    relay.receive(word(500, 500));
-    assert!(relies());
+    assert!(!is_trusted());
+    relay.receive(heartbeat(500, 500));
+    assert!(is_trusted());
 }
 
 /// A store that turns an instance away from its first moment tells it nothing; the holder, of
 /// whom it has heard, tells it everything.
 #[test]
-fn successor_tells_all() {
+fn holder_sends_all_if_store_refuses() {
     let store = site::store(&["m0"]);
     let way = store.serve_way();
-    let holder = Holder::begin(&store);
+    let holder = PlayedHolder::begin(&store);
     let instance = site::start_at("one", way.address());
     let (link, mut reader) = holder.accept();
     let known = subscription(&mut reader).expect("a subscription").known;
@@ -164,16 +164,16 @@
         ..Faults::default()
     });
     let value = site::configuration(9, &["m0"]).to_string();
-    let word = News {
+    let update = News {
         values: vec![NewsValue {
             key: "op/config".into(),
             value: Some(value.into()),
             revision: known[CONFIGURATION_FEED] + 100,
             ..NewsValue::default()
         }],
-        ..word(known[CONFIGURATION_FEED], known[CONFIGURATION_FEED] + 100)
+        ..update_message(known[CONFIGURATION_FEED], known[CONFIGURATION_FEED] + 100)
     };
-    link.send(Body::News(word)).expect("sent");
+    link.send(Body::News(update)).expect("sent");
     until("the version", || instance.version() == Some(9));
 }
 
--- a/tests/all/leaving_upstreams.rs
+++ b/tests/all/leaving_upstreams.rs
@@ -1,7 +1,7 @@
 //! Upstreams that say in their answers that they leave get nothing more from whoever has heard it.
 
-use crate::saying::{Saying, SayingServer};
 use crate::scrape::metrics;
+use crate::signalling::{SignallingAnswer, SignallingServer};
 use crate::site::{self, ask, list_plain, request, stream, until};
 use passway_instance::Instance;
 use passway_standins::platform::documents::plain_entry;
@@ -14,12 +14,12 @@
 /// Within this an instance has heard of an entry.
 const HEARD_TIME: Duration = Duration::from_secs(1);
 
-fn leaves(status: u16) -> Saying {
-    Saying::line(status, "Server-Leaving: 1")
+fn leaves(status: u16) -> SignallingAnswer {
+    SignallingAnswer::with_line(status, "Server-Leaving: 1")
 }
 
 /// Instances before servers that are all listed as ready.
-fn before(servers: &[&SayingServer], names: &[&str]) -> (MetadataStandIn, Vec<Instance>) {
+fn before(servers: &[&SignallingServer], names: &[&str]) -> (MetadataStandIn, Vec<Instance>) {
     let store = site::store(&[]);
     for (number, server) in servers.iter().enumerate() {
         list_plain(&store, &format!("i-{number}"), server.address(), "ready");
@@ -43,12 +43,12 @@
 /// nothing yet since the store was away, was all that counted.
 #[test]
 fn word_in_answer() {
-    let (leaving, staying) = (SayingServer::start(), SayingServer::start());
+    let (leaving, staying) = (SignallingServer::start(), SignallingServer::start());
     let (_store, instances) = before(&[&leaving, &staying], &["one"]);
     for (path, ids) in [("/read/", "read"), ("/pay/", "pay")] {
-        leaving.says(Saying::nothing());
+        leaving.set_answer(SignallingAnswer::plain());
         let before = leaving.count();
-        leaving.says(leaves(200));
+        leaving.set_answer(leaves(200));
         let statuses = send(&instances[0], path, ids, 60);
         assert!(statuses.iter().all(|status| *status == 200));
         assert!(
@@ -63,9 +63,9 @@
 #[test]
 fn word_in_any_answer() {
     for status in [200, 404, 429, 500, 503] {
-        let (leaving, staying) = (SayingServer::start(), SayingServer::start());
+        let (leaving, staying) = (SignallingServer::start(), SignallingServer::start());
         let (_store, instances) = before(&[&leaving, &staying], &["one"]);
-        leaving.says(leaves(status));
+        leaving.set_answer(leaves(status));
         send(&instances[0], "/read/", "id", 40);
         assert_eq!(leaving.count(), 1, "{status}");
     }
@@ -98,9 +98,9 @@
 /// One instance hears it, and none sends anything more.
 #[test]
 fn told_to_all() {
-    let (leaving, staying) = (SayingServer::start(), SayingServer::start());
+    let (leaving, staying) = (SignallingServer::start(), SignallingServer::start());
     let (store, instances) = before(&[&leaving, &staying], &["one", "two", "three"]);
-    leaving.says(leaves(200));
+    leaving.set_answer(leaves(200));
     send(&instances[0], "/read/", "first", 40);
     assert_eq!(leaving.count(), 1);
     until("all know", || instances.iter().all(knows));
@@ -121,9 +121,9 @@
 /// upstream under its id is another one.
 #[test]
 fn final_for_a_start() {
-    let (leaving, staying) = (SayingServer::start(), SayingServer::start());
+    let (leaving, staying) = (SignallingServer::start(), SignallingServer::start());
     let (store, instances) = before(&[&leaving, &staying], &["one"]);
-    leaving.says(leaves(200));
+    leaving.set_answer(leaves(200));
     send(&instances[0], "/read/", "first", 40);
     assert_eq!(leaving.count(), 1);
     store.remove("servers/i-0");
@@ -132,7 +132,7 @@
     std::thread::sleep(HEARD_TIME);
     send(&instances[0], "/read/", "back", 40);
     assert_eq!(leaving.count(), 1);
-    leaving.says(Saying::nothing());
+    leaving.set_answer(SignallingAnswer::plain());
     let mut entry = plain_entry(leaving.address());
     entry["born"] = 5.into();
     store.put("servers/i-0", &entry);
--- a/tests/all/limited_upstreams.rs
+++ b/tests/all/limited_upstreams.rs
@@ -10,9 +10,9 @@
 //! 160 requests in four seconds. That each instance heeds the word alone would not have been enough: the sum
 //! over all counts, so one of them counts for all.
 
-use crate::holder_link::Holder;
-use crate::saying::{Saying, SayingServer};
+use crate::holder_link::PlayedHolder;
 use crate::scrape::metrics;
+use crate::signalling::{SignallingAnswer, SignallingServer};
 use crate::site::{self, Caller, ask, list_plain, request, stream, until};
 use passway_instance::Instance;
 use passway_standins::platform::model_server::{Faults, ModelServer};
@@ -28,9 +28,9 @@
 /// From the first word on until it counts.
 const CONTACT: Duration = Duration::from_secs(3);
 
-fn name_limit(server: &SayingServer, per_s: Option<f64>) {
+fn name_limit(server: &SignallingServer, per_s: Option<f64>) {
     let line = per_s.map_or_else(String::new, |per_s| format!("Server-Limit: {per_s}"));
-    server.says(Saying::line(200, line));
+    server.set_answer(SignallingAnswer::with_line(200, line));
 }
 
 /// Most arrivals in one of the spans that begin at a moment or later.
@@ -92,7 +92,7 @@
 }
 
 /// Three instances before servers of one service.
-fn site(servers: &[SayingServer]) -> (MetadataStandIn, Vec<Instance>) {
+fn site(servers: &[SignallingServer]) -> (MetadataStandIn, Vec<Instance>) {
     let store = site::store(&[]);
     for (number, server) in servers.iter().enumerate() {
         list_plain(&store, &format!("i-{number}"), server.address(), "ready");
@@ -103,7 +103,12 @@
 }
 
 /// Lets a server name a limit while callers ask for long enough that it counts. Returns what they got.
-fn play(instances: &[Instance], server: &SayingServer, path: &'static str, per_s: f64) -> Vec<u16> {
+fn play(
+    instances: &[Instance],
+    server: &SignallingServer,
+    path: &'static str,
+    per_s: f64,
+) -> Vec<u16> {
     let callers = Callers::start(instances, path);
     std::thread::sleep(Duration::from_secs(1));
     name_limit(server, Some(per_s));
@@ -117,9 +122,9 @@
 /// The others carry what one does not take, and callers notice nothing.
 fn one_of_three(path: &'static str) {
     let servers = [
-        SayingServer::start(),
-        SayingServer::start(),
-        SayingServer::start(),
+        SignallingServer::start(),
+        SignallingServer::start(),
+        SignallingServer::start(),
     ];
     let (_store, instances) = site(&servers);
     let begun_at = Instant::now();
@@ -142,7 +147,7 @@
 /// One request through one instance is enough for all of them to know.
 #[test]
 fn told_to_all() {
-    let servers = [SayingServer::start()];
+    let servers = [SignallingServer::start()];
     let (store, instances) = site(&servers);
     let limited = |instance: &Instance| {
         metrics(instance).contains("\npassway_instance_limited_upstreams 1\n")
@@ -168,7 +173,7 @@
 /// everything meanwhile.
 #[test]
 fn comes_and_goes() {
-    let servers = [SayingServer::start(), SayingServer::start()];
+    let servers = [SignallingServer::start(), SignallingServer::start()];
     let (_store, instances) = site(&servers);
     name_limit(&servers[0], Some(20.0));
     let callers = Callers::start(&instances, "/read/");
@@ -189,7 +194,7 @@
 /// nothing that it does not take is counted against it.
 #[test]
 fn all_in_need() {
-    let servers = [SayingServer::start(), SayingServer::start()];
+    let servers = [SignallingServer::start(), SignallingServer::start()];
     let (_store, instances) = site(&servers);
     for server in &servers {
         name_limit(server, Some(3.0));
@@ -266,10 +271,10 @@
 /// more, and callers are refused, not held until their time is over.
 #[test]
 fn nobody_counts() {
-    let servers = [SayingServer::start()];
+    let servers = [SignallingServer::start()];
     let store = site::store(&[]);
     list_plain(&store, "i-0", servers[0].address(), "ready");
-    let _silent = Holder::begin(&store);
+    let _silent = PlayedHolder::begin(&store);
     let instance = site::ready("one", &store);
     name_limit(&servers[0], Some(1.0));
     let statuses = (0..4).map(|number| {
--- a/tests/all/model_orders.rs
+++ b/tests/all/model_orders.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn rare_model_comes() {
+fn rare_model_loaded() {
     let store = site::store(&["m0", "m1", "m2"]);
     let server = ModelServer::start(&store, "i-0", "engines", 2, &["m0", "m1"], &["m2"]);
     let instance = site::ready("one", &store);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn adapter_comes() {
+fn adapter_loaded() {
     let store = site::store(&["m0"]);
     let server = ModelServer::start(&store, "i-0", "engines", 2, &["m0"], &[]);
     let instance = site::ready("one", &store);
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn asks_before_ordering() {
+fn queries_before_ordering() {
     let mut planned = Planned::new();
     planned.need("m2");
     assert_eq!(planned.orders(OrderAnswer::Taken), []);
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn busy_report_no_ground() {
+fn no_order_on_busy_report() {
     // Another holder's load is under way: the models it tells are not all that take room.
     let mut planned = Planned::new();
     planned.need("m2");
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn no_load_before_room() {
+fn no_load_before_unload_done() {
     // The unload was taken, and a run holds it up.
     let mut planned = Planned::new();
     planned.need("m2");
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn used_adapter_keeps_place() {
+fn used_adapter_keeps_slot() {
     let mut planned = Planned::new();
     planned.orders(OrderAnswer::Taken);
     let model = |adapters: &[&str]| ResidentModel {
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn older_word_ignored() {
+fn older_entry_ignored() {
     let mut planned = Planned::new();
     planned.need("m2");
     planned.orders(OrderAnswer::Taken);
@@ -277,7 +277,7 @@
 }
 
 #[test]
-fn new_holder_listens() {
+fn new_holder_waits_for_reports() {
     let mut planned = Planned::new();
     planned.need("m2");
     planned.report(false, 0, &["m0", "m1"]);
--- a/tests/all/outage_terms.rs
+++ b/tests/all/outage_terms.rs
@@ -8,16 +8,16 @@
 /// Long enough for a busy machine to renew it in time.
 const LEASE: Duration = Duration::from_secs(3);
 /// Longer than a lease lasts and a call to a silent store takes together.
-const LONG_OUTAGE: Duration = Duration::from_secs(6);
+const OUTAGE: Duration = Duration::from_secs(6);
 
 /// Whether the store names candidates.
 fn lists_candidates(store: &MetadataStandIn) -> bool {
-    let kept = store.get("passway/holders").unwrap_or_default();
-    let text = String::from_utf8(kept).expect("text");
+    let stored = store.get("passway/holders").unwrap_or_default();
+    let text = String::from_utf8(stored).expect("text");
     text.matches('=').count() == 3
 }
 
-fn plays_outage(faults: Faults) {
+fn serves_through_outage(faults: Faults) {
     let store = site::store(&["m0", "m1", "m2", "m3"]);
     let server = ModelServer::start(&store, "i-0", "engines", 2, &["m0", "m1"], &["m2", "m3"]);
     let address = store.serve();
@@ -37,7 +37,7 @@
     assert_eq!(site::stream(other, "report", "r1", "m2").status, 200);
 
     store.set_faults(faults);
-    std::thread::sleep(LONG_OUTAGE);
+    std::thread::sleep(OUTAGE);
     // The model stands nowhere, so somebody must order, and nobody can ask the store.
     assert_eq!(site::stream(other, "report", "r2", "m3").status, 200);
     assert_eq!(site::stream(other, "report", "r3", "m0").status, 200);
@@ -54,7 +54,7 @@
 
 #[test]
 fn refusing_store() {
-    plays_outage(Faults {
+    serves_through_outage(Faults {
         refuses: Some(503),
         ..Faults::default()
     });
@@ -62,7 +62,7 @@
 
 #[test]
 fn silent_store() {
-    plays_outage(Faults {
+    serves_through_outage(Faults {
         is_silent: true,
         ..Faults::default()
     });
--- a/tests/all/poison_late_ports.rs
+++ b/tests/all/poison_late_ports.rs
@@ -10,12 +10,12 @@
 /// What crashes the engines.
 const POISON: &str = "poison";
 /// The most engines that one request may end.
-const MOST_ENDS: usize = 3;
+const MAX_CRASHES: usize = 3;
 /// Time for which a port outlives its engine.
-const LATE: Duration = Duration::from_millis(300);
+const PORT_CLOSE_DELAY: Duration = Duration::from_millis(300);
 
 /// Passes on what comes until either end closes.
-fn pass_on(mut from: TcpStream, mut to: TcpStream) {
+fn copy(mut from: TcpStream, mut to: TcpStream) {
     let mut bytes = [0; 16 << 10];
     while let Ok(count) = from.read(&mut bytes)
         && count > 0
@@ -29,26 +29,27 @@
 fn late_port(engine: SocketAddr) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
-    let is_over = Arc::new(AtomicBool::new(false));
+    let is_closed = Arc::new(AtomicBool::new(false));
     std::thread::spawn(move || {
         for caller in listener.incoming().flatten() {
-            if is_over.load(Ordering::Acquire) {
+            if is_closed.load(Ordering::Acquire) {
                 return;
             }
             let Ok(server) = TcpStream::connect(engine) else {
-                let is_over = is_over.clone();
+                let is_closed = is_closed.clone();
                 std::thread::spawn(move || {
-                    std::thread::sleep(LATE);
-                    is_over.store(true, Ordering::Release);
+                    std::thread::sleep(PORT_CLOSE_DELAY);
+                    is_closed.store(true, Ordering::Release);
                     // It wakes the thread that accepts, unless that has ended.
                     let _ = TcpStream::connect(address);
                 });
                 continue;
             };
-            let back = (server.try_clone(), caller.try_clone());
-            let (answers, answered) = (back.0.expect("a copy"), back.1.expect("a copy"));
-            std::thread::spawn(move || pass_on(caller, server));
-            std::thread::spawn(move || pass_on(answers, answered));
+            let reverse = (server.try_clone(), caller.try_clone());
+            let (server_reader, caller_writer) =
+                (reverse.0.expect("a copy"), reverse.1.expect("a copy"));
+            std::thread::spawn(move || copy(caller, server));
+            std::thread::spawn(move || copy(server_reader, caller_writer));
         }
     });
     address
@@ -58,7 +59,7 @@
 /// and that it refused later was not taken for its end. Nothing told of that end for eight seconds, and then it was
 /// forgotten.
 #[test]
-fn end_seen_later() {
+fn late_crash_detected() {
     let store = site::store(&["m0"]);
     let engines = (0..8).map(|number| {
         let models = Models {
@@ -84,6 +85,6 @@
         let seconds = answer.header("retry-after").and_then(|s| s.parse().ok());
         seconds.is_some_and(|s: f64| s > 60.0)
     });
-    let ended = engines.iter().filter(|engine| engine.crashed()).count();
-    assert_eq!(ended, MOST_ENDS);
+    let crashed = engines.iter().filter(|engine| engine.crashed()).count();
+    assert_eq!(crashed, MAX_CRASHES);
 }
--- a/tests/all/poison_open_ports.rs
+++ b/tests/all/poison_open_ports.rs
@@ -13,15 +13,15 @@
 use serde_json::Value;
 
 /// Three engines end under one request, and one more under what was on its way.
-const MOST_ENDS: usize = 4;
+const MAX_CRASHES: usize = 4;
 /// Requests that crash engines.
-const CULPRITS: [&str; 2] = ["poison one", "poison two"];
+const POISON_BODIES: [&str; 2] = ["poison one", "poison two"];
 /// Time for which an engine is away.
-const AWAY: Duration = Duration::from_secs(2);
+const RESTART_DURATION: Duration = Duration::from_secs(2);
 /// Pause between two comings of each request.
-const PAUSE: Duration = Duration::from_millis(150);
+const REPEAT_INTERVAL: Duration = Duration::from_millis(150);
 /// Comings of each.
-const COMINGS: usize = 60;
+const REPEATS: usize = 60;
 
 /// A configuration with a route to engines whose requests may run again.
 fn with_repeatable(mut document: Value) -> Value {
@@ -35,13 +35,13 @@
     document
 }
 
-struct World {
+struct TestCluster {
     _store: MetadataStandIn,
     engines: Vec<ModelServer>,
     instances: [Instance; 3],
 }
 
-fn world() -> World {
+fn cluster() -> TestCluster {
     let store = site::store(&["m0"]);
     store.put("op/config", &with_repeatable(configuration(1, &["m0"])));
     let engines = (0..10).map(|number| {
@@ -49,7 +49,7 @@
         let engine = ModelServer::start(&store, &id, "engines", 1, &["m0"], &[]);
         engine.set_faults(Faults {
             crashes_on: Some("poison".to_owned()),
-            restarts_after: Some(AWAY),
+            restarts_after: Some(RESTART_DURATION),
             event_pause: Duration::from_millis(20),
             ..Faults::default()
         });
@@ -60,7 +60,7 @@
     for instance in &instances {
         until("a repeat to spend", || instance.may_repeat("engines"));
     }
-    World {
+    TestCluster {
         _store: store,
         engines,
         instances,
@@ -76,66 +76,69 @@
 }
 
 /// Lets both culprits come again and again at all instances, beside innocents of one body.
-fn play(route: &str) {
-    let world = world();
+fn run(route: &str) {
+    let cluster = cluster();
     let mut served = Vec::new();
     std::thread::scope(|scope| {
-        for culprit in CULPRITS {
-            let instances = &world.instances;
+        for poison in POISON_BODIES {
+            let instances = &cluster.instances;
             scope.spawn(move || {
-                for number in 0..COMINGS {
-                    let id = format!("{culprit}{number}");
-                    send(&instances[number % 3], route, &id, culprit);
-                    std::thread::sleep(PAUSE);
+                for number in 0..REPEATS {
+                    let id = format!("{poison}{number}");
+                    send(&instances[number % 3], route, &id, poison);
+                    std::thread::sleep(REPEAT_INTERVAL);
                 }
             });
         }
-        let innocents = (0..3).map(|number| {
-            let instance = &world.instances[number];
+        let others = (0..3).map(|number| {
+            let instance = &cluster.instances[number];
             scope.spawn(move || {
-                let comings = 0..COMINGS;
-                let served = comings.map(|coming| {
-                    std::thread::sleep(PAUSE);
-                    send(instance, route, &format!("o{number}-{coming}"), "{}")
+                let repeats = 0..REPEATS;
+                let served = repeats.map(|repeat| {
+                    std::thread::sleep(REPEAT_INTERVAL);
+                    send(instance, route, &format!("o{number}-{repeat}"), "{}")
                 });
                 served.collect::<Vec<bool>>()
             })
         });
-        let innocents: Vec<_> = innocents.collect();
-        for innocent in innocents {
-            let all = innocent.join().expect("an innocent");
+        let others: Vec<_> = others.collect();
+        for other in others {
+            let all = other.join().expect("an innocent");
             // The last third: by then both are known.
-            served.extend(all[COMINGS * 2 / 3..].to_vec());
+            served.extend(all[REPEATS * 2 / 3..].to_vec());
         }
     });
-    let restarts: Vec<String> = world
+    let restarts: Vec<String> = cluster
         .engines
         .iter()
         .flat_map(ModelServer::restarts)
         .collect();
-    for culprit in CULPRITS {
-        let ends = restarts.iter().filter(|body| *body == culprit).count();
-        assert!(ends <= MOST_ENDS, "{route}: {culprit} ended {ends} engines");
+    for poison in POISON_BODIES {
+        let crashes = restarts.iter().filter(|body| *body == poison).count();
+        assert!(
+            crashes <= MAX_CRASHES,
+            "{route}: {poison} crashed {crashes} engines"
+        );
     }
-    let whole = served.iter().filter(|is_served| **is_served).count();
+    let whole_answers = served.iter().filter(|is_served| **is_served).count();
     assert!(
-        whole * 100 >= served.len() * 95,
-        "{route}: {whole} of {}",
+        whole_answers * 100 >= served.len() * 95,
+        "{route}: {whole_answers} of {}",
         served.len()
     );
 }
 
 #[test]
 fn resumable_stream() {
-    play("chat");
+    run("chat");
 }
 
 #[test]
 fn once_only() {
-    play("report");
+    run("report");
 }
 
 #[test]
 fn repeatable() {
-    play("again");
+    run("again");
 }
--- a/tests/all/poison_requests.rs
+++ b/tests/all/poison_requests.rs
@@ -18,7 +18,7 @@
 /// What crashes the engines.
 const POISON: &str = "poison";
 /// The most engines that one request may end.
-const MOST_ENDS: usize = 3;
+const MAX_CRASHES: usize = 3;
 
 /// A store and engines that all have the model and crash on [`POISON`].
 fn engines(count: usize) -> (MetadataStandIn, Vec<ModelServer>) {
@@ -36,7 +36,7 @@
     (store, engines)
 }
 
-fn ended(engines: &[ModelServer]) -> usize {
+fn crashed_count(engines: &[ModelServer]) -> usize {
     engines.iter().filter(|engine| engine.crashed()).count()
 }
 
@@ -57,7 +57,7 @@
 }
 
 /// Whether an instance refuses one request.
-fn knows(instance: &Instance) -> bool {
+fn refuses_one_request(instance: &Instance) -> bool {
     let question = format!("GET /metrics HTTP/1.1\r\nHost: {HOST}\r\nConnection: close\r\n\r\n");
     let metrics = ask(instance.ready_address(), question.as_bytes()).expect("metrics");
     metrics
@@ -77,10 +77,10 @@
     until("a repeat to spend", || instance.may_repeat("engines"));
     for number in 0..engines.len() {
         send(&instance, route, &format!("p{number}"), POISON);
-        let other = send(&instance, "chat", &format!("o{number}"), "{}");
-        assert_eq!((other.status, other.whole), (200, true));
+        let other_answer = send(&instance, "chat", &format!("o{number}"), "{}");
+        assert_eq!((other_answer.status, other_answer.whole), (200, true));
     }
-    assert_eq!(ended(&engines), MOST_ENDS);
+    assert_eq!(crashed_count(&engines), MAX_CRASHES);
     // What cannot be served is told so at once, and that it is of no use to come back soon.
     let refused = send(&instance, route, "last", POISON);
     assert_eq!(refused.status, 503);
@@ -92,16 +92,16 @@
 fn known_at_other_instances() {
     let (store, engines) = engines(8);
     let instances = ["one", "two"].map(|name| site::ready(name, &store));
-    for number in 0..MOST_ENDS {
+    for number in 0..MAX_CRASHES {
         send(&instances[0], "report", &format!("p{number}"), POISON);
     }
-    assert_eq!(ended(&engines), MOST_ENDS);
-    until("both know it", || instances.iter().all(knows));
+    assert_eq!(crashed_count(&engines), MAX_CRASHES);
+    until("both know it", || instances.iter().all(refuses_one_request));
     for instance in &instances {
         assert_eq!(send(instance, "report", "p", POISON).status, 503);
         assert_eq!(send(instance, "chat", "o", "{}").status, 200);
     }
-    assert_eq!(ended(&engines), MOST_ENDS);
+    assert_eq!(crashed_count(&engines), MAX_CRASHES);
 }
 
 /// A caller's requests may leave from several addresses, and those of several from one: nothing
@@ -117,25 +117,25 @@
         caller.send(&request("POST", "/report/", "p", "Model: m0\r\n", POISON));
         assert!(caller.receive().is_some());
     }
-    assert_eq!(ended(&engines), MOST_ENDS);
+    assert_eq!(crashed_count(&engines), MAX_CRASHES);
 }
 
 /// All instances are killed before the request is refused: each such loss would let it end two
 /// engines more. (Two crashes are known to all and kept; after one all instances may go.)
 #[test]
-fn two_crashes_kept() {
+fn two_crashes_stored() {
     let (store, engines) = engines(8);
-    let before = site::ready("one", &store);
+    let first = site::ready("one", &store);
     for number in 0..2 {
-        send(&before, "report", &format!("p{number}"), POISON);
+        send(&first, "report", &format!("p{number}"), POISON);
     }
     until("it is kept", || store.get("passway/poison").is_some());
-    before.stop();
-    let after = site::ready("two", &store);
+    first.stop();
+    let second = site::ready("two", &store);
     for number in 0..3 {
-        send(&after, "report", &format!("q{number}"), POISON);
+        send(&second, "report", &format!("q{number}"), POISON);
     }
-    assert_eq!(ended(&engines), MOST_ENDS);
+    assert_eq!(crashed_count(&engines), MAX_CRASHES);
 }
 
 /// An operator takes the list out of the store, since what was wrong with the engines is mended.
@@ -143,13 +143,15 @@
 fn cleared_by_operator() {
     let (store, engines) = engines(8);
     let instances = ["one", "two"].map(|name| site::ready(name, &store));
-    for number in 0..MOST_ENDS {
+    for number in 0..MAX_CRASHES {
         send(&instances[0], "report", &format!("p{number}"), POISON);
     }
-    until("both know it", || instances.iter().all(knows));
+    until("both know it", || instances.iter().all(refuses_one_request));
     until("it is kept", || store.get("passway/poison").is_some());
     store.remove("passway/poison");
-    until("nobody refuses it", || !instances.iter().any(knows));
+    until("nobody refuses it", || {
+        !instances.iter().any(refuses_one_request)
+    });
     for engine in &engines {
         engine.set_faults(Faults::default());
     }
@@ -163,16 +165,16 @@
 #[test]
 fn known_after_restarts() {
     let (store, engines) = engines(8);
-    let before = site::ready("one", &store);
-    for number in 0..MOST_ENDS {
-        send(&before, "report", &format!("p{number}"), POISON);
+    let first = site::ready("one", &store);
+    for number in 0..MAX_CRASHES {
+        send(&first, "report", &format!("p{number}"), POISON);
     }
     until("it is kept", || store.get("passway/poison").is_some());
-    before.stop();
+    first.stop();
     // Nobody is left who knows it, and it is the first request of all.
-    let after = site::ready("two", &store);
-    assert_eq!(send(&after, "report", "p", POISON).status, 503);
-    assert_eq!(ended(&engines), MOST_ENDS);
+    let second = site::ready("two", &store);
+    assert_eq!(send(&second, "report", "p", POISON).status, 503);
+    assert_eq!(crashed_count(&engines), MAX_CRASHES);
 }
 
 /// Seven and eleven runs ended under one request: two engines had ended, and everybody knew, when it came at eight
@@ -184,10 +186,10 @@
         "one", "two", "three", "four", "five", "six", "seven", "eight",
     ];
     let instances = names.map(|name| site::ready(name, &store));
-    for number in 0..MOST_ENDS - 1 {
+    for number in 0..MAX_CRASHES - 1 {
         send(&instances[0], "report", &format!("p{number}"), POISON);
     }
-    assert_eq!(ended(&engines), MOST_ENDS - 1);
+    assert_eq!(crashed_count(&engines), MAX_CRASHES - 1);
     std::thread::sleep(std::time::Duration::from_secs(1));
     std::thread::scope(|scope| {
         for (number, instance) in instances.iter().enumerate() {
@@ -196,5 +198,9 @@
         }
     });
     // One more, and what was under way.
-    assert!(ended(&engines) <= MOST_ENDS + 1, "{}", ended(&engines));
+    assert!(
+        crashed_count(&engines) <= MAX_CRASHES + 1,
+        "{}",
+        crashed_count(&engines)
+    );
 }
--- a/tests/all/poison_turns.rs
+++ b/tests/all/poison_turns.rs
@@ -1,6 +1,6 @@
 //! After two crashes a request runs one at a time over all instances, by the word of the one that counts for all.
 
-use crate::holder_link::{Holder, subscription};
+use crate::holder_link::{PlayedHolder, subscription};
 use crate::site::{self, Answer, PATIENCE, ask, request, until};
 use passway_instance::Instance;
 use passway_standins::platform::model_server::{Faults, ModelServer};
@@ -28,7 +28,7 @@
     engines.collect()
 }
 
-fn ended(engines: &[ModelServer]) -> usize {
+fn crashed_count(engines: &[ModelServer]) -> usize {
     engines.iter().filter(|engine| engine.crashed()).count()
 }
 
@@ -39,44 +39,44 @@
 
 /// Whether an answer refuses a request that may crash upstreams. One that finds only upstreams that have ended is
 /// refused too, and may come back sooner.
-fn is_held(answer: &Answer) -> bool {
+fn refuses_suspect(answer: &Answer) -> bool {
     let seconds = answer.header("retry-after").and_then(|s| s.parse().ok());
     answer.status == 503 && seconds.is_some_and(|s: f64| s >= 2.0)
 }
 
 /// An instance whose fleet's counter is played by the test, and engines of which two have crashed.
-struct World {
+struct TestCluster {
     store: MetadataStandIn,
     engines: Vec<ModelServer>,
     instance: Instance,
-    counter: UdpSocket,
+    coordinator: UdpSocket,
 }
 
-impl World {
+impl TestCluster {
     fn new() -> Self {
         let store = site::store(&["m0"]);
-        let counter = UdpSocket::bind("127.0.0.1:0").expect("a port");
-        counter
+        let coordinator = UdpSocket::bind("127.0.0.1:0").expect("a port");
+        coordinator
             .set_read_timeout(Some(PATIENCE))
             .expect("a time-out");
-        let address = counter.local_addr().expect("an address");
+        let address = coordinator.local_addr().expect("an address");
         store.put_bytes("passway/holder", format!("played {address}").as_bytes());
         let engines = engines(&store);
         let instance = site::ready("one", &store);
-        let world = Self {
+        let cluster = Self {
             store,
             engines,
             instance,
-            counter,
+            coordinator,
         };
-        world.send("p0");
-        world.send("p1");
-        assert_eq!(world.ended(), 2);
-        world
+        cluster.send("p0");
+        cluster.send("p1");
+        assert_eq!(cluster.crashed_count(), 2);
+        cluster
     }
 
-    fn ended(&self) -> usize {
-        ended(&self.engines)
+    fn crashed_count(&self) -> usize {
+        crashed_count(&self.engines)
     }
 
     fn send(&self, id: &str) -> Answer {
@@ -84,14 +84,14 @@
     }
 
     /// The next question for a turn, and who asks.
-    fn asked(&self) -> (UseAsk, std::net::SocketAddr) {
+    fn next_permit_request(&self) -> (UseAsk, std::net::SocketAddr) {
         let mut bytes = [0; 1_500];
         loop {
-            let (length, from) = self.counter.recv_from(&mut bytes).expect("a question");
-            if let Some(Dispatch::UseAsk(ask)) = Datagram::read(&bytes[..length])
-                && !ask.digest.is_empty()
+            let (length, from) = self.coordinator.recv_from(&mut bytes).expect("a question");
+            if let Some(Dispatch::UseAsk(permit_request)) = Datagram::read(&bytes[..length])
+                && !permit_request.digest.is_empty()
             {
-                return (ask, from);
+                return (permit_request, from);
             }
         }
     }
@@ -100,42 +100,42 @@
 /// Eight copies whose questions to the counter were lost all ran, and ended an engine each.
 #[test]
 fn silence_permits_nothing() {
-    let world = World::new();
-    assert!(is_held(&world.send("p2")));
-    assert_eq!(world.ended(), 2);
+    let cluster = TestCluster::new();
+    assert!(refuses_suspect(&cluster.send("p2")));
+    assert_eq!(cluster.crashed_count(), 2);
     // Once somebody counts it has its turn, which shows what it is.
-    world.store.remove("passway/holder");
-    until("the right to order", || world.instance.fence().is_some());
-    assert_eq!(world.send("p3").status, 502);
-    assert_eq!(world.ended(), 3);
+    cluster.store.remove("passway/holder");
+    until("the right to order", || cluster.instance.fence().is_some());
+    assert_eq!(cluster.send("p3").status, 502);
+    assert_eq!(cluster.crashed_count(), 3);
 }
 
 /// A turn whose grant was lost was held against the request that had it: it asked again under another number, and
 /// was refused until the turn lapsed.
 #[test]
-fn asked_again_by_number() {
-    let world = World::new();
+fn permit_requested_again_with_same_id() {
+    let cluster = TestCluster::new();
     std::thread::scope(|scope| {
-        let caller = scope.spawn(|| world.send("p2").status);
-        let (first, _) = world.asked();
+        let caller = scope.spawn(|| cluster.send("p2").status);
+        let (first, _) = cluster.next_permit_request();
         // Longer than the instance waits for an answer, even to the second question.
-        let (again, from) = loop {
-            let (ask, from) = world.asked();
-            if ask.run_ms != first.run_ms {
-                break (ask, from);
+        let (repeated, from) = loop {
+            let (permit_request, from) = cluster.next_permit_request();
+            if permit_request.run_ms != first.run_ms {
+                break (permit_request, from);
             }
         };
-        assert_eq!(again.id, first.id);
-        let mut told = UseTold {
-            id: again.id,
+        assert_eq!(repeated.id, first.id);
+        let mut answer = UseTold {
+            id: repeated.id,
             ..UseTold::default()
         };
-        told.set_verdict(UseVerdict::Granted);
-        let bytes = Datagram::bytes(Some(Dispatch::UseTold(told)));
-        world.counter.send_to(&bytes, from).expect("sent");
+        answer.set_verdict(UseVerdict::Granted);
+        let bytes = Datagram::bytes(Some(Dispatch::UseTold(answer)));
+        cluster.coordinator.send_to(&bytes, from).expect("sent");
         assert_eq!(caller.join().expect("a caller"), 502);
     });
-    assert_eq!(world.ended(), 3);
+    assert_eq!(cluster.crashed_count(), 3);
 }
 
 /// Four of eight copies ran a second after the second crash, at instances that had not heard of it: they heard of it by
@@ -144,7 +144,7 @@
 fn told_without_holder() {
     let store = site::store(&["m0"]);
     let engines = engines(&store);
-    let holder = Holder::begin(&store);
+    let holder = PlayedHolder::begin(&store);
     let one = site::ready("one", &store);
     let (link, mut reader) = holder.accept();
     subscription(&mut reader).expect("one listens");
@@ -169,6 +169,6 @@
     let question = Datagram::bytes(Some(Dispatch::VersionAsk(VersionAsk { id: 1 })));
     socket.send_to(&question, &address).expect("sent");
     socket.recv_from(&mut [0; 1_500]).expect("an answer");
-    assert!(is_held(&send(&two, "p2")));
-    assert_eq!(ended(&engines), 2);
+    assert!(refuses_suspect(&send(&two, "p2")));
+    assert_eq!(crashed_count(&engines), 2);
 }
--- a/tests/all/relay_gap.rs
+++ b/tests/all/relay_gap.rs
@@ -1,6 +1,6 @@
 //! What the holder's news leave out is read from the store, however long that takes.
 
-use crate::followed::{ToldStore, beat, followed, shared, word};
+use crate::scripted_store::{ScriptedStore, follow_store, heartbeat, shared, update_message};
 use crate::site::until;
 use bytes::Bytes;
 use passway_instance::feed_log::FeedLog;
@@ -37,9 +37,9 @@
 
 #[test]
 fn gap_outlasts_heartbeats() {
-    let (relay, [tap, _]) = Relay::new();
+    let (relay, [receiver, _]) = Relay::new();
     let begun_at = Instant::now();
-    relay.receive(beat(begun_at, FEED_COUNT));
+    relay.receive(heartbeat(begun_at, FEED_COUNT));
     // Its first watches get no answer.
     let slow = |number| {
         if number < 3 {
@@ -48,20 +48,20 @@
             Ok(change())
         }
     };
-    let store = ToldStore::new(|_| Ok(listing()), slow);
-    let seen = followed(store, tap, &shared());
-    until("the list", || seen.have(10));
+    let store = ScriptedStore::new(|_| Ok(listing()), slow);
+    let seen = follow_store(store, receiver, &shared());
+    until("the list", || seen.contains(10));
     // The holder tells of what came after 25; what lies between 10 and 25 is missing.
-    relay.receive(word(25, 30));
+    relay.receive(update_message(25, 30));
     until("what was missing", || {
         // The holder lives on and says so.
-        relay.receive(beat(begun_at, FEED_COUNT));
-        seen.have(20)
+        relay.receive(heartbeat(begun_at, FEED_COUNT));
+        seen.contains(20)
     });
 }
 
 #[test]
-fn quiet_revisions_told() {
+fn unchanged_revisions_sent() {
     let mut log = FeedLog::default();
     assert!(log.apply(&FeedUpdate::Snapshot(listing())));
     assert_eq!(log.update_after(CONFIGURATION_FEED, 10), None);
@@ -80,11 +80,11 @@
 /// An instance that is cut off from the store and follows the holder: an entry that the
 /// holder tells as gone is gone, and not only missing for as long as the cut lasts.
 #[test]
-fn told_entries_go() {
-    let (relay, [tap, _]) = Relay::new();
+fn relayed_removals_count_at_once() {
+    let (relay, [receiver, _]) = Relay::new();
     let shared = shared();
-    let silent = ToldStore::new(|_| Ok(listing()), |_| Err(StoreError::Unknown));
-    followed(silent, tap, &shared);
+    let silent = ScriptedStore::new(|_| Ok(listing()), |_| Err(StoreError::Unknown));
+    follow_store(silent, receiver, &shared);
     let is_gone_at_once = || {
         let now = Instant::now();
         shared.store_health.missing_entry_expires_at(now) == now
--- a/tests/all/resting_upstreams.rs
+++ b/tests/all/resting_upstreams.rs
@@ -1,6 +1,6 @@
 //! Upstreams that turn an instance away and ask it for rest get nothing from it meanwhile.
 
-use crate::saying::{Saying, SayingServer};
+use crate::signalling::{SignallingAnswer, SignallingServer};
 use crate::site::{self, Answer, ask, list_plain, request, stream, until};
 use passway_instance::Instance;
 use passway_serving::upstreams::{UpstreamEntry, UpstreamTable};
@@ -8,8 +8,8 @@
 use passway_standins::platform::store::MetadataStandIn;
 use passway_types::prelude::*;
 
-fn rests(time_s: f64) -> Saying {
-    Saying::line(503, format!("Retry-After: {time_s}"))
+fn rests(time_s: f64) -> SignallingAnswer {
+    SignallingAnswer::with_line(503, format!("Retry-After: {time_s}"))
 }
 
 const REST: Duration = Duration::from_secs(2);
@@ -21,11 +21,11 @@
 #[test]
 fn nothing_within_rest() {
     for path in ["/read/", "/pay/"] {
-        let server = SayingServer::start();
+        let server = SignallingServer::start();
         let store = site::store(&[]);
         list_plain(&store, "i-0", server.address(), "ready");
         let instance = site::ready("one", &store);
-        server.says(rests(REST.as_secs_f64()));
+        server.set_answer(rests(REST.as_secs_f64()));
         let address = instance.callers_address();
         let callers = (0..6).map(|number| {
             std::thread::spawn(move || {
@@ -38,7 +38,7 @@
         while server.count() == 0 {
             std::thread::sleep(Duration::from_millis(5));
         }
-        server.says(Saying::nothing());
+        server.set_answer(SignallingAnswer::plain());
         for caller in callers {
             let status = caller.join().expect("a caller");
             assert!([200, 503].contains(&status));
@@ -51,7 +51,7 @@
 }
 
 /// An instance before servers that are all ready.
-fn before(servers: &[&SayingServer]) -> (MetadataStandIn, Instance) {
+fn before(servers: &[&SignallingServer]) -> (MetadataStandIn, Instance) {
     let store = site::store(&[]);
     for (number, server) in servers.iter().enumerate() {
         list_plain(&store, &format!("i-{number}"), server.address(), "ready");
@@ -78,9 +78,9 @@
 /// offers to who wants none.
 #[test]
 fn refused_at_once() {
-    let server = SayingServer::start();
+    let server = SignallingServer::start();
     let (_store, instance) = before(&[&server]);
-    server.says(rests(30.0));
+    server.set_answer(rests(30.0));
     for number in 0..5 {
         let answer = get(&instance, &format!("id{number}"));
         assert_eq!(answer.status, 503);
@@ -94,16 +94,16 @@
 /// The rest ends while the caller waits, and then it is served.
 #[test]
 fn served_after_rest() {
-    let server = SayingServer::start();
+    let server = SignallingServer::start();
     let (_store, instance) = before(&[&server]);
-    server.says(rests(0.6));
+    server.set_answer(rests(0.6));
     let address = instance.callers_address();
     let waiting = std::thread::spawn(move || {
         let bytes = request("GET", "/read/", "first", "", "");
         ask(address, &bytes).expect("an answer").status
     });
     until("the refusal", || server.count() == 1);
-    server.says(Saying::nothing());
+    server.set_answer(SignallingAnswer::plain());
     assert_eq!(waiting.join().expect("a caller"), 200);
     let arrivals = server.arrivals();
     assert!(arrivals[1] - arrivals[0] >= Duration::from_millis(600));
@@ -114,9 +114,9 @@
 /// its rest is over.
 #[test]
 fn others_carry() {
-    let (resting, other) = (SayingServer::start(), SayingServer::start());
+    let (resting, other) = (SignallingServer::start(), SignallingServer::start());
     let (_store, instance) = before(&[&resting, &other]);
-    resting.says(rests(REST.as_secs_f64()));
+    resting.set_answer(rests(REST.as_secs_f64()));
     let begun_at = Instant::now();
     let mut ids = 0..;
     until("the refusal", || {
@@ -124,7 +124,7 @@
         assert_eq!(get(&instance, &id).status, 200);
         resting.count() == 1
     });
-    resting.says(Saying::nothing());
+    resting.set_answer(SignallingAnswer::plain());
     while begun_at.elapsed() < REST.saturating_sub(ON_ITS_WAY) {
         let id = format!("id{:?}", ids.next());
         assert_eq!(get(&instance, &id).status, 200);
@@ -179,9 +179,9 @@
 /// arrive to hear it.
 #[test]
 fn one_at_a_time_after_rest() {
-    let server = SayingServer::start();
+    let server = SignallingServer::start();
     let (_store, instance) = before(&[&server]);
-    server.says(rests(0.7));
+    server.set_answer(rests(0.7));
     let address = instance.callers_address();
     let callers = (0..10).map(|number| {
         std::thread::spawn(move || {
@@ -200,7 +200,7 @@
     let arrivals = server.arrivals();
     let back = arrivals[0] + Duration::from_millis(700);
     assert_eq!(arrivals.iter().filter(|at| **at >= back).count(), 1);
-    server.says(Saying::nothing());
+    server.set_answer(SignallingAnswer::plain());
     for caller in callers {
         assert_eq!(caller.join().expect("a caller"), 200);
     }
--- a/tests/all/followed.rs
+++ b/tests/all/scripted_store.rs
@@ -18,23 +18,23 @@
 
 /// Lists that are answered at once. A feed lives as long as the process: one whose history is gone
 /// each time would keep a processor busy with lists.
-const LISTS_AT_ONCE: u32 = 4;
+const IMMEDIATE_LISTS: u32 = 4;
 /// Time for an answer after these.
-const ANSWER_TIME: Duration = Duration::from_millis(100);
+const LATER_LIST_DELAY: Duration = Duration::from_millis(100);
 
 /// What a store answers to a list or a watch with that number.
 pub type Answer<T> = fn(u32) -> Result<T, StoreError>;
 
 /// A store that answers lists and watches as told, and nothing else. Like a real one it holds a watch that has
 /// nothing new to tell.
-pub struct ToldStore {
+pub struct ScriptedStore {
     lists: AtomicU32,
     watches: AtomicU32,
     list: Answer<Listing>,
     watch: Answer<WatchAnswer>,
 }
 
-impl ToldStore {
+impl ScriptedStore {
     /// A store that answers so.
     pub fn new(list: Answer<Listing>, watch: Answer<WatchAnswer>) -> Arc<Self> {
         Arc::new(Self {
@@ -46,11 +46,11 @@
     }
 }
 
-impl SharedStore for ToldStore {
+impl SharedStore for ScriptedStore {
     fn list(&self, _: &str) -> Result<Listing, StoreError> {
         let number = self.lists.fetch_add(1, Ordering::Relaxed);
-        if number >= LISTS_AT_ONCE {
-            std::thread::sleep(ANSWER_TIME);
+        if number >= IMMEDIATE_LISTS {
+            std::thread::sleep(LATER_LIST_DELAY);
         }
         (self.list)(number)
     }
@@ -59,15 +59,15 @@
         &self,
         _: &str,
         after: StoreRevision,
-        wait: Duration,
+        timeout: Duration,
     ) -> Result<WatchAnswer, StoreError> {
         let answer = (self.watch)(self.watches.fetch_add(1, Ordering::Relaxed));
-        let is_old = |answer: &WatchAnswer| match answer {
+        let is_unchanged = |answer: &WatchAnswer| match answer {
             WatchAnswer::Changes { revision, .. } => *revision <= after,
             WatchAnswer::HistoryGone => false,
         };
-        if answer.as_ref().is_ok_and(is_old) {
-            std::thread::sleep(wait);
+        if answer.as_ref().is_ok_and(is_unchanged) {
+            std::thread::sleep(timeout);
         }
         answer
     }
@@ -93,8 +93,8 @@
 pub fn shared() -> Arc<Shared> {
     // The reporting thread is not there; what is told to it goes nowhere.
     let (needs, _needed) = channel::unbounded();
-    let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
-    let settings = site::settings("one", nowhere);
+    let unused_address = SocketAddr::from(([127, 0, 0, 1], 1));
+    let settings = site::settings("one", unused_address);
     Arc::new(Shared::new(settings, Box::new(PlatformHeaders), needs))
 }
 
@@ -103,32 +103,32 @@
 pub struct Revisions(Arc<Mutex<Vec<StoreRevision>>>);
 
 impl Revisions {
-    fn note(&self, revision: StoreRevision) {
+    fn record(&self, revision: StoreRevision) {
         self.0.lock().expect("sound").push(revision);
     }
 
     /// Whether one was taken in.
-    pub fn have(&self, revision: StoreRevision) -> bool {
+    pub fn contains(&self, revision: StoreRevision) -> bool {
         self.0.lock().expect("sound").contains(&revision)
     }
 }
 
-struct Recorded {
+struct RecordingFeed {
     shared: Arc<Shared>,
     revisions: Revisions,
 }
 
-impl Feed for Recorded {
+impl Feed for RecordingFeed {
     fn prefix(&self) -> String {
         "op/".into()
     }
 
     fn apply_listing(&mut self, listing: &Listing) {
-        self.revisions.note(listing.revision);
+        self.revisions.record(listing.revision);
     }
 
     fn apply_change(&mut self, change: &StoreChange) -> bool {
-        self.revisions.note(change.revision());
+        self.revisions.record(change.revision());
         true
     }
 
@@ -142,19 +142,23 @@
 }
 
 /// Follows a store; the revisions that are taken in.
-pub fn followed(store: Arc<ToldStore>, tap: RelayReceiver, shared: &Arc<Shared>) -> Revisions {
+pub fn follow_store(
+    store: Arc<ScriptedStore>,
+    receiver: RelayReceiver,
+    shared: &Arc<Shared>,
+) -> Revisions {
     let revisions = Revisions::default();
-    let (news, _heard) = channel::unbounded();
-    let feed = Recorded {
+    let (updates, _received) = channel::unbounded();
+    let feed = RecordingFeed {
         shared: shared.clone(),
         revisions: revisions.clone(),
     };
-    follow(store, tap, news, feed);
+    follow(store, receiver, updates, feed);
     revisions
 }
 
 /// A word of the holder on the configuration, between two revisions and without a value.
-pub fn word(from: StoreRevision, to: StoreRevision) -> News {
+pub fn update_message(from: StoreRevision, to: StoreRevision) -> News {
     News {
         feed: u32::try_from(CONFIGURATION_FEED).expect("small"),
         from,
@@ -165,13 +169,13 @@
 
 /// A heartbeat of a holder that has begun at a moment and that the store has just answered for
 /// so many feeds.
-pub fn beat(begun_at: Instant, feeds: usize) -> News {
-    let passed = begun_at.elapsed().as_millis();
-    let now_ms = u64::try_from(passed).expect("small") + 1;
-    let known = |feed| if feed < feeds { now_ms } else { 0 };
+pub fn heartbeat(begun_at: Instant, feeds: usize) -> News {
+    let elapsed_ms = begun_at.elapsed().as_millis();
+    let now_ms = u64::try_from(elapsed_ms).expect("small") + 1;
+    let confirmed_ms = |feed| if feed < feeds { now_ms } else { 0 };
     News {
         sent_ms: now_ms,
-        confirmed_ms: (0..FEED_COUNT).map(known).collect(),
+        confirmed_ms: (0..FEED_COUNT).map(confirmed_ms).collect(),
         ..News::default()
     }
 }
--- a/tests/all/saying.rs
+++ b/tests/all/signalling.rs
@@ -7,21 +7,21 @@
 
 /// What a server answers.
 #[derive(Debug, Clone)]
-pub struct Saying {
+pub struct SignallingAnswer {
     /// The status; 503 and 429 have not run.
     pub status: u16,
     /// Lines of the head besides.
     pub lines: String,
 }
 
-impl Saying {
+impl SignallingAnswer {
     /// It answers well and says nothing of itself.
-    pub fn nothing() -> Self {
-        Self::line(200, "")
+    pub fn plain() -> Self {
+        Self::with_line(200, "")
     }
 
     /// It answers so, with a line in the head; none if that is empty.
-    pub fn line(status: u16, line: impl AsRef<str>) -> Self {
+    pub fn with_line(status: u16, line: impl AsRef<str>) -> Self {
         let line = line.as_ref();
         let end = if line.is_empty() { "" } else { "\r\n" };
         Self {
@@ -32,36 +32,37 @@
 }
 
 /// The server.
-pub struct SayingServer {
+pub struct SignallingServer {
     pub raw: RawServer,
-    saying: Arc<Mutex<Saying>>,
+    answer: Arc<Mutex<SignallingAnswer>>,
     arrivals: Arc<Mutex<Vec<Instant>>>,
 }
 
-impl SayingServer {
+impl SignallingServer {
     /// One that answers well.
     pub fn start() -> Self {
-        let saying = Arc::new(Mutex::new(Saying::nothing()));
+        let answer = Arc::new(Mutex::new(SignallingAnswer::plain()));
         let arrivals: Arc<Mutex<Vec<Instant>>> = Arc::default();
-        let (said, seen) = (saying.clone(), arrivals.clone());
+        let (current_answer, seen_arrivals) = (answer.clone(), arrivals.clone());
         let raw = RawServer::start(move |received| {
             // What it says is settled once its arrival can be seen.
-            let Saying { status, lines } = said.lock().expect("what it says").clone();
-            seen.lock().expect("arrivals").push(Instant::now());
+            let SignallingAnswer { status, lines } =
+                current_answer.lock().expect("what it says").clone();
+            seen_arrivals.lock().expect("arrivals").push(Instant::now());
             let id = received.header("request-id").unwrap_or_default();
-            let more = if [429, 503].contains(&status) {
+            let execution_line = if [429, 503].contains(&status) {
                 "Not-Executed: 1\r\n"
             } else {
                 "Response-Seal: s\r\n"
             };
             let text = format!(
-                "HTTP/1.1 {status} X\r\nRequest-Id: {id}\r\n{more}{lines}Content-Length: 0\r\n\r\n"
+                "HTTP/1.1 {status} X\r\nRequest-Id: {id}\r\n{execution_line}{lines}Content-Length: 0\r\n\r\n"
             );
             vec![Step::Send(text.into_bytes())]
         });
         Self {
             raw,
-            saying,
+            answer,
             arrivals,
         }
     }
@@ -72,8 +73,8 @@
     }
 
     /// From now on it answers so.
-    pub fn says(&self, saying: Saying) {
-        *self.saying.lock().expect("what it says") = saying;
+    pub fn set_answer(&self, answer: SignallingAnswer) {
+        *self.answer.lock().expect("what it says") = answer;
     }
 
     /// When requests reached it.
--- a/tests/all/slow_readers.rs
+++ b/tests/all/slow_readers.rs
@@ -1,8 +1,8 @@
 //! Callers that do not read their answers and do not send their bodies hold little, end with a cause, and cost nobody else
 //! anything.
 
-use crate::followed::shared;
 use crate::scrape::metrics;
+use crate::scripted_store::shared;
 use crate::site::{self, ask, request, until};
 use passway_instance::shared::MAX_HELD_BODIES_BYTES;
 use passway_standins::platform::caller::HOST;
--- a/tests/all/upstream_words.rs
+++ b/tests/all/upstream_signals.rs
@@ -1,7 +1,7 @@
 //! What upstreams say of themselves in the heads of their answers: how each word is read, and from where.
 
-use crate::saying::{Saying, SayingServer};
 use crate::scrape::metrics;
+use crate::signalling::{SignallingAnswer, SignallingServer};
 use crate::site::{self, ask, list_plain, request, until};
 use passway_serving::headers::Headers;
 use passway_serving::ports::Vocabulary;
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn read_rest() {
+fn read_backoff() {
     let read = |status: u16, values: &[&str]| {
         let lines: Vec<_> = values.iter().map(|v| ("retry-after", *v)).collect();
         read(status, &lines).rest
@@ -57,7 +57,7 @@
 
 /// A date counts from when the upstream answered by its own clock, however wrong that is.
 #[test]
-fn read_rest_as_date() {
+fn read_backoff_as_date() {
     let until = ("Retry-After", "Sun, 06 Nov 1994 08:49:40 GMT");
     let at = |second: &str| format!("Sun, 06 Nov 1994 08:49:{second} GMT");
     let rest = |date: &str| read(503, &[("Date", date), until]).rest;
@@ -70,8 +70,8 @@
 /// An instance's metrics show what it has heard, from a refusal too, and what it could not read.
 #[test]
 fn shown_in_metrics() {
-    let server = SayingServer::start();
-    server.says(Saying {
+    let server = SignallingServer::start();
+    server.set_answer(SignallingAnswer {
         status: 503,
         lines: "Server-Leaving: 1\r\nRetry-After: 60\r\nServer-Limit: x\r\n".to_owned(),
     });
--- a/tests/all/workspace_allotments.rs
+++ b/tests/all/workspace_allotments.rs
@@ -22,12 +22,12 @@
 }
 
 /// Once the keeper answers.
-fn kept(instance: &Instance) {
+fn wait_for_coordinator(instance: &Instance) {
     until("a keeper", || status(instance, "/read/", "first").0 == 200);
 }
 
 #[test]
-fn beyond_refused() {
+fn excess_refused() {
     let server = plain_server();
     let store = store(&server);
     let address = store.serve();
@@ -36,7 +36,7 @@
         ready("two", address, BOUNDS),
         ready("three", address, BOUNDS),
     ];
-    instances.iter().for_each(kept);
+    instances.iter().for_each(wait_for_coordinator);
     // A keeper begins with a nearly empty bucket, since it does not know what was used before.
     std::thread::sleep(Duration::from_secs(1));
     let begun_at = Instant::now();
@@ -61,7 +61,7 @@
 
 /// What a server sheds has not run, and its workspace may use it.
 #[test]
-fn given_back() {
+fn unexecuted_request_released() {
     let server = RawServer::start(|received| {
         let id = received.header("request-id").unwrap_or_default();
         let shed = "503 X\r\nNot-Executed: 1\r\nContent-Length: 0";
@@ -72,7 +72,7 @@
     });
     let store = store(&server);
     let instance = ready("one", store.serve(), BOUNDS);
-    kept(&instance);
+    wait_for_coordinator(&instance);
     // Four times what it may use at once.
     for number in 0..40 {
         let (code, _) = status(&instance, "/pay/", &format!("shed{number}"));
--- a/tests/all/workspace_keys.rs
+++ b/tests/all/workspace_keys.rs
@@ -19,26 +19,26 @@
     closed_site::closed(version, &workspaces)
 }
 
-struct Place {
+struct TestCluster {
     store: MetadataStandIn,
     server: RawServer,
     instance: Instance,
 }
 
-fn place() -> Place {
+fn cluster() -> TestCluster {
     let store = MetadataStandIn::default();
     store.put("op/config", &closed(1, &[KEY]));
     let server = plain_server();
     list_plain(&store, "i-0", server.address, "ready");
     let instance = site::ready("one", &store);
-    Place {
+    TestCluster {
         store,
         server,
         instance,
     }
 }
 
-impl Place {
+impl TestCluster {
     fn status(&self, path: &str, id: &str, more: &str) -> u16 {
         let bytes = request("GET", path, id, more, "");
         let answer = ask(self.instance.callers_address(), &bytes).expect("an answer");
@@ -60,10 +60,10 @@
 
 #[test]
 fn key_withheld() {
-    let place = place();
+    let cluster = cluster();
     let forged = format!("tenant: beta\r\nTENANT: gamma\r\n{}", with(KEY));
-    assert_eq!(place.status("/read/", "id1", &forged), 200);
-    let received = place.received("id1");
+    assert_eq!(cluster.status("/read/", "id1", &forged), 200);
+    let received = cluster.received("id1");
     assert!(!received.head.contains(KEY), "{}", received.head);
     let head = received.head.to_ascii_lowercase();
     assert_eq!(head.matches("tenant:").count(), 1, "{head}");
@@ -73,7 +73,7 @@
 
 #[test]
 fn unknown_refused() {
-    let place = place();
+    let cluster = cluster();
     let heads = [
         String::new(),
         with("k1"),
@@ -86,40 +86,40 @@
         "Tenant: alpha\r\n".to_owned(),
     ];
     for head in heads {
-        assert_eq!(place.status("/read/", "id1", &head), 401, "{head}");
+        assert_eq!(cluster.status("/read/", "id1", &head), 401, "{head}");
     }
-    assert_eq!(place.server.received(), []);
+    assert_eq!(cluster.server.received(), []);
 }
 
 #[test]
 fn public_route() {
-    let place = place();
-    assert_eq!(place.status("/open/", "id1", "Tenant: beta\r\n"), 200);
-    assert_eq!(place.received("id1").header("tenant"), None);
-    assert_eq!(place.status("/open/", "id2", &with("nobody's")), 200);
-    let stranger = place.received("id2");
+    let cluster = cluster();
+    assert_eq!(cluster.status("/open/", "id1", "Tenant: beta\r\n"), 200);
+    assert_eq!(cluster.received("id1").header("tenant"), None);
+    assert_eq!(cluster.status("/open/", "id2", &with("nobody's")), 200);
+    let stranger = cluster.received("id2");
     assert_eq!(stranger.header("tenant"), None);
     assert_eq!(stranger.header("authorization"), None);
-    assert_eq!(place.status("/open/", "id3", &with(KEY)), 200);
-    let known = place.received("id3");
+    assert_eq!(cluster.status("/open/", "id3", &with(KEY)), 200);
+    let known = cluster.received("id3");
     assert_eq!(known.header("tenant"), Some("alpha"));
     assert_eq!(known.header("authorization"), None);
 }
 
 #[test]
-fn key_taken_away() {
-    let place = place();
-    assert_eq!(place.status("/read/", "id1", &with(KEY)), 200);
-    place.store.put("op/config", &closed(2, &["another"]));
-    until("the new version", || place.instance.version() == Some(2));
-    assert_eq!(place.status("/read/", "id2", &with(KEY)), 401);
-    assert_eq!(place.status("/read/", "id3", &with("another")), 200);
-    assert_eq!(place.received("id3").header("tenant"), Some("alpha"));
+fn revoked_key_refused() {
+    let cluster = cluster();
+    assert_eq!(cluster.status("/read/", "id1", &with(KEY)), 200);
+    cluster.store.put("op/config", &closed(2, &["another"]));
+    until("the new version", || cluster.instance.version() == Some(2));
+    assert_eq!(cluster.status("/read/", "id2", &with(KEY)), 401);
+    assert_eq!(cluster.status("/read/", "id3", &with("another")), 200);
+    assert_eq!(cluster.received("id3").header("tenant"), Some("alpha"));
 }
 
 #[test]
-fn wrong_workspaces() {
-    let place = place();
+fn invalid_workspaces_ignored() {
+    let cluster = cluster();
     let broken = [
         workspace("", &["k"], 0.0),
         workspace("alpha", &["k"], 0.0),
@@ -132,16 +132,16 @@
         let mut document = closed(version, &[KEY]);
         let all = document["tenants"].as_array_mut().expect("workspaces");
         all.push(one);
-        place.store.put("op/config", &document);
+        cluster.store.put("op/config", &document);
     }
     let mut nobody = closed(20, &[KEY]);
     nobody["tenants"] = Value::Array(Vec::new());
-    place.store.put("op/config", &nobody);
-    place.store.put("op/config", &closed(30, &[KEY]));
+    cluster.store.put("op/config", &nobody);
+    cluster.store.put("op/config", &closed(30, &[KEY]));
     until("a version that can be used", || {
-        place.instance.version() == Some(30)
+        cluster.instance.version() == Some(30)
     });
-    assert_eq!(place.status("/read/", "id1", &with(KEY)), 200);
+    assert_eq!(cluster.status("/read/", "id1", &with(KEY)), 200);
 }
 
 #[test]
@@ -160,7 +160,7 @@
 
 /// An engine is told the workspace's rank, which goes before its route's.
 #[test]
-fn rank_of_workspace() {
+fn urgency_of_workspace() {
     let store = MetadataStandIn::default();
     let mut document = closed(1, &[KEY]);
     document["tenants"][0]["priority"] = 0.into();
--- a/tests/suspended/caller.rs
+++ b/tests/suspended/caller.rs
@@ -1,6 +1,6 @@
 //! Requests whose time went by.
 
-use crate::alone;
+use crate::lock_tests;
 use crate::site::{self, Caller, ask, list_plain, plain_server, request, stream, until};
 use passway_standins::platform::model_server::ModelServer;
 use passway_standins::platform::raw::{RawServer, Step};
@@ -11,7 +11,7 @@
 /// the steady clock, which has an hour left.
 #[test]
 fn answered_in_time() {
-    let _alone = alone();
+    let _lock = lock_tests();
     let hour = Duration::from_hours(1);
     let store = site::store(&[]);
     let mut configuration = site::configuration(2, &[]);
@@ -35,7 +35,7 @@
 /// Whoever wakes serves on, over connections of before or new ones.
 #[test]
 fn served_after() {
-    let _alone = alone();
+    let _lock = lock_tests();
     let store = site::store(&["m0"]);
     let _engine = ModelServer::start(&store, "i-0", "engines", 1, &["m0"], &[]);
     let plain = plain_server();
--- a/tests/suspended/dispatcher.rs
+++ b/tests/suspended/dispatcher.rs
@@ -1,6 +1,6 @@
 //! The dispatcher of engines.
 
-use crate::alone;
+use crate::lock_tests;
 use crate::site::{self, PATIENCE, until};
 use passway_standins::platform::model_server::ModelServer;
 use passway_types::clock;
@@ -34,8 +34,8 @@
 
 /// Runs that nobody has spoken of since before are over, and their slots are free.
 #[test]
-fn old_runs_lapse() {
-    let _alone = alone();
+fn old_runs_expire() {
+    let _lock = lock_tests();
     let store = site::store(&["m0"]);
     let _engine = ModelServer::start(&store, "i-0", "engines", 1, &["m0"], &[]);
     let holder = TcpListener::bind("127.0.0.1:0").expect("bind");
--- a/tests/suspended/holder.rs
+++ b/tests/suspended/holder.rs
@@ -1,6 +1,6 @@
 //! The holder of the right to order.
 
-use crate::alone;
+use crate::lock_tests;
 use crate::site::{self, until};
 use passway_standins::platform::store::Faults;
 use passway_types::clock;
@@ -9,7 +9,7 @@
 /// Its lease has lapsed, and another may hold the right: it must not order before it has asked.
 #[test]
 fn orders_nothing() {
-    let _alone = alone();
+    let _lock = lock_tests();
     let store = site::store(&["m0"]);
     let way = store.serve_way();
     let instance = site::start_at("one", way.address());
--- a/tests/suspended/keys.rs
+++ b/tests/suspended/keys.rs
@@ -1,7 +1,7 @@
 //! A key that was taken away while the machine was suspended.
 
-use crate::alone;
 use crate::closed_site::{KEY, closed, ready, status};
+use crate::lock_tests;
 use crate::site::{list_plain, plain_server, until};
 use passway_standins::platform::documents::workspace;
 use passway_standins::platform::store::{Faults, MetadataStandIn};
@@ -10,8 +10,8 @@
 
 /// Whoever wakes acts on no key before it has asked whether that still holds.
 #[test]
-fn asks_before_it_serves() {
-    let _alone = alone();
+fn queries_before_serving() {
+    let _lock = lock_tests();
     let store = MetadataStandIn::default();
     store.put("op/config", &closed(1, &[workspace("alpha", &[KEY], 0.0)]));
     let server = plain_server();
--- a/tests/suspended/main.rs
+++ b/tests/suspended/main.rs
@@ -13,14 +13,14 @@
 mod dispatcher;
 mod holder;
 mod keys;
-mod listener;
 mod stopped;
+mod subscriber;
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-static ALONE: Mutex<()> = Mutex::new(());
+static TEST_LOCK: Mutex<()> = Mutex::new(());
 
 /// Keeps the other tests waiting while it lives.
-fn alone() -> MutexGuard<'static, ()> {
-    ALONE.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock_tests() -> MutexGuard<'static, ()> {
+    TEST_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/tests/suspended/stopped.rs
+++ b/tests/suspended/stopped.rs
@@ -1,6 +1,6 @@
 //! A process that is stopped and goes on: what it waited for is still to come.
 
-use crate::alone;
+use crate::lock_tests;
 use crate::site::PATIENCE;
 use passway_wire::message::PromiseWanted;
 use passway_wire::{Body, Link};
@@ -21,8 +21,8 @@
 /// error when the process goes on. A candidate that was stopped now and then was never asked for its promise, and an
 /// outage of the store ended the holder's term.
 #[test]
-fn links_stand() {
-    let _alone = alone();
+fn links_survive_stops() {
+    let _lock = lock_tests();
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let (dialed, _reader) = Link::connect(address, PATIENCE).expect("a link");
--- a/tests/suspended/listener.rs
+++ b/tests/suspended/subscriber.rs
@@ -1,6 +1,6 @@
 //! What the holder has told.
 
-use crate::alone;
+use crate::lock_tests;
 use passway_instance::relay::{CONFIGURATION_FEED, Relay};
 use passway_types::clock;
 use passway_types::prelude::*;
@@ -8,8 +8,8 @@
 
 /// What was told before is as old as the time that went by, and is not relied on.
 #[test]
-fn relies_on_nobody() {
-    let _alone = alone();
+fn old_updates_not_trusted() {
+    let _lock = lock_tests();
     let (relay, _taps) = Relay::new();
     relay.receive(News {
         sent_ms: 1_000,
