--- a/tests/all/closed_halls.rs
+++ b/tests/all/closed_halls.rs
@@ -1,5 +1,5 @@
-//! Halls to which a request may not go: those that operators have emptied, and those of other regions than bind its
-//! route or its workspace.
+//! Halls that a request may not be sent to: those that operators emptied, and those outside the
+//! regions allowed by its route or its workspace.
 
 use crate::signalling::SignallingServer;
 use crate::site::{self, ask, request, settings, start_with, until};
@@ -24,7 +24,7 @@
     store.put(&format!("servers/{id}"), &entry);
 }
 
-/// Asks so many times; how many were served.
+/// Sends requests. Returns how many were served.
 fn served(address: SocketAddr, path: &str, requests: usize) -> usize {
     let answers = (0..requests).map(|number| {
         let bytes = request("GET", path, &format!("id{number}"), "", "");
@@ -35,54 +35,58 @@
 
 const MANY: usize = 20;
 
-/// Nothing read the operators' word on a hall: on a day on which one was emptied its upstreams got 209 requests too
-/// many.
+/// Guards against instances that do not read the operators' key for emptied halls: on a day on
+/// which a hall was emptied, its upstreams got 209 requests too many.
 #[test]
 fn emptied_hall_gets_nothing() {
     let store = site::store(&[]);
-    let (here, there) = (SignallingServer::start(), SignallingServer::start());
-    list_in(&store, "i-0", here.address(), "hall0");
-    list_in(&store, "i-1", there.address(), "hall1");
+    let (first, second) = (SignallingServer::start(), SignallingServer::start());
+    list_in(&store, "i-0", first.address(), "hall0");
+    list_in(&store, "i-1", second.address(), "hall1");
     let instance = site::ready("one", &store);
     let address = instance.callers_address();
-    // A word without a value, and one on a hall that nobody knows, which closes nothing else.
+    // A key without a value, and the key of an unknown hall, which closes no other hall.
     store.put_bytes("op/evacuate/hall0", b"");
     store.put("op/evacuate/nowhere", &json!({}));
-    until("the word", || {
-        let before = here.count();
+    until("the hall to be closed", || {
+        let count_before = first.count();
         served(address, "/read/", MANY);
-        here.count() == before
+        first.count() == count_before
     });
-    let before = here.count();
+    let count_before = first.count();
     assert_eq!(served(address, "/read/", MANY), MANY);
-    // The second hall while the first is: nothing is left, and callers are refused.
+    // The second hall is emptied as well: no server is left, and requests are refused.
     store.put("op/evacuate/hall1", &json!({}));
-    until("the second word", || served(address, "/pay/", 1) == 0);
-    assert_eq!(here.count(), before);
+    until("the second hall to be closed", || {
+        served(address, "/pay/", 1) == 0
+    });
+    assert_eq!(first.count(), count_before);
     store.remove("op/evacuate/hall0");
-    until("it is given back", || served(address, "/pay/", 1) == 1);
-    let there_before = there.count();
+    until("the hall to be opened again", || {
+        served(address, "/pay/", 1) == 1
+    });
+    let second_before = second.count();
     assert_eq!(served(address, "/read/", MANY), MANY);
-    assert_eq!(there.count(), there_before);
+    assert_eq!(second.count(), second_before);
 }
 
-/// The store turns the instance away after the word was heard: the hall stays closed.
+/// The store refuses the instance's calls after the hall was emptied; the hall stays closed.
 #[test]
 fn hall_stays_closed_without_store() {
     let store = site::store(&[]);
-    let (here, there) = (SignallingServer::start(), SignallingServer::start());
-    list_in(&store, "i-0", here.address(), "hall0");
-    list_in(&store, "i-1", there.address(), "hall1");
+    let (first, second) = (SignallingServer::start(), SignallingServer::start());
+    list_in(&store, "i-0", first.address(), "hall0");
+    list_in(&store, "i-1", second.address(), "hall1");
     store.put("op/evacuate/hall0", &json!({}));
-    let way = store.serve_way();
-    let instance = start_with(settings("one", way.address()));
+    let proxy = store.serve_way();
+    let instance = start_with(settings("one", proxy.address()));
     until("readiness", || instance.is_ready());
-    way.set_faults(Faults {
+    proxy.set_faults(Faults {
         refuses: Some(503),
         ..Faults::default()
     });
     assert_eq!(served(instance.callers_address(), "/read/", MANY), MANY);
-    assert_eq!(here.count(), 0);
+    assert_eq!(first.count(), 0);
 }
 
 fn entry(id: &str, hall: &str) -> UpstreamEntry {
@@ -95,7 +99,8 @@
     }
 }
 
-/// Upstreams in the halls `a0` and `a1` of region `a`, and `b0` of region `b`, and in `c0` of no known region.
+/// Upstreams in the halls `a0` and `a1` of region `a`, `b0` of region `b`, and `c0` without a known
+/// region.
 fn table() -> UpstreamTable {
     let regions = [("a0", "a"), ("a1", "a"), ("b0", "b")];
     let regions = regions.map(|(hall, region)| (hall.into(), region.into()));
@@ -106,7 +111,7 @@
     table
 }
 
-/// Where requests with some allowed regions go.
+/// The upstreams that requests with some allowed regions are sent to.
 fn chosen(table: &UpstreamTable, allowed: &AllowedRegions) -> BTreeSet<String> {
     let (service, hall) = ("plain".into(), "a0".into());
     let chosen = (0..200).filter_map(|drawn| {
@@ -124,8 +129,11 @@
     });
     let chosen: BTreeSet<String> = chosen.collect();
     for id in ["i-a0", "i-a1", "i-b0", "i-c0", "i-gone"] {
-        let admits = table.admits(id, allowed);
-        assert!(admits || !chosen.contains(id), "the door lets {id} through");
+        let is_admitted = table.admits(id, allowed);
+        assert!(
+            is_admitted || !chosen.contains(id),
+            "the admission check accepts {id}"
+        );
     }
     chosen
 }
@@ -134,7 +142,7 @@
     names.iter().map(ToString::to_string).collect()
 }
 
-/// A bound request reached an upstream of any region.
+/// Guards against requests that reach an upstream outside their allowed regions.
 #[test]
 fn regions_restrict_choice() {
     let mut table = table();
@@ -143,19 +151,23 @@
     assert_eq!(chosen(&table, &any), set(&["i-a0", "i-a1", "i-b0", "i-c0"]));
     assert_eq!(chosen(&table, &only(&["a"])), set(&["i-a0", "i-a1"]));
     assert_eq!(chosen(&table, &only(&["b", "z"])), set(&["i-b0"]));
-    // Both the route's and the workspace's bind; a region that no upstream has serves nobody.
+    // The regions of the route and of the workspace both apply; a region without upstreams serves
+    // no request.
     let both = only(&["a", "b"]).and(&only(&["b"]));
     assert_eq!(chosen(&table, &both), set(&["i-b0"]));
     assert_eq!(chosen(&table, &only(&["a"]).and(&only(&["b"]))), set(&[]));
     assert_eq!(chosen(&table, &only(&["z"])), set(&[]));
     assert!(!table.admits("i-gone", &only(&["a"])));
     assert!(table.admits("i-gone", &any));
-    // Beside an emptied hall.
+    // The same with an emptied hall.
     let now = Instant::now();
     assert!(table.set_emptied(["a1".into()].into(), now));
     assert!(!table.set_emptied(["a1".into()].into(), now));
     assert_eq!(chosen(&table, &only(&["a"])), set(&["i-a0"]));
-    assert!(!table.admits("i-gone", &any), "it may have stood there");
+    assert!(
+        !table.admits("i-gone", &any),
+        "its hall may have been emptied"
+    );
 }
 
 fn value(document: &Value) -> StoredValue {
--- a/tests/all/config_memory.rs
+++ b/tests/all/config_memory.rs
@@ -1,12 +1,11 @@
-//! What versions of the configuration cost the instance that passes them on.
+//! Memory that the holder needs for new versions of the configuration.
 //!
-//! Seen: an instance that passed large versions on to 78 others went over its memory and
-//! its callers' requests were cut. Each listener's queue held whole copies of every version
-//! that its link had not taken yet, and the last 400 changes were kept whole for listeners
-//! that come later. Proved by the record of such a day (the sender's link full for ten
-//! seconds, 275 MB used at one instance, 19 MB at the median one) and by the bytes that a
-//! listener got here: 20 MB for one that is slow, while one that comes late was cut off, since
-//! what is kept does not fit into the largest frame.
+//! Guards against a holder that exceeds its memory while it sends large versions to 78 subscribers,
+//! so that its callers' requests are cut. Each subscriber's queue held a copy of every version its
+//! link had not sent yet, and the last 400 changes were kept whole for later subscribers. With a
+//! full link for ten seconds, one instance used 275 MB (median 19 MB); in this test, a slow
+//! subscriber got 20 MB, and a late one was disconnected because the kept changes exceeded the
+//! largest frame.
 
 use crate::site::{self, configuration, until};
 use passway_instance::Instance;
@@ -17,22 +16,22 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// Versions in quick succession.
+/// Number of versions written in quick succession.
 const VERSION_COUNT: u64 = 40;
-/// Routes that are added to each; some 0.5 MB.
+/// Number of routes added to each version, about 0.5 MB.
 const ROUTE_COUNT: u64 = 2_500;
-/// What a listener may get in bytes: a few versions, not all forty (20 MB).
+/// Limit of the bytes that a subscriber receives: a few versions instead of all forty (20 MB).
 const MAX_BYTES: usize = 4 << 20;
 
-/// Pause of a slow listener before each message.
+/// Delay of a slow subscriber before it reads a message.
 const SLOW_READ_DELAY: Duration = Duration::from_millis(100);
 
-/// A version with many routes.
+/// A version of the configuration with many routes.
 fn large(version: u64) -> Value {
     let mut large = configuration(version, &["m0"]);
     let routes = large["routes"].as_array_mut().expect("routes");
     routes.extend((0..ROUTE_COUNT).map(|number| {
-        // Prefixes that do not repeat, as operators' do not.
+        // Prefixes that do not repeat, like those of operators.
         let prefix = format!("/{:x}/", number.wrapping_mul(0x9E37_79B9_7F4A_7C15));
         json!({"name": format!("more-{number}"), "host": HOST, "prefix": prefix,
             "kind": "idempotent", "timeout_ms": 10_000, "goal_ms": 1_000, "priority": 1,
@@ -41,10 +40,10 @@
     large
 }
 
-/// Times that a listener connects: a holder on a busy machine may lose its term.
+/// How often a subscriber may connect: a holder on a busy machine may lose its term.
 const MAX_CONNECTIONS: usize = 5;
 
-/// Connects to the holder and asks for its news until it knows that somebody came.
+/// Connects to the holder and subscribes until the holder knows the member.
 fn subscribe(holder: &Instance, name: &str) -> LinkReader {
     until("the holder", || holder.holder().is_some());
     let address = holder.holder().expect("itself").address;
@@ -58,15 +57,15 @@
             placements: Vec::new(),
         }))
     };
-    until("its coming", || {
-        // A connection that the holder has closed meanwhile ends when it is read.
+    until("the subscriber to be known", || {
+        // The connection may be closed by the holder meanwhile; reading it then returns the end.
         send_subscription().is_err() || holder.knows_member(name)
     });
     reader
 }
 
-/// Reads news, with a pause before each, until one names a key or the connection ends;
-/// the bytes of all, and whether the key was named.
+/// Reads updates with a delay before each, until one contains the key or the connection ends.
+/// Returns the bytes of all updates and whether the key was found.
 fn read_until(reader: &mut LinkReader, key: &str, pause: Duration) -> (usize, bool) {
     let mut bytes = 0;
     loop {
@@ -74,16 +73,16 @@
         let Ok(Some(body)) = reader.receive() else {
             return (bytes, false);
         };
-        let Body::News(news) = body else { continue };
-        bytes += news.encoded_len();
-        let has_key = |news: &News| news.values.iter().any(|value| value.key == key);
-        if has_key(&news) {
+        let Body::News(update) = body else { continue };
+        bytes += update.encoded_len();
+        let has_key = |update: &News| update.values.iter().any(|value| value.key == key);
+        if has_key(&update) {
             return (bytes, true);
         }
     }
 }
 
-/// Bytes of all news until a key is named; `None` if that does not come about.
+/// Bytes of all updates until one contains the key; `None` if none does.
 fn bytes_until(holder: &Instance, name: &str, key: &str, pause: Duration) -> Option<usize> {
     let mut all = 0;
     for _ in 0..MAX_CONNECTIONS {
@@ -100,25 +99,27 @@
 fn newest_version_only() {
     let store = site::store(&["m0"]);
     let instance = site::ready("one", &store);
-    until("the right to order", || instance.fence().is_some());
+    until("leadership", || instance.fence().is_some());
     let (slow, late) = std::thread::scope(|scope| {
-        // One that takes versions more slowly than they come, as over a full link.
+        // A subscriber that reads more slowly than versions arrive, as over a full link.
         let slow = scope.spawn(|| bytes_until(&instance, "slow", "op/end", SLOW_READ_DELAY));
-        until("its coming", || instance.knows_member("slow"));
+        until("the subscriber to be known", || {
+            instance.knows_member("slow")
+        });
         for version in 2..=VERSION_COUNT {
             store.put("op/config", &large(version));
             until("the version", || instance.version() == Some(version));
         }
         store.put("op/end", &json!({}));
-        let slow = slow.join().expect("a listener");
-        // One that comes back and knows the first version.
+        let slow = slow.join().expect("a subscriber");
+        // A subscriber that reconnects and knows the first version.
         let late = bytes_until(&instance, "late", "op/end", Duration::ZERO);
         (slow, late)
     });
-    for (listener, bytes) in [("slow", slow), ("late", late)] {
+    for (subscriber, bytes) in [("slow", slow), ("late", late)] {
         assert!(
             bytes.is_some_and(|bytes| bytes < MAX_BYTES),
-            "bytes for the {listener} one: {bytes:?}"
+            "bytes for the {subscriber} subscriber: {bytes:?}"
         );
     }
 }
--- a/tests/all/feed_log.rs
+++ b/tests/all/feed_log.rs
@@ -1,4 +1,4 @@
-//! What an instance keeps of a feed to tell others, and how it travels.
+//! The log of a feed and the updates made from it.
 
 use passway_instance::feed_log::FeedLog;
 use passway_instance::relay::{CONFIGURATION_FEED, Relay};
@@ -7,10 +7,10 @@
 use prost::Message;
 use std::time::Duration;
 
-/// Lines of a large value; some 100 kB.
+/// Lines of a large value, about 100 kB.
 const LINES: u32 = 4_000;
 
-/// A large value, a little different at each revision.
+/// A large value that differs slightly at each revision.
 fn large(key: &str, revision: StoreRevision) -> StoredValue {
     let lines = (0..LINES).map(|line| format!("{:x} {line}\n", line.wrapping_mul(0x9E37_79B9)));
     let text = format!("{revision}\n{}", lines.collect::<String>());
@@ -42,17 +42,17 @@
     let mut log = FeedLog::default();
     let mut bases = CompressionBases::default();
     log.apply(&whole(&["a"], 10, 10));
-    let all = log.update_after(CONFIGURATION_FEED, 0).expect("all");
-    let all = bases.decode(all).expect("readable");
-    assert_eq!(all, whole(&["a"], 10, 10));
+    let complete = log.update_after(CONFIGURATION_FEED, 0).expect("all");
+    let complete = bases.decode(complete).expect("readable");
+    assert_eq!(complete, whole(&["a"], 10, 10));
     for revision in 11..14 {
         log.apply(&written(revision));
-        let news = log
+        let update = log
             .update_after(CONFIGURATION_FEED, revision - 1)
-            .expect("news");
-        let bytes = news.encoded_len();
+            .expect("an update");
+        let bytes = update.encoded_len();
         assert!(bytes < 1_000, "{bytes} bytes for a small difference");
-        assert_eq!(bases.decode(news).expect("readable"), written(revision));
+        assert_eq!(bases.decode(update).expect("readable"), written(revision));
     }
 }
 
@@ -61,15 +61,15 @@
     let mut log = FeedLog::default();
     log.apply(&whole(&["a"], 10, 10));
     log.apply(&written(11));
-    let news = log.update_after(CONFIGURATION_FEED, 10).expect("news");
-    // It knows another value of the key than it should.
+    let update = log.update_after(CONFIGURATION_FEED, 10).expect("an update");
+    // The receiver knows another value of the key than the base.
     let mut bases = CompressionBases::default();
     bases.record(&whole(&["a"], 9, 9));
-    assert!(bases.decode(news).is_err());
-    // One that has missed a version is told it without the one before.
-    let news = log.update_after(CONFIGURATION_FEED, 9).expect("news");
-    let told = bases.decode(news).expect("readable");
-    assert_eq!(told, whole(&["a"], 11, 11));
+    assert!(bases.decode(update).is_err());
+    // A receiver that missed a version gets the newest one without a base.
+    let update = log.update_after(CONFIGURATION_FEED, 9).expect("an update");
+    let decoded = bases.decode(update).expect("readable");
+    assert_eq!(decoded, whole(&["a"], 11, 11));
 }
 
 #[test]
@@ -82,8 +82,8 @@
         log.apply(&written(revision));
         waiting = waiting.merged_with(written(revision));
     }
-    let news = log.update_after(CONFIGURATION_FEED, 10).expect("news");
-    assert_eq!((news.from, news.to, news.values.len()), (10, 499, 1));
+    let update = log.update_after(CONFIGURATION_FEED, 10).expect("an update");
+    assert_eq!((update.from, update.to, update.values.len()), (10, 499, 1));
     let newest = StoreChange::Written(large("a", 499));
     let expected = FeedUpdate::Changes {
         from: 10,
@@ -105,15 +105,19 @@
 fn listing_sends_differences() {
     let mut log = FeedLog::default();
     log.apply(&whole(&["a", "b"], 10, 10));
-    // The store's history was gone, and it was listed again.
+    // The store dropped its history, so the feed was listed again.
     assert!(log.apply(&whole(&["a"], 30, 10)));
-    let news = log.update_after(CONFIGURATION_FEED, 10).expect("news");
-    let told: Vec<_> = news.values.iter().map(|v| (&*v.key, &v.value)).collect();
-    assert_eq!(told, [("b", &None)]);
+    let update = log.update_after(CONFIGURATION_FEED, 10).expect("an update");
+    let values: Vec<_> = update
+        .values
+        .iter()
+        .map(|value| (&*value.key, &value.value))
+        .collect();
+    assert_eq!(values, [("b", &None)]);
     assert!(!log.apply(&whole(&["a"], 40, 10)));
 }
 
-/// A listener reads a version from the store itself, and the holder tells it the same one.
+/// A subscriber reads a version from the store itself, and the holder sends the same version.
 #[test]
 fn value_read_from_store_is_no_gap() {
     let (relay, [receiver, _]) = Relay::new();
@@ -122,11 +126,11 @@
     receiver.record_applied(&whole(&["a"], 10, 10), 10);
     receiver.record_applied(&written(11), 11);
     log.apply(&written(11));
-    relay.receive(log.update_after(CONFIGURATION_FEED, 10).expect("news"));
-    assert!(!relay.needs_resend(), "all is asked for anew");
+    relay.receive(log.update_after(CONFIGURATION_FEED, 10).expect("an update"));
+    assert!(!relay.needs_resend(), "the whole feed is requested again");
 }
 
-/// As before, and the holder has missed that version.
+/// The same, but the holder missed that version.
 #[test]
 fn skipped_version_is_readable() {
     let (relay, [receiver, _]) = Relay::new();
@@ -135,12 +139,15 @@
     receiver.record_applied(&whole(&["a"], 10, 10), 10);
     receiver.record_applied(&written(11), 11);
     log.apply(&whole(&["a"], 12, 12));
-    relay.receive(log.update_after(CONFIGURATION_FEED, 10).expect("news"));
-    let told = receiver.wait_for_update(Duration::ZERO);
-    assert!(told.is_some_and(|told| told.to() == 12), "12 is lost");
+    relay.receive(log.update_after(CONFIGURATION_FEED, 10).expect("an update"));
+    let decoded = receiver.wait_for_update(Duration::ZERO);
+    assert!(
+        decoded.is_some_and(|update| update.to() == 12),
+        "version 12 is lost"
+    );
 }
 
-/// What cannot be read is asked for until it is known, from the holder or from the store.
+/// An unreadable update is requested again until the holder or the store has supplied it.
 #[test]
 fn unreadable_until_known() {
     let (relay, [receiver, _]) = Relay::new();
@@ -148,8 +155,8 @@
     log.apply(&whole(&["a"], 10, 10));
     log.apply(&written(11));
     receiver.record_applied(&whole(&["a"], 9, 9), 9);
-    let packed = log.update_after(CONFIGURATION_FEED, 10).expect("news");
-    relay.receive(packed);
+    let unreadable = log.update_after(CONFIGURATION_FEED, 10).expect("an update");
+    relay.receive(unreadable);
     assert!(relay.needs_resend());
     assert_eq!(relay.known_revisions()[CONFIGURATION_FEED], 0);
     receiver.record_applied(&written(11), 11);
@@ -157,8 +164,8 @@
     assert_eq!(relay.known_revisions()[CONFIGURATION_FEED], 11);
 }
 
-/// A key that comes and goes within one answer to the holder, and that a listener has read
-/// from the store in between.
+/// A key is written and removed within one answer to the holder, and a subscriber has read it from
+/// the store in between.
 #[test]
 fn short_lived_key_removal_sent() {
     let mut log = FeedLog::default();
@@ -173,31 +180,34 @@
         to: 20,
         changes: latest_changes([short_lived, removed].into_iter()),
     });
-    let news = log.update_after(CONFIGURATION_FEED, 15).expect("news");
-    let keys: Vec<_> = news.values.iter().map(|value| &*value.key).collect();
-    assert_eq!(keys, ["b"], "told up to {}", news.to);
+    let update = log.update_after(CONFIGURATION_FEED, 15).expect("an update");
+    let keys: Vec<_> = update.values.iter().map(|value| &*value.key).collect();
+    assert_eq!(keys, ["b"], "complete up to {}", update.to);
 }
 
-/// What came and went between two lists is not known to the holder.
+/// The holder does not know what was written and removed between two listings.
 #[test]
 fn unseen_span_sent_whole() {
     let mut log = FeedLog::default();
     log.apply(&whole(&["a"], 10, 10));
     log.apply(&whole(&["a"], 30, 10));
-    let from = |known| {
+    let start_of_update = |known| {
         log.update_after(CONFIGURATION_FEED, known)
-            .map(|news| news.from)
+            .map(|update| update.from)
     };
-    assert_eq!(from(10), Some(10));
-    assert_eq!(from(20), Some(0));
-    assert_eq!(from(30), None);
+    assert_eq!(start_of_update(10), Some(10));
+    assert_eq!(start_of_update(20), Some(0));
+    assert_eq!(start_of_update(30), None);
 }
 
 #[test]
 fn older_update_restores_nothing() {
-    let all = whole(&[], 50, 50);
-    assert_eq!(all.clone().merged_with(written(14)), all);
-    assert_eq!(all.clone().merged_with(whole(&["a"], 14, 14)), all);
+    let complete = whole(&[], 50, 50);
+    assert_eq!(complete.clone().merged_with(written(14)), complete);
+    assert_eq!(
+        complete.clone().merged_with(whole(&["a"], 14, 14)),
+        complete
+    );
 }
 
 #[test]
@@ -220,9 +230,11 @@
             changes: vec![StoreChange::Written(value), removed],
         });
     }
-    // Whoever knows too little is told all there is.
-    let news = log.update_after(CONFIGURATION_FEED, 10).expect("news");
-    assert_eq!((news.from, news.values.len()), (0, 0));
-    let news = log.update_after(CONFIGURATION_FEED, 3_000).expect("news");
-    assert_eq!((news.from, news.values.len()), (3_000, 5));
+    // A receiver whose known revision is too old gets everything.
+    let update = log.update_after(CONFIGURATION_FEED, 10).expect("an update");
+    assert_eq!((update.from, update.values.len()), (0, 0));
+    let update = log
+        .update_after(CONFIGURATION_FEED, 3_000)
+        .expect("an update");
+    assert_eq!((update.from, update.values.len()), (3_000, 5));
 }
--- a/tests/all/fleet_start.rs
+++ b/tests/all/fleet_start.rs
@@ -1,11 +1,12 @@
-//! What a fleet's start and a hand-over send follows what changes, not how many there are.
+//! The messages at a fleet's start and at a change of the holder depend on what changed, not on the
+//! number of instances.
 //!
-//! The load: 300 instances that come to one holder within a second, before 256 engines with three
-//! models each. The holder's link carries 20 Mbit/s, 2.5 MB a second, and its lease of 1.2 s is
-//! renewed four times: what it sends in a quarter of a second must leave the link free for
-//! that. Before, each that came was told to all as the whole list, 430 MB in all, each was told
-//! all placements when it connected and when the term began, 19 kB each time, and the right to
-//! order changed hands five times in 14 s.
+//! Guards against a holder that loses leadership because its link is full. 300 instances connect to
+//! one holder within a second, with 256 engines and three models on each. The link carries 20
+//! Mbit/s, 2.5 MB a second, and the lease of 1.2 s is renewed four times, so the messages of a
+//! quarter of a second must leave the link free. Sending the whole member list to all for each new
+//! instance took 430 MB, and all placements were sent at each connection and each term's start, 19
+//! kB each time; leadership changed five times in 14 s.
 
 use crate::planned::{Planned, entry, resident};
 use passway_instance::members::{Addresses, MemberListTracker, encode};
@@ -21,11 +22,11 @@
 
 const INSTANCES: u64 = 300;
 const ENGINES: u8 = 255;
-/// Those that may succeed the holder.
+/// Number of candidates.
 const CANDIDATES: u64 = 9;
-/// Heartbeats within the second in which they come.
+/// Heartbeats within the second in which the instances connect.
 const HEARTBEATS: u64 = 4;
-/// What the holder's link carries between two renewals.
+/// Bytes that the holder's link carries between two renewals.
 const MAX_BYTES: usize = 600_000;
 
 fn address(number: u64) -> SocketAddr {
@@ -51,12 +52,12 @@
     }
     assert!(max_at_once < MAX_BYTES / 4, "{max_at_once} bytes at once");
     assert!(bytes < MAX_BYTES, "{bytes} bytes in all");
-    // Nothing has changed, and nobody is told.
+    // Nothing has changed, so nothing is sent.
     assert_eq!(
         member_list.due_connections(&members, 0..CANDIDATES),
         BTreeSet::new()
     );
-    // One that may succeed since is told, and so are all once the list has changed.
+    // A new candidate is sent the list; a changed list is sent to all candidates.
     assert_eq!(
         member_list.due_connections(&members, 0..=CANDIDATES),
         BTreeSet::from([CANDIDATES])
@@ -92,14 +93,18 @@
     let entries = || (0..ENGINES).map(|number| engine(number, &["m0", "m1", "m2"]));
     let mut planner = planner();
     planner.begin_term(entries(), &BTreeSet::new(), now);
-    assert_eq!(planner.take_changed(), [], "the term's begin tells nothing");
+    assert_eq!(
+        planner.take_changed(),
+        [],
+        "nothing is sent at the start of the term"
+    );
     let mut table = UpstreamTable::new("hall0".into());
     for entry in entries() {
         table.update(entry, now);
     }
     let known = |table: &UpstreamTable| table.placement_digests().collect();
     assert_eq!(planner.placements_unlike(&known(&table)), []);
-    // One engine has changed meanwhile, and one is not known there at all.
+    // One engine has changed meanwhile, and another is not known to the instance at all.
     let changed = UpstreamEntry {
         beat: 2,
         ..engine(7, &["m2", "m0"])
@@ -109,23 +114,23 @@
     let unlike = planner.placements_unlike(&known(&table));
     let engines: Vec<&str> = unlike.iter().map(|p| &*p.engine).collect();
     assert_eq!(engines, [&*format!("i-{ENGINES}"), "i-7"]);
-    // All are told what has changed, once, in whatever order an engine names its models.
+    // Changes are sent to all once; the order in which an engine names its models does not matter.
     assert_eq!(planner.take_changed().len(), 2);
     let unlike = planner.placements_unlike(&known(&table));
     assert_eq!(
         unlike.len(),
         2,
-        "one that connects later lacks them as before"
+        "an instance that connects later still lacks them"
     );
-    let again = UpstreamEntry {
+    let reordered = UpstreamEntry {
         beat: 3,
         ..engine(7, &["m0", "m2"])
     };
-    planner.heard(again, now);
+    planner.heard(reordered, now);
     assert_eq!(planner.take_changed(), [] as [Placement; 0]);
 }
 
-/// What a holder before was about to evict is part of what an instance knows.
+/// An eviction that the previous holder planned is part of what an instance knows.
 #[test]
 fn stale_eviction_differs() {
     let now = Instant::now();
@@ -141,7 +146,7 @@
     assert_eq!(planner.placements_unlike(&known), []);
 }
 
-/// Whoever waits for a model is told at once that it has come, and nobody else.
+/// Only instances with requests that wait for a model learn at once that it is loaded.
 #[test]
 fn awaited_model_sent_at_once() {
     let mut planned = Planned::new();
@@ -153,10 +158,10 @@
     assert_eq!(planned.planner.take_awaited(), []);
     planned.report(false, 1, &["m0", "m2"]);
     let awaited = planned.planner.take_awaited();
-    let told: Vec<_> = awaited
+    let placements: Vec<_> = awaited
         .iter()
         .map(|(placement, instances)| (&*placement.engine, instances.len()))
         .collect();
-    assert_eq!(told, [("i-0", 1)]);
+    assert_eq!(placements, [("i-0", 1)]);
     assert_eq!(planned.planner.take_awaited(), []);
 }
--- a/tests/all/holder_heard.rs
+++ b/tests/all/holder_heard.rs
@@ -1,4 +1,4 @@
-//! An instance that is cut off from the store hears of a new holder from that holder.
+//! An instance that is cut off from the store learns of a new holder from that holder.
 
 use crate::site::{self, until};
 use passway_serving::tenure::{Holder, Tenure, TenureLimits};
@@ -30,33 +30,36 @@
     let mut tenure = tenure();
     tenure.seen(Some(holder("two", 5)));
     assert!(!tenure.told(holder("three", 4)), "an older term");
-    assert!(!tenure.told(holder("two", 5)), "no news");
-    assert!(!tenure.told(holder("one", 9)), "nobody else speaks for me");
+    assert!(!tenure.told(holder("two", 5)), "already known");
+    assert!(
+        !tenure.told(holder("one", 9)),
+        "no other instance announces this one"
+    );
     assert!(tenure.told(holder("three", 6)));
     assert_eq!(tenure.holder().map(|h| h.fence), Some(6));
-    // The store tells that it is gone; a word that comes late changes nothing.
+    // The store reports that the holder is gone; a late message changes nothing.
     tenure.seen(None);
     assert!(!tenure.told(holder("three", 6)));
     assert_eq!(tenure.holder(), None);
 }
 
-/// The right changes hands while one instance reaches the others and not the store.
+/// Leadership changes while one instance reaches the other instances but not the store.
 #[test]
 fn cut_instance_follows() {
     let store = site::store(&["m0"]);
-    let ways = [store.serve_way(), store.serve_way(), store.serve_way()];
+    let proxies = [store.serve_way(), store.serve_way(), store.serve_way()];
     let names = ["one", "two", "three"];
-    let instances = names.iter().zip(&ways);
+    let instances = names.iter().zip(&proxies);
     let instances: Vec<_> = instances
-        .map(|(name, way)| site::start_at(name, way.address()))
+        .map(|(name, proxy)| site::start_at(name, proxy.address()))
         .collect();
     for instance in &instances {
         until("readiness", || instance.is_ready());
     }
-    let holds = |number: &usize| instances[*number].fence().is_some();
+    let is_holder = |number: &usize| instances[*number].fence().is_some();
     let mut first = None;
     until("a holder", || {
-        first = (0..3).find(holds);
+        first = (0..3).find(is_holder);
         first.is_some()
     });
     let first = first.expect("a holder");
@@ -66,40 +69,40 @@
             .iter()
             .all(|instance| instance.known_members() == 3)
     });
-    ways[cut].set_faults(Faults {
+    proxies[cut].set_faults(Faults {
         refuses: Some(503),
         ..Faults::default()
     });
-    // The holder loses the store as well, and with it the right.
-    ways[first].set_faults(Faults {
+    // The holder is cut off from the store as well, and loses leadership.
+    proxies[first].set_faults(Faults {
         refuses: Some(503),
         ..Faults::default()
     });
-    let last = 3 - first - cut;
-    until("a successor", || holds(&last));
-    let fence = instances[last].fence();
+    let successor = 3 - first - cut;
+    until("a successor", || is_holder(&successor));
+    let fence = instances[successor].fence();
     for number in [cut, first] {
-        until("the word of it", || {
-            let heard = instances[number].holder();
-            heard.map(|holder| holder.fence) == fence
+        until("the new holder to be known", || {
+            let known_holder = instances[number].holder();
+            known_holder.map(|holder| holder.fence) == fence
         });
     }
 }
 
-/// The announcement of a new holder reaches an instance before the instance has noticed that
-/// it is cut off. It is made once, so it must count when the cut is noticed.
+/// The announcement of a new holder arrives before the instance notices that it is cut off from the
+/// store. It is sent once, so it must count when the cut is noticed.
 #[test]
 fn early_announcement_kept() {
     let store = site::store(&["m0"]);
-    let way = store.serve_way();
-    let instance = site::start_at("one", way.address());
+    let proxy = store.serve_way();
+    let instance = site::start_at("one", proxy.address());
     until("readiness", || instance.is_ready());
-    until("the right", || instance.fence().is_some());
-    // The term begins with the write's answer; the key is seen by the feed, a moment later.
+    until("leadership", || instance.fence().is_some());
+    // The term begins with the answer to the write; the feed reports the key a moment later.
     until("the key", || instance.holder().is_some());
     let own = instance.holder().expect("itself");
-    let successor = TcpListener::bind("127.0.0.1:0").expect("bind");
-    let address = successor.local_addr().expect("address");
+    let announced_listener = TcpListener::bind("127.0.0.1:0").expect("bind");
+    let address = announced_listener.local_addr().expect("address");
     let (link, _reader) = Link::connect(own.address, Duration::from_secs(5)).expect("a link");
     let fence = own.fence + 1_000;
     let announced = Successor {
@@ -108,32 +111,33 @@
         fence,
     };
     link.send(Body::Successor(announced)).expect("sent");
-    // Taken in by now, while the store answers: its word goes first.
+    // By now, the message is received. The store still answers, and its information takes
+    // precedence.
     std::thread::sleep(Duration::from_millis(200));
     assert_eq!(instance.holder().map(|h| h.fence), Some(own.fence));
-    way.set_faults(Faults {
+    proxy.set_faults(Faults {
         refuses: Some(503),
         ..Faults::default()
     });
-    until("the holder that was announced", || {
+    until("the announced holder", || {
         instance.holder().map(|h| h.fence) == Some(fence)
     });
 }
 
-/// Instances that are gone for good do not stay on the list.
+/// Instances that terminated are removed from the member list.
 #[test]
 fn gone_member_forgotten() {
     let store = site::store(&["m0"]);
     let instances = ["one", "two"].map(|name| site::ready(name, &store));
-    let holds = |number: &usize| instances[*number].fence().is_some();
+    let is_holder = |number: &usize| instances[*number].fence().is_some();
     let mut first = None;
     until("a holder", || {
-        first = (0..2).find(holds);
+        first = (0..2).find(is_holder);
         first.is_some()
     });
     let first = first.expect("a holder");
     let all_know = |members| instances.iter().all(|i| i.known_members() == members);
-    until("both known", || all_know(2));
+    until("both members to be known", || all_know(2));
     let holder = instances[first].holder().expect("itself");
     let (link, _reader) = Link::connect(holder.address, Duration::from_secs(5)).expect("a link");
     let subscribe = Subscribe {
@@ -144,26 +148,26 @@
         placements: Vec::new(),
     };
     link.send(Body::Subscribe(subscribe)).expect("sent");
-    until("a third one", || all_know(3));
+    until("a third member", || all_know(3));
     link.close();
     instances[first].stop();
-    until("a successor", || holds(&(1 - first)));
-    until("the list without it", || all_know(2));
+    until("a successor", || is_holder(&(1 - first)));
+    until("the list without the member", || all_know(2));
 }
 
-/// A holder that loses the right and takes it again is followed in its new term by an instance
-/// that is cut off from the store and comes back to it by itself, without an announcement.
+/// A holder loses leadership and acquires it again. An instance that is cut off from the store and
+/// reconnects by itself, without an announcement, follows the new term.
 #[test]
 fn same_holder_again() {
     let store = site::store(&["m0"]);
     let holder = crate::holder_link::PlayedHolder::begin(&store);
-    let way = store.serve_way();
-    let instance = site::start_at("one", way.address());
+    let proxy = store.serve_way();
+    let instance = site::start_at("one", proxy.address());
     until("readiness", || instance.is_ready());
     let (link, mut reader) = holder.accept();
     assert!(crate::holder_link::subscription(&mut reader).is_some());
     let known = instance.holder().expect("the played holder");
-    way.set_faults(Faults {
+    proxy.set_faults(Faults {
         refuses: Some(503),
         ..Faults::default()
     });
@@ -173,11 +177,11 @@
         fence: known.fence + 1,
     };
     until("the new term", || {
-        // Said again, as on each subscription; the link may be made anew meanwhile.
+        // Sent again, as on each subscription, because the link may be replaced meanwhile.
         let _ = link.send(Body::Successor(term.clone()));
         instance.holder().map(|h| h.fence) == Some(known.fence + 1)
     });
-    // Another instance's word on this link is not the holder's.
+    // A message about another instance on this link is ignored.
     let other = Successor {
         instance: "two".into(),
         fence: known.fence + 9,
--- a/tests/all/holder_link.rs
+++ b/tests/all/holder_link.rs
@@ -1,8 +1,8 @@
-//! An instance and its link to the holder of the right to order, which a test plays.
+//! The link of an instance to the holder of leadership, which the test plays.
 //!
-//! Seen with late versions of the configuration: a link that had fallen silent was asked on
-//! again and again; a new one waited for the pause that the old one had begun; a word that
-//! could not be read was made up for by the store alone.
+//! Guards against late versions of the configuration: an instance kept sending requests on a link
+//! that had fallen silent, a new link waited for the backoff of the previous one, and only the
+//! store could replace an unreadable message.
 
 use crate::scripted_store::{heartbeat, update_message};
 use crate::site::{self, PATIENCE, until};
@@ -15,43 +15,43 @@
 use std::net::TcpListener;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Pause between two words of a holder that speaks.
+/// Interval of heartbeats of the played holder.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A holder that the test plays.
 pub struct PlayedHolder {
     listener: TcpListener,
-    begun_at: Instant,
+    clock_origin: Instant,
 }
 
 impl PlayedHolder {
-    /// Has the key in the store, for good.
+    /// Writes the holder's key to the store, without a lease.
     pub fn begin(store: &MetadataStandIn) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
         let address = listener.local_addr().expect("address");
         store.put_bytes("passway/holder", format!("played {address}").as_bytes());
         Self {
             listener,
-            begun_at: Instant::now(),
+            clock_origin: Instant::now(),
         }
     }
 
-    /// The next connection of a listener.
+    /// Accepts the next connection of a subscriber.
     pub fn accept(&self) -> (Link, LinkReader) {
-        let (stream, _) = self.listener.accept().expect("a listener");
+        let (stream, _) = self.listener.accept().expect("a subscriber");
         let (link, reader) = Link::from_stream(stream).expect("a link");
-        reader.set_timeout(PATIENCE).expect("a time-out");
+        reader.set_timeout(PATIENCE).expect("a timeout");
         (link, reader)
     }
 
-    /// Says that it lives and knows all.
+    /// Sends a heartbeat that confirms all feeds.
     fn send_heartbeat(&self, link: &Link) {
-        // The listener may have closed the link, which the test sees by reading.
-        let _ = link.send(Body::News(heartbeat(self.begun_at, FEED_COUNT)));
+        // The subscriber may have closed the link, which the test notices by reading.
+        let _ = link.send(Body::News(heartbeat(self.clock_origin, FEED_COUNT)));
     }
 }
 
-/// The next subscription on a link; `None` once the listener has closed it.
+/// The next subscription on a link; `None` once the subscriber has closed the link.
 pub fn subscription(reader: &mut LinkReader) -> Option<Subscribe> {
     loop {
         if let Body::Subscribe(subscribe) = reader.receive().ok()?? {
@@ -73,10 +73,13 @@
     let (link, mut reader) = holder.accept();
     assert!(subscription(&mut reader).is_some());
     holder.send_heartbeat(&link);
-    // Nothing more is said, and the link stays open at this end. It is not asked on again and
-    // again, until it ends by a time-out of its own.
-    let asked = std::iter::from_fn(|| subscription(&mut reader)).count();
-    assert!(asked <= 2, "asked {asked} times on a silent link");
+    // The holder falls silent, and the link stays open at this end. The instance must not repeat
+    // its subscription there until the read times out.
+    let subscriptions = std::iter::from_fn(|| subscription(&mut reader)).count();
+    assert!(
+        subscriptions <= 2,
+        "{subscriptions} subscriptions on a silent link"
+    );
     let (_link, mut reader) = holder.accept();
     assert!(subscription(&mut reader).is_some());
 }
@@ -117,7 +120,7 @@
     assert_eq!(resubscription.known[CONFIGURATION_FEED], 0);
 }
 
-/// A word that was long on its way tells what was known when it left.
+/// A delayed message confirms what was known when it was sent.
 #[test]
 fn delayed_message_counts_as_old() {
     let (relay, _) = Relay::new();
@@ -129,37 +132,37 @@
     let is_trusted = || relay.trusted_until(CONFIGURATION_FEED).is_some();
     relay.receive(heartbeat(9_000, 9_000));
     assert!(is_trusted());
-    // Its sender has heard nothing for 3 s.
+    // The store has not confirmed anything to the sender for 3 s.
     relay.receive(heartbeat(9_000, 6_000));
     assert!(!is_trusted());
     relay.receive(heartbeat(9_000, 9_000));
     assert!(is_trusted());
-    // 3 s on its way, and its sender knew all when it left.
+    // The message was delayed by 3 s; its sender knew everything when it sent it.
     relay.receive(heartbeat(6_000, 6_000));
     assert!(!is_trusted());
-    // A new connection to it on which all words are 3 s on their way.
+    // A new connection to the same holder, on which all messages are delayed by 3 s.
     relay.holder_disconnected();
     relay.receive(heartbeat(6_000, 6_000));
     assert!(!is_trusted());
-    // Another holder counts from another moment.
+    // Another holder's clock has another origin.
     relay.holder_changed();
     assert!(!is_trusted());
     relay.receive(heartbeat(500, 500));
     assert!(is_trusted());
 }
 
-/// A store that turns an instance away from its first moment tells it nothing; the holder, of
-/// whom it has heard, tells it everything.
+/// The store refuses an instance's calls from the beginning. The holder, which the instance knows
+/// already, sends it everything.
 #[test]
 fn holder_sends_all_if_store_refuses() {
     let store = site::store(&["m0"]);
-    let way = store.serve_way();
+    let proxy = store.serve_way();
     let holder = PlayedHolder::begin(&store);
-    let instance = site::start_at("one", way.address());
+    let instance = site::start_at("one", proxy.address());
     let (link, mut reader) = holder.accept();
     let known = subscription(&mut reader).expect("a subscription").known;
     assert!(known.iter().all(|revision| *revision > 0));
-    way.set_faults(Faults {
+    proxy.set_faults(Faults {
         refuses: Some(503),
         ..Faults::default()
     });
@@ -177,12 +180,12 @@
     until("the version", || instance.version() == Some(9));
 }
 
-/// All others read another fencing number than the holder had: the store counts each key that a transaction writes,
-/// and the holder's key was not the last.
+/// The holder and all other instances must read the same fencing number. The store assigns a
+/// revision to each key that a transaction writes, so the holder's key must be written last.
 #[test]
 fn fence_is_revision_of_key() {
     let store = site::store(&[]);
     let instance = site::ready("one", &store);
-    until("the right to order", || instance.fence().is_some());
+    until("leadership", || instance.fence().is_some());
     assert_eq!(instance.fence(), Some(store.revision_of("passway/holder")));
 }
--- a/tests/all/model_orders.rs
+++ b/tests/all/model_orders.rs
@@ -1,4 +1,4 @@
-//! Models come to where they are asked for, by one holder's orders.
+//! Models are loaded where they are requested, by the orders of one holder.
 
 use crate::planned::{Planned, resident};
 use crate::site::{self, stream, until};
@@ -16,7 +16,7 @@
     let store = site::store(&["m0", "m1", "m2"]);
     let server = ModelServer::start(&store, "i-0", "engines", 2, &["m0", "m1"], &["m2"]);
     let instance = site::ready("one", &store);
-    until("the right to order", || instance.fence().is_some());
+    until("leadership", || instance.fence().is_some());
     let answer = stream(instance.callers_address(), "report", "r1", "m2");
     assert_eq!((answer.status, answer.whole), (200, true));
     assert_eq!(answer.body, all_events());
@@ -31,7 +31,7 @@
     let store = site::store(&["m0"]);
     let server = ModelServer::start(&store, "i-0", "engines", 2, &["m0"], &[]);
     let instance = site::ready("one", &store);
-    until("the right to order", || instance.fence().is_some());
+    until("leadership", || instance.fence().is_some());
     for adapter in ["a1", "a2", "a3", "a1"] {
         let answer = stream(
             instance.callers_address(),
@@ -41,7 +41,7 @@
         );
         assert_eq!((answer.status, answer.whole), (200, true), "{adapter}");
     }
-    // Two places: each later one makes another go first.
+    // Two slots: each later adapter makes another one unload first.
     let loads = server
         .taken()
         .iter()
@@ -60,7 +60,7 @@
     let store = site::store(&["m0", "m1", "m2"]);
     let server = ModelServer::start(&store, "i-0", "engines", 2, &["m0", "m1"], &["m2"]);
     let instance = site::ready("one", &store);
-    until("the right to order", || instance.fence().is_some());
+    until("leadership", || instance.fence().is_some());
     server.set_faults(Faults {
         loses_answer: true,
         ..Faults::default()
@@ -74,22 +74,22 @@
 #[test]
 fn stream_resumes() {
     let store = site::store(&["m0"]);
-    let one = ModelServer::start(&store, "i-0", "engines", 2, &["m0"], &[]);
-    let two = ModelServer::start(&store, "i-1", "engines", 2, &["m0"], &[]);
+    let first = ModelServer::start(&store, "i-0", "engines", 2, &["m0"], &[]);
+    let second = ModelServer::start(&store, "i-1", "engines", 2, &["m0"], &[]);
     let instance = site::ready("one", &store);
     until("a repeat to spend", || instance.may_repeat("engines"));
-    for server in [&one, &two] {
+    for server in [&first, &second] {
         server.set_faults(Faults {
             cuts_after: Some(2),
             ..Faults::default()
         });
     }
-    // The first server cuts after event 2 and the second after none that it sends.
-    two.set_faults(Faults::default());
+    // The first server cuts the stream after event 2; the second one sends all events.
+    second.set_faults(Faults::default());
     let answer = stream(instance.callers_address(), "chat", "c1", "m0");
     assert_eq!((answer.status, answer.whole), (200, true));
     assert_eq!(answer.body, all_events());
-    assert_eq!(one.runs().len() + two.runs().len(), 2);
+    assert_eq!(first.runs().len() + second.runs().len(), 2);
     assert_eq!(answer.head.matches("Response-Seal").count(), 1);
 }
 
@@ -123,14 +123,14 @@
         assert!(holders <= 1);
     }
     let other = &instances[1 - first];
-    // The other instance's requests reach the holder.
+    // The holder must receive the needs of the other instance.
     assert_eq!(
         stream(other.callers_address(), "report", "r1", "m2").status,
         200
     );
     std::thread::scope(|scope| {
         scope.spawn(|| instances[first].stop());
-        until("the other's turn", || other.fence().is_some());
+        until("the other holder", || other.fence().is_some());
         assert_eq!(instances[first].fence(), None);
     });
     assert_eq!(
@@ -158,7 +158,7 @@
 
 #[test]
 fn no_order_on_busy_report() {
-    // Another holder's load is under way: the models it tells are not all that take room.
+    // Another holder's load is in progress: the reported models are not all that occupy memory.
     let mut planned = Planned::new();
     planned.need("m2");
     planned.orders(OrderAnswer::Taken);
@@ -174,7 +174,7 @@
 
 #[test]
 fn no_load_before_unload_done() {
-    // The unload was taken, and a run holds it up.
+    // The unload was accepted, but a run delays it.
     let mut planned = Planned::new();
     planned.need("m2");
     planned.orders(OrderAnswer::Taken);
@@ -183,7 +183,7 @@
     assert_eq!(orders.len(), 1);
     planned.report(true, 1, &["m0", "m1"]);
     assert_eq!(planned.orders(OrderAnswer::Taken), []);
-    // An older state, told late.
+    // A report of an older state that arrives late.
     planned.report(false, 0, &["m1"]);
     assert_eq!(planned.orders(OrderAnswer::Taken), []);
     planned.report(false, 1, &["m1"]);
@@ -232,7 +232,7 @@
         adapter: Some("a3".into()),
     };
     planned.need_wish(wish, 1);
-    // Both places are taken; a run holds the unload up.
+    // Both slots are in use; a run delays the unload.
     let orders = planned.orders(OrderAnswer::Taken);
     assert_eq!(orders.len(), 1, "{orders:?}");
     assert_eq!(orders[0].action, OrderAction::Unload);
@@ -265,7 +265,7 @@
     let orders = planned.orders(OrderAnswer::Taken);
     let victim = orders.first().expect("an unload").wish.model.clone();
     let stays = if &*victim == "m0" { "m1" } else { "m0" };
-    // A word from when the place was empty once before.
+    // An entry from an earlier time when the slot was empty.
     planned.hear(0, &[stays]);
     assert_eq!(planned.orders(OrderAnswer::Taken), []);
     planned.hear(2, &[stays]);
@@ -282,7 +282,7 @@
     planned.need("m2");
     planned.report(false, 0, &["m0", "m1"]);
     assert_eq!(planned.planner.decide(planned.now), []);
-    // Instances tell what they took before the term began: m0 is busy.
+    // Instances report recent requests from before the term began: m0 is in use.
     let busy = ModelRef {
         model: "m0".into(),
         adapter: None,
@@ -297,12 +297,12 @@
 #[test]
 fn silent_server_left() {
     let store = site::store(&["m0"]);
-    let one = ModelServer::start(&store, "i-0", "engines", 2, &["m0"], &[]);
-    let two = ModelServer::start(&store, "i-1", "engines", 2, &["m0"], &[]);
+    let first = ModelServer::start(&store, "i-0", "engines", 2, &["m0"], &[]);
+    let second = ModelServer::start(&store, "i-1", "engines", 2, &["m0"], &[]);
     let instance = site::ready("one", &store);
     until("a repeat to spend", || instance.may_repeat("engines"));
-    // Whichever is first falls silent after two events; its connection stays open.
-    for server in [&one, &two] {
+    // Whichever server is first stops sending after two events; its connection stays open.
+    for server in [&first, &second] {
         server.set_faults(Faults {
             silent_after: Some(2),
             ..Faults::default()
@@ -323,7 +323,8 @@
 
 #[test]
 fn disk_before_weight_store() {
-    // One engine has every model on its disk and is busy; an empty one could only fetch.
+    // One engine has every model on its disk and is busy; an empty one could only load from the
+    // weight store.
     let mut planned = Planned::new();
     planned.orders(OrderAnswer::Taken);
     planned.hear_of("i-9", 1, &[], &[]);
@@ -353,7 +354,7 @@
 
 #[test]
 fn silent_server_kept() {
-    // Nobody else has the model: its silence ends nothing sooner.
+    // No other server has the model, so the silence ends the stream no sooner.
     let store = site::store(&["m0"]);
     let server = ModelServer::start(&store, "i-0", "engines", 2, &["m0"], &[]);
     let instance = site::ready("one", &store);
--- a/tests/all/poison_late_ports.rs
+++ b/tests/all/poison_late_ports.rs
@@ -1,4 +1,4 @@
-//! Requests that crash engines whose ports close a little after their connections.
+//! Requests that crash engines whose ports close a little later than their connections.
 
 use crate::site::{self, ask, request, until};
 use passway_standins::platform::model_server::{Faults, ModelServer, Models};
@@ -7,25 +7,26 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// What crashes the engines.
+/// Body of the requests that crash engines.
 const POISON: &str = "poison";
-/// The most engines that one request may end.
+/// Maximum number of engines that one request may crash.
 const MAX_CRASHES: usize = 3;
-/// Time for which a port outlives its engine.
+/// How long a port stays open after its engine terminated.
 const PORT_CLOSE_DELAY: Duration = Duration::from_millis(300);
 
-/// Passes on what comes until either end closes.
+/// Copies bytes until either end closes.
 fn copy(mut from: TcpStream, mut to: TcpStream) {
     let mut bytes = [0; 16 << 10];
     while let Ok(count) = from.read(&mut bytes)
         && count > 0
         && to.write_all(&bytes[..count]).is_ok()
     {}
-    // Either may have closed first.
+    // The other end may have closed already.
     let _ = (from.shutdown(Shutdown::Both), to.shutdown(Shutdown::Both));
 }
 
-/// A port before an engine, which closes [`LATE`] after nobody answers there any more; its address.
+/// Opens a port in front of an engine, which closes [`PORT_CLOSE_DELAY`] after the engine stopped
+/// answering. Returns the port's address.
 fn late_port(engine: SocketAddr) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -40,7 +41,7 @@
                 std::thread::spawn(move || {
                     std::thread::sleep(PORT_CLOSE_DELAY);
                     is_closed.store(true, Ordering::Release);
-                    // It wakes the thread that accepts, unless that has ended.
+                    // Wakes the accepting thread, unless it has ended.
                     let _ = TcpStream::connect(address);
                 });
                 continue;
@@ -55,9 +56,9 @@
     address
 }
 
-/// Four engines ended under one request: the port of the first was still open when it was asked right after the break,
-/// and that it refused later was not taken for its end. Nothing told of that end for eight seconds, and then it was
-/// forgotten.
+/// One request crashed four engines. The first engine's port was still open when it was checked
+/// right after the break, and that it refused connections later did not count as a crash. Without
+/// other evidence, the break was forgotten after eight seconds.
 #[test]
 fn late_crash_detected() {
     let store = site::store(&["m0"]);
@@ -78,7 +79,7 @@
     let engines: Vec<_> = engines.collect();
     let instance = site::ready("one", &store);
     let mut ids = 0..;
-    until("it is refused", || {
+    until("the refusal", || {
         let id = format!("p{:?}", ids.next());
         let bytes = request("POST", "/report/", &id, "Model: m0\r\n", POISON);
         let answer = ask(instance.callers_address(), &bytes).expect("an answer");
--- a/tests/all/poison_open_ports.rs
+++ b/tests/all/poison_open_ports.rs
@@ -1,9 +1,9 @@
 //! Requests that crash engines whose ports stay open.
 //!
-//! Seen: engines under a supervisor accept and close connections while they start again, so that nothing
-//! refuses one. Two requests that crash what runs them ended 41 of ten such engines in 24 s, as many as
-//! if nothing counted crashes, and a fifth of all other requests failed. Cause: the only evidence of a
-//! crash was a port that refuses a connection right after the break.
+//! Guards against crashes that are not counted: a supervisor accepts and closes connections while
+//! its engine restarts, so the port never refuses, and a refused connection right after the break
+//! was the only evidence of a crash. Two requests crashed 41 of ten such engines in 24 s, and a
+//! fifth of all other requests failed.
 
 use crate::site::{self, ask, configuration, request, until};
 use passway_instance::Instance;
@@ -12,18 +12,18 @@
 use passway_types::prelude::*;
 use serde_json::Value;
 
-/// Three engines end under one request, and one more under what was on its way.
+/// Three engines may crash under one request, and one more under a copy that was in flight.
 const MAX_CRASHES: usize = 4;
-/// Requests that crash engines.
+/// Bodies of the requests that crash engines.
 const POISON_BODIES: [&str; 2] = ["poison one", "poison two"];
-/// Time for which an engine is away.
+/// How long an engine takes to restart.
 const RESTART_DURATION: Duration = Duration::from_secs(2);
-/// Pause between two comings of each request.
+/// Interval of the repeats of each request.
 const REPEAT_INTERVAL: Duration = Duration::from_millis(150);
-/// Comings of each.
+/// Number of repeats of each request.
 const REPEATS: usize = 60;
 
-/// A configuration with a route to engines whose requests may run again.
+/// A configuration with a route to engines whose requests may be repeated.
 fn with_repeatable(mut document: Value) -> Value {
     let mut route = document["routes"][3].clone();
     route["name"] = "again".into();
@@ -67,7 +67,7 @@
     }
 }
 
-/// One request; whether its answer is whole and good.
+/// Sends one request. Returns whether the answer is complete and successful.
 fn send(instance: &Instance, route: &str, id: &str, body: &str) -> bool {
     let path = format!("/{route}/");
     let bytes = request("POST", &path, id, "Model: m0\r\n", body);
@@ -75,7 +75,8 @@
     answer.is_some_and(|answer| answer.status == 200 && answer.whole)
 }
 
-/// Lets both culprits come again and again at all instances, beside innocents of one body.
+/// Repeats both poison requests at all instances, along with harmless requests that have equal
+/// bodies.
 fn run(route: &str) {
     let cluster = cluster();
     let mut served = Vec::new();
@@ -103,8 +104,8 @@
         });
         let others: Vec<_> = others.collect();
         for other in others {
-            let all = other.join().expect("an innocent");
-            // The last third: by then both are known.
+            let all = other.join().expect("a caller");
+            // The last third, when both poison requests are known.
             served.extend(all[REPEATS * 2 / 3..].to_vec());
         }
     });
--- a/tests/all/poison_requests.rs
+++ b/tests/all/poison_requests.rs
@@ -1,11 +1,10 @@
-//! A request that crashes each engine that begins to run it, and comes again.
+//! A request that crashes each engine that runs it, and is repeated.
 //!
-//! Seen: one caller's request came again at every instance of a fleet, each time under a new id,
-//! and ended 18 engines, most of them with a dozen streams of others; for a minute hardly anything of
-//! that model was served. How it came about: a run that breaks off counts against the engine and is
-//! forgotten with the request's id, so the next arrival is judged afresh, at any instance. Cause: harm
-//! that one input does was judged by each arrival alone. What proved it: the lines of the broken runs
-//! carry the same digest of caller, path and body under different ids, with one run and a living engine each.
+//! Guards against judging each arrival of a request alone: a broken run counted against the engine
+//! and was forgotten with the request's id, so the next arrival under another id, at any instance,
+//! ran again. One request crashed 18 engines, most of them with a dozen other streams, and for a
+//! minute the model was hardly served. The log lines of the broken runs carry the same digest of
+//! caller, path and body.
 
 use crate::site::{self, Answer, Caller, ask, request, until};
 use passway_instance::Instance;
@@ -15,12 +14,12 @@
 use rustix::net::{self, AddressFamily, SocketType};
 use std::net::{SocketAddr, TcpStream};
 
-/// What crashes the engines.
+/// Body of the requests that crash engines.
 const POISON: &str = "poison";
-/// The most engines that one request may end.
+/// Maximum number of engines that one request may crash.
 const MAX_CRASHES: usize = 3;
 
-/// A store and engines that all have the model and crash on [`POISON`].
+/// A store, and engines that all have the model and crash on [`POISON`].
 fn engines(count: usize) -> (MetadataStandIn, Vec<ModelServer>) {
     let store = site::store(&["m0"]);
     let engines = (0..count).map(|number| {
@@ -40,14 +39,14 @@
     engines.iter().filter(|engine| engine.crashed()).count()
 }
 
-/// Sends a request for the model; each try has an id of its own.
+/// Sends a request for the model; each attempt has an id of its own.
 fn send(instance: &Instance, route: &str, id: &str, body: &str) -> Answer {
     let path = format!("/{route}/");
     let bytes = request("POST", &path, id, "Model: m0\r\n", body);
     ask(instance.callers_address(), &bytes).expect("an answer")
 }
 
-/// Connects from an address.
+/// Connects from a given address.
 fn connect(from: SocketAddr, to: SocketAddr) -> TcpStream {
     let socket = net::socket(AddressFamily::INET, SocketType::STREAM, None);
     let socket = socket.expect("a socket");
@@ -56,7 +55,7 @@
     socket.into()
 }
 
-/// Whether an instance refuses one request.
+/// Whether an instance refuses exactly one request.
 fn refuses_one_request(instance: &Instance) -> bool {
     let question = format!("GET /metrics HTTP/1.1\r\nHost: {HOST}\r\nConnection: close\r\n\r\n");
     let metrics = ask(instance.ready_address(), question.as_bytes()).expect("metrics");
@@ -65,7 +64,7 @@
         .contains("\npassway_instance_poison_requests 1\n")
 }
 
-/// A kind of route that goes on at a second engine, and one that does not.
+/// One route resumes on a second engine, the other does not.
 #[test]
 fn crashes_three_engines() {
     ["chat", "report"].into_iter().for_each(crashes_three);
@@ -81,7 +80,7 @@
         assert_eq!((other_answer.status, other_answer.whole), (200, true));
     }
     assert_eq!(crashed_count(&engines), MAX_CRASHES);
-    // What cannot be served is told so at once, and that it is of no use to come back soon.
+    // The request is refused at once, with a long time to retry after.
     let refused = send(&instance, route, "last", POISON);
     assert_eq!(refused.status, 503);
     let seconds = refused.header("retry-after").and_then(|s| s.parse().ok());
@@ -96,7 +95,9 @@
         send(&instances[0], "report", &format!("p{number}"), POISON);
     }
     assert_eq!(crashed_count(&engines), MAX_CRASHES);
-    until("both know it", || instances.iter().all(refuses_one_request));
+    until("both instances to refuse the request", || {
+        instances.iter().all(refuses_one_request)
+    });
     for instance in &instances {
         assert_eq!(send(instance, "report", "p", POISON).status, 503);
         assert_eq!(send(instance, "chat", "o", "{}").status, 200);
@@ -104,8 +105,8 @@
     assert_eq!(crashed_count(&engines), MAX_CRASHES);
 }
 
-/// A caller's requests may leave from several addresses, and those of several from one: nothing
-/// on the wire names the caller itself.
+/// A caller's requests may come from several addresses, and one address may serve several callers:
+/// nothing in a request names the caller itself.
 #[test]
 fn known_from_other_addresses() {
     let (store, engines) = engines(8);
@@ -120,8 +121,9 @@
     assert_eq!(crashed_count(&engines), MAX_CRASHES);
 }
 
-/// All instances are killed before the request is refused: each such loss would let it end two
-/// engines more. (Two crashes are known to all and kept; after one all instances may go.)
+/// All instances are stopped before the request is refused; each such loss must not let it crash
+/// two more engines. Two crashes are known to all instances and stored; after one crash all
+/// instances may stop.
 #[test]
 fn two_crashes_stored() {
     let (store, engines) = engines(8);
@@ -129,7 +131,7 @@
     for number in 0..2 {
         send(&first, "report", &format!("p{number}"), POISON);
     }
-    until("it is kept", || store.get("passway/poison").is_some());
+    until("the stored list", || store.get("passway/poison").is_some());
     first.stop();
     let second = site::ready("two", &store);
     for number in 0..3 {
@@ -138,7 +140,7 @@
     assert_eq!(crashed_count(&engines), MAX_CRASHES);
 }
 
-/// An operator takes the list out of the store, since what was wrong with the engines is mended.
+/// An operator removes the list from the store because the engines are fixed.
 #[test]
 fn cleared_by_operator() {
     let (store, engines) = engines(8);
@@ -146,17 +148,19 @@
     for number in 0..MAX_CRASHES {
         send(&instances[0], "report", &format!("p{number}"), POISON);
     }
-    until("both know it", || instances.iter().all(refuses_one_request));
-    until("it is kept", || store.get("passway/poison").is_some());
+    until("both instances to refuse the request", || {
+        instances.iter().all(refuses_one_request)
+    });
+    until("the stored list", || store.get("passway/poison").is_some());
     store.remove("passway/poison");
-    until("nobody refuses it", || {
+    until("no instance to refuse the request", || {
         !instances.iter().any(refuses_one_request)
     });
     for engine in &engines {
         engine.set_faults(Faults::default());
     }
     for instance in &instances {
-        // The engines that have crashed are still listed.
+        // The crashed engines are still listed.
         until("a repeat to spend", || instance.may_repeat("engines"));
         assert_eq!(send(instance, "report", "p", POISON).status, 200);
     }
@@ -169,16 +173,16 @@
     for number in 0..MAX_CRASHES {
         send(&first, "report", &format!("p{number}"), POISON);
     }
-    until("it is kept", || store.get("passway/poison").is_some());
+    until("the stored list", || store.get("passway/poison").is_some());
     first.stop();
-    // Nobody is left who knows it, and it is the first request of all.
+    // No instance is left that knows the request, and it is the first request after the restart.
     let second = site::ready("two", &store);
     assert_eq!(send(&second, "report", "p", POISON).status, 503);
     assert_eq!(crashed_count(&engines), MAX_CRASHES);
 }
 
-/// Seven and eleven runs ended under one request: two engines had ended, and everybody knew, when it came at eight
-/// instances within a tenth of a second.
+/// Eight instances receive a request within a tenth of a second after it crashed two engines and
+/// all instances know that. Seven and eleven copies used to run.
 #[test]
 fn many_copies_after_two_crashes() {
     let (store, engines) = engines(10);
@@ -197,7 +201,7 @@
             scope.spawn(move || send(instance, "report", &id, POISON));
         }
     });
-    // One more, and what was under way.
+    // One more crash, and one by a copy in flight.
     assert!(
         crashed_count(&engines) <= MAX_CRASHES + 1,
         "{}",
--- a/tests/all/poison_turns.rs
+++ b/tests/all/poison_turns.rs
@@ -1,4 +1,5 @@
-//! After two crashes a request runs one at a time over all instances, by the word of the one that counts for all.
+//! After two crashes, copies of a request run one at a time over all instances, with a permit of
+//! the coordinator.
 
 use crate::holder_link::{PlayedHolder, subscription};
 use crate::site::{self, Answer, PATIENCE, ask, request, until};
@@ -11,7 +12,7 @@
 use passway_wire::permits::{UseAsk, UseTold, UseVerdict, VersionAsk};
 use std::net::UdpSocket;
 
-/// What crashes the engines.
+/// Body of the requests that crash engines.
 const POISON: &str = "poison";
 
 /// Engines that all have the model and crash on [`POISON`].
@@ -37,14 +38,14 @@
     ask(instance.callers_address(), &bytes).expect("an answer")
 }
 
-/// Whether an answer refuses a request that may crash upstreams. One that finds only upstreams that have ended is
-/// refused too, and may come back sooner.
+/// Whether an answer refuses a suspect request. A request that only finds crashed upstreams is
+/// refused too, but with a shorter time to retry after.
 fn refuses_suspect(answer: &Answer) -> bool {
     let seconds = answer.header("retry-after").and_then(|s| s.parse().ok());
     answer.status == 503 && seconds.is_some_and(|s: f64| s >= 2.0)
 }
 
-/// An instance whose fleet's counter is played by the test, and engines of which two have crashed.
+/// An instance with a coordinator that the test plays, and engines of which two have crashed.
 struct TestCluster {
     store: MetadataStandIn,
     engines: Vec<ModelServer>,
@@ -58,7 +59,7 @@
         let coordinator = UdpSocket::bind("127.0.0.1:0").expect("a port");
         coordinator
             .set_read_timeout(Some(PATIENCE))
-            .expect("a time-out");
+            .expect("a timeout");
         let address = coordinator.local_addr().expect("an address");
         store.put_bytes("passway/holder", format!("played {address}").as_bytes());
         let engines = engines(&store);
@@ -83,7 +84,7 @@
         send(&self.instance, id)
     }
 
-    /// The next question for a turn, and who asks.
+    /// The next request for a permit, and the address of its sender.
     fn next_permit_request(&self) -> (UseAsk, std::net::SocketAddr) {
         let mut bytes = [0; 1_500];
         loop {
@@ -97,28 +98,29 @@
     }
 }
 
-/// Eight copies whose questions to the counter were lost all ran, and ended an engine each.
+/// Without answers from the coordinator, no copy may run. Eight copies used to run in this case and
+/// crashed an engine each.
 #[test]
 fn silence_permits_nothing() {
     let cluster = TestCluster::new();
     assert!(refuses_suspect(&cluster.send("p2")));
     assert_eq!(cluster.crashed_count(), 2);
-    // Once somebody counts it has its turn, which shows what it is.
+    // Once there is a coordinator, the request gets a permit and crashes its engine.
     cluster.store.remove("passway/holder");
-    until("the right to order", || cluster.instance.fence().is_some());
+    until("leadership", || cluster.instance.fence().is_some());
     assert_eq!(cluster.send("p3").status, 502);
     assert_eq!(cluster.crashed_count(), 3);
 }
 
-/// A turn whose grant was lost was held against the request that had it: it asked again under another number, and
-/// was refused until the turn lapsed.
+/// A request whose permit was granted in a lost answer must use the same id when it asks again.
+/// Under another id, it was refused until its own permit expired.
 #[test]
 fn permit_requested_again_with_same_id() {
     let cluster = TestCluster::new();
     std::thread::scope(|scope| {
         let caller = scope.spawn(|| cluster.send("p2").status);
         let (first, _) = cluster.next_permit_request();
-        // Longer than the instance waits for an answer, even to the second question.
+        // The instance does not wait this long for an answer, not even to its repeated datagram.
         let (repeated, from) = loop {
             let (permit_request, from) = cluster.next_permit_request();
             if permit_request.run_ms != first.run_ms {
@@ -138,8 +140,8 @@
     assert_eq!(cluster.crashed_count(), 3);
 }
 
-/// Four of eight copies ran a second after the second crash, at instances that had not heard of it: they heard of it by
-/// way of the holder alone, which may be slow or gone.
+/// Instances must learn of crashes without the holder, which may be slow or terminated. Four of
+/// eight copies ran a second after the second crash, at instances that did not know of it.
 #[test]
 fn told_without_holder() {
     let store = site::store(&["m0"]);
@@ -147,10 +149,12 @@
     let holder = PlayedHolder::begin(&store);
     let one = site::ready("one", &store);
     let (link, mut reader) = holder.accept();
-    subscription(&mut reader).expect("one listens");
+    subscription(&mut reader).expect("a subscription of the first instance");
     let two = site::ready("two", &store);
     let (_link, mut reader) = holder.accept();
-    let address = subscription(&mut reader).expect("two listens").address;
+    let address = subscription(&mut reader)
+        .expect("a subscription of the second instance")
+        .address;
     let member = Member {
         instance: "two".into(),
         address: address.clone(),
@@ -159,13 +163,15 @@
         members: vec![member],
     };
     link.send(Body::Members(members)).expect("sent");
-    until("two is known", || one.other_instances() == 1);
+    until("the second instance to be known", || {
+        one.other_instances() == 1
+    });
     for id in ["p0", "p1"] {
         assert_eq!(send(&one, id).status, 502);
     }
-    // Datagrams are taken in one after the other: the word on the crashes has come before this question.
+    // Datagrams are processed in order, so the report of the crashes arrives before this query.
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    socket.set_read_timeout(Some(PATIENCE)).expect("a timeout");
     let question = Datagram::bytes(Some(Dispatch::VersionAsk(VersionAsk { id: 1 })));
     socket.send_to(&question, &address).expect("sent");
     socket.recv_from(&mut [0; 1_500]).expect("an answer");
--- a/tests/all/relay_gap.rs
+++ b/tests/all/relay_gap.rs
@@ -1,4 +1,4 @@
-//! What the holder's news leave out is read from the store, however long that takes.
+//! Updates that the holder leaves out are read from the store, however long that takes.
 
 use crate::scripted_store::{ScriptedStore, follow_store, heartbeat, shared, update_message};
 use crate::site::until;
@@ -27,7 +27,7 @@
     }
 }
 
-/// Tells of a change at 20.
+/// A change at revision 20.
 fn change() -> WatchAnswer {
     WatchAnswer::Changes {
         changes: vec![StoreChange::Written(value(20))],
@@ -38,9 +38,9 @@
 #[test]
 fn gap_outlasts_heartbeats() {
     let (relay, [receiver, _]) = Relay::new();
-    let begun_at = Instant::now();
-    relay.receive(heartbeat(begun_at, FEED_COUNT));
-    // Its first watches get no answer.
+    let clock_origin = Instant::now();
+    relay.receive(heartbeat(clock_origin, FEED_COUNT));
+    // The store does not answer the first watches.
     let slow = |number| {
         if number < 3 {
             Err(StoreError::Unknown)
@@ -49,14 +49,14 @@
         }
     };
     let store = ScriptedStore::new(|_| Ok(listing()), slow);
-    let seen = follow_store(store, receiver, &shared());
-    until("the list", || seen.contains(10));
-    // The holder tells of what came after 25; what lies between 10 and 25 is missing.
+    let revisions = follow_store(store, receiver, &shared());
+    until("the listing", || revisions.contains(10));
+    // The holder sends what followed revision 25; the changes from 10 to 25 are missing.
     relay.receive(update_message(25, 30));
-    until("what was missing", || {
-        // The holder lives on and says so.
-        relay.receive(heartbeat(begun_at, FEED_COUNT));
-        seen.contains(20)
+    until("the missing change", || {
+        // The holder keeps sending heartbeats.
+        relay.receive(heartbeat(clock_origin, FEED_COUNT));
+        revisions.contains(20)
     });
 }
 
@@ -65,33 +65,33 @@
     let mut log = FeedLog::default();
     assert!(log.apply(&FeedUpdate::Snapshot(listing())));
     assert_eq!(log.update_after(CONFIGURATION_FEED, 10), None);
-    let quiet = FeedUpdate::Changes {
+    let unchanged = FeedUpdate::Changes {
         from: 10,
         to: 40,
         changes: Vec::new(),
     };
-    assert!(!log.apply(&quiet));
+    assert!(!log.apply(&unchanged));
     assert!(!log.has_changes_after(10));
-    let news = log.update_after(CONFIGURATION_FEED, 10).expect("news");
-    assert_eq!((news.from, news.to, news.values.len()), (10, 40, 0));
+    let update = log.update_after(CONFIGURATION_FEED, 10).expect("an update");
+    assert_eq!((update.from, update.to, update.values.len()), (10, 40, 0));
     assert_eq!(log.update_after(CONFIGURATION_FEED, 40), None);
 }
 
-/// An instance that is cut off from the store and follows the holder: an entry that the
-/// holder tells as gone is gone, and not only missing for as long as the cut lasts.
+/// An instance that is cut off from the store follows the holder. An entry whose removal the holder
+/// relays counts as removed at once, not only as missing while the cut lasts.
 #[test]
 fn relayed_removals_count_at_once() {
     let (relay, [receiver, _]) = Relay::new();
     let shared = shared();
     let silent = ScriptedStore::new(|_| Ok(listing()), |_| Err(StoreError::Unknown));
     follow_store(silent, receiver, &shared);
-    let is_gone_at_once = || {
+    let expires_at_once = || {
         let now = Instant::now();
         shared.store_health.missing_entry_expires_at(now) == now
     };
-    until("an outage", || !is_gone_at_once());
+    until("an outage", || !expires_at_once());
     let mut to = 10;
-    until("the holder's word for the store's", || {
+    until("the holder's update to count", || {
         to += 1;
         relay.receive(News {
             feed: u32::try_from(CONFIGURATION_FEED).expect("small"),
@@ -99,6 +99,6 @@
             to,
             ..News::default()
         });
-        is_gone_at_once()
+        expires_at_once()
     });
 }
--- a/tests/all/scripted_store.rs
+++ b/tests/all/scripted_store.rs
@@ -1,4 +1,4 @@
-//! A feed that follows a store of which a test says what it answers.
+//! A feed that follows a store whose answers the test defines.
 
 use crate::site;
 use crossbeam::channel;
@@ -16,17 +16,17 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// Lists that are answered at once. A feed lives as long as the process: one whose history is gone
-/// each time would keep a processor busy with lists.
+/// Number of lists that are answered at once. A feed runs until the process exits, and one whose
+/// history is always dropped would keep a processor busy with lists.
 const IMMEDIATE_LISTS: u32 = 4;
-/// Time for an answer after these.
+/// Delay of later answers to lists.
 const LATER_LIST_DELAY: Duration = Duration::from_millis(100);
 
-/// What a store answers to a list or a watch with that number.
+/// The store's answer to the list or watch with a given number.
 pub type Answer<T> = fn(u32) -> Result<T, StoreError>;
 
-/// A store that answers lists and watches as told, and nothing else. Like a real one it holds a watch that has
-/// nothing new to tell.
+/// A store that answers lists and watches as defined, and refuses everything else. Like a real
+/// store, it delays the answer to a watch without changes.
 pub struct ScriptedStore {
     lists: AtomicU32,
     watches: AtomicU32,
@@ -35,7 +35,7 @@
 }
 
 impl ScriptedStore {
-    /// A store that answers so.
+    /// Creates a store with these answers.
     pub fn new(list: Answer<Listing>, watch: Answer<WatchAnswer>) -> Arc<Self> {
         Arc::new(Self {
             lists: AtomicU32::new(0),
@@ -89,27 +89,30 @@
     }
 }
 
-/// What an instance that nobody reaches shares.
+/// The shared state of an instance that nobody reaches.
 pub fn shared() -> Arc<Shared> {
-    // The reporting thread is not there; what is told to it goes nowhere.
+    // There is no reporting thread, so its messages are dropped.
     let (needs, _needed) = channel::unbounded();
     let unused_address = SocketAddr::from(([127, 0, 0, 1], 1));
     let settings = site::settings("one", unused_address);
     Arc::new(Shared::new(settings, Box::new(PlatformHeaders), needs))
 }
 
-/// Revisions that a feed has taken in.
+/// Revisions that a feed has applied.
 #[derive(Clone, Default)]
 pub struct Revisions(Arc<Mutex<Vec<StoreRevision>>>);
 
 impl Revisions {
     fn record(&self, revision: StoreRevision) {
-        self.0.lock().expect("sound").push(revision);
+        self.0.lock().expect("an unpoisoned lock").push(revision);
     }
 
-    /// Whether one was taken in.
+    /// Whether the feed has applied a revision.
     pub fn contains(&self, revision: StoreRevision) -> bool {
-        self.0.lock().expect("sound").contains(&revision)
+        self.0
+            .lock()
+            .expect("an unpoisoned lock")
+            .contains(&revision)
     }
 }
 
@@ -141,7 +144,7 @@
     }
 }
 
-/// Follows a store; the revisions that are taken in.
+/// Follows a store. Returns the revisions that are applied.
 pub fn follow_store(
     store: Arc<ScriptedStore>,
     receiver: RelayReceiver,
@@ -157,7 +160,7 @@
     revisions
 }
 
-/// A word of the holder on the configuration, between two revisions and without a value.
+/// A holder's update of the configuration between two revisions, without a value.
 pub fn update_message(from: StoreRevision, to: StoreRevision) -> News {
     News {
         feed: u32::try_from(CONFIGURATION_FEED).expect("small"),
@@ -167,8 +170,8 @@
     }
 }
 
-/// A heartbeat of a holder that has begun at a moment and that the store has just answered for
-/// so many feeds.
+/// A heartbeat of a holder whose clock started at `begun_at` and to which the store has just
+/// confirmed the first `feeds` feeds.
 pub fn heartbeat(begun_at: Instant, feeds: usize) -> News {
     let elapsed_ms = begun_at.elapsed().as_millis();
     let now_ms = u64::try_from(elapsed_ms).expect("small") + 1;
--- a/tests/all/signalling.rs
+++ b/tests/all/signalling.rs
@@ -1,26 +1,26 @@
-//! A plain server that says of itself what it is told to say, and what reaches it.
+//! A plain server that sends signals defined by the test and records the arrival of requests.
 
 use passway_standins::platform::raw::{RawServer, Step};
 use passway_types::prelude::*;
 use std::net::SocketAddr;
 use std::sync::Mutex;
 
-/// What a server answers.
+/// An answer of the server.
 #[derive(Debug, Clone)]
 pub struct SignallingAnswer {
-    /// The status; 503 and 429 have not run.
+    /// The status; requests answered with 503 or 429 have not run.
     pub status: u16,
-    /// Lines of the head besides.
+    /// Further lines of the head.
     pub lines: String,
 }
 
 impl SignallingAnswer {
-    /// It answers well and says nothing of itself.
+    /// A successful answer without signals.
     pub fn plain() -> Self {
         Self::with_line(200, "")
     }
 
-    /// It answers so, with a line in the head; none if that is empty.
+    /// An answer with a status and one more line in its head; none if `line` is empty.
     pub fn with_line(status: u16, line: impl AsRef<str>) -> Self {
         let line = line.as_ref();
         let end = if line.is_empty() { "" } else { "\r\n" };
@@ -39,15 +39,15 @@
 }
 
 impl SignallingServer {
-    /// One that answers well.
+    /// Starts a server that answers successfully.
     pub fn start() -> Self {
         let answer = Arc::new(Mutex::new(SignallingAnswer::plain()));
         let arrivals: Arc<Mutex<Vec<Instant>>> = Arc::default();
         let (current_answer, seen_arrivals) = (answer.clone(), arrivals.clone());
         let raw = RawServer::start(move |received| {
-            // What it says is settled once its arrival can be seen.
+            // The answer is chosen before the arrival is recorded.
             let SignallingAnswer { status, lines } =
-                current_answer.lock().expect("what it says").clone();
+                current_answer.lock().expect("the answer").clone();
             seen_arrivals.lock().expect("arrivals").push(Instant::now());
             let id = received.header("request-id").unwrap_or_default();
             let execution_line = if [429, 503].contains(&status) {
@@ -67,22 +67,22 @@
         }
     }
 
-    /// Where it listens.
+    /// The address of the server.
     pub fn address(&self) -> SocketAddr {
         self.raw.address
     }
 
-    /// From now on it answers so.
+    /// Sets the answer to all further requests.
     pub fn set_answer(&self, answer: SignallingAnswer) {
-        *self.answer.lock().expect("what it says") = answer;
+        *self.answer.lock().expect("the answer") = answer;
     }
 
-    /// When requests reached it.
+    /// When requests arrived.
     pub fn arrivals(&self) -> Vec<Instant> {
         self.arrivals.lock().expect("arrivals").clone()
     }
 
-    /// How many have.
+    /// Number of requests that arrived.
     pub fn count(&self) -> usize {
         self.arrivals().len()
     }
--- a/tests/all/slow_renewals.rs
+++ b/tests/all/slow_renewals.rs
@@ -1,27 +1,29 @@
-//! A store that answers, and takes long to.
+//! A store that answers, but slowly.
 
 use crate::site::{self, until};
 use passway_standins::platform::proxy::{Proxy, WayFaults};
 use passway_types::prelude::*;
 
-/// Each way. An answer takes twice as long, longer than an instance waits for the answer to a renewal.
+/// Delay in each direction. An answer takes twice as long, which is longer than an instance usually
+/// waits for the answer to a renewal.
 const ONE_WAY_DELAY: Duration = Duration::from_millis(275);
-/// Several of the shortest leases.
+/// Several times the shortest lease.
 const MIN_TERM: Duration = Duration::from_secs(6);
 
-/// Every renewal was given up before its answer came, so each term ended with its first lease: nobody held the right
-/// for longer than a second, and nothing that needs an order or a count was served.
+/// Guards against renewals that are abandoned before their answers arrive, so that each term ends
+/// with its first lease. No instance was the holder for longer than a second, and no request that
+/// needs an order or a count was served.
 #[test]
 fn leadership_is_kept() {
     let store = site::store(&[]);
-    let way = Proxy::start(store.serve());
-    way.set_faults(WayFaults {
+    let proxy = Proxy::start(store.serve());
+    proxy.set_faults(WayFaults {
         delay: ONE_WAY_DELAY,
         ..WayFaults::default()
     });
-    let instance = site::start_at("one", way.address);
+    let instance = site::start_at("one", proxy.address);
     let mut current_term = None;
-    until("a term that lasts", || {
+    until("a lasting term", || {
         let now = Instant::now();
         current_term = match (instance.fence(), current_term) {
             (Some(fence), Some((known, since))) if fence == known => Some((known, since)),
--- a/tests/all/store_feeds.rs
+++ b/tests/all/store_feeds.rs
@@ -1,4 +1,4 @@
-//! What the store tells is in force soon and never reverts, through its faults.
+//! Data in the store takes effect soon and never reverts, whatever faults the store has.
 
 use crate::site::{self, ask, configuration, list_plain, plain_server, request, until};
 use passway_standins::platform::store::Faults;
@@ -13,17 +13,19 @@
         ..Faults::default()
     });
     let instance = site::start("one", &store);
-    until("calls", || store.calls().values().sum::<u64>() > 4);
+    until("calls to the store", || {
+        store.calls().values().sum::<u64>() > 4
+    });
     assert!(!instance.is_ready());
     let answer = ask(
         instance.callers_address(),
         &request("GET", "/read/", "g", "", ""),
     );
-    // It knows no configuration yet: not 404.
+    // The instance does not know a configuration yet, so the status is not 404.
     let answer = answer.expect("an answer");
     assert_eq!(answer.status, 503);
     assert!(answer.header("retry-after").is_some());
-    // One that comes shortly before the store is back waits for it.
+    // A request that arrives shortly before the store recovers waits for it.
     let server = plain_server();
     list_plain(&store, "i-0", server.address, "ready");
     let address = instance.callers_address();
@@ -31,7 +33,7 @@
     store.set_faults(Faults::default());
     until("readiness", || instance.is_ready());
     let early = early.join().expect("a caller").expect("an answer");
-    // Within its second the store may or may not have been asked again.
+    // The store may or may not be queried again within the second that the request waits.
     assert!(matches!(early.status, 200 | 503), "{}", early.status);
 }
 
@@ -121,23 +123,23 @@
     );
     list_plain(&store, "i-1", staying.address, "ready");
     list_plain(&store, "i-0", leaving.address, "draining");
-    until("the other server's turn", || {
+    until("a request at the other server", || {
         ask(
             instance.callers_address(),
             &request("GET", "/read/", "b", "", ""),
         );
         !staying.received().is_empty()
     });
-    // An older word of it, which arrives late, changes nothing.
+    // An older entry of the server that arrives late changes nothing.
     list_plain(&store, "i-0", leaving.address, "ready");
-    let before = leaving.received().len();
+    let requests_before = leaving.received().len();
     for _ in 0..20 {
         ask(
             instance.callers_address(),
             &request("GET", "/read/", "c", "", ""),
         );
     }
-    assert_eq!(leaving.received().len(), before);
+    assert_eq!(leaving.received().len(), requests_before);
 }
 
 #[test]
@@ -164,6 +166,6 @@
         .output()
         .expect("running");
     assert_eq!(run.status.code(), Some(2));
-    let said = String::from_utf8_lossy(&run.stderr).into_owned();
-    assert!(said.contains("/nonexistent/boot.toml"), "{said}");
+    let message = String::from_utf8_lossy(&run.stderr).into_owned();
+    assert!(message.contains("/nonexistent/boot.toml"), "{message}");
 }
--- a/tests/all/upstream_signals.rs
+++ b/tests/all/upstream_signals.rs
@@ -1,4 +1,5 @@
-//! What upstreams say of themselves in the heads of their answers: how each word is read, and from where.
+//! Signals of upstreams in the heads of their answers: how each is parsed, and in which answers it
+//! counts.
 
 use crate::scrape::metrics;
 use crate::signalling::{SignallingAnswer, SignallingServer};
@@ -43,19 +44,20 @@
     assert_eq!(read(503, &["3"]), seconds(3.0));
     assert_eq!(read(429, &["0.25"]), seconds(0.25));
     assert_eq!(read(503, &["0"]), seconds(0.0));
-    // Of several the longest that can be read.
+    // The longest readable value counts.
     assert_eq!(read(503, &["2", "x", "3.5", "1"]), seconds(3.5));
     assert_eq!(read(503, &["1e300"]), NamedRest::For(Duration::MAX));
     for unusable in ["", "-1", "NaN", "inf", "3 s", "soon"] {
         assert_eq!(read(503, &[unusable]), NamedRest::Unusable, "{unusable:?}");
     }
-    // Only who turns a request away asks for rest.
+    // Only an answer that refuses a request can ask to back off.
     for status in [200, 202, 404, 421, 500, 504] {
         assert_eq!(read(status, &["3"]), NamedRest::Absent, "{status}");
     }
 }
 
-/// A date counts from when the upstream answered by its own clock, however wrong that is.
+/// A date is relative to the date of the answer by the upstream's own clock, even if that clock is
+/// wrong.
 #[test]
 fn read_backoff_as_date() {
     let until = ("Retry-After", "Sun, 06 Nov 1994 08:49:40 GMT");
@@ -63,11 +65,12 @@
     let rest = |date: &str| read(503, &[("Date", date), until]).rest;
     assert_eq!(rest(&at("37")), NamedRest::For(Duration::from_secs(3)));
     assert_eq!(rest(&at("41")), NamedRest::For(Duration::ZERO));
-    // It is long past by this machine's clock.
+    // The date is long past by this machine's clock.
     assert_eq!(read(503, &[until]).rest, NamedRest::For(Duration::ZERO));
 }
 
-/// An instance's metrics show what it has heard, from a refusal too, and what it could not read.
+/// The metrics of an instance show the signals it received, including those of a refusal, and the
+/// unreadable ones.
 #[test]
 fn shown_in_metrics() {
     let server = SignallingServer::start();
--- a/tests/all/workspace_allotments.rs
+++ b/tests/all/workspace_allotments.rs
@@ -1,4 +1,4 @@
-//! A workspace uses what it may over all instances, and not more.
+//! A workspace can use its allotment across all instances, and not more.
 
 use crate::closed_site::{KEY, closed, ready, status};
 use crate::site::{list_plain, plain_server, until};
@@ -8,9 +8,9 @@
 use passway_standins::platform::store::MetadataStandIn;
 use passway_types::prelude::*;
 
-/// What a request counts that names no tokens (`documents::workspace`).
+/// Cost of a request that names no tokens (`documents::workspace`).
 const PLAIN_TOKENS: f64 = 200.0;
-/// Units a second, and as many at once.
+/// Rate of the allotment in units a second, and its burst in units.
 const RATE: f64 = 2_000.0;
 const BOUNDS: &str = "quota_window_s = 8\nquota_overage = 0.1\nquota_slack = 2000";
 
@@ -21,9 +21,11 @@
     store
 }
 
-/// Once the keeper answers.
+/// Waits until a coordinator answers.
 fn wait_for_coordinator(instance: &Instance) {
-    until("a keeper", || status(instance, "/read/", "first").0 == 200);
+    until("a coordinator", || {
+        status(instance, "/read/", "first").0 == 200
+    });
 }
 
 #[test]
@@ -37,7 +39,8 @@
         ready("three", address, BOUNDS),
     ];
     instances.iter().for_each(wait_for_coordinator);
-    // A keeper begins with a nearly empty bucket, since it does not know what was used before.
+    // A coordinator begins with a nearly empty bucket, because it does not know what was used
+    // before.
     std::thread::sleep(Duration::from_secs(1));
     let begun_at = Instant::now();
     let mut granted = 0.0;
@@ -53,13 +56,13 @@
         }
     }
     let time_s = begun_at.elapsed().as_secs_f64();
-    let most = (RATE * time_s + RATE) * 1.1 + 2_000.0;
-    assert!(granted <= most, "{granted} of {most}");
+    let limit = (RATE * time_s + RATE) * 1.1 + 2_000.0;
+    assert!(granted <= limit, "{granted} of {limit}");
     assert!(refused > 0);
     assert!(granted > 0.0);
 }
 
-/// What a server sheds has not run, and its workspace may use it.
+/// A request that a server refused to run costs its workspace nothing.
 #[test]
 fn unexecuted_request_released() {
     let server = RawServer::start(|received| {
@@ -73,7 +76,7 @@
     let store = store(&server);
     let instance = ready("one", store.serve(), BOUNDS);
     wait_for_coordinator(&instance);
-    // Four times what it may use at once.
+    // Four times the burst.
     for number in 0..40 {
         let (code, _) = status(&instance, "/pay/", &format!("shed{number}"));
         assert_eq!(code, 503);
@@ -81,26 +84,27 @@
     assert_eq!(status(&instance, "/pay/", "id").0, 200);
 }
 
-/// A keeper begins with what the one before has left, and takes that out of the store first.
+/// A coordinator takes over the names of workspaces with half full buckets, and removes them from
+/// the store first.
 #[test]
 fn begins_half_full() {
     let server = plain_server();
     let store = store(&server);
     store.put_bytes("passway/half-full", b"alpha");
     let instance = ready("one", store.serve(), BOUNDS);
-    until("what was left is taken", || {
+    until("the stored names to be taken over", || {
         store.get("passway/half-full").as_deref() == Some(b"")
     });
-    // Half of the burst, whatever more comes meanwhile.
+    // Half of the burst, plus what is added meanwhile.
     let half = (0..5).map(|number| status(&instance, "/read/", &format!("id{number}")).0);
     assert_eq!(half.collect::<Vec<_>>(), [200; 5]);
-    // Once the bucket is full it is told so again.
-    until("it is told", || {
+    // The name is stored again once the bucket is full.
+    until("the stored name", || {
         store.get("passway/half-full").as_deref() == Some(b"alpha")
     });
 }
 
-/// Nothing is counted for a workspace without a limit.
+/// A workspace without a limit is not counted.
 #[test]
 fn unlimited() {
     let server = plain_server();
--- a/tests/all/workspace_keys.rs
+++ b/tests/all/workspace_keys.rs
@@ -1,4 +1,5 @@
-//! A key opens closed routes, stays here, and names its workspace to the upstream.
+//! A key grants access to closed routes, is not forwarded, and determines the workspace that
+//! upstreams see.
 
 use crate::closed_site::{self, KEY};
 use crate::site::{self, ask, list_plain, plain_server, request, until};
@@ -10,7 +11,7 @@
 
 const OTHER_KEY: &str = "k2-b7xw1yh5kzq3r9dd0vfe";
 
-/// Two workspaces with a key each, and a public route beside the closed ones.
+/// Two workspaces with one key each, and a public route beside the closed ones.
 fn closed(version: u64, keys: &[&str]) -> Value {
     let workspaces = [
         workspace("alpha", keys, 0.0),
@@ -49,7 +50,7 @@
         let all = self.server.received();
         let mut own = all
             .into_iter()
-            .filter(|one| one.header("request-id") == Some(id));
+            .filter(|request| request.header("request-id") == Some(id));
         own.next().expect("a request that arrived")
     }
 }
@@ -97,9 +98,9 @@
     assert_eq!(cluster.status("/open/", "id1", "Tenant: beta\r\n"), 200);
     assert_eq!(cluster.received("id1").header("tenant"), None);
     assert_eq!(cluster.status("/open/", "id2", &with("nobody's")), 200);
-    let stranger = cluster.received("id2");
-    assert_eq!(stranger.header("tenant"), None);
-    assert_eq!(stranger.header("authorization"), None);
+    let unknown_key_request = cluster.received("id2");
+    assert_eq!(unknown_key_request.header("tenant"), None);
+    assert_eq!(unknown_key_request.header("authorization"), None);
     assert_eq!(cluster.status("/open/", "id3", &with(KEY)), 200);
     let known = cluster.received("id3");
     assert_eq!(known.header("tenant"), Some("alpha"));
@@ -120,25 +121,25 @@
 #[test]
 fn invalid_workspaces_ignored() {
     let cluster = cluster();
-    let broken = [
+    let invalid_workspaces = [
         workspace("", &["k"], 0.0),
         workspace("alpha", &["k"], 0.0),
         workspace("gamma", &[KEY], 0.0),
         workspace("gamma", &[""], 0.0),
         workspace("gamma", &["k"], -1.0),
     ];
-    for (number, one) in broken.into_iter().enumerate() {
+    for (number, invalid) in invalid_workspaces.into_iter().enumerate() {
         let version = 2 + u64::try_from(number).expect("small");
         let mut document = closed(version, &[KEY]);
         let all = document["tenants"].as_array_mut().expect("workspaces");
-        all.push(one);
+        all.push(invalid);
         cluster.store.put("op/config", &document);
     }
-    let mut nobody = closed(20, &[KEY]);
-    nobody["tenants"] = Value::Array(Vec::new());
-    cluster.store.put("op/config", &nobody);
+    let mut without_workspaces = closed(20, &[KEY]);
+    without_workspaces["tenants"] = Value::Array(Vec::new());
+    cluster.store.put("op/config", &without_workspaces);
     cluster.store.put("op/config", &closed(30, &[KEY]));
-    until("a version that can be used", || {
+    until("the usable version", || {
         cluster.instance.version() == Some(30)
     });
     assert_eq!(cluster.status("/read/", "id1", &with(KEY)), 200);
@@ -153,12 +154,13 @@
     let bytes = request("GET", "/read/", "id1", &with(KEY), "");
     let answer = ask(instance.callers_address(), &bytes).expect("an answer");
     assert_eq!(answer.status, 200);
-    // Nothing says that it is a key of ours: it passes like any other header.
+    // Without workspaces, nothing identifies the header as a key, so it is forwarded like any
+    // other.
     let received = server.received().remove(0);
     assert!(received.head.contains(KEY));
 }
 
-/// An engine is told the workspace's rank, which goes before its route's.
+/// Engines receive the urgency of the workspace, which takes precedence over that of the route.
 #[test]
 fn urgency_of_workspace() {
     let store = MetadataStandIn::default();
@@ -172,7 +174,7 @@
         "cold_left_ms": 0, "models": [{"name": "m0", "adapters": []}]});
     store.put("servers/i-0", &entry);
     let instance = site::ready("one", &store);
-    // The routes of the stand-in's configuration have rank 1.
+    // The routes of the stand-in's configuration have urgency 1.
     for (id, key, rank) in [("id1", KEY, "0"), ("id2", OTHER_KEY, "1")] {
         let head = format!("{}Model: m0\r\n", with(key));
         let bytes = request("POST", "/chat/", id, &head, "x");
@@ -180,7 +182,7 @@
         let received = engine.received();
         let own = received
             .iter()
-            .find(|one| one.header("request-id") == Some(id));
+            .find(|request| request.header("request-id") == Some(id));
         let own = own.expect("a request that arrived");
         assert_eq!(own.header("request-urgency"), Some(rank), "{id}");
     }
--- a/tests/all/workspace_revocation.rs
+++ b/tests/all/workspace_revocation.rs
@@ -1,4 +1,4 @@
-//! A key that was taken away stops in time also where nothing is heard of that.
+//! A revoked key stops working in time, even at an instance that does not learn of the revocation.
 
 use crate::closed_site::{KEY, closed, ready, settings, status};
 use crate::site::{self, list_plain, plain_server, until};
@@ -7,7 +7,7 @@
 use passway_types::prelude::*;
 use std::net::{TcpListener, UdpSocket};
 
-/// Keys stop within a second and a half.
+/// Revoked keys stop working within a second and a half.
 const BOUNDS: &str = "strict_revoke = true\nrevoke_ms = 1500";
 const BOUND: Duration = Duration::from_millis(1_500);
 
@@ -24,8 +24,8 @@
     }
 }
 
-/// An instance that hears nothing refuses closed routes once a key may have been taken away, says
-/// that the request has not run, and serves public ones.
+/// An instance without contact refuses closed routes once a key may have been revoked, states that
+/// the request has not run, and serves public routes.
 #[test]
 fn unproved_refused() {
     let store = store();
@@ -35,7 +35,7 @@
     assert_eq!(status(&instance, "/read/", "id1").0, 200);
     store.set_faults(silent());
     let silent_at = Instant::now();
-    // Any question before that may have been answered.
+    // A query sent before that may still have been answered.
     until("the bound", || silent_at.elapsed() > BOUND);
     let (code, retry_after) = status(&instance, "/read/", "id2");
     assert_eq!(code, 503);
@@ -43,37 +43,39 @@
     assert!(!instance.is_ready());
     assert_eq!(status(&instance, "/open/", "id3").0, 200);
     let ran = server.received();
-    let ran = ran.iter().filter_map(|one| one.header("request-id"));
+    let ran = ran
+        .iter()
+        .filter_map(|request| request.header("request-id"));
     assert_eq!(ran.collect::<Vec<_>>(), ["id1", "id3"]);
     store.set_faults(Faults::default());
     until("service", || status(&instance, "/read/", "id4").0 == 200);
     until("readiness", || instance.is_ready());
 }
 
-/// One that the store turns away is served by the proofs of another.
+/// An instance that the store refuses serves with another instance's proofs.
 #[test]
 fn proved_by_another() {
     let store = store();
     let server = plain_server();
     list_plain(&store, "i-0", server.address, "ready");
     let holder = ready("one", store.serve(), BOUNDS);
-    until("the right", || holder.fence().is_some());
-    let way = store.serve_way();
-    let other = ready("two", way.address(), BOUNDS);
-    way.set_faults(Faults {
+    until("leadership", || holder.fence().is_some());
+    let proxy = store.serve_way();
+    let other = ready("two", proxy.address(), BOUNDS);
+    proxy.set_faults(Faults {
         refuses: Some(503),
         ..Faults::default()
     });
-    // Its own proof of before is too old by then.
+    // By then, the instance's own earlier proof is too old.
     std::thread::sleep(2 * BOUND);
     until("service", || status(&other, "/read/", "id1").0 == 200);
-    // And hears by the same way that the key is taken away.
+    // The instance learns of the revocation on the same path.
     store.put("op/config", &closed(2, &[workspace("alpha", &["k"], 0.0)]));
     until("the new version", || other.version() == Some(2));
     assert_eq!(status(&other, "/read/", "id2").0, 401);
 }
 
-/// Without such a bound an instance serves on.
+/// Without such a bound, an instance continues to serve.
 #[test]
 fn unbounded_serves() {
     let store = store();
@@ -85,7 +87,8 @@
     assert_eq!(status(&instance, "/read/", "id1").0, 200);
 }
 
-/// One that hears the holder and cannot ask anybody by datagram asks the store instead.
+/// An instance that receives the holder's updates but gets no answers to datagrams queries the
+/// store instead.
 #[test]
 fn proved_without_datagrams() {
     let store = store();
@@ -93,21 +96,21 @@
     list_plain(&store, "i-0", server.address, "ready");
     let address = store.serve();
     let holder = ready("one", address, BOUNDS);
-    until("the right", || holder.fence().is_some());
-    // The instance takes the same port for connections, which must not be another test's.
+    until("leadership", || holder.fence().is_some());
+    // The instance binds the same port for connections, which must not be in use by another test.
     let taken = std::iter::repeat_with(|| UdpSocket::bind("127.0.0.1:0").expect("a port"));
     let mut free = taken.filter(|taken| {
         let address = taken.local_addr().expect("an address");
         TcpListener::bind(address).is_ok()
     });
-    let taken = free.next().expect("a port that nobody listens on");
+    let taken = free.next().expect("an unused port");
     let mut settings = settings("two", address, BOUNDS);
     settings.peer_address = taken.local_addr().expect("an address");
     let other = site::start_with(settings);
     until("readiness", || other.is_ready());
     std::thread::sleep(2 * BOUND);
     until("service", || status(&other, "/read/", "id1").0 == 200);
-    // And it stays so: each proof is followed by the next.
+    // The proofs are renewed.
     std::thread::sleep(2 * BOUND);
     until("service", || status(&other, "/read/", "id2").0 == 200);
 }
--- a/tests/all/workspace_secrets.rs
+++ b/tests/all/workspace_secrets.rs
@@ -1,4 +1,4 @@
-//! Keys are secrets: nothing that an instance writes shows one.
+//! Keys are secrets: no output of an instance contains one.
 
 use crate::closed_site::{KEY, closed};
 use crate::site::{ask, list_plain, plain_server, request, until};
@@ -42,13 +42,13 @@
         ask(program.ready, question).expect("metrics").body
     };
     let refused = |count: u32| {
-        until("a version is refused", || {
+        until("the refused version", || {
             let text = metrics();
             text.contains(&format!("unusable_configurations_total {count}\n"))
         });
     };
-    // Versions that cannot be used are told with a reason, one after the other: of two that come at
-    // one time only the newest is looked at.
+    // Unusable versions are logged with a reason. They are written one after the other, because an
+    // instance reads only the newest of two simultaneous versions.
     let twice = [
         workspace("alpha", &[KEY], 0.0),
         workspace("beta", &[KEY], 0.0),
@@ -60,14 +60,14 @@
     store.put("op/config", &wrong);
     refused(2);
     let metrics = metrics();
-    // Lines are written a little later than they are told.
+    // Log lines reach the file a little later.
     let written = || std::fs::read_to_string(&log).expect("a log");
     until("the log", || {
         let text = written();
         text.contains("\"id1\"") && text.matches("cannot be used").count() == 2
     });
-    program.child.kill().expect("an end");
-    program.child.wait().expect("an end");
+    program.child.kill().expect("the exit");
+    program.child.wait().expect("the exit");
     let text = written();
     std::fs::remove_file(&log).expect("a log");
     for output in [&text, &metrics] {
--- a/tests/suspended/caller.rs
+++ b/tests/suspended/caller.rs
@@ -1,4 +1,4 @@
-//! Requests whose time went by.
+//! Requests whose deadline passed during a suspension.
 
 use crate::lock_tests;
 use crate::site::{self, Caller, ask, list_plain, plain_server, request, stream, until};
@@ -7,8 +7,8 @@
 use passway_types::clock;
 use passway_types::prelude::*;
 
-/// The wait for an upstream that says nothing ends with the request's time, not with that of
-/// the steady clock, which has an hour left.
+/// The wait for a silent upstream ends with the request's deadline, although the steady clock still
+/// shows an hour left.
 #[test]
 fn answered_in_time() {
     let _lock = lock_tests();
@@ -26,13 +26,15 @@
     let bytes = String::from_utf8(request("POST", "/pay/", "p", "", "x")).expect("text");
     let bytes = bytes.replace("Deadline-Ms: 8000", "Deadline-Ms: 3600000");
     caller.send(bytes.as_bytes());
-    until("it is sent on", || !silent.received().is_empty());
+    until("the request to be forwarded", || {
+        !silent.received().is_empty()
+    });
     clock::play_suspension(hour);
     let answer = caller.receive().expect("an answer");
     assert_eq!(answer.status, 504);
 }
 
-/// Whoever wakes serves on, over connections of before or new ones.
+/// An instance continues to serve after a suspension, over old and new connections.
 #[test]
 fn served_after() {
     let _lock = lock_tests();
@@ -49,5 +51,5 @@
         assert_eq!((answer.status, answer.whole), (200, true));
         clock::play_suspension(Duration::from_secs(10));
     }
-    until("the right to order", || instance.fence().is_some());
+    until("leadership", || instance.fence().is_some());
 }
--- a/tests/suspended/dispatcher.rs
+++ b/tests/suspended/dispatcher.rs
@@ -10,7 +10,7 @@
 use passway_wire::{Body, Link};
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 
-/// What the instance that dispatches answers to a question.
+/// The dispatcher's verdict on a request to dispatch.
 fn ask(socket: &UdpSocket, dispatcher: SocketAddr, id: u64) -> Verdict {
     let question = Ask {
         id,
@@ -32,7 +32,8 @@
     }
 }
 
-/// Runs that nobody has spoken of since before are over, and their slots are free.
+/// Runs that were not reported since before the suspension count as ended, and their slots are
+/// free.
 #[test]
 fn old_runs_expire() {
     let _lock = lock_tests();
@@ -59,11 +60,11 @@
     until("a dispatcher", || instance.dispatchers() == 1);
     let dispatcher: SocketAddr = dispatcher.parse().expect("an address");
     let socket = UdpSocket::bind("127.0.0.1:0").expect("bind");
-    socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    socket.set_read_timeout(Some(PATIENCE)).expect("a timeout");
     let full = (0..100).find(|id| ask(&socket, dispatcher, *id) != Verdict::Go);
     assert!(full.is_some(), "the engine has fewer slots");
     clock::play_suspension(Duration::from_secs(10));
-    // The question that wakes it may be answered by what it knew before.
+    // The first request after the suspension may still be answered from the old state.
     ask(&socket, dispatcher, 200);
     assert_eq!(ask(&socket, dispatcher, 201), Verdict::Go);
 }
--- a/tests/suspended/holder.rs
+++ b/tests/suspended/holder.rs
@@ -1,4 +1,4 @@
-//! The holder of the right to order.
+//! The holder of leadership.
 
 use crate::lock_tests;
 use crate::site::{self, until};
@@ -6,15 +6,16 @@
 use passway_types::clock;
 use passway_types::prelude::*;
 
-/// Its lease has lapsed, and another may hold the right: it must not order before it has asked.
+/// The lease has expired, and another instance may be the holder: this one must not send orders
+/// before it queries the store.
 #[test]
 fn orders_nothing() {
     let _lock = lock_tests();
     let store = site::store(&["m0"]);
-    let way = store.serve_way();
-    let instance = site::start_at("one", way.address());
-    until("the right to order", || instance.fence().is_some());
-    way.set_faults(Faults {
+    let proxy = store.serve_way();
+    let instance = site::start_at("one", proxy.address());
+    until("leadership", || instance.fence().is_some());
+    proxy.set_faults(Faults {
         refuses: Some(503),
         ..Faults::default()
     });
--- a/tests/suspended/keys.rs
+++ b/tests/suspended/keys.rs
@@ -1,4 +1,4 @@
-//! A key that was taken away while the machine was suspended.
+//! A key that was revoked while the machine was suspended.
 
 use crate::closed_site::{KEY, closed, ready, status};
 use crate::lock_tests;
@@ -8,7 +8,8 @@
 use passway_types::clock;
 use passway_types::prelude::*;
 
-/// Whoever wakes acts on no key before it has asked whether that still holds.
+/// After a suspension, an instance accepts no key before it has queried whether the key is still
+/// valid.
 #[test]
 fn queries_before_serving() {
     let _lock = lock_tests();
--- a/tests/suspended/main.rs
+++ b/tests/suspended/main.rs
@@ -1,7 +1,7 @@
-//! What an instance does first when its machine has been suspended: the steady clock stood still,
-//! and everybody else's time went on.
+//! What an instance does first after its machine was suspended: the steady clock stood still, while
+//! time went on for everybody else.
 //!
-//! The clock is the process's, so the tests run one after the other ([`alone`]).
+//! All tests of the process share one clock, so they run one after the other ([`lock_tests`]).
 
 #[path = "../all/site.rs"]
 mod site;
@@ -20,7 +20,7 @@
 
 static TEST_LOCK: Mutex<()> = Mutex::new(());
 
-/// Keeps the other tests waiting while it lives.
+/// Blocks the other tests until the guard is dropped.
 fn lock_tests() -> MutexGuard<'static, ()> {
     TEST_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/tests/suspended/stopped.rs
+++ b/tests/suspended/stopped.rs
@@ -1,4 +1,4 @@
-//! A process that is stopped and goes on: what it waited for is still to come.
+//! A process that is stopped and continued: it must not lose messages that it waits for.
 
 use crate::lock_tests;
 use crate::site::PATIENCE;
@@ -7,7 +7,7 @@
 use std::net::TcpListener;
 use std::process::Command;
 
-/// Stops this process for a moment, as often as is said.
+/// Stops and continues this process the given number of times.
 fn stop(times: usize) {
     let script = "kill -STOP $0; sleep 0.05; kill -CONT $0";
     for _ in 0..times {
@@ -17,9 +17,9 @@
     }
 }
 
-/// Each stop ended all links to other instances: the system calls that wait on a socket with a time-out end with an
-/// error when the process goes on. A candidate that was stopped now and then was never asked for its promise, and an
-/// outage of the store ended the holder's term.
+/// Guards against links that end when the process is stopped: system calls that wait on a socket
+/// with a timeout return an error when the process continues. A candidate that was stopped now and
+/// then was never asked for its promise, so an outage of the store ended the holder's term.
 #[test]
 fn links_survive_stops() {
     let _lock = lock_tests();
@@ -28,11 +28,11 @@
     let (dialed, _reader) = Link::connect(address, PATIENCE).expect("a link");
     let (_accepted, mut reader) =
         Link::from_stream(listener.accept().expect("a connection").0).expect("a link");
-    reader.set_timeout(PATIENCE).expect("a time-out");
+    reader.set_timeout(PATIENCE).expect("a timeout");
     let receiving = std::thread::spawn(move || reader.receive());
     stop(5);
     let body = Body::PromiseWanted(PromiseWanted::default());
     dialed.send(body.clone()).expect("sent");
     let received = receiving.join().expect("a reader");
-    assert_eq!(received.expect("a link that stands"), Some(body));
+    assert_eq!(received.expect("an open link"), Some(body));
 }
--- a/tests/suspended/subscriber.rs
+++ b/tests/suspended/subscriber.rs
@@ -1,4 +1,4 @@
-//! What the holder has told.
+//! Updates that the holder sent.
 
 use crate::lock_tests;
 use passway_instance::relay::{CONFIGURATION_FEED, Relay};
@@ -6,7 +6,7 @@
 use passway_types::prelude::*;
 use passway_wire::message::News;
 
-/// What was told before is as old as the time that went by, and is not relied on.
+/// Updates from before the suspension are as old as the suspension is long, and are not trusted.
 #[test]
 fn old_updates_not_trusted() {
     let _lock = lock_tests();
