--- a/crates/instance/src/coordinator.rs
+++ b/crates/instance/src/coordinator.rs
@@ -170,7 +170,7 @@
 #[derive(Debug)]
 struct TermCounts {
     fence: Fence,
-    keeper: Keeper,
+    coordinator: Keeper,
 }
 
 /// The counts of the latest term of this instance.
@@ -189,15 +189,15 @@
         counts.take_if(|counts| counts.fence != fence);
         let new_counts = || TermCounts {
             fence,
-            keeper: Keeper::new(bounds, clock::now()),
+            coordinator: Keeper::new(bounds, clock::now()),
         };
-        act(&mut counts.get_or_insert_with(new_counts).keeper)
+        act(&mut counts.get_or_insert_with(new_counts).coordinator)
     }
 
     /// Calls `act` on the counts of the latest term, if there was one.
     pub fn in_latest_term(&self, act: impl FnOnce(&mut Keeper)) {
         if let Some(counts) = lock(&self.0).as_mut() {
-            act(&mut counts.keeper);
+            act(&mut counts.coordinator);
         }
     }
 }
--- a/crates/instance/src/feed_log.rs
+++ b/crates/instance/src/feed_log.rs
@@ -26,7 +26,7 @@
     removals: VecDeque<(StoreRevision, String)>,
     /// All removals after this revision are remembered.
     removals_complete_since: StoreRevision,
-    /// Spans of revisions of which only the end is known, because the feed was listed anew there: a
+    /// Spans of revisions of which only the end is known, because the feed was listed anew then: a
     /// key may have been written and removed in between. An instance that knows a revision inside a
     /// span receives the whole feed.
     unseen_spans: VecDeque<(StoreRevision, StoreRevision)>,
@@ -103,7 +103,7 @@
                 }
             }
             StoreChange::Removed { key, revision } => {
-                // Recorded even if the key is unknown here: another instance may have read it.
+                // Recorded even if the log does not know the key: another instance may have read it.
                 self.values.remove(key);
                 self.previous_values.remove(key);
                 self.removals.push_back((*revision, key.clone()));
--- a/crates/instance/src/feeds.rs
+++ b/crates/instance/src/feeds.rs
@@ -158,8 +158,8 @@
             self.receive(Duration::ZERO);
             if let Some(until) = self.trusted_until() {
                 self.trusted_holder = true;
-                let left = until.saturating_duration_since(clock::now());
-                self.receive(left.min(RELAY_POLL_INTERVAL));
+                let timeout = until.saturating_duration_since(clock::now());
+                self.receive(timeout.min(RELAY_POLL_INTERVAL));
             } else if self.may_query_store() {
                 self.poll_store();
             } else {
--- a/crates/instance/src/holder.rs
+++ b/crates/instance/src/holder.rs
@@ -73,16 +73,16 @@
     engines: Arc<dyn Engines>,
     listener: TcpListener,
 ) -> (Sender<Input>, Sender<NumberedUpdate>) {
-    let (sender, inputs) = bounded(MAX_QUEUED_INPUTS);
+    let (input_sender, inputs) = bounded(MAX_QUEUED_INPUTS);
     let (update_sender, updates) = bounded(MAX_QUEUED_UPDATES);
-    let peer_inputs = sender.clone();
+    let peer_inputs = input_sender.clone();
     std::thread::spawn(move || accept(&listener, &peer_inputs));
     let thread = HolderThread {
         shared: shared.clone(),
         leadership: leadership.clone(),
         relay: relay.clone(),
         engines,
-        sender: sender.clone(),
+        input_sender: input_sender.clone(),
         planner: Planner::new(
             shared.bounds.load().load_window,
             shared.settings.placement.policy(),
@@ -109,7 +109,7 @@
         logged_refused_models: 0,
     };
     std::thread::spawn(move || thread.run(&inputs, &updates));
-    (sender, update_sender)
+    (input_sender, update_sender)
 }
 
 struct HolderThread {
@@ -118,7 +118,7 @@
     /// Knows when the store last answered this instance.
     relay: Arc<Relay>,
     engines: Arc<dyn Engines>,
-    sender: Sender<Input>,
+    input_sender: Sender<Input>,
     planner: Planner,
     peers: BTreeMap<u64, Outbox>,
     /// Instances that receive the store's updates from this instance.
@@ -242,7 +242,7 @@
                 self.planner.answered(&order, answer, now);
             }
             Input::EngineReported(engine, report) => {
-                log::info!(engine:% = engine, report:? = report.as_ref().map(|r| (r.busy, r.orders_taken, r.models.len())); "report");
+                log::info!(engine:% = engine, report:? = report.as_ref().map(|report| (report.busy, report.orders_taken, report.models.len())); "report");
                 self.planner.reported(&engine, report, now);
             }
         }
@@ -306,14 +306,14 @@
             self.candidates.remove(&name);
             self.leadership.record_departure(&name, promise.fence);
         } else {
-            let asked_at = self.clock_origin + Duration::from_millis(promise.asked_ms);
+            let requested_at = self.clock_origin + Duration::from_millis(promise.asked_ms);
             self.leadership
-                .record_promise(&name, promise.fence, asked_at);
+                .record_promise(&name, promise.fence, requested_at);
         }
     }
 
-    /// Chooses the candidates for the next term, and requests their promises while the store does
-    /// not answer.
+    /// Chooses the candidates that may succeed this instance, and requests their promises while the
+    /// store does not answer.
     fn request_promises(&mut self, now: Instant) {
         let settings = &self.shared.settings;
         let this_instance = Candidate {
@@ -497,14 +497,14 @@
         let entries = upstreams.entries().cloned();
         let doubtful = self.shared.doubtful_engines();
         self.planner.begin_term(entries, &doubtful, clock::now());
-        for (id, _, word) in upstreams.limit_words() {
-            self.planner.set_limit(id, word.per_s);
+        for (id, _, limit) in upstreams.limit_words() {
+            self.planner.set_limit(id, limit.per_s);
         }
     }
 
     fn execute(&mut self, action: Action, fence: Fence) {
         let (engines, leadership) = (self.engines.clone(), self.leadership.clone());
-        let (sender, shared) = (self.sender.clone(), self.shared.clone());
+        let (input_sender, shared) = (self.input_sender.clone(), self.shared.clone());
         let not_sent = match &action {
             Action::Order(order) => Input::OrderAnswered(order.clone(), OrderAnswer::NotSent),
             Action::Ask { engine, .. } => Input::EngineReported(engine.clone(), None),
@@ -525,7 +525,7 @@
                 }
             };
             // The channel closes only when the process exits.
-            let _ = sender.send(input);
+            let _ = input_sender.send(input);
         };
         if let Err(error) = std::thread::Builder::new().spawn(run_action) {
             log::warn!(error:% = error; "cannot start a thread for an order or a query to an engine");
--- a/crates/instance/src/holder/publishing.rs
+++ b/crates/instance/src/holder/publishing.rs
@@ -34,7 +34,7 @@
 }
 
 impl HolderThread {
-    /// Addresses of the instances that subscribe here, and of this instance.
+    /// Addresses of the subscribers and of this instance.
     pub(super) fn members(&self) -> Addresses {
         let settings = &self.shared.settings;
         let this_instance = (settings.instance.clone(), settings.peer_address);
--- a/crates/instance/src/poison.rs
+++ b/crates/instance/src/poison.rs
@@ -311,12 +311,12 @@
 
     /// The write that makes the stored list current; `None` if it is.
     fn pending_write(&self) -> Option<ConditionalWrite> {
-        let mut kept = lock(&self.list).kept_suspects();
+        let mut suspects = lock(&self.list).kept_suspects();
         // The age of a run would make the value differ at each check.
-        for suspect in &mut kept {
+        for suspect in &mut suspects {
             suspect.runs.clear();
         }
-        let value = encode(kept).encode_to_vec();
+        let value = encode(suspects).encode_to_vec();
         let stored = lock(&self.stored);
         (stored.value != value).then(|| ConditionalWrite {
             key: KEY.to_owned(),
--- a/crates/instance/src/relay.rs
+++ b/crates/instance/src/relay.rs
@@ -50,19 +50,19 @@
 
 impl State {
     /// Records up to when the holder knew the feeds, as a message shows that has just arrived.
-    fn record_times(&mut self, news: &News, now: Instant) {
+    fn record_times(&mut self, message: &News, now: Instant) {
         self.last_received_at = Some(now);
-        if news.sent_ms == 0 {
+        if message.sent_ms == 0 {
             return;
         }
-        let Some(clock_origin) = now.checked_sub(Duration::from_millis(news.sent_ms)) else {
+        let Some(clock_origin) = now.checked_sub(Duration::from_millis(message.sent_ms)) else {
             return;
         };
         let clock_origin = self
             .holder_clock_origin
             .map_or(clock_origin, |at| at.min(clock_origin));
         self.holder_clock_origin = Some(clock_origin);
-        for (known, ms) in self.confirmed_at.iter_mut().zip(&news.confirmed_ms) {
+        for (known, ms) in self.confirmed_at.iter_mut().zip(&message.confirmed_ms) {
             if *ms > 0 {
                 *known = Some(clock_origin + Duration::from_millis(*ms));
             }
@@ -195,15 +195,15 @@
     }
 
     /// Takes in a message from the holder.
-    pub fn receive(&self, news: News) {
+    pub fn receive(&self, message: News) {
         let mut state = self.state();
-        state.record_times(&news, clock::now());
-        let feed = usize::try_from(news.feed).unwrap_or(FEED_COUNT);
-        if news.to == 0 || feed >= FEED_COUNT {
+        state.record_times(&message, clock::now());
+        let feed = usize::try_from(message.feed).unwrap_or(FEED_COUNT);
+        if message.to == 0 || feed >= FEED_COUNT {
             return;
         }
-        let to = news.to;
-        match state.bases[feed].decode(news) {
+        let to = message.to;
+        match state.bases[feed].decode(message) {
             Ok(update) => {
                 let previous = state.pending[feed].take();
                 let update = match previous {
--- a/crates/instance/src/report.rs
+++ b/crates/instance/src/report.rs
@@ -259,16 +259,17 @@
                     *link = None;
                     relay.holder_disconnected();
                 }
-                Dialed::Received(Body::News(news)) => {
-                    if let Some(instances) = usize::try_from(news.instances).ok().filter(|n| *n > 0)
+                Dialed::Received(Body::News(message)) => {
+                    if let Some(instances) =
+                        usize::try_from(message.instances).ok().filter(|n| *n > 0)
                     {
                         shared.use_instances(instances);
                     }
-                    if news.sent_ms > 0 {
-                        let doubtful = news.doubtful.iter().map(|id| id.as_str().into());
-                        shared.set_doubtful_engines(doubtful.collect());
+                    if message.sent_ms > 0 {
+                        let unconfirmed = message.doubtful.iter().map(|id| id.as_str().into());
+                        shared.set_doubtful_engines(unconfirmed.collect());
                     }
-                    relay.receive(news);
+                    relay.receive(message);
                     drop(link);
                 }
                 Dialed::Received(Body::Members(members)) => {
--- a/crates/instance/src/updates.rs
+++ b/crates/instance/src/updates.rs
@@ -169,7 +169,7 @@
     /// Decodes a message into an update, and records its values.
     ///
     /// # Errors
-    /// If a value was compressed against a base that is not known here.
+    /// If a value was compressed against an unknown base.
     pub fn decode(&mut self, message: News) -> Result<FeedUpdate> {
         let changes: Result<Vec<StoreChange>> = message
             .values
