--- a/crates/instance/src/feeds.rs
+++ b/crates/instance/src/feeds.rs
@@ -53,9 +53,9 @@
 /// Why a feed is behind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Interruption {
-    /// The holder is no longer relied on, for about a second.
+    /// The holder can no longer be relied on; changes of about a second are missing.
     HolderLost,
-    /// The store did not answer, for an unknown time.
+    /// The store did not answer; changes of an unknown time are missing.
     StoreSilent,
 }
 
@@ -113,9 +113,9 @@
 /// When the store may be queried again after a failed call.
 #[derive(Debug, Clone, Copy)]
 struct Backoff {
-    /// From then on, the store is queried if it has answered another feed of this instance.
+    /// From this instant on, the store is queried if it answered another feed of this instance.
     earliest_at: Instant,
-    /// From then on, the store is queried in any case.
+    /// From this instant on, the store is queried in any case.
     retry_at: Instant,
 }
 
--- a/crates/instance/src/poison.rs
+++ b/crates/instance/src/poison.rs
@@ -66,7 +66,7 @@
     stored: Mutex<StoredList>,
     /// Requests that must run exclusively among their copies.
     exclusive_runs: ExclusiveRuns,
-    /// Engines that broke off and are probed for whether they have crashed.
+    /// Engines that broke off and are probed to find out whether they crashed.
     probed_engines: ProbedEngines,
     /// Wakes the thread that writes the list to the store.
     wakeup_sender: Sender<()>,
--- a/crates/instance/src/relay.rs
+++ b/crates/instance/src/relay.rs
@@ -32,8 +32,8 @@
 #[derive(Debug, Default)]
 struct State {
     last_received_at: Option<Instant>,
-    /// The origin of the holder's times, on the clock of this instance, as the fastest message
-    /// shows it. A message that seems later than that was delayed on its way by the difference.
+    /// Origin of the times in the holder's messages, on this instance's clock. It follows from the
+    /// fastest message; any other message was delayed by the difference.
     holder_clock_origin: Option<Instant>,
     /// When the store last confirmed to the holder that the holder knows all of a feed.
     confirmed_at: [Option<Instant>; FEED_COUNT],
@@ -49,7 +49,7 @@
 }
 
 impl State {
-    /// Records up to when the holder knew the feeds, as a message shows that has just arrived.
+    /// Records up to when the holder knew the feeds, according to a message that just arrived.
     fn record_times(&mut self, message: &News, now: Instant) {
         self.last_received_at = Some(now);
         if message.sent_ms == 0 {
--- a/crates/instance/src/report.rs
+++ b/crates/instance/src/report.rs
@@ -281,9 +281,8 @@
                     // answer.
                     drop(link);
                     let holder = members::decode_holder(&term);
-                    let is_same_instance =
-                        |announced: &Holder| announced.instance == dialed_holder.instance;
-                    if let Some(holder) = holder.filter(is_same_instance)
+                    let is_same = |named: &Holder| named.instance == dialed_holder.instance;
+                    if let Some(holder) = holder.filter(is_same)
                         && shared.store_health.is_failing()
                         && leadership.learn_holder(holder)
                     {
