--- a/crates/instance/src/candidates.rs
+++ b/crates/instance/src/candidates.rs
@@ -14,7 +14,7 @@
 /// in three seconds.
 const MAX_CANDIDATES: usize = 9;
 /// If fewer instances than this have enough processor capacity, weak ones become candidates too.
-/// Otherwise, losing one or two would leave no candidate, and other instances wait for the gap
+/// Otherwise, losing one or two could leave no candidate, and other instances wait for the gap
 /// between two holders before they acquire leadership.
 const MIN_STRONG_CANDIDATES: usize = 3;
 /// An instance that is disconnected for longer than this is no longer a candidate. An instance
@@ -60,7 +60,8 @@
         self.members.remove(instance);
     }
 
-    /// Chooses the candidates, including `this_instance`, whose term it is. Returns them if they changed.
+    /// Chooses the candidates, including `this_instance`, whose term it is. Returns them if they
+    /// changed.
     pub fn choose(&mut self, this_instance: &Candidate, now: Instant) -> Option<Vec<Candidate>> {
         self.members.retain(|_, member| {
             member
--- a/crates/instance/src/feed_log.rs
+++ b/crates/instance/src/feed_log.rs
@@ -103,7 +103,8 @@
                 }
             }
             StoreChange::Removed { key, revision } => {
-                // Recorded even if the log does not know the key: another instance may have read it.
+                // Recorded even if the log does not know the key: another instance may have read
+                // it.
                 self.values.remove(key);
                 self.previous_values.remove(key);
                 self.removals.push_back((*revision, key.clone()));
--- a/crates/instance/src/lib.rs
+++ b/crates/instance/src/lib.rs
@@ -7,18 +7,18 @@
 //! * [`callers`] takes connections, [`forward`] one request, [`events`] cuts streams.
 //! * [`http1`] and [`pool`] are connections; [`reply`] writes answers.
 //! * [`feeds`] follows the store; [`ready`] answers the balancer.
-//! * [`right`] is the right to order, [`holder`] decides and orders while it has it,
+//! * [`leadership`] is the right to order, [`holder`] decides and orders while it has it,
 //!   [`candidates`] are those that may succeed it, [`report`] tells the holder what this
 //!   instance needs.
-//! * [`words`]: what upstreams say of themselves, as it is taken in and told; [`control`]: orders and
+//! * [`signals`]: what upstreams say of themselves, as it is taken in and told; [`control`]: orders and
 //!   questions to engines; [`limits`]: keeping upstreams in need to what they take.
 //! * [`poison`]: requests that crash upstreams, as they are known, told and kept.
 //! * [`freshness`]: how new the configuration is for sure; [`allotments`]: what workspaces may use;
 //!   [`questions`] to other instances.
 //! * [`metrics`]: counters for `/metrics`.
 //! * [`health`]: whether the store answers.
-//! * [`relay`]: the store's news by way of the holder, [`news`] as they travel, [`packing`] of
-//!   large values; [`listeners`]: who hears it from the holder, [`feed_log`] what there is to tell.
+//! * [`relay`]: the store's news by way of the holder, [`updates`] as they travel, [`compression`] of
+//!   large values; [`subscribers`]: who hears it from the holder, [`feed_log`] what there is to tell.
 //! * [`lifecycle`] starts and stops; [`ending`] wakes what still waits at a stop.
 
 pub mod allotments;
--- a/crates/instance/src/subscribers.rs
+++ b/crates/instance/src/subscribers.rs
@@ -98,9 +98,9 @@
     }
 
     /// Sends each subscriber the newest of what it lacks, unless it has a backlog. Revisions
-    /// without changes are only sent with `include_quiet`. Without them, a subscriber that queries
-    /// the store later would start from a revision that the store has already forgotten.
-    pub fn send_updates(&mut self, outboxes: &BTreeMap<u64, Outbox>, include_quiet: bool) {
+    /// without changes are only sent with `include_unchanged`. Without them, a subscriber that
+    /// queries the store later would start from a revision that the store has already forgotten.
+    pub fn send_updates(&mut self, outboxes: &BTreeMap<u64, Outbox>, include_unchanged: bool) {
         self.has_backlog = false;
         for (number, subscriber) in &mut self.by_connection {
             let Some(outbox) = outboxes.get(number) else {
@@ -109,7 +109,7 @@
             for (feed, log) in self.logs.iter().enumerate() {
                 let known = subscriber.sent[feed];
                 let is_quiet = !log.has_changes_after(known);
-                if is_quiet && (!include_quiet || known >= log.to()) {
+                if is_quiet && (!include_unchanged || known >= log.to()) {
                     continue;
                 }
                 if outbox.waiting_bytes() > MAX_BACKLOG_BYTES {
