--- a/crates/instance/src/feed_log.rs
+++ b/crates/instance/src/feed_log.rs
@@ -124,15 +124,15 @@
             return None;
         }
         let is_inside = |(begin, end): &(_, _)| *begin < known && known < *end;
-        let is_whole = known == 0
+        let is_complete = known == 0
             || known < self.removals_complete_since
             || self.unseen_spans.iter().any(is_inside);
-        let from = if is_whole { 0 } else { known };
+        let from = if is_complete { 0 } else { known };
         let values = self.values.values().filter(|value| value.revision > from);
         let mut values: Vec<NewsValue> = values
             .map(|value| self.encode_value(value, known))
             .collect();
-        if !is_whole {
+        if !is_complete {
             let removals = self.removals.iter().filter(|(at, _)| *at > known);
             values.extend(removals.map(|(revision, key)| NewsValue {
                 key: key.clone(),
--- a/crates/instance/src/health.rs
+++ b/crates/instance/src/health.rs
@@ -79,13 +79,13 @@
 
     /// The backoff after a failed call, with the number of consecutive failures before it.
     pub fn backoff_after(&self, failures: u32, is_prober: bool) -> Duration {
-        let longest = if is_prober {
+        let max_backoff = if is_prober {
             self.max_probe_backoff()
         } else {
             MAX_OTHER_BACKOFF_SMALL_FLEET.max(self.max_probe_backoff() * 2)
         };
         let doubled = FIRST_BACKOFF * (1 << failures.min(5));
         let jitter = rand::rng().random_range(0.7..1.3);
-        doubled.min(longest).mul_f64(jitter)
+        doubled.min(max_backoff).mul_f64(jitter)
     }
 }
--- a/crates/instance/src/holder.rs
+++ b/crates/instance/src/holder.rs
@@ -452,16 +452,16 @@
         self.announce(now);
         if self.leadership.fence() == Some(fence) && now >= self.plan_at {
             let upstreams = self.shared.upstreams();
-            let resting = upstreams.resting(now);
-            let resting = resting.map(|(id, until)| (id.clone(), until)).collect();
+            let backing_off = upstreams.resting(now);
+            let backing_off = backing_off.map(|(id, until)| (id.clone(), until)).collect();
             drop(upstreams);
-            self.planner.set_resting(resting);
+            self.planner.set_resting(backing_off);
             let actions = self.planner.decide(now);
-            let took = clock::since(now);
+            let pass_duration = clock::since(now);
             // The planner takes at most half of the thread's time, so that other work is not
             // starved.
-            self.plan_at = clock::now() + took.clamp(Duration::ZERO, MAX_PLAN_DELAY);
-            self.shared.metrics.planned(took);
+            self.plan_at = clock::now() + pass_duration.clamp(Duration::ZERO, MAX_PLAN_DELAY);
+            self.shared.metrics.planned(pass_duration);
             self.log_refused_models();
             self.publish_unconfirmed(now);
             for action in actions {
@@ -495,8 +495,8 @@
         upstreams.forget_closing();
         self.shared.poison.notify_writer();
         let entries = upstreams.entries().cloned();
-        let doubtful = self.shared.doubtful_engines();
-        self.planner.begin_term(entries, &doubtful, clock::now());
+        let unconfirmed = self.shared.doubtful_engines();
+        self.planner.begin_term(entries, &unconfirmed, clock::now());
         for (id, _, limit) in upstreams.limit_words() {
             self.planner.set_limit(id, limit.per_s);
         }
--- a/crates/instance/src/signals.rs
+++ b/crates/instance/src/signals.rs
@@ -159,13 +159,13 @@
     let mut message = encode(shared, named);
     let upstreams = shared.upstreams();
     let is_named = |id: &UpstreamId| named.is_none_or(|named| named.contains(id));
-    let resting = upstreams.resting(now).filter(|(id, _)| is_named(id));
-    let resting = resting.map(|(id, until)| RestingUpstream {
+    let backing_off = upstreams.resting(now).filter(|(id, _)| is_named(id));
+    let backing_off = backing_off.map(|(id, until)| RestingUpstream {
         upstream: id.to_string(),
         started_at_ms: upstreams.started_at_ms(id),
         left_ms: millis(until.saturating_duration_since(now)),
     });
-    message.resting = resting.collect();
+    message.resting = backing_off.collect();
     message
 }
 
--- a/crates/instance/src/subscribers.rs
+++ b/crates/instance/src/subscribers.rs
@@ -108,8 +108,8 @@
             };
             for (feed, log) in self.logs.iter().enumerate() {
                 let known = subscriber.sent[feed];
-                let is_quiet = !log.has_changes_after(known);
-                if is_quiet && (!include_unchanged || known >= log.to()) {
+                let is_unchanged = !log.has_changes_after(known);
+                if is_unchanged && (!include_unchanged || known >= log.to()) {
                     continue;
                 }
                 if outbox.waiting_bytes() > MAX_BACKLOG_BYTES {
