--- a/crates/instance/src/forward/suspect.rs
+++ b/crates/instance/src/forward/suspect.rs
@@ -72,7 +72,7 @@
         self.standing = if poison.is_empty() {
             Standing::Free
         } else {
-            poison.run_status(self.digest())
+            poison.run_permission(self.digest())
         };
         match self.standing {
             Standing::Free => true,
--- a/crates/instance/src/holder.rs
+++ b/crates/instance/src/holder.rs
@@ -159,7 +159,7 @@
     logged_refused_models: usize,
 }
 
-fn decode_wish(wish: &Wish) -> (ServiceName, ModelRef) {
+fn decode_demand(wish: &Wish) -> (ServiceName, ModelRef) {
     let adapter = Some(wish.adapter.as_str()).filter(|name| !name.is_empty());
     let wanted = ModelRef {
         model: wish.model.as_str().into(),
@@ -378,7 +378,7 @@
 
     fn handle_needs(&mut self, needs: &Needs, now: Instant) {
         for waiting in &needs.waiting {
-            let (service, wanted) = decode_wish(waiting);
+            let (service, wanted) = decode_demand(waiting);
             let waiters = Waiters {
                 instance: needs.instance.as_str().into(),
                 service,
@@ -389,7 +389,7 @@
             self.planner.waiting(waiters, now);
         }
         for taken in &needs.taken {
-            let (service, wanted) = decode_wish(taken);
+            let (service, wanted) = decode_demand(taken);
             self.planner.taken(&service, &wanted, taken.count, now);
         }
         let running = needs.running.iter().map(|running| ModelRuns {
--- a/crates/instance/src/poison.rs
+++ b/crates/instance/src/poison.rs
@@ -130,7 +130,7 @@
 
     /// Whether a request may run while it is unknown whether upstreams that broke off under it have
     /// crashed.
-    pub fn run_status(&self, digest: RequestDigest) -> Standing {
+    pub fn run_permission(&self, digest: RequestDigest) -> Standing {
         lock(&self.list).standing(digest, clock::now())
     }
 
