--- a/crates/instance/src/allotments.rs
+++ b/crates/instance/src/allotments.rs
@@ -1,10 +1,12 @@
-//! What workspaces use of their allotments: asking the keeper, and being it.
+//! Counts what workspaces use of their allotments, in requests to the coordinator and as the
+//! coordinator.
 //!
-//! The keeper keeps in the store which workspaces' buckets are at least half full. A successor takes that out
-//! of there before it relies on it, so that it is relied on once.
+//! The coordinator stores the names of the workspaces whose token buckets are at least half full.
+//! Its successor removes them from the store before it relies on them, so that they are used only
+//! once.
 
-use crate::keeper::{self, TermKeeper};
-use crate::right::Right;
+use crate::coordinator::{self, TermCoordinator};
+use crate::leadership::LeadershipDriver;
 use crate::shared::Shared;
 use crossbeam::channel::{Receiver, Sender, bounded};
 use passway_serving::allotment::{Parts, QuotaBounds};
@@ -19,53 +21,54 @@
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// The key under which the names of workspaces with half full buckets lie in the store.
+/// Key in the store of the names of workspaces whose buckets are at least half full.
 pub const KEY: &str = "passway/half-full";
-/// Pause between two looks whether that has changed: a call a second at most.
-const LOOK_PAUSE: Duration = Duration::from_secs(1);
-/// Pause between two tries to take over what the keeper before has left.
-const TAKE_PAUSE: Duration = Duration::from_millis(150);
-/// A keeper takes over what the one before has left within this time, or not at all.
-const TAKE_TIME: Duration = Duration::from_secs(2);
+/// Interval of checks whether the stored names must change, which costs the store at most one call
+/// a second.
+const STORE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Delay between two attempts to take over the previous coordinator's names.
+const TAKEOVER_RETRY_DELAY: Duration = Duration::from_millis(150);
+/// A coordinator takes over the previous one's names within this time, or not at all.
+const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What becomes of a request by its workspace's allotment.
+/// The decision on a request by its workspace's allotment.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Decision {
-    /// It may go.
+    /// The request may run.
     Granted,
-    /// The workspace has used what it may; when to come back.
+    /// The allotment is used up; retry after this time.
     Refused(Duration),
-    /// Nobody can say now.
+    /// No decision is available now.
     Unknown,
 }
 
-/// What lies in the store.
+/// The names in the store and their revision.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-struct Kept {
+struct StoredNames {
     revision: StoreRevision,
     half_full: BTreeSet<WorkspaceName>,
 }
 
-/// This instance's part in keeping workspaces to their allotments.
+/// This instance's part in enforcing the workspaces' allotments.
 #[derive(Debug)]
 pub struct Allotments {
-    keeper: TermKeeper,
+    coordinator: TermCoordinator,
     parts: Mutex<Parts>,
-    kept: Mutex<Kept>,
-    /// Wakes the thread that keeps them in the store.
-    wake: Sender<()>,
-    woken: Receiver<()>,
+    stored: Mutex<StoredNames>,
+    /// Wakes the thread that writes the names to the store.
+    wakeup_sender: Sender<()>,
+    wakeup_receiver: Receiver<()>,
 }
 
 impl Default for Allotments {
     fn default() -> Self {
-        let (wake, woken) = bounded(1);
+        let (wakeup_sender, wakeup_receiver) = bounded(1);
         Self {
-            keeper: TermKeeper::default(),
+            coordinator: TermCoordinator::default(),
             parts: Mutex::default(),
-            kept: Mutex::default(),
-            wake,
-            woken,
+            stored: Mutex::default(),
+            wakeup_sender,
+            wakeup_receiver,
         }
     }
 }
@@ -75,13 +78,13 @@
 }
 
 impl Allotments {
-    /// Whether a request of a workspace may go that counts so much.
-    pub fn ask(&self, shared: &Shared, workspace: &Workspace, cost: f64) -> Decision {
+    /// Requests a decision on a request of a workspace that costs `cost` units.
+    pub fn request(&self, shared: &Shared, workspace: &Workspace, cost: f64) -> Decision {
         let Some(allotment) = workspace.allotment else {
             return Decision::Granted;
         };
         let now = clock::now();
-        let ask = UseAsk {
+        let request = UseAsk {
             id: rand::random(),
             workspace: workspace.name.to_string(),
             cost,
@@ -90,95 +93,115 @@
             upstream: String::new(),
             ..UseAsk::default()
         };
-        let told = shared.coordinator.ask(shared, &ask);
+        let answer = shared.coordinator.request(shared, &request);
         let window = shared.bounds.load().quota.window;
         let mut parts = lock(&self.parts);
-        let Ok(told) = told else {
-            let fits = parts.take(&workspace.name, cost, rand::random(), now);
-            return if fits {
+        let Ok(answer) = answer else {
+            let is_granted = parts.take(&workspace.name, cost, rand::random(), now);
+            return if is_granted {
                 Decision::Granted
             } else {
                 Decision::Unknown
             };
         };
-        if told.verdict() == UseVerdict::Granted {
-            parts.told(&workspace.name, told.part_per_s, window, now);
+        if answer.verdict() == UseVerdict::Granted {
+            parts.told(&workspace.name, answer.part_per_s, window, now);
             return Decision::Granted;
         }
-        Decision::Refused(Duration::from_millis(told.retry_after_ms))
+        Decision::Refused(Duration::from_millis(answer.retry_after_ms))
     }
 
-    /// A request that was granted did not run and never will. If the message is lost, that costs
-    /// its workspace what the request counts.
-    pub fn give_back(&self, shared: &Shared, workspace: &Workspace, cost: f64) {
-        let Some(holder) = shared.leadership().and_then(|right| right.holder()) else {
+    /// Releases the cost of a granted request that did not run and never will. If the message is
+    /// lost, the workspace loses these units.
+    pub fn release(&self, shared: &Shared, workspace: &Workspace, cost: f64) {
+        let Some(holder) = shared
+            .leadership()
+            .and_then(|leadership| leadership.holder())
+        else {
             return;
         };
-        let back = UseBack {
+        let released = UseBack {
             workspace: workspace.name.to_string(),
             cost,
             ..UseBack::default()
         };
         let settings = &shared.settings;
         if holder.instance == settings.instance {
-            self.take_back(shared, settings.peer_address, &back);
+            self.record_release(shared, settings.peer_address, &released);
         } else {
-            shared.dispatch.send(holder.address, Body::UseBack(back));
+            shared
+                .dispatch
+                .send(holder.address, Body::UseBack(released));
         }
     }
 
-    /// Answers an instance's question, in a term of this instance.
-    pub fn rule(&self, shared: &Shared, fence: Fence, from: SocketAddr, ask: &UseAsk) -> UseTold {
-        let name = WorkspaceName::from(ask.workspace.as_str());
-        let asked = Allotment {
-            rate_per_s: ask.rate_per_s,
-            burst: ask.burst,
+    /// Decides on an instance's request in a term of this instance.
+    pub fn decide(
+        &self,
+        shared: &Shared,
+        fence: Fence,
+        from: SocketAddr,
+        request: &UseAsk,
+    ) -> UseTold {
+        let name = WorkspaceName::from(request.workspace.as_str());
+        let requested = Allotment {
+            rate_per_s: request.rate_per_s,
+            burst: request.burst,
         };
         let routes = shared.routes.load();
-        let allotment = allotment_of(routes.as_deref(), &name).unwrap_or(asked);
-        let ruling = self.keeper.of_term(fence, quota(shared), |keeper| {
-            keeper.ask(&name, allotment, from, ask.cost, clock::now())
-        });
-        keeper::told(ask, ruling)
+        let allotment = allotment_of(routes.as_deref(), &name).unwrap_or(requested);
+        let decision = self
+            .coordinator
+            .in_term(fence, quota(shared), |coordinator| {
+                coordinator.ask(&name, allotment, from, request.cost, clock::now())
+            });
+        coordinator::encode_decision(request, decision)
     }
 
-    /// Takes back what a request counted that was granted here.
-    pub fn take_back(&self, shared: &Shared, from: SocketAddr, back: &UseBack) {
+    /// Returns the cost of a request that this instance granted to the bucket of its workspace.
+    pub fn record_release(&self, shared: &Shared, from: SocketAddr, released: &UseBack) {
         let routes = shared.routes.load();
-        let Some(allotment) = allotment_of(routes.as_deref(), &back.workspace) else {
+        let Some(allotment) = allotment_of(routes.as_deref(), &released.workspace) else {
             return;
         };
-        self.keeper.of_any_term(|keeper| {
-            keeper.give_back(&back.workspace, allotment, from, back.cost, clock::now());
+        self.coordinator.in_latest_term(|coordinator| {
+            coordinator.give_back(
+                &released.workspace,
+                allotment,
+                from,
+                released.cost,
+                clock::now(),
+            );
         });
     }
 
-    /// The names lie so in the store; none if they do not.
-    pub fn seen_in_store(&self, revision: StoreRevision, value: &[u8]) {
+    /// Records the names that are in the store now; none if the key is missing.
+    pub fn apply_stored(&self, revision: StoreRevision, value: &[u8]) {
         let text = String::from_utf8_lossy(value);
         let names = text.lines().filter(|name| !name.is_empty());
-        *lock(&self.kept) = Kept {
+        *lock(&self.stored) = StoredNames {
             revision,
             half_full: names.map(Into::into).collect(),
         };
     }
 
-    /// A term has begun.
-    pub fn term_begun(&self) {
-        // A look that is due already will do.
-        let _ = self.wake.try_send(());
+    /// Wakes the writer thread when a term has begun.
+    pub fn notify_term_begun(&self) {
+        // If the channel is full, a wakeup is already pending.
+        let _ = self.wakeup_sender.try_send(());
     }
 
-    /// Writes names to the store unless they lie there; whether they do then.
+    /// Writes names to the store unless they are already there. Returns whether the store has them
+    /// now.
     fn write(&self, store: &dyn SharedStore, names: BTreeSet<WorkspaceName>) -> bool {
-        let kept = lock(&self.kept).clone();
-        if kept.half_full == names {
+        let stored = lock(&self.stored).clone();
+        if stored.half_full == names {
             return true;
         }
         let lines: Vec<&str> = names.iter().map(|name| &**name).collect();
         let write = ConditionalWrite {
             key: KEY.to_owned(),
-            expected: kept.revision,
+            expected: stored.revision,
             value: Some(lines.join("\n").into_bytes()),
             lease: None,
         };
@@ -186,71 +209,89 @@
         let Ok(WriteAnswer::Written(revision)) = answer else {
             return false;
         };
-        *lock(&self.kept) = Kept {
+        *lock(&self.stored) = StoredNames {
             revision,
             half_full: names,
         };
         true
     }
 
-    /// Keeps in the store which buckets are half full, while this instance is the keeper.
-    pub fn keep(shared: &Arc<Shared>, right: &Arc<Right>, store: &Arc<dyn SharedStore>) {
-        let (shared, right, store) = (shared.clone(), right.clone(), store.clone());
+    /// Starts the thread that stores which buckets are at least half full while this instance is
+    /// the coordinator.
+    pub fn start_writer(
+        shared: &Arc<Shared>,
+        leadership: &Arc<LeadershipDriver>,
+        store: &Arc<dyn SharedStore>,
+    ) {
+        let (shared, leadership, store) = (shared.clone(), leadership.clone(), store.clone());
         std::thread::spawn(move || {
             let allotments = &shared.allotments;
             let mut taken_over = None;
             loop {
-                // A term may have begun, or the time is over: it is looked in either case.
-                let _ = allotments.woken.recv_timeout(LOOK_PAUSE);
-                let term = right.term().filter(|_| shared.has_allotments());
+                // A term may have begun, or the interval has passed; the thread checks in both
+                // cases.
+                let _ = allotments
+                    .wakeup_receiver
+                    .recv_timeout(STORE_CHECK_INTERVAL);
+                let term = leadership.term().filter(|_| shared.has_allotments());
                 let Some(fence) = term else {
                     continue;
                 };
                 if taken_over.replace(fence) == Some(fence) {
-                    allotments.tell(&shared, fence, &*store);
+                    allotments.store_half_full(&shared, fence, &*store);
                 } else {
-                    allotments.take_over(&shared, &right, fence, &*store);
+                    allotments.take_over(&shared, &leadership, fence, &*store);
                 }
             }
         });
     }
 
-    /// Relies on what the keeper before has left, once it does not lie in the store any more.
-    fn take_over(&self, shared: &Shared, right: &Right, fence: Fence, store: &dyn SharedStore) {
-        let until = clock::now() + TAKE_TIME;
-        while right.term() == Some(fence) && clock::now() < until {
-            let left = lock(&self.kept).half_full.clone();
+    /// Uses the names that the previous coordinator stored, once they are removed from the store.
+    fn take_over(
+        &self,
+        shared: &Shared,
+        leadership: &LeadershipDriver,
+        fence: Fence,
+        store: &dyn SharedStore,
+    ) {
+        let deadline_at = clock::now() + TAKEOVER_TIMEOUT;
+        while leadership.term() == Some(fence) && clock::now() < deadline_at {
+            let names = lock(&self.stored).half_full.clone();
             if self.write(store, BTreeSet::new()) {
                 let routes = shared.routes.load();
                 let allotment = |name: &str| allotment_of(routes.as_deref(), name);
-                self.keeper.of_term(fence, quota(shared), |keeper| {
-                    keeper.begin_half_full(left, allotment);
-                });
+                self.coordinator
+                    .in_term(fence, quota(shared), |coordinator| {
+                        coordinator.begin_half_full(names, allotment);
+                    });
                 return;
             }
-            std::thread::sleep(TAKE_PAUSE);
+            std::thread::sleep(TAKEOVER_RETRY_DELAY);
         }
     }
 
-    /// Tells the next keeper which buckets are half full now.
-    fn tell(&self, shared: &Shared, fence: Fence, store: &dyn SharedStore) {
+    /// Stores which buckets are at least half full, for the next coordinator.
+    fn store_half_full(&self, shared: &Shared, fence: Fence, store: &dyn SharedStore) {
         let routes = shared.routes.load();
         let allotment = |name: &str| allotment_of(routes.as_deref(), name);
-        let names = self.keeper.of_term(fence, quota(shared), |keeper| {
-            keeper.half_full(allotment, clock::now())
-        });
-        // What could not be written is looked at again.
+        let names = self
+            .coordinator
+            .in_term(fence, quota(shared), |coordinator| {
+                coordinator.half_full(allotment, clock::now())
+            });
+        // If the write fails, the next check tries again.
         self.write(store, names);
     }
 
-    /// Forgets workspaces that a new configuration does not name.
+    /// Forgets workspaces that a new configuration does not contain.
     pub fn retain(&self, table: &RouteTable) {
-        let is_there = |name: &str| {
+        let is_configured = |name: &str| {
             let workspaces = table.workspaces.as_ref();
-            workspaces.is_some_and(|all| all.named(name).is_some())
+            workspaces.is_some_and(|workspaces| workspaces.named(name).is_some())
         };
-        lock(&self.parts).retain(is_there);
-        self.keeper.of_any_term(|keeper| keeper.retain(is_there));
+        lock(&self.parts).retain(is_configured);
+        self.coordinator
+            .in_latest_term(|coordinator| coordinator.retain(is_configured));
     }
 }
 
--- a/crates/instance/src/feeds/upstreams.rs
+++ b/crates/instance/src/feeds/upstreams.rs
@@ -2,7 +2,7 @@
 
 use super::Feed;
 use crate::holder::Input;
-use crate::right::Right;
+use crate::leadership::LeadershipDriver;
 use crate::shared::Shared;
 use anyhow::ensure;
 use crossbeam::channel::Sender;
@@ -13,63 +13,63 @@
 use passway_types::prelude::*;
 use std::collections::BTreeSet;
 
-/// Takes in the upstreams.
+/// Applies the upstreams' entries.
 pub struct UpstreamFeed {
-    /// What the instance shares.
+    /// The shared state of the instance.
     pub shared: Arc<Shared>,
-    /// Decodes it.
+    /// Decodes the entries.
     pub directory: Arc<dyn Directory>,
-    /// The thread that orders, if this instance may.
-    pub holder: Sender<Input>,
-    /// Whether it may.
-    pub right: Arc<Right>,
-    /// Keys whose entries cannot be used, so that each is told once.
+    /// Inputs of the holder thread.
+    pub holder_inputs: Sender<Input>,
+    /// Whether this instance is the holder.
+    pub leadership: Arc<LeadershipDriver>,
+    /// Keys of unusable entries, so that each is logged once.
     unusable: BTreeSet<String>,
 }
 
-/// Changes of upstreams within this time are taken in by one call.
-const UPSTREAM_PAUSE: Duration = Duration::from_millis(400);
-/// The same at the holder of the right to order, which waits for engines' words.
-const HOLDER_PAUSE: Duration = Duration::from_millis(30);
-/// What each upstream adds to it, so that more of them do not make more calls.
-const HOLDER_PAUSE_PER_UPSTREAM: Duration = Duration::from_micros(1_200);
-/// Longest such pause. Each of the two orders of a swap shows its effect in an engine's entry,
-/// half a pause late in the mean: with 317 ms, as 264 upstreams would make it, a third of a
-/// swap of 1 s was waiting for that.
-const LONGEST_HOLDER_PAUSE: Duration = Duration::from_millis(110);
+/// Changes of upstreams within this time are fetched by one call.
+const BATCH_DELAY: Duration = Duration::from_millis(400);
+/// The same at the holder of leadership, which waits for the effects of its orders.
+const HOLDER_BATCH_DELAY: Duration = Duration::from_millis(30);
+/// Added to the holder's delay for each upstream, so that more upstreams do not cause more calls.
+const HOLDER_BATCH_DELAY_PER_UPSTREAM: Duration = Duration::from_micros(1_200);
+/// Maximum of the holder's delay. The effects of the two orders of a model swap show in the
+/// engine's entry half a delay late on average. With 317 ms, as 264 upstreams would make it, a
+/// third of a swap of 1 s was waiting.
+const MAX_HOLDER_BATCH_DELAY: Duration = Duration::from_millis(110);
 
 impl UpstreamFeed {
-    /// A feed that has heard nothing yet.
+    /// Creates a feed that has received nothing yet.
     pub fn new(
         shared: Arc<Shared>,
         directory: Arc<dyn Directory>,
-        holder: Sender<Input>,
-        right: Arc<Right>,
+        holder_inputs: Sender<Input>,
+        leadership: Arc<LeadershipDriver>,
     ) -> Self {
         Self {
             shared,
             directory,
-            holder,
-            right,
+            holder_inputs,
+            leadership,
             unusable: BTreeSet::new(),
         }
     }
 
-    fn tell(&self, input: Input) {
-        // The deciding thread ends only with the process.
-        let _ = self.holder.send(input);
+    fn send_to_holder(&self, input: Input) {
+        // The channel closes only when the process exits.
+        let _ = self.holder_inputs.send(input);
     }
 
-    /// Forgets upstreams that are gone, here and at the holder.
+    /// Forgets expired upstreams, in this instance and in the holder thread.
     fn expire(&self) {
         let mut upstreams = self.shared.upstreams();
-        let gone = upstreams.expire(clock::now());
-        if gone.is_empty() {
+        let expired = upstreams.expire(clock::now());
+        if expired.is_empty() {
             return;
         }
-        let left = upstreams.entries().map(|entry| entry.id.clone()).collect();
+        let remaining = upstreams.entries().map(|entry| entry.id.clone()).collect();
         drop(upstreams);
-        for entry in &gone {
+        for entry in &expired {
             log::info!(target: DECISION_TARGET, upstream:% = entry.id; "an upstream is gone");
             self.shared.pool.close_idle(&entry.id);
             if !entry.draining {
@@ -77,14 +77,14 @@
             }
         }
         self.shared.limits.retain(&self.shared);
-        self.tell(Input::Listed(left));
+        self.send_to_holder(Input::UpstreamsListed(remaining));
     }
 
-    /// What an upstream says of itself; `None` if the entry names none that can be used. It
-    /// may have been written by something else.
+    /// Decodes an upstream's entry; `None` if it is unusable, since it may have been written by
+    /// another program.
     fn decode(&mut self, value: &StoredValue) -> Option<UpstreamEntry> {
         let entry = self.directory.upstream(value, clock::now());
-        match entry.and_then(|entry| self.of_its_service(entry)) {
+        match entry.and_then(|entry| self.check_service(entry)) {
             Ok(mut entry) => {
                 self.unusable.remove(&value.key);
                 let upstreams = self.shared.upstreams();
@@ -102,17 +102,19 @@
         }
     }
 
-    /// An upstream stays with its service: what moves it to one that the configuration does
-    /// not know is not its own word, and must not pass for the newest one.
-    fn of_its_service(&self, entry: UpstreamEntry) -> anyhow::Result<UpstreamEntry> {
+    /// Checks that a known upstream does not move to a service that the configuration does not
+    /// know. Such an entry was not written by the upstream itself, and must not count as its newest
+    /// one.
+    fn check_service(&self, entry: UpstreamEntry) -> anyhow::Result<UpstreamEntry> {
         let table = self.shared.routes.load();
         let is_known = |service| {
             let services = table.as_ref().map(|table| &table.services);
             services.is_some_and(|services| services.contains_key(service))
         };
         let upstreams = self.shared.upstreams();
-        let before = upstreams.service_of(&entry.id);
-        let moves = before.is_some_and(|before| *before != entry.service && is_known(before));
+        let current_service = upstreams.service_of(&entry.id);
+        let moves =
+            current_service.is_some_and(|current| *current != entry.service && is_known(current));
         ensure!(
             !moves || is_known(&entry.service),
             "an unknown service, {}",
@@ -122,8 +124,8 @@
         Ok(entry)
     }
 
-    /// Connections to what upstreams were before they started again lead nowhere.
-    fn forget_restarted(&self) {
+    /// Closes connections to upstreams that have restarted, because the old ones are dead.
+    fn drop_restarted_connections(&self) {
         let restarted = self.shared.upstreams().take_restarted();
         for id in restarted {
             log::info!(target: DECISION_TARGET, upstream:% = id; "an upstream has started again under its id");
@@ -133,10 +135,13 @@
         }
     }
 
-    /// An upstream is not listed any more.
-    fn miss(&self, id: &str) {
-        let gone_at = self.shared.store_health.gone_at(clock::now());
-        self.shared.upstreams().miss(id, gone_at);
+    /// Records that an upstream is no longer listed.
+    fn mark_missing(&self, id: &str) {
+        let expires_at = self
+            .shared
+            .store_health
+            .missing_entry_expires_at(clock::now());
+        self.shared.upstreams().miss(id, expires_at);
         self.expire();
     }
 }
@@ -146,42 +151,42 @@
         self.directory.upstream_prefix().to_owned()
     }
 
-    fn listed(&mut self, listing: &Listing) {
+    fn apply_listing(&mut self, listing: &Listing) {
         self.unusable
             .retain(|key| listing.values.iter().any(|value| value.key == *key));
         let entries = listing.values.iter().filter_map(|value| self.decode(value));
         let entries: Vec<_> = entries.collect();
         for entry in &entries {
-            self.tell(Input::Heard(entry.clone()));
+            self.send_to_holder(Input::UpstreamSeen(entry.clone()));
         }
         let now = clock::now();
-        let gone_at = self.shared.store_health.gone_at(now);
-        self.shared.upstreams().replace(entries, gone_at, now);
-        self.forget_restarted();
+        let expires_at = self.shared.store_health.missing_entry_expires_at(now);
+        self.shared.upstreams().replace(entries, expires_at, now);
+        self.drop_restarted_connections();
         self.expire();
         self.shared.mark_upstreams_listed();
         self.shared.notify_upstreams_changed();
     }
 
-    fn changed(&mut self, change: &StoreChange) -> bool {
+    fn apply_change(&mut self, change: &StoreChange) -> bool {
         match change {
             StoreChange::Written(value) => {
                 let Some(entry) = self.decode(value) else {
                     if let Some(id) = self.directory.upstream_id(&value.key) {
-                        self.miss(id);
+                        self.mark_missing(id);
                     }
                     return true;
                 };
-                self.tell(Input::Heard(entry.clone()));
-                // What stands on an engine travels by placements, which are shorter.
-                let is_told = self.shared.upstreams().update(entry, clock::now());
-                self.forget_restarted();
-                is_told
+                self.send_to_holder(Input::UpstreamSeen(entry.clone()));
+                // Models on an engine are published as placements, which are shorter.
+                let must_publish = self.shared.upstreams().update(entry, clock::now());
+                self.drop_restarted_connections();
+                must_publish
             }
             StoreChange::Removed { key, .. } => {
                 self.unusable.remove(key);
                 if let Some(id) = self.directory.upstream_id(key) {
-                    self.miss(id);
+                    self.mark_missing(id);
                 }
                 true
             }
@@ -192,15 +197,15 @@
         self.expire();
     }
 
-    fn settled(&mut self) -> Duration {
+    fn finish_batch(&mut self) -> Duration {
         self.shared.notify_upstreams_changed();
-        if self.right.term().is_some() {
+        if self.leadership.term().is_some() {
             let upstreams = self.shared.upstreams().entries().count();
             let upstreams = u32::try_from(upstreams).unwrap_or(u32::MAX);
-            let pause = HOLDER_PAUSE_PER_UPSTREAM.saturating_mul(upstreams);
-            pause.clamp(HOLDER_PAUSE, LONGEST_HOLDER_PAUSE)
+            let delay = HOLDER_BATCH_DELAY_PER_UPSTREAM.saturating_mul(upstreams);
+            delay.clamp(HOLDER_BATCH_DELAY, MAX_HOLDER_BATCH_DELAY)
         } else {
-            UPSTREAM_PAUSE
+            BATCH_DELAY
         }
     }
 
--- a/crates/instance/src/forward.rs
+++ b/crates/instance/src/forward.rs
@@ -23,7 +23,7 @@
 mod waiting;
 
 use crate::http1::{Connection, RequestHead};
-use crate::poison::Trial;
+use crate::poison::ExclusivePermit;
 use crate::relay::millis_since;
 use crate::reply::{self, Refusal};
 use crate::shared::{ReportEvent, Shared};
@@ -93,7 +93,7 @@
     /// crashed.
     run_permission: Standing,
     /// The permit to run alone among requests with the same digest, once requested.
-    exclusive_permit: Option<Trial>,
+    exclusive_permit: Option<ExclusivePermit>,
     /// Milliseconds until the model can be loaded, if that is too late for the request.
     model_ready_ms: Option<u64>,
     /// Digest of the request's content, once computed.
--- a/crates/instance/src/forward/suspect.rs
+++ b/crates/instance/src/forward/suspect.rs
@@ -2,7 +2,7 @@
 
 use super::{Forwarding, Target, host_of};
 use crate::http1::Connection;
-use crate::poison::{Asked, Poison, REFUSAL_TIME, Trial};
+use crate::poison::{ExclusivePermit, PermitAnswer, PoisonTracker, REFUSAL_TIMEOUT};
 use crate::pool;
 use crate::relay::millis_since;
 use passway_process::logging::json::REQUEST_TARGET;
@@ -24,7 +24,7 @@
     /// How long the request is still refused because it crashes upstreams.
     pub(super) fn refused_for(&self) -> Option<Duration> {
         let poison = &self.shared.poison;
-        if poison.refused() == 0 {
+        if poison.refused_count() == 0 {
             return None;
         }
         poison.refused_for(self.digest())
@@ -33,7 +33,7 @@
     /// Handles a run that broke off. If the upstream has crashed, the request becomes a suspect.
     pub(super) fn handle_broken_run(&mut self, target: &Target, start: UpstreamStart) {
         if let Some(permit) = &mut self.exclusive_permit {
-            permit.broke();
+            permit.record_break();
         }
         let has_crashed = self.has_crashed(target);
         let ran_ms = millis_since(self.attempt_at, clock::now());
@@ -45,8 +45,8 @@
             return;
         }
         let (digest, sent_at) = (self.digest(), self.attempt_at);
-        if let Some(suspect) = self.shared.poison.crashed(digest, start, sent_at) {
-            Poison::tell(self.shared, suspect);
+        if let Some(suspect) = self.shared.poison.record_crash(digest, start, sent_at) {
+            PoisonTracker::publish(self.shared, suspect);
         }
     }
 
@@ -62,9 +62,9 @@
         }
         let (digest, sent_at) = (self.digest(), self.attempt_at);
         if is_silent {
-            Poison::doubt(self.shared, digest, start, sent_at, target.address);
+            PoisonTracker::probe_after_break(self.shared, digest, start, sent_at, target.address);
         } else {
-            Poison::broke_off(self.shared, digest, start, sent_at, target.address);
+            PoisonTracker::record_break(self.shared, digest, start, sent_at, target.address);
         }
     }
 
@@ -74,7 +74,7 @@
         self.run_permission = if poison.is_empty() {
             Standing::Free
         } else {
-            poison.standing(self.digest())
+            poison.run_permission(self.digest())
         };
         match self.run_permission {
             Standing::Free => true,
@@ -90,8 +90,8 @@
         let remaining = self.deadline_at.saturating_duration_since(clock::now());
         let permit = self
             .exclusive_permit
-            .get_or_insert_with(|| Trial::new(self.shared, digest));
-        permit.ask(remaining) == Asked::Granted
+            .get_or_insert_with(|| ExclusivePermit::new(self.shared, digest));
+        permit.request(remaining) == PermitAnswer::Granted
     }
 
     /// Handles a run that ended with an answer: the request does not crash its upstreams.
@@ -100,8 +100,8 @@
         if poison.is_empty() {
             return;
         }
-        if let Some(suspect) = poison.answered(self.digest()) {
-            Poison::tell(self.shared, suspect);
+        if let Some(suspect) = poison.record_answer(self.digest()) {
+            PoisonTracker::publish(self.shared, suspect);
         }
     }
 
@@ -111,7 +111,7 @@
         if self.shared.upstreams().is_draining(&target.id) {
             return false;
         }
-        match Connection::connect(target.address, REFUSAL_TIME) {
+        match Connection::connect(target.address, REFUSAL_TIMEOUT) {
             Ok(connection) => {
                 // The upstream is alive, and the connection can serve the next request.
                 let idle_ttl = pool::idle_ttl(None);
--- a/tests/all/feed_log.rs
+++ b/tests/all/feed_log.rs
@@ -1,16 +1,16 @@
-//! What an instance keeps of a feed to tell others, and how it travels.
+//! The log of a feed and the updates made from it.
 
 use passway_instance::feed_log::FeedLog;
-use passway_instance::news::{Bases, Told, newest};
-use passway_instance::relay::{CONFIGURATION, Relay};
+use passway_instance::relay::{CONFIGURATION_FEED, Relay};
+use passway_instance::updates::{CompressionBases, FeedUpdate, latest_changes};
 use passway_serving::ports::{Listing, StoreChange, StoreRevision, StoredValue};
 use prost::Message;
 use std::time::Duration;
 
-/// Lines of a large value; some 100 kB.
+/// Lines of a large value, about 100 kB.
 const LINES: u32 = 4_000;
 
-/// A large value, a little different at each revision.
+/// A large value that differs slightly at each revision.
 fn large(key: &str, revision: StoreRevision) -> StoredValue {
     let lines = (0..LINES).map(|line| format!("{:x} {line}\n", line.wrapping_mul(0x9E37_79B9)));
     let text = format!("{revision}\n{}", lines.collect::<String>());
@@ -21,69 +21,71 @@
     }
 }
 
-fn written(revision: StoreRevision) -> Told {
-    Told::Changes {
+fn written(revision: StoreRevision) -> FeedUpdate {
+    FeedUpdate::Changes {
         from: revision - 1,
         to: revision,
         changes: vec![StoreChange::Written(large("a", revision))],
     }
 }
 
-fn whole(keys: &[&str], revision: StoreRevision, at: StoreRevision) -> Told {
+fn whole(keys: &[&str], revision: StoreRevision, at: StoreRevision) -> FeedUpdate {
     let values = keys.iter().map(|key| large(key, at));
-    Told::Whole(Listing {
+    FeedUpdate::Snapshot(Listing {
         values: values.collect(),
         revision,
     })
 }
 
 #[test]
-fn packed_against_known() {
+fn compressed_against_known_base() {
     let mut log = FeedLog::default();
-    let mut bases = Bases::default();
-    log.add(&whole(&["a"], 10, 10));
-    let all = log.after(CONFIGURATION, 0).expect("all");
-    let all = bases.decode(all).expect("readable");
-    assert_eq!(all, whole(&["a"], 10, 10));
+    let mut bases = CompressionBases::default();
+    log.apply(&whole(&["a"], 10, 10));
+    let complete = log.update_after(CONFIGURATION_FEED, 0).expect("all");
+    let complete = bases.decode(complete).expect("readable");
+    assert_eq!(complete, whole(&["a"], 10, 10));
     for revision in 11..14 {
-        log.add(&written(revision));
-        let news = log.after(CONFIGURATION, revision - 1).expect("news");
-        let bytes = news.encoded_len();
+        log.apply(&written(revision));
+        let update = log
+            .update_after(CONFIGURATION_FEED, revision - 1)
+            .expect("an update");
+        let bytes = update.encoded_len();
         assert!(bytes < 1_000, "{bytes} bytes for a small difference");
-        assert_eq!(bases.decode(news).expect("readable"), written(revision));
+        assert_eq!(bases.decode(update).expect("readable"), written(revision));
     }
 }
 
 #[test]
-fn other_base_refused() {
+fn unknown_base_refused() {
     let mut log = FeedLog::default();
-    log.add(&whole(&["a"], 10, 10));
-    log.add(&written(11));
-    let news = log.after(CONFIGURATION, 10).expect("news");
-    // It knows another value of the key than it should.
-    let mut bases = Bases::default();
-    bases.note(&whole(&["a"], 9, 9));
-    assert!(bases.decode(news).is_err());
-    // One that has missed a version is told it without the one before.
-    let news = log.after(CONFIGURATION, 9).expect("news");
-    let told = bases.decode(news).expect("readable");
-    assert_eq!(told, whole(&["a"], 11, 11));
+    log.apply(&whole(&["a"], 10, 10));
+    log.apply(&written(11));
+    let update = log.update_after(CONFIGURATION_FEED, 10).expect("an update");
+    // The receiver knows another value of the key than the base.
+    let mut bases = CompressionBases::default();
+    bases.record(&whole(&["a"], 9, 9));
+    assert!(bases.decode(update).is_err());
+    // A receiver that missed a version gets the newest one without a base.
+    let update = log.update_after(CONFIGURATION_FEED, 9).expect("an update");
+    let decoded = bases.decode(update).expect("readable");
+    assert_eq!(decoded, whole(&["a"], 11, 11));
 }
 
 #[test]
 fn newest_only() {
     let mut log = FeedLog::default();
-    log.add(&whole(&["a"], 10, 10));
+    log.apply(&whole(&["a"], 10, 10));
     let mut waiting = written(11);
-    log.add(&waiting);
+    log.apply(&waiting);
     for revision in 12..500 {
-        log.add(&written(revision));
-        waiting = waiting.followed_by(written(revision));
+        log.apply(&written(revision));
+        waiting = waiting.merged_with(written(revision));
     }
-    let news = log.after(CONFIGURATION, 10).expect("news");
-    assert_eq!((news.from, news.to, news.values.len()), (10, 499, 1));
+    let update = log.update_after(CONFIGURATION_FEED, 10).expect("an update");
+    assert_eq!((update.from, update.to, update.values.len()), (10, 499, 1));
     let newest = StoreChange::Written(large("a", 499));
-    let expected = Told::Changes {
+    let expected = FeedUpdate::Changes {
         from: 10,
         to: 499,
         changes: vec![newest],
@@ -92,113 +94,126 @@
 }
 
 #[test]
-fn gap_is_left() {
-    let waiting = written(11).followed_by(written(20));
+fn gap_is_kept() {
+    let waiting = written(11).merged_with(written(20));
     assert_eq!(waiting, written(20));
-    let listed = whole(&["a"], 10, 10).followed_by(written(11));
+    let listed = whole(&["a"], 10, 10).merged_with(written(11));
     assert_eq!(listed, whole(&["a"], 11, 11));
 }
 
 #[test]
-fn list_tells_differences() {
+fn listing_sends_differences() {
     let mut log = FeedLog::default();
-    log.add(&whole(&["a", "b"], 10, 10));
-    // The store's history was gone, and it was listed again.
-    assert!(log.add(&whole(&["a"], 30, 10)));
-    let news = log.after(CONFIGURATION, 10).expect("news");
-    let told: Vec<_> = news.values.iter().map(|v| (&*v.key, &v.value)).collect();
-    assert_eq!(told, [("b", &None)]);
-    assert!(!log.add(&whole(&["a"], 40, 10)));
+    log.apply(&whole(&["a", "b"], 10, 10));
+    // The store dropped its history, so the feed was listed again.
+    assert!(log.apply(&whole(&["a"], 30, 10)));
+    let update = log.update_after(CONFIGURATION_FEED, 10).expect("an update");
+    let values: Vec<_> = update
+        .values
+        .iter()
+        .map(|value| (&*value.key, &value.value))
+        .collect();
+    assert_eq!(values, [("b", &None)]);
+    assert!(!log.apply(&whole(&["a"], 40, 10)));
 }
 
-/// A listener reads a version from the store itself, and the holder tells it the same one.
+/// A subscriber reads a version from the store itself, and the holder sends the same version.
 #[test]
-fn own_reading_is_no_gap() {
-    let (relay, [tap, _]) = Relay::new();
+fn value_read_from_store_is_no_gap() {
+    let (relay, [receiver, _]) = Relay::new();
     let mut log = FeedLog::default();
-    log.add(&whole(&["a"], 10, 10));
-    tap.taken(&whole(&["a"], 10, 10), 10);
-    tap.taken(&written(11), 11);
-    log.add(&written(11));
-    relay.heard(log.after(CONFIGURATION, 10).expect("news"));
-    assert!(!relay.wants_again(), "all is asked for anew");
+    log.apply(&whole(&["a"], 10, 10));
+    receiver.record_applied(&whole(&["a"], 10, 10), 10);
+    receiver.record_applied(&written(11), 11);
+    log.apply(&written(11));
+    relay.receive(log.update_after(CONFIGURATION_FEED, 10).expect("an update"));
+    assert!(!relay.needs_resend(), "the whole feed is requested again");
 }
 
-/// As before, and the holder has missed that version.
+/// The same, but the holder missed that version.
 #[test]
 fn skipped_version_is_readable() {
-    let (relay, [tap, _]) = Relay::new();
+    let (relay, [receiver, _]) = Relay::new();
     let mut log = FeedLog::default();
-    log.add(&whole(&["a"], 10, 10));
-    tap.taken(&whole(&["a"], 10, 10), 10);
-    tap.taken(&written(11), 11);
-    log.add(&whole(&["a"], 12, 12));
-    relay.heard(log.after(CONFIGURATION, 10).expect("news"));
-    let told = tap.next(Duration::ZERO);
-    assert!(told.is_some_and(|told| told.to() == 12), "12 is lost");
+    log.apply(&whole(&["a"], 10, 10));
+    receiver.record_applied(&whole(&["a"], 10, 10), 10);
+    receiver.record_applied(&written(11), 11);
+    log.apply(&whole(&["a"], 12, 12));
+    relay.receive(log.update_after(CONFIGURATION_FEED, 10).expect("an update"));
+    let decoded = receiver.wait_for_update(Duration::ZERO);
+    assert!(
+        decoded.is_some_and(|update| update.to() == 12),
+        "version 12 is lost"
+    );
 }
 
-/// What cannot be read is asked for until it is known, from the holder or from the store.
+/// An unreadable update is requested again until the holder or the store has supplied it.
 #[test]
 fn unreadable_until_known() {
-    let (relay, [tap, _]) = Relay::new();
+    let (relay, [receiver, _]) = Relay::new();
     let mut log = FeedLog::default();
-    log.add(&whole(&["a"], 10, 10));
-    log.add(&written(11));
-    tap.taken(&whole(&["a"], 9, 9), 9);
-    let packed = log.after(CONFIGURATION, 10).expect("news");
-    relay.heard(packed);
-    assert!(relay.wants_again());
-    assert_eq!(relay.known()[CONFIGURATION], 0);
-    tap.taken(&written(11), 11);
-    assert!(!relay.wants_again());
-    assert_eq!(relay.known()[CONFIGURATION], 11);
+    log.apply(&whole(&["a"], 10, 10));
+    log.apply(&written(11));
+    receiver.record_applied(&whole(&["a"], 9, 9), 9);
+    let unreadable = log.update_after(CONFIGURATION_FEED, 10).expect("an update");
+    relay.receive(unreadable);
+    assert!(relay.needs_resend());
+    assert_eq!(relay.known_revisions()[CONFIGURATION_FEED], 0);
+    receiver.record_applied(&written(11), 11);
+    assert!(!relay.needs_resend());
+    assert_eq!(relay.known_revisions()[CONFIGURATION_FEED], 11);
 }
 
-/// A key that comes and goes within one answer to the holder, and that a listener has read
-/// from the store in between.
+/// A key is written and removed within one answer to the holder, and a subscriber has read it from
+/// the store in between.
 #[test]
-fn short_lived_key_is_told_gone() {
+fn short_lived_key_removal_sent() {
     let mut log = FeedLog::default();
-    log.add(&whole(&["a"], 10, 10));
+    log.apply(&whole(&["a"], 10, 10));
     let short_lived = StoreChange::Written(large("b", 12));
     let removed = StoreChange::Removed {
         key: "b".into(),
         revision: 18,
     };
-    log.add(&Told::Changes {
+    log.apply(&FeedUpdate::Changes {
         from: 10,
         to: 20,
-        changes: newest([short_lived, removed].into_iter()),
+        changes: latest_changes([short_lived, removed].into_iter()),
     });
-    let news = log.after(CONFIGURATION, 15).expect("news");
-    let keys: Vec<_> = news.values.iter().map(|value| &*value.key).collect();
-    assert_eq!(keys, ["b"], "told up to {}", news.to);
+    let update = log.update_after(CONFIGURATION_FEED, 15).expect("an update");
+    let keys: Vec<_> = update.values.iter().map(|value| &*value.key).collect();
+    assert_eq!(keys, ["b"], "complete up to {}", update.to);
 }
 
-/// What came and went between two lists is not known to the holder.
+/// The holder does not know what was written and removed between two listings.
 #[test]
-fn unseen_span_told_whole() {
+fn unseen_span_sent_whole() {
     let mut log = FeedLog::default();
-    log.add(&whole(&["a"], 10, 10));
-    log.add(&whole(&["a"], 30, 10));
-    let from = |known| log.after(CONFIGURATION, known).map(|news| news.from);
-    assert_eq!(from(10), Some(10));
-    assert_eq!(from(20), Some(0));
-    assert_eq!(from(30), None);
+    log.apply(&whole(&["a"], 10, 10));
+    log.apply(&whole(&["a"], 30, 10));
+    let start_of_update = |known| {
+        log.update_after(CONFIGURATION_FEED, known)
+            .map(|update| update.from)
+    };
+    assert_eq!(start_of_update(10), Some(10));
+    assert_eq!(start_of_update(20), Some(0));
+    assert_eq!(start_of_update(30), None);
 }
 
 #[test]
-fn older_word_brings_nothing_back() {
-    let all = whole(&[], 50, 50);
-    assert_eq!(all.clone().followed_by(written(14)), all);
-    assert_eq!(all.clone().followed_by(whole(&["a"], 14, 14)), all);
+fn older_update_restores_nothing() {
+    let complete = whole(&[], 50, 50);
+    assert_eq!(complete.clone().merged_with(written(14)), complete);
+    assert_eq!(
+        complete.clone().merged_with(whole(&["a"], 14, 14)),
+        complete
+    );
 }
 
 #[test]
 fn many_removals_forgotten() {
     let mut log = FeedLog::default();
-    log.add(&whole(&[], 10, 10));
+    log.apply(&whole(&[], 10, 10));
     for revision in (11..3_011).step_by(2) {
         let value = StoredValue {
             key: format!("k{revision}"),
@@ -209,15 +224,17 @@
             key: value.key.clone(),
             revision: revision + 1,
         };
-        log.add(&Told::Changes {
+        log.apply(&FeedUpdate::Changes {
             from: revision - 1,
             to: revision + 1,
             changes: vec![StoreChange::Written(value), removed],
         });
     }
-    // Whoever knows too little is told all there is.
-    let news = log.after(CONFIGURATION, 10).expect("news");
-    assert_eq!((news.from, news.values.len()), (0, 0));
-    let news = log.after(CONFIGURATION, 3_000).expect("news");
-    assert_eq!((news.from, news.values.len()), (3_000, 5));
+    // A receiver whose known revision is too old gets everything.
+    let update = log.update_after(CONFIGURATION_FEED, 10).expect("an update");
+    assert_eq!((update.from, update.values.len()), (0, 0));
+    let update = log
+        .update_after(CONFIGURATION_FEED, 3_000)
+        .expect("an update");
+    assert_eq!((update.from, update.values.len()), (3_000, 5));
 }
