--- a/crates/instance/src/control.rs
+++ b/crates/instance/src/control.rs
@@ -1,8 +1,9 @@
-//! Orders and questions to engines: what their answers say of the engines is heard, as for any other.
+//! Orders and queries to engines. The signals in their answers are applied like those in any other
+//! answer.
 
-use crate::right::Right;
+use crate::leadership::LeadershipDriver;
 use crate::shared::Shared;
-use crate::words::{self, Heard};
+use crate::signals::{self, ReceivedSignals};
 use passway_serving::placement::PlannedOrder;
 use passway_serving::poison::UpstreamStart;
 use passway_serving::ports::{EngineOrder, EngineReport, Engines, OrderAnswer, Said};
@@ -10,46 +11,51 @@
 use passway_types::prelude::*;
 use std::net::SocketAddr;
 
-/// Takes in what an engine's answer to an instance says of the engine.
-fn hear<T>(shared: &Shared, start: &UpstreamStart, said: Said<T>, sent_at: Instant) -> T {
-    let heard = Heard {
+/// Applies the signals in an engine's answer and returns the answer itself.
+fn apply_signals<T>(
+    shared: &Shared,
+    start: &UpstreamStart,
+    response: Said<T>,
+    sent_at: Instant,
+) -> T {
+    let received = ReceivedSignals {
         start,
-        words: &said.words,
-        // Only answers to requests are vouched for.
-        vouched: false,
+        signals: &response.words,
+        // Engines vouch only for answers to callers' requests.
+        is_authenticated: false,
         sent_at,
     };
-    words::hear(shared, heard);
-    said.answer
+    signals::apply(shared, received);
+    response.answer
 }
 
-/// Whether an engine wants nothing from this instance.
-pub fn rests(shared: &Shared, engine: &str) -> bool {
+/// Whether an engine has asked this instance to back off.
+pub fn is_backing_off(shared: &Shared, engine: &str) -> bool {
     let upstreams = shared.upstreams();
     upstreams.closed_until(engine, clock::now()).is_some()
 }
 
-/// Asks an engine for its state; `None` without an answer.
-pub fn report(
+/// Queries an engine's state; `None` without an answer.
+pub fn query_report(
     shared: &Shared,
     engines: &dyn Engines,
     start: &UpstreamStart,
     address: SocketAddr,
 ) -> Option<EngineReport> {
     let sent_at = clock::now();
-    let said = engines.report(&start.upstream, address);
-    hear(shared, start, said, sent_at)
+    let response = engines.report(&start.upstream, address);
+    apply_signals(shared, start, response, sent_at)
 }
 
-/// Gives an order, if the term in which it was decided still runs.
-pub fn give(
+/// Sends an order, unless the term in which it was decided is over.
+pub fn send_order(
     shared: &Shared,
     engines: &dyn Engines,
-    right: &Right,
+    leadership: &LeadershipDriver,
     fence: Fence,
     order: &PlannedOrder,
 ) -> OrderAnswer {
-    let given = EngineOrder {
+    let sent_order = EngineOrder {
         action: order.action,
         wish: order.wish.clone(),
         expected_orders: order.expected_orders,
@@ -62,11 +68,11 @@
         started_at_ms: order.started_at_ms,
     };
     let sent_at = clock::now();
-    // The last thing before it leaves: a holder that was paused must not send, and an engine may have asked
-    // for rest since.
-    if right.fence() != Some(fence) || rests(shared, &order.engine) {
+    // Checked directly before sending: a holder that was paused must not send orders, and the
+    // engine may have asked this instance to back off since the decision.
+    if leadership.fence() != Some(fence) || is_backing_off(shared, &order.engine) {
         return OrderAnswer::NotSent;
     }
-    let said = engines.order(order.address, &given);
-    hear(shared, &start, said, sent_at)
+    let response = engines.order(order.address, &sent_order);
+    apply_signals(shared, &start, response, sent_at)
 }
--- a/crates/instance/src/forward/limits.rs
+++ b/crates/instance/src/forward/limits.rs
@@ -1,33 +1,34 @@
-//! Upstreams that do not take a request yet: a turn at one that says how much it takes, and the end of a rest.
+//! Upstreams that do not accept a request yet: those with an advertised limit, for which the
+//! request needs a grant, and those that have asked this instance to back off.
 
 use super::{Forwarding, Target};
-use crate::limits::Turn;
+use crate::limits::LimitDecision;
 use passway_serving::upstreams::Outcome;
 use passway_types::clock;
 use passway_types::prelude::*;
 
-/// Pause before an upstream is asked for again for which nobody counts.
-const UNCOUNTED_STEP: Duration = Duration::from_millis(100);
-/// Shortest pause before an upstream in need is asked for again.
-const LEAST_PAUSE: Duration = Duration::from_millis(10);
-/// Upstreams in need that a request asks for a turn before it waits or is refused: each is a question to
-/// the holder, and those that come later are no emptier.
-const MOST_ASKED: usize = 3;
+/// Backoff before the next request for a grant when no coordinator answers.
+const UNCOUNTED_BACKOFF: Duration = Duration::from_millis(100);
+/// Shortest backoff before the next request for a grant at the same upstream.
+const MIN_BACKOFF: Duration = Duration::from_millis(10);
+/// Limited upstreams at which a request asks for a grant before it waits or is refused. Each costs
+/// a query to the coordinator, and later choices have no more free capacity.
+const MAX_GRANT_REQUESTS: usize = 3;
 
-/// An upstream that does not take the request yet.
+/// An upstream that does not accept the request yet.
 #[derive(Debug, Clone)]
-pub(super) struct HeldBack {
+pub(super) struct DeferredUpstream {
     upstream: UpstreamId,
-    /// When it is asked for again.
-    until: Instant,
-    /// Whether it is known that it does then; else nobody counts.
-    is_counted: bool,
+    /// When the request may try the upstream again.
+    retry_at: Instant,
+    /// Whether the upstream is known to accept the request then; false if no coordinator answered.
+    is_time_known: bool,
 }
 
 impl Forwarding<'_> {
-    /// The upstream that was chosen for the request, with a turn if it names a limit; `None` if the request's
-    /// turn has not come.
-    pub(super) fn with_turn(&mut self, mut target: Target) -> Option<Target> {
+    /// Acquires a grant for the chosen upstream if it is limited. `None` if the request must wait
+    /// for the grant.
+    pub(super) fn with_limit_grant(&mut self, mut target: Target) -> Option<Target> {
         let limit = self
             .shared
             .upstreams()
@@ -35,88 +36,101 @@
         let Some(per_s) = limit else {
             return Some(target);
         };
-        let turn = self.shared.limits.ask(self.shared, &target.id, per_s);
-        self.shared.metrics.turn(turn);
-        let (pause, is_counted) = match turn {
-            Turn::Now => {
-                target.has_turn = true;
+        let decision = self
+            .shared
+            .limits
+            .request_grant(self.shared, &target.id, per_s);
+        self.shared.metrics.limit_decision(decision);
+        let (backoff, is_time_known) = match decision {
+            LimitDecision::Granted => {
+                target.has_limit_grant = true;
                 return Some(target);
             }
-            Turn::After(pause) => (pause, true),
-            Turn::Unknown => (UNCOUNTED_STEP, false),
+            LimitDecision::RetryAfter(backoff) => (backoff, true),
+            LimitDecision::Undecided => (UNCOUNTED_BACKOFF, false),
         };
         let now = clock::now();
-        self.held_back.retain(|held| now < held.until);
-        self.held_back.push(HeldBack {
+        self.deferred.retain(|one| now < one.retry_at);
+        self.deferred.push(DeferredUpstream {
             upstream: target.id.clone(),
-            until: now + pause.max(LEAST_PAUSE),
-            is_counted,
+            retry_at: now + backoff.max(MIN_BACKOFF),
+            is_time_known,
         });
-        self.question = self.shared.dispatch.next_run();
-        if let Some(run) = target.run {
+        self.run_id = self.shared.dispatch.next_run_id();
+        if let Some(run_id) = target.run_id {
             self.shared
                 .dispatch
-                .ended(self.shared, run, Outcome::Unknown);
+                .run_ended(self.shared, run_id, Outcome::Unknown);
         }
         None
     }
 
-    /// Upstreams in need that do not take the request yet, and that were asked for a turn.
-    fn without_turn(&self, now: Instant) -> impl Iterator<Item = &HeldBack> {
-        self.held_back.iter().filter(move |held| now < held.until)
+    /// Limited upstreams that refused a grant and may not be tried again yet.
+    fn refused_grants(&self, now: Instant) -> impl Iterator<Item = &DeferredUpstream> {
+        self.deferred.iter().filter(move |one| now < one.retry_at)
     }
 
-    /// Upstreams that could serve the request and do not take it yet: those in need, and those that have asked
-    /// this instance for rest.
-    fn held_back(&self, now: Instant) -> Vec<HeldBack> {
+    /// Upstreams that could serve the request but do not accept it yet: limited ones without a
+    /// grant, and those that have asked this instance to back off.
+    fn deferred_upstreams(&self, now: Instant) -> Vec<DeferredUpstream> {
         let upstreams = self.shared.upstreams();
-        let closed = upstreams.closed_to(self.wanted(), now);
+        let backing_off = upstreams.closed_to(self.wanted(), now);
         drop(upstreams);
-        let resting = closed.into_iter().map(|(upstream, until)| HeldBack {
-            upstream,
-            until,
-            is_counted: true,
-        });
-        self.without_turn(now).cloned().chain(resting).collect()
+        let backing_off = backing_off
+            .into_iter()
+            .map(|(upstream, retry_at)| DeferredUpstream {
+                upstream,
+                retry_at,
+                is_time_known: true,
+            });
+        self.refused_grants(now)
+            .cloned()
+            .chain(backing_off)
+            .collect()
     }
 
-    /// Upstreams that the request does not go to now: those where it has been, and those that do not take it
-    /// yet.
-    pub(super) fn closed_to_it(&self, now: Instant) -> Vec<UpstreamId> {
-        let held = self.held_back(now).into_iter();
-        let held = held.map(|held| held.upstream);
-        self.tried.iter().cloned().chain(held).collect()
+    /// Upstreams that the request does not go to now: those already tried, and those that do not
+    /// accept it yet.
+    pub(super) fn excluded_upstreams(&self, now: Instant) -> Vec<UpstreamId> {
+        let deferred = self.deferred_upstreams(now).into_iter();
+        let deferred = deferred.map(|one| one.upstream);
+        self.tried.iter().cloned().chain(deferred).collect()
     }
 
-    /// Whether the request asks no further upstream in need for a turn.
-    pub(super) fn has_asked_enough(&self, now: Instant) -> bool {
-        self.without_turn(now).count() >= MOST_ASKED
+    /// Whether the request asks no further limited upstream for a grant.
+    pub(super) fn has_used_grant_requests(&self, now: Instant) -> bool {
+        self.refused_grants(now).count() >= MAX_GRANT_REQUESTS
     }
 
-    /// When the first of the upstreams that do not take the request yet does; `None` if none holds it back.
-    pub(super) fn turn_at(&self, now: Instant) -> Option<Instant> {
-        let held = self.held_back(now).into_iter();
-        held.map(|held| held.until).min()
+    /// When the first of the deferred upstreams accepts the request; `None` if there are none.
+    pub(super) fn next_available_at(&self, now: Instant) -> Option<Instant> {
+        let deferred = self.deferred_upstreams(now).into_iter();
+        deferred.map(|one| one.retry_at).min()
     }
 
-    /// Whether the request had better be refused, with when it may come back: only upstreams that do not take
-    /// it yet have what it needs, none does before its wait is over, and what it needs comes to no other one
-    /// by then.
-    pub(super) fn comes_in_vain(&self, wait_until: Instant, now: Instant) -> bool {
-        let held = self.held_back(now);
-        let is_late = |held: &HeldBack| held.is_counted && held.until > wait_until;
-        let has_no_turn = !held.is_empty() && held.iter().all(is_late);
-        has_no_turn && !self.comes_elsewhere(wait_until, now)
+    /// Whether the request should be refused at once with a `Retry-After`: only deferred upstreams
+    /// have its model, none of them accepts the request before its wait ends, and the model is
+    /// loaded on no other upstream by then.
+    pub(super) fn is_wait_hopeless(&self, wait_until: Instant, now: Instant) -> bool {
+        let deferred = self.deferred_upstreams(now);
+        let is_late = |one: &DeferredUpstream| one.is_time_known && one.retry_at > wait_until;
+        let is_deferred_everywhere = !deferred.is_empty() && deferred.iter().all(is_late);
+        is_deferred_everywhere && !self.can_be_served_elsewhere(wait_until, now)
     }
 
-    /// Whether an engine that takes any requests has the request's model near, or can fetch it in time.
-    fn comes_elsewhere(&self, wait_until: Instant, now: Instant) -> bool {
-        let Some(model_ref) = self.wish() else {
+    /// Whether an engine that accepts requests has the model cached, or can fetch it in time.
+    fn can_be_served_elsewhere(&self, wait_until: Instant, now: Instant) -> bool {
+        let Some(model_ref) = self.model_ref() else {
             return false;
         };
-        let comes_at = self.load_time().map(|load| now + load);
+        let ready_at = self.load_time().map(|load_time| now + load_time);
         let upstreams = self.shared.upstreams();
-        comes_at.is_some_and(|at| at <= wait_until)
-            || upstreams.lies_elsewhere(&self.service, &model_ref.model, &self.access.allowed, now)
+        ready_at.is_some_and(|at| at <= wait_until)
+            || upstreams.lies_elsewhere(
+                &self.service,
+                &model_ref.model,
+                &self.access.allowed_regions,
+                now,
+            )
     }
 }
--- a/crates/instance/src/forward/suspect.rs
+++ b/crates/instance/src/forward/suspect.rs
@@ -2,7 +2,7 @@
 
 use super::{Forwarding, Target, host_of};
 use crate::http1::Connection;
-use crate::poison::{Asked, Poison, REFUSAL_TIME, Trial};
+use crate::poison::{ExclusivePermit, PermitAnswer, PoisonTracker, REFUSAL_TIMEOUT};
 use crate::pool;
 use crate::relay::millis_since;
 use passway_process::logging::json::REQUEST_TARGET;
@@ -12,7 +12,7 @@
 use std::io::ErrorKind;
 
 impl Forwarding<'_> {
-    /// What the request asks for, whatever its id.
+    /// Digest of the request's content without its id.
     fn digest(&self) -> RequestDigest {
         *self.digest.get_or_init(|| {
             let host = host_of(self.head).unwrap_or_default();
@@ -21,99 +21,102 @@
         })
     }
 
-    /// For how long the request is refused yet, since it crashes what runs it.
+    /// How long the request is still refused because it crashes upstreams.
     pub(super) fn refused_for(&self) -> Option<Duration> {
         let poison = &self.shared.poison;
-        if poison.refused() == 0 {
+        if poison.refused_count() == 0 {
             return None;
         }
         poison.refused_for(self.digest())
     }
 
-    /// A run broke off: if the upstream has crashed, the request may be why.
-    pub(super) fn run_broke(&mut self, target: &Target, start: UpstreamStart) {
-        if let Some(trial) = &mut self.trial {
-            trial.broke();
+    /// Handles a run that broke off. If the upstream has crashed, the request becomes a suspect.
+    pub(super) fn handle_broken_run(&mut self, target: &Target, start: UpstreamStart) {
+        if let Some(permit) = &mut self.exclusive_permit {
+            permit.record_break();
         }
         let has_crashed = self.has_crashed(target);
         let ran_ms = millis_since(self.attempt_at, clock::now());
         log::info!(target: REQUEST_TARGET, request = self.facts.id, digest:% = self.digest(),
-            upstream:% = target.id, crashed = has_crashed, ran_ms = ran_ms, standing:? = self.standing;
+            upstream:% = target.id, crashed = has_crashed, ran_ms = ran_ms, standing:? = self.run_permission;
             "a run broke off");
         if !has_crashed {
-            self.doubt(target, &start, false);
+            self.watch_for_crash(target, &start, false);
             return;
         }
         let (digest, sent_at) = (self.digest(), self.attempt_at);
-        if let Some(suspect) = self.shared.poison.crashed(digest, start, sent_at) {
-            Poison::tell(self.shared, suspect);
+        if let Some(suspect) = self.shared.poison.record_crash(digest, start, sent_at) {
+            PoisonTracker::publish(self.shared, suspect);
         }
     }
 
-    /// An engine that broke off, or was `silent` until the request's time was over, may have ended although
-    /// its port does not tell: under a supervisor it stays open, and a machine that went dark says nothing.
+    /// Watches for a crash of an engine that broke off, or that was `silent` until the request's
+    /// deadline. Its port alone does not show a crash: under a supervisor the port stays open, and
+    /// a machine that has lost power sends nothing.
     ///
-    /// Plain upstreams tell nothing of their start, and reset connections beyond those that they take.
-    pub(super) fn doubt(&self, target: &Target, start: &UpstreamStart, silent: bool) {
+    /// Plain upstreams are left out, because they do not report their start and reset connections
+    /// beyond those that they accept.
+    pub(super) fn watch_for_crash(&self, target: &Target, start: &UpstreamStart, is_silent: bool) {
         if !self.is_engine || self.shared.upstreams().is_draining(&target.id) {
             return;
         }
         let (digest, sent_at) = (self.digest(), self.attempt_at);
-        if silent {
-            Poison::doubt(self.shared, digest, start, sent_at, target.address);
+        if is_silent {
+            PoisonTracker::probe_after_break(self.shared, digest, start, sent_at, target.address);
         } else {
-            Poison::broke_off(self.shared, digest, start, sent_at, target.address);
+            PoisonTracker::record_break(self.shared, digest, start, sent_at, target.address);
         }
     }
 
-    /// Whether the request may run now, as far as upstreams tell that broke off under it.
-    pub(super) fn may_run_beside_doubt(&mut self) -> bool {
+    /// Whether the request may run now, given the upstreams that broke off while they ran it.
+    pub(super) fn may_run_now(&mut self) -> bool {
         let poison = &self.shared.poison;
-        self.standing = if poison.is_empty() {
+        self.run_permission = if poison.is_empty() {
             Standing::Free
         } else {
-            poison.standing(self.digest())
+            poison.run_permission(self.digest())
         };
-        match self.standing {
+        match self.run_permission {
             Standing::Free => true,
             Standing::Held => false,
-            Standing::Alone => self.may_run_alone(),
+            Standing::Alone => self.has_exclusive_permit(),
         }
     }
 
-    /// Whether the request has its turn among those like it. Nothing but the counter's word gives it one.
-    fn may_run_alone(&mut self) -> bool {
+    /// Whether the request has the exclusive permit for its digest. Only the coordinator can grant
+    /// it.
+    fn has_exclusive_permit(&mut self) -> bool {
         let digest = self.digest();
-        let left = self.deadline_at.saturating_duration_since(clock::now());
-        let trial = self
-            .trial
-            .get_or_insert_with(|| Trial::new(self.shared, digest));
-        trial.ask(left) == Asked::Granted
+        let remaining = self.deadline_at.saturating_duration_since(clock::now());
+        let permit = self
+            .exclusive_permit
+            .get_or_insert_with(|| ExclusivePermit::new(self.shared, digest));
+        permit.request(remaining) == PermitAnswer::Granted
     }
 
-    /// A run has ended with an answer, so the request does not crash what runs it.
-    pub(super) fn run_answered(&self) {
+    /// Handles a run that ended with an answer: the request does not crash its upstreams.
+    pub(super) fn handle_answered_run(&self) {
         let poison = &self.shared.poison;
         if poison.is_empty() {
             return;
         }
-        if let Some(suspect) = poison.answered(self.digest()) {
-            Poison::tell(self.shared, suspect);
+        if let Some(suspect) = poison.record_answer(self.digest()) {
+            PoisonTracker::publish(self.shared, suspect);
         }
     }
 
-    /// Whether an upstream that broke off has crashed: nobody listens at its port, and it had not
-    /// said that it leaves. A lost connection and a spoilt answer leave it where it is.
+    /// Whether an upstream that broke off has crashed: its port refuses connections, and it had not
+    /// signalled that it leaves. A lost connection or an invalid answer alone is no crash.
     fn has_crashed(&self, target: &Target) -> bool {
         if self.shared.upstreams().is_draining(&target.id) {
             return false;
         }
-        match Connection::connect(target.address, REFUSAL_TIME) {
+        match Connection::connect(target.address, REFUSAL_TIMEOUT) {
             Ok(connection) => {
-                // It lives, and the connection serves the next request.
-                let rest = pool::rest_time(None);
+                // The upstream is alive, and the connection can serve the next request.
+                let idle_ttl = pool::idle_ttl(None);
                 let pool = &self.shared.pool;
-                pool.put(&target.id, connection, rest, clock::now());
+                pool.put(&target.id, connection, idle_ttl, clock::now());
                 false
             }
             Err(error) => error.kind() == ErrorKind::ConnectionRefused,
--- a/crates/instance/src/freshness.rs
+++ b/crates/instance/src/freshness.rs
@@ -1,11 +1,11 @@
-//! How new the configuration of this instance is for sure, and the questions that prove it.
+//! Proves how recent this instance's configuration is, with queries to other instances.
 //!
-//! The configuration's feed proves it whenever the store answers. An instance that hears the holder
-//! of the right to order does not ask the store; it asks the holder how old the holder's proof is,
-//! once a second, and others if the holder does not answer or knows no better. The holder's answer
-//! also shows that it can be asked what workspaces may use.
+//! The configuration's feed proves it whenever the store answers. An instance that relies on the
+//! holder of leadership does not query the store. Once a second it asks the holder how old the
+//! holder's proof is, and asks other instances if the holder does not answer or has no better
+//! proof. The holder's answer also shows that the holder can be asked about workspaces' allotments.
 
-use crate::questions::Questions;
+use crate::queries::PendingQueries;
 use crate::relay::{millis, millis_since};
 use crate::shared::Shared;
 use passway_process::logging::json::DECISION_TARGET;
@@ -18,29 +18,31 @@
 use std::net::SocketAddr;
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 
-/// Part of the bound after which a proof is asked for: four more questions fit into the rest.
-const ASK_PART: u32 = 5;
-/// Part of the bound after which a proof is old enough to ask others than the holder, and the store.
-pub const OLD_PART: u32 = 2;
-/// Other instances that are asked at a time.
-const OTHERS_ASKED: usize = 2;
-/// Pause between two looks where no proof is needed.
-const REST: Duration = Duration::from_secs(1);
-/// The holder is asked so often, whether a proof is needed or not: it keeps allotments.
-const HOLDER_PAUSE: Duration = Duration::from_secs(1);
-/// Pause after questions that proved nothing.
-const AGAIN_PAUSE: Duration = Duration::from_millis(200);
-
-/// What an instance can prove of its configuration.
+/// Divides the bound to get the age at which a proof is renewed; four more queries fit into the
+/// rest.
+const REFRESH_DIVISOR: u32 = 5;
+/// Divides the bound to get the age at which other instances and the store are queried, too.
+pub const STALE_DIVISOR: u32 = 2;
+/// Number of other instances that are queried at a time.
+const PEERS_PER_QUERY: usize = 2;
+/// Interval of checks while no proof is needed.
+const IDLE_INTERVAL: Duration = Duration::from_secs(1);
+/// The holder is queried at this interval even without need for a proof, because it counts
+/// allotments.
+const HOLDER_QUERY_INTERVAL: Duration = Duration::from_secs(1);
+/// Delay after queries that proved nothing.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+
+/// What an instance can prove of its configuration's age.
 #[derive(Debug, Default)]
 pub struct ConfigurationAge {
     state: Mutex<Freshness>,
-    /// Something was proved.
-    proved: Condvar,
-    /// A request needs a proof.
-    wanted: Condvar,
-    asked: Questions<VersionAnswer>,
-    /// When the holder of the right to order answered last.
+    /// Notified when the proof has changed.
+    proof_updated: Condvar,
+    /// Notified when a request needs a proof.
+    proof_wanted: Condvar,
+    pending: PendingQueries<VersionAnswer>,
+    /// When the holder of leadership last answered.
     holder_answered_at: Mutex<Option<Instant>>,
 }
 
@@ -51,16 +53,17 @@
 
     fn update(&self, change: impl FnOnce(&mut Freshness)) {
         change(&mut self.state());
-        self.proved.notify_all();
+        self.proof_updated.notify_all();
     }
 
-    /// A version is in force: it was put into effect before this is called.
+    /// Records the version in effect. The version must take effect before this is called.
     pub fn set_in_force(&self, version: Revision) {
         self.update(|freshness| freshness.set_in_force(version));
     }
 
-    /// The store, asked at a moment, has told all that it has; that is in force.
-    pub fn store_answered(&self, version: Revision, asked_at: Instant) {
+    /// Records that the store, queried at `asked_at`, had no newer version than `version`, which
+    /// is in effect.
+    pub fn record_store_answer(&self, version: Revision, asked_at: Instant) {
         self.update(|freshness| freshness.confirm(Confirmation { version, asked_at }));
     }
 
@@ -70,31 +73,34 @@
         Some(clock::since(proof.asked_at))
     }
 
-    /// Whether keys may be acted on now.
-    pub fn permits(&self, bound: Duration) -> bool {
+    /// Whether the proof is recent enough to act on workspaces' keys.
+    pub fn is_proved_within(&self, bound: Duration) -> bool {
         let until = self.state().permits_until(bound);
         until.is_some_and(|until| clock::now() < until)
     }
 
-    /// Has the configuration proved anew, and waits for that up to a moment; whether keys may be
-    /// acted on then.
-    pub fn wait_until_permitted(&self, bound: Duration, until: Instant) -> bool {
+    /// Requests a new proof, and waits for it until `until`. Returns whether workspaces' keys may
+    /// be acted on then.
+    pub fn wait_until_proved(&self, bound: Duration, until: Instant) -> bool {
         loop {
-            if self.permits(bound) {
+            if self.is_proved_within(bound) {
                 return true;
             }
-            let left = until.saturating_duration_since(clock::now());
-            if left.is_zero() {
+            let timeout = until.saturating_duration_since(clock::now());
+            if timeout.is_zero() {
                 return false;
             }
-            self.wanted.notify_all();
+            self.proof_wanted.notify_all();
             let state = self.state();
-            // It is looked again in any case.
-            drop(self.proved.wait_timeout(state, left.min(AGAIN_PAUSE)));
+            // The loop checks again after a notification as well as after the timeout.
+            drop(
+                self.proof_updated
+                    .wait_timeout(state, timeout.min(RETRY_DELAY)),
+            );
         }
     }
 
-    /// Time since the holder of the right to order has answered; `None` if none has yet.
+    /// Time since the holder of leadership last answered; `None` if it never did.
     pub fn holder_silence(&self) -> Option<Duration> {
         self.holder_answered_at().map(clock::since)
     }
@@ -104,121 +110,134 @@
         answered_at.unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Answers another instance's question.
-    pub fn told(&self, ask: &VersionQuery) -> VersionAnswer {
+    /// Answers another instance's query.
+    pub fn answer_query(&self, query: &VersionQuery) -> VersionAnswer {
         let proof = self.state().proof();
         VersionAnswer {
-            id: ask.id,
+            id: query.id,
             version: proof.map_or(0, |proof| proof.version),
             age_ms: proof.map_or(0, |proof| millis_since(proof.asked_at, clock::now()) + 1),
         }
     }
 
-    /// Takes in the answer to a question of this instance.
-    pub fn answered(&self, told: VersionAnswer) {
-        self.asked.answered(told.id, told);
+    /// Receives the answer to a query of this instance.
+    pub fn receive_answer(&self, answer: VersionAnswer) {
+        self.pending.deliver_answer(answer.id, answer);
     }
 
-    /// Asks an instance; whether it could prove anything.
-    fn ask(&self, shared: &Shared, address: SocketAddr) -> bool {
+    /// Queries an instance. Returns whether it proved anything.
+    fn query(&self, shared: &Shared, address: SocketAddr) -> bool {
         let id = rand::random();
         let asked_at = clock::now();
-        let ask = Body::VersionQuery(VersionQuery { id });
-        let told = self
-            .asked
-            .ask(id, || shared.dispatch.send(address, ask.clone()));
-        let Some(told) = told.filter(|told| told.version > 0) else {
+        let query = Body::VersionQuery(VersionQuery { id });
+        let answer = self
+            .pending
+            .send_and_wait(id, || shared.dispatch.send(address, query.clone()));
+        let Some(answer) = answer.filter(|answer| answer.version > 0) else {
             return false;
         };
-        let age = Duration::from_millis(told.age_ms);
+        let age = Duration::from_millis(answer.age_ms);
         let Some(asked_at) = asked_at.checked_sub(age) else {
             return false;
         };
         self.update(|freshness| {
             freshness.confirm(Confirmation {
-                version: told.version,
+                version: answer.version,
                 asked_at,
             });
         });
         true
     }
 
-    /// Asks the holder, and others if that does not help.
-    fn ask_around(&self, shared: &Shared, bound: Duration) {
-        let me = &shared.settings.instance;
-        let holder = shared.right().and_then(|right| right.holder());
-        let answers = holder
-            .as_ref()
-            .is_some_and(|holder| holder.instance == *me || self.ask(shared, holder.address));
-        if answers {
+    /// Queries the holder, and other instances if that is not sufficient.
+    fn query_peers(&self, shared: &Shared, bound: Duration) {
+        let this_instance = &shared.settings.instance;
+        let holder = shared
+            .leadership()
+            .and_then(|leadership| leadership.holder());
+        let holder_answers = holder.as_ref().is_some_and(|holder| {
+            holder.instance == *this_instance || self.query(shared, holder.address)
+        });
+        if holder_answers {
             *self.holder_answered_at() = Some(clock::now());
         }
-        if self.is_younger(bound / OLD_PART) {
+        if self.is_younger(bound / STALE_DIVISOR) {
             return;
         }
         let others = shared.other_instances();
         let others: Vec<SocketAddr> = others
             .into_iter()
-            .filter(|address| holder.as_ref().is_none_or(|one| one.address != *address))
+            .filter(|address| {
+                holder
+                    .as_ref()
+                    .is_none_or(|holder| holder.address != *address)
+            })
             .collect();
-        for address in others.sample(&mut rand::rng(), OTHERS_ASKED) {
-            self.ask(shared, *address);
+        for address in others.sample(&mut rand::rng(), PEERS_PER_QUERY) {
+            self.query(shared, *address);
         }
     }
 
-    /// Whether there is a proof that is younger than this.
+    /// Whether there is a proof that is younger than `age`.
     pub fn is_younger(&self, age: Duration) -> bool {
         self.age().is_some_and(|proof| proof < age)
     }
 
-    /// Proves the configuration for as long as the process lives.
+    /// Starts the thread that keeps the configuration proved.
     pub fn start(shared: &Arc<Shared>) {
         let shared = shared.clone();
         std::thread::spawn(move || shared.configuration_age.run(&shared));
     }
 
     fn run(&self, shared: &Shared) {
-        let mut permitted = true;
+        let mut was_proved = true;
         loop {
-            let bound = shared.revocation();
+            let bound = shared.revocation_bound();
             if let Some(bound) = bound {
-                let permits = self.permits(bound);
-                if permits != permitted {
-                    permitted = permits;
+                let is_proved = self.is_proved_within(bound);
+                if is_proved != was_proved {
+                    was_proved = is_proved;
                     let age_ms = self.age().map_or(0, millis);
-                    log::info!(target: DECISION_TARGET, age_ms = age_ms, permits = permits; "proof of the configuration");
+                    log::info!(target: DECISION_TARGET, age_ms = age_ms, permits = is_proved; "proof of the configuration");
                 }
             }
             let has_allotments = shared.has_allotments();
-            let pause = if bound.is_some() || has_allotments {
-                // Without a bound any proof is young enough.
-                self.keep_proved(shared, bound.unwrap_or(Duration::MAX), has_allotments)
+            let delay = if bound.is_some() || has_allotments {
+                // Without a bound, any proof is recent enough.
+                self.refresh_if_due(shared, bound.unwrap_or(Duration::MAX), has_allotments)
             } else {
-                REST
+                IDLE_INTERVAL
             };
             let state = self.state();
-            // It is looked again in any case.
-            drop(self.wanted.wait_timeout(state, pause));
+            // The loop checks again after a notification as well as after the timeout.
+            drop(self.proof_wanted.wait_timeout(state, delay));
         }
     }
 
-    /// Asks if that is due; the pause until it may be again.
-    fn keep_proved(&self, shared: &Shared, bound: Duration, asks_holder: bool) -> Duration {
+    /// Queries other instances if that is due. Returns the delay until the next check.
+    fn refresh_if_due(
+        &self,
+        shared: &Shared,
+        bound: Duration,
+        must_query_holder: bool,
+    ) -> Duration {
         let due_in = || {
-            let proof = self.age().map(|age| (bound / ASK_PART).saturating_sub(age));
-            let proof = proof.unwrap_or_default();
+            let proof_due = self
+                .age()
+                .map(|age| (bound / REFRESH_DIVISOR).saturating_sub(age));
+            let proof_due = proof_due.unwrap_or_default();
             let silence = self.holder_silence();
-            let holder = silence.map(|silence| HOLDER_PAUSE.saturating_sub(silence));
-            let holder = holder.unwrap_or_default();
-            if asks_holder {
-                proof.min(holder)
+            let holder_due = silence.map(|silence| HOLDER_QUERY_INTERVAL.saturating_sub(silence));
+            let holder_due = holder_due.unwrap_or_default();
+            if must_query_holder {
+                proof_due.min(holder_due)
             } else {
-                proof
+                proof_due
             }
         };
         if due_in().is_zero() {
-            self.ask_around(shared, bound);
+            self.query_peers(shared, bound);
         }
-        due_in().clamp(AGAIN_PAUSE, REST)
+        due_in().clamp(RETRY_DELAY, IDLE_INTERVAL)
     }
 }
--- a/crates/instance/src/report.rs
+++ b/crates/instance/src/report.rs
@@ -1,11 +1,12 @@
-//! What this instance tells the holder of the right to order, and hears from it.
+//! The connection to the holder of leadership: reports what this instance needs, and receives what
+//! the holder sends.
 
+use crate::leadership::LeadershipDriver;
 use crate::members;
 use crate::poison;
 use crate::relay::Relay;
-use crate::right::Right;
-use crate::shared::{Need, Shared};
-use crate::words;
+use crate::shared::{ReportEvent, Shared};
+use crate::signals;
 use crossbeam::channel::{Receiver, RecvTimeoutError};
 use passway_process::dial::{DialEvent, Dialer};
 use passway_process::outbox::Outbox;
@@ -23,22 +24,26 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// Time for which requests that were taken are told to a new holder: the time over
-/// which it averages.
-const RECENT: Duration = Duration::from_secs(4);
-/// Pause between two reports of use when nothing waits.
-const REPORT_PAUSE: Duration = Duration::from_millis(400);
+/// Requests within this time are reported to a new holder, which averages over the same time.
+const RECENT_WINDOW: Duration = Duration::from_secs(4);
+/// Interval of reports if nothing urgent happens.
+const REPORT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Pause between two requests for the holder's news.
-const SUBSCRIBE_PAUSE: Duration = Duration::from_millis(600);
+/// Delay before a subscription to the holder's updates is sent again.
+const SUBSCRIBE_INTERVAL: Duration = Duration::from_millis(600);
 
 type Link = Arc<Mutex<Option<Outbox>>>;
 
-/// Reports for as long as the process lives.
-pub fn start(shared: &Arc<Shared>, right: &Arc<Right>, relay: &Arc<Relay>, needs: Receiver<Need>) {
+/// Starts the thread that reports to the holder until the process exits.
+pub fn start(
+    shared: &Arc<Shared>,
+    leadership: &Arc<LeadershipDriver>,
+    relay: &Arc<Relay>,
+    needs: Receiver<ReportEvent>,
+) {
     let reporter = Reporter {
         shared: shared.clone(),
-        right: right.clone(),
+        leadership: leadership.clone(),
         relay: relay.clone(),
         link: Link::default(),
         subscribed_at: None,
@@ -46,175 +51,181 @@
         dialed: None,
         taken: BTreeMap::new(),
         waiting: BTreeMap::new(),
-        missed: Vec::new(),
-        untold: BTreeSet::new(),
+        refused: Vec::new(),
+        unreported: BTreeSet::new(),
         suspects: Vec::new(),
         breaks: Vec::new(),
-        words: BTreeSet::new(),
+        changed_signals: BTreeSet::new(),
         recent: VecDeque::new(),
-        is_new: Arc::default(),
+        is_new_connection: Arc::default(),
     };
     std::thread::spawn(move || reporter.run(&needs));
 }
 
 struct Reporter {
     shared: Arc<Shared>,
-    right: Arc<Right>,
+    leadership: Arc<LeadershipDriver>,
     relay: Arc<Relay>,
     link: Link,
     subscribed_at: Option<Instant>,
     last_running: Vec<RunCount>,
     dialed: Option<(Holder, Dialer)>,
-    taken: Taken,
-    /// What requests wait for here.
-    waiting: BTreeMap<WishKey, WaitingHere>,
-    /// Requests that were refused at once, and until when they count as waiting.
-    missed: Vec<(Instant, WishKey)>,
-    /// What of it the holder was not told.
-    untold: BTreeSet<WishKey>,
-    /// Requests of which something became known that the holder was not told.
+    taken: TakenCounts,
+    /// Requests of this instance that wait for a model or adapter.
+    waiting: BTreeMap<DemandKey, LocalWaiters>,
+    /// Requests that were refused at once, and until when each counts as waiting.
+    refused: Vec<(Instant, DemandKey)>,
+    /// Changes of `waiting` that were not reported to the holder yet.
+    unreported: BTreeSet<DemandKey>,
+    /// Updates of suspect requests that were not reported to the holder yet.
     suspects: Vec<Suspect>,
-    /// Upstreams that broke off here.
+    /// Upstreams that broke off under requests of this instance.
     breaks: Vec<(UpstreamStart, Instant)>,
-    /// Upstreams that said something else of themselves than before.
-    words: BTreeSet<UpstreamId>,
-    /// What was taken lately, for a holder that begins its term.
-    recent: VecDeque<(Instant, WishKey)>,
-    /// Set when a connection to a holder has been made that was told nothing yet.
-    is_new: Arc<AtomicBool>,
+    /// Upstreams whose signals changed.
+    changed_signals: BTreeSet<UpstreamId>,
+    /// Recent requests, for a holder that begins its term.
+    recent: VecDeque<(Instant, DemandKey)>,
+    /// Whether nothing was reported yet on the current connection to a holder.
+    is_new_connection: Arc<AtomicBool>,
 }
 
 /// A model or adapter of a service.
-type WishKey = (ServiceName, ModelName, Option<AdapterName>);
-type Taken = BTreeMap<WishKey, u32>;
+type DemandKey = (ServiceName, ModelName, Option<AdapterName>);
+type TakenCounts = BTreeMap<DemandKey, u32>;
 
 /// Requests of this instance that wait for one model or adapter.
 #[derive(Debug, Clone, Copy)]
-struct WaitingHere {
+struct LocalWaiters {
     count: u32,
-    /// When the last of them gives up.
+    /// When the last of the requests gives up.
     until: Instant,
 }
 
-fn key(service: ServiceName, wish: ModelRef) -> WishKey {
+fn demand_key(service: ServiceName, wish: ModelRef) -> DemandKey {
     (service, wish.model, wish.adapter)
 }
 
-fn wish((service, model, adapter): &WishKey, count: u32, wait: Duration) -> ModelRequests {
+fn encode_demand(
+    (service, model, adapter): &DemandKey,
+    count: u32,
+    timeout: Duration,
+) -> ModelRequests {
     ModelRequests {
         service: service.to_string(),
         model: model.to_string(),
         adapter: adapter.as_deref().unwrap_or_default().to_owned(),
-        remaining_wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
+        remaining_wait_ms: u32::try_from(timeout.as_millis()).unwrap_or(u32::MAX),
         count,
     }
 }
 
 impl Reporter {
-    fn run(mut self, needs: &Receiver<Need>) {
-        let mut report_at = clock::now() + REPORT_PAUSE;
+    fn run(mut self, needs: &Receiver<ReportEvent>) {
+        let mut report_at = clock::now() + REPORT_INTERVAL;
         loop {
-            let left = report_at.saturating_duration_since(clock::now());
-            match needs.recv_timeout(left) {
-                Ok(need) => self.take(need),
+            let timeout = report_at.saturating_duration_since(clock::now());
+            match needs.recv_timeout(timeout) {
+                Ok(need) => self.record(need),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
             while let Ok(need) = needs.try_recv() {
-                self.take(need);
+                self.record(need);
             }
-            let due = clock::now() >= report_at;
-            if due {
-                report_at = clock::now() + REPORT_PAUSE;
+            let is_report_due = clock::now() >= report_at;
+            if is_report_due {
+                report_at = clock::now() + REPORT_INTERVAL;
             }
-            self.end_missed(clock::now());
-            self.dial();
+            self.expire_refused(clock::now());
+            self.connect_to_holder();
             self.subscribe();
-            if due
-                || !self.untold.is_empty()
+            if is_report_due
+                || !self.unreported.is_empty()
                 || !self.suspects.is_empty()
                 || !self.breaks.is_empty()
-                || !self.words.is_empty()
-                || self.is_new.load(Ordering::Acquire)
+                || !self.changed_signals.is_empty()
+                || self.is_new_connection.load(Ordering::Acquire)
             {
                 self.send();
             }
         }
     }
 
-    fn wait_begins(&mut self, key: WishKey, until: Instant) {
-        let here = self.waiting.entry(key.clone());
-        let here = here.or_insert(WaitingHere { count: 0, until });
-        here.count += 1;
-        here.until = here.until.max(until);
-        self.untold.insert(key);
+    fn add_waiter(&mut self, key: DemandKey, until: Instant) {
+        let waiters = self.waiting.entry(key.clone());
+        let waiters = waiters.or_insert(LocalWaiters { count: 0, until });
+        waiters.count += 1;
+        waiters.until = waiters.until.max(until);
+        self.unreported.insert(key);
     }
 
-    fn wait_ends(&mut self, key: WishKey) {
-        if let Some(here) = self.waiting.get_mut(&key) {
-            here.count -= 1;
-            if here.count == 0 {
+    fn remove_waiter(&mut self, key: DemandKey) {
+        if let Some(waiters) = self.waiting.get_mut(&key) {
+            waiters.count -= 1;
+            if waiters.count == 0 {
                 self.waiting.remove(&key);
             }
         }
-        self.untold.insert(key);
+        self.unreported.insert(key);
     }
 
-    /// Requests that were refused count as waiting no longer than they would have waited.
-    fn end_missed(&mut self, now: Instant) {
-        let over: Vec<WishKey> = self
-            .missed
+    /// Refused requests count as waiting no longer than they would have waited.
+    fn expire_refused(&mut self, now: Instant) {
+        let expired: Vec<DemandKey> = self
+            .refused
             .extract_if(.., |(until, _)| now >= *until)
             .map(|(_, key)| key)
             .collect();
-        for key in over {
-            self.wait_ends(key);
+        for key in expired {
+            self.remove_waiter(key);
         }
     }
 
-    fn take(&mut self, need: Need) {
+    fn record(&mut self, need: ReportEvent) {
         match need {
-            Need::Waits {
+            ReportEvent::WaitStarted {
                 service,
-                wish,
+                model_ref,
                 until,
-            } => self.wait_begins(key(service, wish), until),
-            Need::WaitEnds { service, wish } => self.wait_ends(key(service, wish)),
-            Need::Missed {
+            } => self.add_waiter(demand_key(service, model_ref), until),
+            ReportEvent::WaitEnded { service, model_ref } => {
+                self.remove_waiter(demand_key(service, model_ref));
+            }
+            ReportEvent::RefusedAsTooLate {
                 service,
-                wish,
+                model_ref,
                 until,
             } => {
-                let key = key(service, wish);
-                self.missed.push((until, key.clone()));
-                self.wait_begins(key, until);
+                let key = demand_key(service, model_ref);
+                self.refused.push((until, key.clone()));
+                self.add_waiter(key, until);
             }
-            Need::Suspect(suspect) => self.suspects.push(suspect),
-            Need::Broke(start, at) => self.breaks.push((start, at)),
-            Need::Word(upstream) => {
-                self.words.insert(upstream);
+            ReportEvent::Suspect(suspect) => self.suspects.push(suspect),
+            ReportEvent::StartBroken(start, at) => self.breaks.push((start, at)),
+            ReportEvent::SignalsChanged(upstream) => {
+                self.changed_signals.insert(upstream);
             }
-            // It is a reason to look, which follows in any case.
-            Need::HolderReached => {}
-            Need::Taken { service, wish } => {
+            // The message only wakes the thread, which then reports what is due.
+            ReportEvent::HolderConnected => {}
+            ReportEvent::RequestAccepted { service, model_ref } => {
                 let now = clock::now();
                 while self
                     .recent
                     .front()
-                    .is_some_and(|(at, ..)| *at + RECENT < now)
+                    .is_some_and(|(at, ..)| *at + RECENT_WINDOW < now)
                 {
                     self.recent.pop_front();
                 }
-                let key = key(service, wish);
+                let key = demand_key(service, model_ref);
                 self.recent.push_back((now, key.clone()));
                 *self.taken.entry(key).or_default() += 1;
             }
         }
     }
 
-    /// Connects to the holder of the right, if it is another one than before.
-    fn dial(&mut self) {
-        let Some(holder) = self.right.holder() else {
+    /// Connects to the holder of leadership if it has changed.
+    fn connect_to_holder(&mut self) {
+        let Some(holder) = self.leadership.holder() else {
             return;
         };
         if self
@@ -227,87 +238,92 @@
         let (shared, link) = (self.shared.clone(), self.link.clone());
         let relay = self.relay.clone();
         {
-            // Together: a word of the former holder that is being taken in comes before both.
+            // Both changes happen under the lock, so that a message of the previous holder that is
+            // being applied comes before both.
             let mut link = link.lock().unwrap_or_else(PoisonError::into_inner);
             *link = None;
-            relay.succeeded();
+            relay.holder_changed();
         }
         self.subscribed_at = None;
-        let right = self.right.clone();
+        let leadership = self.leadership.clone();
         let dialed_holder = holder.clone();
-        let is_new = self.is_new.clone();
+        let is_new_connection = self.is_new_connection.clone();
         let dialer = Dialer::start(holder.address, move |dialed| {
             let mut link = link.lock().unwrap_or_else(PoisonError::into_inner);
-            if right.holder().as_ref() != Some(&dialed_holder) {
-                // Another one holds the right by now; its own dialer speaks.
+            if leadership.holder().as_ref() != Some(&dialed_holder) {
+                // Another instance is the holder by now, and the dialer for it handles the
+                // messages.
                 return;
             }
             match dialed {
                 DialEvent::Connected(outbox) => {
                     *link = Some(outbox);
-                    is_new.store(true, Ordering::Release);
+                    is_new_connection.store(true, Ordering::Release);
                     drop(link);
-                    shared.tell(Need::HolderReached);
+                    shared.report(ReportEvent::HolderConnected);
                 }
                 DialEvent::Disconnected => {
                     *link = None;
-                    relay.lost();
+                    relay.holder_disconnected();
                 }
-                DialEvent::Received(Body::Updates(news)) => {
-                    if let Some(instances) =
-                        usize::try_from(news.instance_count).ok().filter(|n| *n > 0)
+                DialEvent::Received(Body::Updates(message)) => {
+                    if let Some(instances) = usize::try_from(message.instance_count)
+                        .ok()
+                        .filter(|n| *n > 0)
                     {
-                        shared.use_instances(instances);
+                        shared.set_instance_count(instances);
                     }
-                    if news.queued_at_ms > 0 {
-                        let doubtful = news.unconfirmed.iter().map(|id| id.as_str().into());
-                        shared.set_doubtful_engines(doubtful.collect());
+                    if message.queued_at_ms > 0 {
+                        let unconfirmed = message.unconfirmed.iter().map(|id| id.as_str().into());
+                        shared.set_unconfirmed_engines(unconfirmed.collect());
                     }
-                    relay.heard(news);
+                    relay.receive(message);
                     drop(link);
                 }
-                DialEvent::Received(Body::Members(told)) => {
+                DialEvent::Received(Body::Members(members)) => {
                     drop(link);
-                    *shared.members() = members::decode(&told);
+                    *shared.members() = members::decode(&members);
                 }
                 DialEvent::Received(Body::NewHolder(term)) => {
-                    // Believed like any other word about the right: while the store is silent.
+                    // Like any message about leadership, it only counts while the store does not
+                    // answer.
                     drop(link);
-                    let holder = members::successor(&term);
+                    let holder = members::decode_holder(&term);
                     let is_same = |named: &Holder| named.instance == dialed_holder.instance;
                     if let Some(holder) = holder.filter(is_same)
                         && shared.store_health.is_failing()
-                        && right.told(holder)
+                        && leadership.learn_holder(holder)
                     {
                         log::info!(fence = term.fence; "a new term of the same holder");
                     }
                 }
-                DialEvent::Received(Body::Dispatchers(told)) => {
+                DialEvent::Received(Body::Dispatchers(dispatchers)) => {
                     drop(link);
-                    let list = members::decode(&told).into_iter();
+                    let list = members::decode(&dispatchers).into_iter();
                     let list = list.map(|(instance, address)| Candidate { instance, address });
-                    shared.dispatch.set(list.collect());
+                    shared.dispatch.set_dispatchers(list.collect());
                 }
-                DialEvent::Received(Body::Suspects(told)) => {
+                DialEvent::Received(Body::Suspects(suspects)) => {
                     drop(link);
-                    for (start, at) in shared.poison.join_breaks(&told.disconnects) {
+                    for (start, at) in shared.poison.merge_breaks(&suspects.disconnects) {
                         shared.upstreams().doubt(&start.upstream, at);
                     }
-                    // Only a word on requests says that what the fleet knows of them was told.
-                    if !told.suspects.is_empty() || told.disconnects.is_empty() {
-                        shared.poison.join(told);
+                    // Only a message about requests shows that the fleet's list was received.
+                    if !suspects.suspects.is_empty() || suspects.disconnects.is_empty() {
+                        shared.poison.merge_fleet_list(suspects);
                     }
                 }
-                DialEvent::Received(Body::KnownSignals(told)) => {
+                DialEvent::Received(Body::KnownSignals(signals)) => {
                     drop(link);
-                    words::join(&shared, told);
+                    signals::merge(&shared, signals);
                 }
                 DialEvent::Received(Body::Placements(placements)) => {
                     drop(link);
-                    placed(&shared, placements.engines);
+                    apply_placements(&shared, placements.engines);
                 }
                 DialEvent::Received(Body::PromiseRequest(wanted)) => {
-                    if let Some(promise) = promise(&shared, &right, &dialed_holder, wanted)
+                    if let Some(promise) =
+                        answer_promise_request(&shared, &leadership, &dialed_holder, wanted)
                         && let Some(outbox) = link.as_ref()
                     {
                         outbox.send(Body::Promise(promise));
@@ -319,41 +335,45 @@
         self.dialed = Some((holder, dialer));
     }
 
-    /// Asks the holder for the store's news, once this instance knows it up to some point.
+    /// Subscribes to the holder's updates, once this instance knows the feeds up to some revision.
     fn subscribe(&mut self) {
-        let holder = self.right.holder();
-        let is_me = holder.is_none_or(|h| h.instance == self.shared.settings.instance);
-        if self.is_new.load(Ordering::Acquire) {
+        let holder = self.leadership.holder();
+        let has_no_other_holder =
+            holder.is_none_or(|holder| holder.instance == self.shared.settings.instance);
+        if self.is_new_connection.load(Ordering::Acquire) {
             self.subscribed_at = None;
         }
-        // The holder may not have begun its term when it was asked.
-        let asked = self.subscribed_at;
-        let hears_all = self.relay.is_heard() && !self.relay.wants_again();
-        if is_me || hears_all || asked.is_some_and(|at| clock::since(at) < SUBSCRIBE_PAUSE) {
+        // A subscription may be lost if the holder had not begun its term yet, so it is repeated.
+        let requested_at = self.subscribed_at;
+        let receives_all = self.relay.is_holder_alive() && !self.relay.needs_resend();
+        if has_no_other_holder
+            || receives_all
+            || requested_at.is_some_and(|at| clock::since(at) < SUBSCRIBE_INTERVAL)
+        {
             return;
         }
         let mut link = self.link.lock().unwrap_or_else(PoisonError::into_inner);
         let Some(outbox) = link.as_ref() else {
             return;
         };
-        if self.relay.is_silent() {
-            // The connection may have fallen silent; a new one tells whether the holder has.
+        if self.relay.is_holder_silent() {
+            // Either the connection or the holder may have failed; a new connection shows which.
             outbox.close();
             *link = None;
-            self.relay.lost();
+            self.relay.holder_disconnected();
             return;
         }
-        let known = self.relay.known();
-        let reads_itself = known.contains(&0) && !self.relay.wants_again();
-        if reads_itself && !self.shared.store_health.is_failing() {
-            // The store tells it soon, and the holder is spared telling everything.
+        let known = self.relay.known_revisions();
+        let reads_store = known.contains(&0) && !self.relay.needs_resend();
+        if reads_store && !self.shared.store_health.is_failing() {
+            // The store answers soon, which saves the holder sending everything.
             return;
         }
         outbox.send(Body::Subscribe(Subscribe {
             known_revisions: known.to_vec(),
             instance: self.shared.settings.instance.to_string(),
             address: self.shared.settings.peer_address.to_string(),
-            is_weak: self.right.is_weak(),
+            is_weak: self.leadership.is_weak(),
             placement_digests: self.shared.upstreams().placement_digests().collect(),
         }));
         self.subscribed_at = Some(clock::now());
@@ -362,43 +382,50 @@
     fn send(&mut self) {
         let link = self.link.lock().unwrap_or_else(PoisonError::into_inner);
         let Some(outbox) = link.as_ref() else {
-            // A new connection is told what was taken lately and what waits then.
+            // Without a connection the changes are dropped: a new connection starts with a full
+            // report.
             self.taken.clear();
-            self.untold.clear();
+            self.unreported.clear();
             self.suspects.clear();
             self.breaks.clear();
-            self.words.clear();
+            self.changed_signals.clear();
             return;
         };
         let mut taken = std::mem::take(&mut self.taken);
-        let mut untold = std::mem::take(&mut self.untold);
+        let mut unreported = std::mem::take(&mut self.unreported);
         let mut suspects = poison::encode(std::mem::take(&mut self.suspects));
-        let named: Vec<UpstreamId> = std::mem::take(&mut self.words).into_iter().collect();
-        let mut said = words::encode_for_holder(&self.shared, Some(&named));
-        if self.is_new.swap(false, Ordering::AcqRel) {
+        let named: Vec<UpstreamId> = std::mem::take(&mut self.changed_signals)
+            .into_iter()
+            .collect();
+        let mut signals = signals::encode_for_holder(&self.shared, Some(&named));
+        if self.is_new_connection.swap(false, Ordering::AcqRel) {
             taken = recent_counts(&self.recent);
-            untold = self.waiting.keys().cloned().collect();
+            unreported = self.waiting.keys().cloned().collect();
             self.last_running.clear();
             suspects = self.shared.poison.suspects(1);
-            said = words::encode_for_holder(&self.shared, None);
+            signals = signals::encode_for_holder(&self.shared, None);
         }
-        if said != KnownSignals::default() {
-            outbox.send(Body::KnownSignals(said));
+        if signals != KnownSignals::default() {
+            outbox.send(Body::KnownSignals(signals));
         }
         suspects.disconnects = poison::encode_breaks(&std::mem::take(&mut self.breaks));
         if !suspects.suspects.is_empty() || !suspects.disconnects.is_empty() {
             outbox.send(Body::Suspects(suspects));
         }
         let now = clock::now();
-        let waiting = untold.iter().map(|key| match self.waiting.get(key) {
-            Some(here) => wish(key, here.count, here.until.saturating_duration_since(now)),
-            None => wish(key, 0, Duration::ZERO),
+        let waiting = unreported.iter().map(|key| match self.waiting.get(key) {
+            Some(waiters) => encode_demand(
+                key,
+                waiters.count,
+                waiters.until.saturating_duration_since(now),
+            ),
+            None => encode_demand(key, 0, Duration::ZERO),
         });
         let waiting: Vec<ModelRequests> = waiting.collect();
         let taken = taken
             .iter()
-            .map(|(key, count)| wish(key, *count, Duration::ZERO));
-        let taken: Vec<ModelRequests> = taken.collect();
+            .map(|(key, count)| encode_demand(key, *count, Duration::ZERO));
+        let accepted: Vec<ModelRequests> = taken.collect();
         let upstreams = self.shared.upstreams();
         let running = upstreams.running().map(|(engine, model, count)| RunCount {
             engine: engine.to_string(),
@@ -406,49 +433,53 @@
             count,
         });
         let mut running: Vec<RunCount> = running.collect();
-        running.sort_by(|one, other| (&one.engine, &one.model).cmp(&(&other.engine, &other.model)));
-        if waiting.is_empty() && taken.is_empty() && running == self.last_running {
+        running
+            .sort_by(|left, right| (&left.engine, &left.model).cmp(&(&right.engine, &right.model)));
+        if waiting.is_empty() && accepted.is_empty() && running == self.last_running {
             return;
         }
         self.last_running.clone_from(&running);
         outbox.send(Body::InstanceReport(InstanceReport {
             instance: self.shared.settings.instance.to_string(),
             waiting,
-            accepted: taken,
+            accepted,
             running,
         }));
     }
 }
 
-/// The answer to a holder that the store does not answer; `None` if this instance may take
-/// the right.
-fn promise(
+/// The answer to a holder that the store does not answer; `None` if this instance may acquire
+/// leadership.
+fn answer_promise_request(
     shared: &Shared,
-    right: &Right,
+    leadership: &LeadershipDriver,
     asker: &Holder,
     wanted: PromiseRequest,
 ) -> Option<Promise> {
-    let leaves = shared.is_stopping();
+    let is_stopping = shared.is_stopping();
     let store_answers = !shared.store_health.is_failing();
-    let promises = leaves || right.promise(&asker.instance, store_answers).is_ok();
+    let promises = is_stopping
+        || leadership
+            .answer_promise_request(&asker.instance, store_answers)
+            .is_ok();
     promises.then(|| Promise {
         instance: shared.settings.instance.to_string(),
         fence: wanted.fence,
         asked_at_ms: wanted.asked_at_ms,
-        is_leaving: leaves,
+        is_leaving: is_stopping,
     })
 }
 
-/// Counts what was taken lately.
-fn recent_counts(recent: &VecDeque<(Instant, WishKey)>) -> Taken {
-    let mut taken = Taken::new();
+/// Counts the recent requests by model and adapter.
+fn recent_counts(recent: &VecDeque<(Instant, DemandKey)>) -> TakenCounts {
+    let mut taken = TakenCounts::new();
     for (_, key) in recent {
         *taken.entry(key.clone()).or_default() += 1;
     }
     taken
 }
 
-fn placed(shared: &Shared, engines: Vec<EnginePlacement>) {
+fn apply_placements(shared: &Shared, engines: Vec<EnginePlacement>) {
     let mut upstreams = shared.upstreams();
     for placement in engines {
         let models = placement.models.into_iter().map(|model| ResidentModel {
@@ -459,5 +490,5 @@
         upstreams.set_placement(&placement.engine, models.collect(), closing.collect());
     }
     drop(upstreams);
-    shared.upstreams_changed();
+    shared.notify_upstreams_changed();
 }
--- a/crates/wire/src/dispatch.rs
+++ b/crates/wire/src/dispatch.rs
@@ -4,7 +4,7 @@
 //! are in [`crate::permits`].
 
 use crate::message::Suspects;
-use crate::permits::{PermitAnswer, PermitRelease, PermitRequest, VersionAnswer, VersionQuery};
+use crate::permits::{PermitRelease, PermitReply, PermitRequest, VersionAnswer, VersionQuery};
 use prost::{Message, Oneof};
 
 /// One datagram.
@@ -55,7 +55,7 @@
     PermitRequest(PermitRequest),
     /// The answer to [`Dispatch::PermitRequest`].
     #[prost(message, tag = "8")]
-    PermitAnswer(PermitAnswer),
+    PermitReply(PermitReply),
     /// Releases a permit.
     #[prost(message, tag = "9")]
     PermitRelease(PermitRelease),
--- a/crates/wire/src/permits.rs
+++ b/crates/wire/src/permits.rs
@@ -74,7 +74,7 @@
 
 /// The answer to a [`PermitRequest`].
 #[derive(Clone, PartialEq, Message)]
-pub struct PermitAnswer {
+pub struct PermitReply {
     /// The number of the query.
     #[prost(fixed64, tag = "1")]
     pub id: u64,
--- a/tests/all/log_lines.rs
+++ b/tests/all/log_lines.rs
@@ -1,7 +1,7 @@
 //! Logs of instances on the users' platform: the rate limit, an output that nobody reads, and the
 //! trace of a request that `passwayctl` builds from the logs.
 
-use crate::site::{self, Answer, Caller, ask, list_plain, plain_server, request, until};
+use crate::cluster::{self, Answer, Caller, ask, list_plain, plain_server, request, until};
 use expect_test::expect;
 use passway_ctl::commands::trace;
 use passway_process::logging::rate_limit::{LineClass, LogRateLimit};
@@ -71,7 +71,7 @@
 /// Starts an instance whose output nobody reads, and a plain server behind it. Returns after the
 /// instance has answered a request.
 fn start_unread(name: &str) -> Program {
-    let store = site::store(&[]);
+    let store = cluster::store(&[]);
     let server = plain_server();
     list_plain(&store, "i-0", server.address, "ready");
     let arguments = ["--log-level", "debug", "--log-lines-per-s", "1000000"];
--- a/tests/all/poison_turns.rs
+++ b/tests/all/poison_turns.rs
@@ -1,17 +1,18 @@
-//! After two crashes a request runs one at a time over all instances, by the word of the one that counts for all.
+//! After two crashes, copies of a request run one at a time over all instances, with a permit of
+//! the coordinator.
 
-use crate::holder_link::{Holder, subscription};
-use crate::site::{self, Answer, PATIENCE, ask, request, until};
+use crate::cluster::{self, Answer, PATIENCE, ask, request, until};
+use crate::holder_link::{PlayedHolder, subscription};
 use passway_instance::Instance;
 use passway_standins::platform::model_server::{Faults, ModelServer};
 use passway_standins::platform::store::MetadataStandIn;
 use passway_wire::Body;
 use passway_wire::dispatch::{Datagram, Dispatch};
 use passway_wire::message::{Member, Members};
-use passway_wire::permits::{PermitAnswer, PermitRequest, UseVerdict, VersionQuery};
+use passway_wire::permits::{PermitReply, PermitRequest, UseVerdict, VersionQuery};
 use std::net::UdpSocket;
 
-/// What crashes the engines.
+/// Body of the requests that crash engines.
 const POISON: &str = "poison";
 
 /// Engines that all have the model and crash on [`POISON`].
@@ -28,7 +29,7 @@
     engines.collect()
 }
 
-fn ended(engines: &[ModelServer]) -> usize {
+fn crashed_count(engines: &[ModelServer]) -> usize {
     engines.iter().filter(|engine| engine.crashed()).count()
 }
 
@@ -37,120 +38,124 @@
     ask(instance.callers_address(), &bytes).expect("an answer")
 }
 
-/// Whether an answer refuses a request that may crash upstreams. One that finds only upstreams that have ended is
-/// refused too, and may come back sooner.
-fn is_held(answer: &Answer) -> bool {
+/// Whether an answer refuses a suspect request. A request that only finds crashed upstreams is
+/// refused too, but with a shorter time to retry after.
+fn refuses_suspect(answer: &Answer) -> bool {
     let seconds = answer.header("retry-after").and_then(|s| s.parse().ok());
     answer.status == 503 && seconds.is_some_and(|s: f64| s >= 2.0)
 }
 
-/// An instance whose fleet's counter is played by the test, and engines of which two have crashed.
-struct World {
+/// An instance with a coordinator that the test plays, and engines of which two have crashed.
+struct TestCluster {
     store: MetadataStandIn,
     engines: Vec<ModelServer>,
     instance: Instance,
-    counter: UdpSocket,
+    coordinator: UdpSocket,
 }
 
-impl World {
+impl TestCluster {
     fn new() -> Self {
-        let store = site::store(&["m0"]);
-        let counter = UdpSocket::bind("127.0.0.1:0").expect("a port");
-        counter
+        let store = cluster::store(&["m0"]);
+        let coordinator = UdpSocket::bind("127.0.0.1:0").expect("a port");
+        coordinator
             .set_read_timeout(Some(PATIENCE))
-            .expect("a time-out");
-        let address = counter.local_addr().expect("an address");
+            .expect("a timeout");
+        let address = coordinator.local_addr().expect("an address");
         store.put_bytes("passway/holder", format!("played {address}").as_bytes());
         let engines = engines(&store);
-        let instance = site::ready("one", &store);
-        let world = Self {
+        let instance = cluster::start_ready("one", &store);
+        let cluster = Self {
             store,
             engines,
             instance,
-            counter,
+            coordinator,
         };
-        world.send("p0");
-        world.send("p1");
-        assert_eq!(world.ended(), 2);
-        world
+        cluster.send("p0");
+        cluster.send("p1");
+        assert_eq!(cluster.crashed_count(), 2);
+        cluster
     }
 
-    fn ended(&self) -> usize {
-        ended(&self.engines)
+    fn crashed_count(&self) -> usize {
+        crashed_count(&self.engines)
     }
 
     fn send(&self, id: &str) -> Answer {
         send(&self.instance, id)
     }
 
-    /// The next question for a turn, and who asks.
-    fn asked(&self) -> (PermitRequest, std::net::SocketAddr) {
+    /// The next request for a permit, and the address of its sender.
+    fn next_permit_request(&self) -> (PermitRequest, std::net::SocketAddr) {
         let mut bytes = [0; 1_500];
         loop {
-            let (length, from) = self.counter.recv_from(&mut bytes).expect("a question");
-            if let Some(Dispatch::PermitRequest(ask)) = Datagram::decode_body(&bytes[..length])
-                && !ask.digest.is_empty()
+            let (length, from) = self.coordinator.recv_from(&mut bytes).expect("a question");
+            if let Some(Dispatch::PermitRequest(permit_request)) =
+                Datagram::decode_body(&bytes[..length])
+                && !permit_request.digest.is_empty()
             {
-                return (ask, from);
+                return (permit_request, from);
             }
         }
     }
 }
 
-/// Eight copies whose questions to the counter were lost all ran, and ended an engine each.
+/// Without answers from the coordinator, no copy may run. Eight copies used to run in this case and
+/// crashed an engine each.
 #[test]
 fn silence_permits_nothing() {
-    let world = World::new();
-    assert!(is_held(&world.send("p2")));
-    assert_eq!(world.ended(), 2);
-    // Once somebody counts it has its turn, which shows what it is.
-    world.store.remove("passway/holder");
-    until("the right to order", || world.instance.fence().is_some());
-    assert_eq!(world.send("p3").status, 502);
-    assert_eq!(world.ended(), 3);
+    let cluster = TestCluster::new();
+    assert!(refuses_suspect(&cluster.send("p2")));
+    assert_eq!(cluster.crashed_count(), 2);
+    // Once there is a coordinator, the request gets a permit and crashes its engine.
+    cluster.store.remove("passway/holder");
+    until("leadership", || cluster.instance.fence().is_some());
+    assert_eq!(cluster.send("p3").status, 502);
+    assert_eq!(cluster.crashed_count(), 3);
 }
 
-/// A turn whose grant was lost was held against the request that had it: it asked again under another number, and
-/// was refused until the turn lapsed.
+/// A request whose permit was granted in a lost answer must use the same id when it asks again.
+/// Under another id, it was refused until its own permit expired.
 #[test]
-fn asked_again_by_number() {
-    let world = World::new();
+fn permit_requested_again_with_same_id() {
+    let cluster = TestCluster::new();
     std::thread::scope(|scope| {
-        let caller = scope.spawn(|| world.send("p2").status);
-        let (first, _) = world.asked();
-        // Longer than the instance waits for an answer, even to the second question.
-        let (again, from) = loop {
-            let (ask, from) = world.asked();
-            if ask.run_ms != first.run_ms {
-                break (ask, from);
+        let caller = scope.spawn(|| cluster.send("p2").status);
+        let (first, _) = cluster.next_permit_request();
+        // The instance does not wait this long for an answer, not even to its repeated datagram.
+        let (repeated, from) = loop {
+            let (permit_request, from) = cluster.next_permit_request();
+            if permit_request.run_ms != first.run_ms {
+                break (permit_request, from);
             }
         };
-        assert_eq!(again.id, first.id);
-        let mut told = PermitAnswer {
-            id: again.id,
-            ..PermitAnswer::default()
+        assert_eq!(repeated.id, first.id);
+        let mut answer = PermitReply {
+            id: repeated.id,
+            ..PermitReply::default()
         };
-        told.set_verdict(UseVerdict::Granted);
-        let bytes = Datagram::encode_body(Some(Dispatch::PermitAnswer(told)));
-        world.counter.send_to(&bytes, from).expect("sent");
+        answer.set_verdict(UseVerdict::Granted);
+        let bytes = Datagram::encode_body(Some(Dispatch::PermitReply(answer)));
+        cluster.coordinator.send_to(&bytes, from).expect("sent");
         assert_eq!(caller.join().expect("a caller"), 502);
     });
-    assert_eq!(world.ended(), 3);
+    assert_eq!(cluster.crashed_count(), 3);
 }
 
-/// Four of eight copies ran a second after the second crash, at instances that had not heard of it: they heard of it by
-/// way of the holder alone, which may be slow or gone.
+/// Instances must learn of crashes without the holder, which may be slow or terminated. Four of
+/// eight copies ran a second after the second crash, at instances that did not know of it.
 #[test]
 fn told_without_holder() {
-    let store = site::store(&["m0"]);
+    let store = cluster::store(&["m0"]);
     let engines = engines(&store);
-    let holder = Holder::begin(&store);
-    let one = site::ready("one", &store);
+    let holder = PlayedHolder::begin(&store);
+    let one = cluster::start_ready("one", &store);
     let (link, mut reader) = holder.accept();
-    subscription(&mut reader).expect("one listens");
-    let two = site::ready("two", &store);
+    subscription(&mut reader).expect("a subscription of the first instance");
+    let two = cluster::start_ready("two", &store);
     let (_link, mut reader) = holder.accept();
-    let address = subscription(&mut reader).expect("two listens").address;
+    let address = subscription(&mut reader)
+        .expect("a subscription of the second instance")
+        .address;
     let member = Member {
         instance: "two".into(),
         address: address.clone(),
@@ -159,16 +164,18 @@
         members: vec![member],
     };
     link.send(Body::Members(members)).expect("sent");
-    until("two is known", || one.other_instances() == 1);
+    until("the second instance to be known", || {
+        one.other_instance_count() == 1
+    });
     for id in ["p0", "p1"] {
         assert_eq!(send(&one, id).status, 502);
     }
-    // Datagrams are taken in one after the other: the word on the crashes has come before this question.
+    // Datagrams are processed in order, so the report of the crashes arrives before this query.
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    socket.set_read_timeout(Some(PATIENCE)).expect("a timeout");
     let question = Datagram::encode_body(Some(Dispatch::VersionQuery(VersionQuery { id: 1 })));
     socket.send_to(&question, &address).expect("sent");
     socket.recv_from(&mut [0; 1_500]).expect("an answer");
-    assert!(is_held(&send(&two, "p2")));
-    assert_eq!(ended(&engines), 2);
+    assert!(refuses_suspect(&send(&two, "p2")));
+    assert_eq!(crashed_count(&engines), 2);
 }
--- a/tests/all/store_feeds.rs
+++ b/tests/all/store_feeds.rs
@@ -1,29 +1,31 @@
-//! What the store tells is in force soon and never reverts, through its faults.
+//! Data in the store takes effect soon and never reverts, whatever faults the store has.
 
-use crate::site::{self, ask, configuration, list_plain, plain_server, request, until};
+use crate::cluster::{self, ask, configuration, list_plain, plain_server, request, until};
 use passway_standins::platform::store::Faults;
 use passway_types::prelude::*;
 use serde_json::json;
 
 #[test]
 fn garbage_store() {
-    let store = site::store(&[]);
+    let store = cluster::store(&[]);
     store.set_faults(Faults {
         talks_garbage: true,
         ..Faults::default()
     });
-    let instance = site::start("one", &store);
-    until("calls", || store.calls().values().sum::<u64>() > 4);
+    let instance = cluster::start("one", &store);
+    until("calls to the store", || {
+        store.calls().values().sum::<u64>() > 4
+    });
     assert!(!instance.is_ready());
     let answer = ask(
         instance.callers_address(),
         &request("GET", "/read/", "g", "", ""),
     );
-    // It knows no configuration yet: not 404.
+    // The instance does not know a configuration yet, so the status is not 404.
     let answer = answer.expect("an answer");
     assert_eq!(answer.status, 503);
     assert!(answer.header("retry-after").is_some());
-    // One that comes shortly before the store is back waits for it.
+    // A request that arrives shortly before the store recovers waits for it.
     let server = plain_server();
     list_plain(&store, "i-0", server.address, "ready");
     let address = instance.callers_address();
@@ -31,37 +33,37 @@
     store.set_faults(Faults::default());
     until("readiness", || instance.is_ready());
     let early = early.join().expect("a caller").expect("an answer");
-    // Within its second the store may or may not have been asked again.
+    // The store may or may not be queried again within the second that the request waits.
     assert!(matches!(early.status, 200 | 503), "{}", early.status);
 }
 
 #[test]
 fn unusable_configuration() {
-    let store = site::store(&[]);
-    let instance = site::ready("one", &store);
+    let store = cluster::store(&[]);
+    let instance = cluster::start_ready("one", &store);
     store.put("op/config", &json!({"version": 2, "routes": "none"}));
     store.put("op/other", &json!({"version": 9}));
     let mut third = configuration(3, &[]);
     third["a_new_field"] = json!({"ignored": true});
     store.put("op/config", &third);
-    until("the third version", || instance.version() == Some(3));
+    until("the third version", || instance.config_version() == Some(3));
 }
 
 #[test]
 fn never_reverts() {
-    let store = site::store(&[]);
-    let instance = site::ready("one", &store);
+    let store = cluster::store(&[]);
+    let instance = cluster::start_ready("one", &store);
     store.put("op/config", &configuration(7, &[]));
-    until("version 7", || instance.version() == Some(7));
+    until("version 7", || instance.config_version() == Some(7));
     store.put("op/config", &configuration(4, &[]));
     store.put("op/config", &configuration(8, &[]));
-    until("version 8", || instance.version() == Some(8));
+    until("version 8", || instance.config_version() == Some(8));
 }
 
 #[test]
 fn history_forgotten() {
-    let store = site::store(&[]);
-    let instance = site::ready("one", &store);
+    let store = cluster::store(&[]);
+    let instance = cluster::start_ready("one", &store);
     store.set_faults(Faults {
         refuses: Some(503),
         ..Faults::default()
@@ -69,15 +71,15 @@
     store.put("op/config", &configuration(2, &[]));
     store.forget_history();
     store.set_faults(Faults::default());
-    until("version 2", || instance.version() == Some(2));
+    until("version 2", || instance.config_version() == Some(2));
 }
 
 #[test]
 fn serves_through_outage() {
-    let store = site::store(&[]);
+    let store = cluster::store(&[]);
     let server = plain_server();
     list_plain(&store, "i-0", server.address, "ready");
-    let instance = site::ready("one", &store);
+    let instance = cluster::start_ready("one", &store);
     for faults in [
         Faults {
             refuses: Some(503),
@@ -108,10 +110,10 @@
 
 #[test]
 fn leaving_gets_nothing_new() {
-    let store = site::store(&[]);
+    let store = cluster::store(&[]);
     let (leaving, staying) = (plain_server(), plain_server());
     list_plain(&store, "i-0", leaving.address, "ready");
-    let instance = site::ready("one", &store);
+    let instance = cluster::start_ready("one", &store);
     assert!(
         ask(
             instance.callers_address(),
@@ -121,23 +123,23 @@
     );
     list_plain(&store, "i-1", staying.address, "ready");
     list_plain(&store, "i-0", leaving.address, "draining");
-    until("the other server's turn", || {
+    until("a request at the other server", || {
         ask(
             instance.callers_address(),
             &request("GET", "/read/", "b", "", ""),
         );
         !staying.received().is_empty()
     });
-    // An older word of it, which arrives late, changes nothing.
+    // An older entry of the server that arrives late changes nothing.
     list_plain(&store, "i-0", leaving.address, "ready");
-    let before = leaving.received().len();
+    let requests_before = leaving.received().len();
     for _ in 0..20 {
         ask(
             instance.callers_address(),
             &request("GET", "/read/", "c", "", ""),
         );
     }
-    assert_eq!(leaving.received().len(), before);
+    assert_eq!(leaving.received().len(), requests_before);
 }
 
 #[test]
@@ -164,6 +166,6 @@
         .output()
         .expect("running");
     assert_eq!(run.status.code(), Some(2));
-    let said = String::from_utf8_lossy(&run.stderr).into_owned();
-    assert!(said.contains("/nonexistent/boot.toml"), "{said}");
+    let message = String::from_utf8_lossy(&run.stderr).into_owned();
+    assert!(message.contains("/nonexistent/boot.toml"), "{message}");
 }
