--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -251,7 +251,7 @@
                 let verdict = translate::verdict(now, &model, verdict);
                 self.links.send_to_router(router, &Body::Verdict(verdict));
             }
-            Action::Publish(change) => {
+            Action::PublishRoutes(change) => {
                 let Some(shell) = self.cells.get_mut(cell) else {
                     return;
                 };
@@ -259,8 +259,10 @@
                 self.links.send_to_routers(&Body::Routes(routes));
             }
             Action::Audit(decision) => self.audit.record(&self.me.instance, cell, &decision),
-            Action::ProbeFormer { epoch, holder } if self.fleet.is_gone(&holder.instance) => {
-                let event = Event::FormerGone(epoch);
+            Action::ProbePreviousHolder { epoch, holder }
+                if self.fleet.is_gone(&holder.instance) =>
+            {
+                let event = Event::PreviousHolderStopped(epoch);
                 // Taken with the next input, not inside this decision.
                 let _ = self.inputs.send(Input::Cell {
                     cell: cell.clone(),
@@ -362,7 +364,7 @@
         };
         let cells: Vec<CellName> = self.cells.keys().cloned().collect();
         for cell in cells {
-            self.cell_event(now, &cell, Event::RouterGone(hello.incarnation));
+            self.cell_event(now, &cell, Event::RouterDisconnected(hello.incarnation));
         }
     }
 
@@ -403,10 +405,10 @@
 
     fn listed(&mut self, now: Instant, list: &[ListedInstance]) {
         let catalog = self.catalog.clone();
-        for (upstream, standing) in self.fleet.update(list, &catalog) {
-            let event = Event::UpstreamStanding {
+        for (upstream, listing) in self.fleet.update(list, &catalog) {
+            let event = Event::UpstreamListingChanged {
                 upstream: upstream.clone(),
-                standing,
+                listing,
             };
             self.upstream_event(now, &upstream, event);
         }
--- a/crates/controller/src/node/cell_shell.rs
+++ b/crates/controller/src/node/cell_shell.rs
@@ -7,7 +7,7 @@
 use crossbeam::channel::Sender;
 use passway_config::Catalog;
 use passway_decide::cell::{Action, CellController, CellLimits, Event};
-use passway_decide::messages::{Order, RouteChange, epoch_of};
+use passway_decide::messages::{Order, RouteChange, fence_epoch};
 use passway_decide::plan::{Holder, Placement, PlacementState};
 use passway_platform::engine::EngineControl;
 use passway_platform::key_value::KeyValue;
@@ -88,9 +88,9 @@
             inputs: services.inputs.clone(),
         };
         let limits = CellLimits {
-            standby_poll: services.lease / STANDBY_POLL_DIVISOR,
-            order_settle: services.order_settle,
-            write_patience: services.write_patience,
+            standby_poll_interval: services.lease / STANDBY_POLL_DIVISOR,
+            order_settle_time: services.order_settle,
+            write_outage_after: services.write_patience,
         };
         let key_value = &services.key_value;
         let (lease, lease_thread) =
@@ -150,8 +150,8 @@
     }
 
     pub(super) fn handle(&mut self, now: Instant, event: Event) -> Vec<Action> {
-        if let Event::Order { fence, .. } = &event {
-            self.answered(epoch_of(*fence));
+        if let Event::OrderAnswered { fence, .. } = &event {
+            self.answered(fence_epoch(*fence));
         }
         let was_active = self.is_active();
         let actions = self.controller.handle(now, event);
@@ -210,7 +210,7 @@
 
     /// Applies a change of routes and returns it as it travels.
     pub(super) fn publish(&mut self, change: &RouteChange) -> Routes {
-        if change.whole {
+        if change.is_snapshot {
             self.routes.clear();
         }
         for route in &change.removed {
@@ -231,7 +231,7 @@
         let change = RouteChange {
             added,
             removed: Vec::new(),
-            whole: true,
+            is_snapshot: true,
         };
         Some(translate::routes(&self.cell, self.epoch(), &change))
     }
@@ -248,18 +248,18 @@
                 drop(self.plan.send(PlanJob::Write { expected, plan }));
             }
             Action::SendOrder(order) => self.send_order(order),
-            Action::ProbeFormer { epoch, holder } => {
+            Action::ProbePreviousHolder { epoch, holder } => {
                 workers::probe(&self.me, epoch, holder, self.reply.clone());
             }
-            Action::AnswerDemand { .. } | Action::Publish(_) | Action::Audit(_) => {}
+            Action::AnswerDemand { .. } | Action::PublishRoutes(_) | Action::Audit(_) => {}
         }
     }
 
     fn send_order(&mut self, order: Order) {
-        *self.in_hand.entry(epoch_of(order.fence)).or_default() += 1;
+        *self.in_hand.entry(fence_epoch(order.fence)).or_default() += 1;
         match self.upstreams.get(&order.upstream) {
             Some(threads) => drop(threads.orders.send(order)),
-            None => self.reply.event(Event::Order {
+            None => self.reply.event(Event::OrderAnswered {
                 upstream: order.upstream,
                 fence: order.fence,
                 answer: passway_decide::messages::OrderAnswer::NotSent,
--- a/crates/controller/src/node/fleet.rs
+++ b/crates/controller/src/node/fleet.rs
@@ -1,7 +1,7 @@
 //! What the platform's list says of instances and upstreams.
 
 use passway_config::Catalog;
-use passway_decide::cell::upstreams::Standing;
+use passway_decide::cell::upstreams::ListingState;
 use passway_platform::instance_list::ListedInstance;
 use passway_types::prelude::*;
 use std::collections::{HashMap, HashSet};
@@ -13,7 +13,7 @@
     /// Listed once and no more.
     gone: HashSet<InstanceId>,
     /// What the cells know of their upstreams.
-    standings: HashMap<UpstreamId, Standing>,
+    standings: HashMap<UpstreamId, ListingState>,
     /// The revision for whose cells the ranks were worked out.
     ranked: Revision,
     /// Whether the list has changed since then.
@@ -31,7 +31,7 @@
         &mut self,
         list: &[ListedInstance],
         catalog: &Catalog,
-    ) -> Vec<(UpstreamId, Standing)> {
+    ) -> Vec<(UpstreamId, ListingState)> {
         let ids: HashSet<InstanceId> = list.iter().map(|entry| entry.id.clone()).collect();
         self.gone.retain(|id| !ids.contains(id));
         for id in self.listed.difference(&ids) {
@@ -49,18 +49,18 @@
         &mut self,
         leaving: &HashSet<&str>,
         catalog: &Catalog,
-    ) -> Vec<(UpstreamId, Standing)> {
+    ) -> Vec<(UpstreamId, ListingState)> {
         let mut changed = Vec::new();
         for upstream in catalog.upstreams.keys() {
             let standing = if self.gone.contains(upstream) {
-                Standing::Gone
+                ListingState::Removed
             } else if leaving.contains(&**upstream) {
-                Standing::Leaving
+                ListingState::Leaving
             } else {
-                Standing::Listed
+                ListingState::Listed
             };
             let before = self.standings.insert(upstream.clone(), standing);
-            if before.unwrap_or(Standing::Listed) != standing {
+            if before.unwrap_or(ListingState::Listed) != standing {
                 changed.push((upstream.clone(), standing));
             }
         }
--- a/crates/controller/src/translate.rs
+++ b/crates/controller/src/translate.rs
@@ -57,7 +57,7 @@
     message::Routes {
         cell: cell.to_owned(),
         epoch,
-        whole: from.whole,
+        whole: from.is_snapshot,
         added: all(&from.added),
         removed: all(&from.removed),
     }
--- a/crates/controller/src/workers.rs
+++ b/crates/controller/src/workers.rs
@@ -75,7 +75,7 @@
         for job in jobs {
             // Counted from before the call: the service may start the lease's
             // time as soon as the call arrives.
-            let until_at = clock::now() + time_to_live * RELIED_TENTHS / 10;
+            let valid_until = clock::now() + time_to_live * RELIED_TENTHS / 10;
             let answer = match job {
                 LeaseJob::Acquire => {
                     acquire(&*key_value, &reply.cell, &value, time_to_live, &mut lease)
@@ -93,7 +93,7 @@
                 reply.reached();
             }
             reply.event(match answer {
-                Ok(true) => Event::LeaseGranted { until_at },
+                Ok(true) => Event::LeaseGranted { valid_until },
                 Ok(false) => Event::LeaseDenied,
                 Err(Unavailable) => Event::LeaseUnavailable,
             });
@@ -156,7 +156,7 @@
                 PlanJob::Read => read_plan(&*key_value, &key),
                 PlanJob::Write { expected, plan } => write_plan(&*key_value, &key, expected, &plan),
             };
-            if !matches!(event, Event::PlanUnavailable | Event::WriteUnclear) {
+            if !matches!(event, Event::PlanUnavailable | Event::WriteOutcomeUnknown) {
                 reply.reached();
             }
             reply.event(event);
@@ -187,14 +187,14 @@
 
 fn write_plan(key_value: &dyn KeyValue, key: &str, expected: Version, plan: &Plan) -> Event {
     let Ok(value) = serde_json::to_vec(plan) else {
-        return Event::WriteUnclear;
+        return Event::WriteOutcomeUnknown;
     };
     match key_value.put_if(key, expected, &value, None) {
         Ok(PutOutcome::Written(version)) => Event::WriteDone {
             change: plan.last_change,
             version,
         },
-        Ok(PutOutcome::Conflict) | Err(Unavailable) => Event::WriteUnclear,
+        Ok(PutOutcome::Conflict) | Err(Unavailable) => Event::WriteOutcomeUnknown,
     }
 }
 
@@ -213,7 +213,7 @@
                     answer:? = answer; "order");
             }
             let (upstream, fence) = (order.upstream, order.fence);
-            reply.event(Event::Order {
+            reply.event(Event::OrderAnswered {
                 upstream,
                 fence,
                 answer,
@@ -256,9 +256,9 @@
                 let now = clock::now();
                 asked_at = Some(now);
                 let status = engines.status(address);
-                reply.event(Event::Status {
+                reply.event(Event::StatusPolled {
                     upstream: upstream.clone(),
-                    asked_at: now,
+                    polled_at: now,
                     status,
                 });
             }
@@ -297,7 +297,7 @@
             incarnation != former.incarnation || !may_order
         });
         if gone {
-            reply.event(Event::FormerGone(epoch));
+            reply.event(Event::PreviousHolderStopped(epoch));
         }
     });
 }
--- a/crates/decide/src/cell.rs
+++ b/crates/decide/src/cell.rs
@@ -7,15 +7,15 @@
 //!
 //! * [`write`]: the life cycle of a change of the plan.
 //! * [`term`]: what the holder of a term knows and does.
-//! * [`lease`], [`former`], [`progress`], [`usage`], [`demand`], [`upstreams`]: what it knows.
-//! * [`placing`], [`idle`], [`ordering`], [`publish`]: what it does.
+//! * [`lease`], [`previous_holders`], [`progress`], [`usage`], [`demand`], [`upstreams`]: what it knows.
+//! * [`placing`], [`idle`], [`orders`], [`publish`]: what it does.
 
 pub mod demand;
-mod former;
 mod idle;
 mod lease;
-mod ordering;
+mod orders;
 mod placing;
+mod previous_holders;
 mod progress;
 mod publish;
 pub mod term;
@@ -30,23 +30,23 @@
 use passway_config::Catalog;
 use passway_types::prelude::*;
 use term::Term;
-use upstreams::{Standing, Upstreams};
+use upstreams::{ListingState, Upstreams};
 use write::{Change, InFlight, Resolution};
 
 /// Longest time between two attempts of a standby to take the lease, as a power of two of the first.
-const MAX_STANDBY_BACKOFF: u32 = 10;
+const MAX_STANDBY_BACKOFF_EXPONENT: u32 = 10;
 /// Pause before a read of the key-value service is tried again.
-const READ_RETRY: Duration = Duration::from_millis(200);
+const READ_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Bounds that the program's settings give.
 #[derive(Debug, Clone)]
 pub struct CellLimits {
     /// Time between two looks of the first standby at the lease.
-    pub standby_poll: Duration,
+    pub standby_poll_interval: Duration,
     /// Time after which an unanswered order can no longer arrive.
-    pub order_settle: Duration,
+    pub order_settle_time: Duration,
     /// A write that is open for longer counts as an outage of the key-value service.
-    pub write_patience: Duration,
+    pub write_outage_after: Duration,
 }
 
 /// Something that happened.
@@ -54,11 +54,11 @@
 pub enum Event {
     /// Time passed.
     Tick,
-    /// The lease was taken or renewed; orders may leave until `until_at`, which
-    /// is counted from before the call was sent.
+    /// The lease was taken or renewed; orders may leave until `valid_until`, which
+    /// is counted from before the call was change.
     LeaseGranted {
         /// The last moment at which the lease can be relied on.
-        until_at: Instant,
+        valid_until: Instant,
     },
     /// Another controller has the lease, or ours lapsed.
     LeaseDenied,
@@ -81,9 +81,9 @@
         version: Version,
     },
     /// The last write did not take effect, or its answer was lost.
-    WriteUnclear,
+    WriteOutcomeUnknown,
     /// An order was answered.
-    Order {
+    OrderAnswered {
         /// The order's upstream.
         upstream: UpstreamId,
         /// The order's fencing number.
@@ -92,11 +92,11 @@
         answer: OrderAnswer,
     },
     /// An upstream reported, or could not be asked.
-    Status {
+    StatusPolled {
         /// Which upstream.
         upstream: UpstreamId,
-        /// When the question was sent.
-        asked_at: Instant,
+        /// When the question was change.
+        polled_at: Instant,
         /// The report; `None` if the upstream could not be reached.
         status: Option<UpstreamStatus>,
     },
@@ -105,15 +105,15 @@
     /// A router's report of use.
     Usage(Usage),
     /// A router's connection ended.
-    RouterGone(Incarnation),
+    RouterDisconnected(Incarnation),
     /// The holder of an earlier epoch can send no more.
-    FormerGone(Epoch),
+    PreviousHolderStopped(Epoch),
     /// What the platform's list says of an upstream has changed.
-    UpstreamStanding {
+    UpstreamListingChanged {
         /// Which upstream.
         upstream: UpstreamId,
         /// What the list says now.
-        standing: Standing,
+        listing: ListingState,
     },
     /// A newer configuration is in force.
     Catalog(Arc<Catalog>),
@@ -152,10 +152,10 @@
         /// The answer.
         verdict: DemandVerdict,
     },
-    /// Tell routers where requests may be sent.
-    Publish(RouteChange),
+    /// Tell routers where requests may be change.
+    PublishRoutes(RouteChange),
     /// Find out whether a former holder can still send orders.
-    ProbeFormer {
+    ProbePreviousHolder {
         /// Its epoch.
         epoch: Epoch,
         /// Who it is.
@@ -217,7 +217,7 @@
     /// The lease is ours; the plan is read or written to begin the term.
     TakingOver {
         lease_until: Instant,
-        read_at: Option<Instant>,
+        next_read_at: Option<Instant>,
         change: Option<Change<InFlight>>,
     },
     /// The term is written in the plan.
@@ -230,20 +230,20 @@
 #[derive(Debug)]
 pub struct CellController {
     cell: CellName,
-    me: Holder,
+    this_holder: Holder,
     limits: CellLimits,
     catalog: Arc<Catalog>,
     role: Role,
     upstreams: Upstreams,
     rank: u32,
-    changes_made: u64,
+    change_count: u64,
 }
 
 impl CellController {
     /// A standby for `cell`.
     pub fn new(
         cell: CellName,
-        me: Holder,
+        this_holder: Holder,
         limits: CellLimits,
         catalog: Arc<Catalog>,
         now: Instant,
@@ -252,13 +252,13 @@
         let role = Role::Standby { poll_at: now };
         Self {
             cell,
-            me,
+            this_holder,
             limits,
             catalog,
             role,
             upstreams,
             rank: 0,
-            changes_made: 0,
+            change_count: 0,
         }
     }
 
@@ -276,8 +276,10 @@
         let mut actions = Vec::new();
         match event {
             Event::Tick => self.tick(now, &mut actions),
-            Event::LeaseGranted { until_at } => self.lease_granted(until_at, now, &mut actions),
-            Event::LeaseDenied => self.stand_down(now, &mut actions),
+            Event::LeaseGranted { valid_until } => {
+                self.lease_granted(valid_until, now, &mut actions)
+            }
+            Event::LeaseDenied => self.step_down(now, &mut actions),
             Event::LeaseUnavailable => self.lease_unavailable(now),
             Event::PlanRead { version, plan } => {
                 self.plan_read(now, version, plan.map(|plan| *plan), &mut actions);
@@ -286,39 +288,43 @@
             Event::WriteDone { change, version } => {
                 self.write_done(now, change, version, &mut actions);
             }
-            Event::WriteUnclear => self.read_again(now),
+            Event::WriteOutcomeUnknown => self.schedule_read(now),
             Event::Catalog(catalog) => self.use_catalog(catalog),
             Event::Rank(rank) => self.rank = rank,
             Event::Shutdown => self.shutdown(now, &mut actions),
-            Event::Order {
+            Event::OrderAnswered {
                 upstream,
                 fence,
                 answer,
             } => {
-                let sent = self
-                    .upstreams
-                    .answered(now, &upstream, fence, answer, &self.limits);
-                if let Some(sent) = sent {
-                    self.with_term(|term, all| term.answered(now, all, &sent, answer));
+                let answered =
+                    self.upstreams
+                        .record_answer(now, &upstream, fence, answer, &self.limits);
+                if let Some(answered) = answered {
+                    self.with_term(|term, upstreams| {
+                        term.apply_answer(now, upstreams, &answered, answer)
+                    });
                 }
             }
-            Event::Status {
+            Event::StatusPolled {
                 upstream,
-                asked_at,
+                polled_at,
                 status,
             } => {
-                self.upstreams.reported(&upstream, asked_at, status);
-                self.with_term(|term, upstreams| term.observe(now, upstreams, &upstream));
+                self.upstreams.record_status(&upstream, polled_at, status);
+                self.with_term(|term, upstreams| term.apply_report(now, upstreams, &upstream));
             }
             Event::Demand(demand) => self.with_term(|term, _| term.demands.set(demand)),
             Event::Usage(usage) => self.with_term(|term, _| term.record_usage(&usage)),
-            Event::RouterGone(router) => self.with_term(|term, _| term.router_gone(router)),
-            Event::FormerGone(epoch) => {
-                let settled_at = now + self.limits.order_settle;
-                self.with_term(|term, _| term.former_gone(epoch, settled_at));
+            Event::RouterDisconnected(router) => {
+                self.with_term(|term, _| term.remove_router(router))
+            }
+            Event::PreviousHolderStopped(epoch) => {
+                let settled_at = now + self.limits.order_settle_time;
+                self.with_term(|term, _| term.mark_holder_stopped(epoch, settled_at));
             }
-            Event::UpstreamStanding { upstream, standing } => {
-                self.upstreams.set_standing(&upstream, standing);
+            Event::UpstreamListingChanged { upstream, listing } => {
+                self.upstreams.set_listing(&upstream, listing);
             }
         }
         self.advance(now, &mut actions);
@@ -348,8 +354,8 @@
                 self.role = Role::Acquiring;
                 actions.push(Action::AcquireLease);
             }
-            Role::TakingOver { read_at, .. } if read_at.is_some_and(|at| now >= at) => {
-                *read_at = None;
+            Role::TakingOver { next_read_at, .. } if next_read_at.is_some_and(|at| now >= at) => {
+                *next_read_at = None;
                 actions.push(Action::ReadPlan);
             }
             Role::Active(term) => term.tick(now, actions),
@@ -357,18 +363,18 @@
         }
     }
 
-    fn lease_granted(&mut self, until_at: Instant, now: Instant, actions: &mut Vec<Action>) {
+    fn lease_granted(&mut self, valid_until: Instant, now: Instant, actions: &mut Vec<Action>) {
         match &mut self.role {
             Role::Acquiring => {
                 self.role = Role::TakingOver {
-                    lease_until: until_at,
-                    read_at: None,
+                    lease_until: valid_until,
+                    next_read_at: None,
                     change: None,
                 };
                 actions.push(Action::ReadPlan);
             }
-            Role::TakingOver { lease_until, .. } => *lease_until = until_at,
-            Role::Active(term) => term.lease_renewed(until_at),
+            Role::TakingOver { lease_until, .. } => *lease_until = valid_until,
+            Role::Active(term) => term.lease_renewed(valid_until),
             Role::Standby { .. } => self.role = Role::Standby { poll_at: now },
             Role::Stopped => actions.push(Action::ReleaseLease),
         }
@@ -378,7 +384,7 @@
         match &mut self.role {
             Role::Acquiring => {
                 self.role = Role::Standby {
-                    poll_at: now + self.standby_pause(),
+                    poll_at: now + self.standby_poll_delay(),
                 }
             }
             Role::Active(term) => term.renewal_failed(),
@@ -388,11 +394,11 @@
 
     /// Standbys further back look more rarely, so that the sum of all looks is
     /// bounded however many controllers there are.
-    fn standby_pause(&self) -> Duration {
-        self.limits.standby_poll * 2_u32.pow(self.rank.min(MAX_STANDBY_BACKOFF))
+    fn standby_poll_delay(&self) -> Duration {
+        self.limits.standby_poll_interval * 2_u32.pow(self.rank.min(MAX_STANDBY_BACKOFF_EXPONENT))
     }
 
-    fn stand_down(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    fn step_down(&mut self, now: Instant, actions: &mut Vec<Action>) {
         if let Role::Active(term) = &self.role {
             actions.push(Action::Audit(Decision::StoodDown {
                 epoch: term.epoch(),
@@ -400,14 +406,14 @@
         }
         if !matches!(self.role, Role::Stopped) {
             self.role = Role::Standby {
-                poll_at: now + self.standby_pause(),
+                poll_at: now + self.standby_poll_delay(),
             };
         }
     }
 
     fn shutdown(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let had_lease = matches!(self.role, Role::Active(_) | Role::TakingOver { .. });
-        self.stand_down(now, actions);
+        self.step_down(now, actions);
         self.role = Role::Stopped;
         if had_lease {
             actions.push(Action::ReleaseLease);
@@ -418,24 +424,24 @@
         &mut self,
         now: Instant,
         version: Version,
-        found: Option<Plan>,
+        stored: Option<Plan>,
         actions: &mut Vec<Action>,
     ) {
         match &mut self.role {
             Role::TakingOver { change, .. } => match change.take() {
-                None => self.begin_take_over(version, found, actions),
-                Some(change) => match change.resolve(version, found) {
+                None => self.begin_take_over(version, stored, actions),
+                Some(change) => match change.resolve(version, stored) {
                     Resolution::Committed(committed) => self.begin_term(now, committed, actions),
                     Resolution::NotApplied { version, plan } => {
                         self.begin_take_over(version, plan, actions);
                     }
-                    Resolution::Deposed => self.stand_down(now, actions),
+                    Resolution::Superseded => self.step_down(now, actions),
                 },
             },
             Role::Active(term) => {
-                let is_deposed = term.plan_read(now, version, found).is_err();
-                if is_deposed {
-                    self.stand_down(now, actions);
+                let is_superseded = term.plan_read(now, version, stored).is_err();
+                if is_superseded {
+                    self.step_down(now, actions);
                 }
             }
             _ => {}
@@ -445,36 +451,36 @@
     fn begin_take_over(
         &mut self,
         version: Version,
-        found: Option<Plan>,
+        stored: Option<Plan>,
         actions: &mut Vec<Action>,
     ) {
-        let mut plan = found.map_or_else(
-            || Plan::first(self.me.clone()),
+        let mut plan = stored.map_or_else(
+            || Plan::initial(self.this_holder.clone()),
             |mut plan| {
-                plan.take_over(self.me.clone());
+                plan.take_over(self.this_holder.clone());
                 plan
             },
         );
-        self.changes_made += 1;
-        plan.last_change = change_id(self.me.incarnation, self.changes_made);
-        let (sent, action) = Change::draft(plan).send(version);
+        self.change_count += 1;
+        plan.last_change = change_id(self.this_holder.incarnation, self.change_count);
+        let (in_flight, action) = Change::draft(plan).send(version);
         actions.push(action);
         if let Role::TakingOver { change, .. } = &mut self.role {
-            *change = Some(sent);
+            *change = Some(in_flight);
         }
     }
 
     fn plan_unavailable(&mut self, now: Instant) {
         match &mut self.role {
-            Role::TakingOver { read_at, .. } => *read_at = Some(now + READ_RETRY),
+            Role::TakingOver { next_read_at, .. } => *next_read_at = Some(now + READ_RETRY_DELAY),
             Role::Active(term) => term.read_failed(now),
             _ => {}
         }
     }
 
-    fn read_again(&mut self, now: Instant) {
+    fn schedule_read(&mut self, now: Instant) {
         match &mut self.role {
-            Role::TakingOver { read_at, .. } => *read_at = Some(now),
+            Role::TakingOver { next_read_at, .. } => *next_read_at = Some(now),
             Role::Active(term) => term.write_unclear(now),
             _ => {}
         }
@@ -514,10 +520,10 @@
             committed,
             *lease_until,
             &self.catalog,
-            self.changes_made,
-            self.limits.write_patience,
+            self.change_count,
+            self.limits.write_outage_after,
         );
-        term.adopt(now, &self.upstreams);
+        term.apply_all_reports(now, &self.upstreams);
         self.role = Role::Active(Box::new(term));
     }
 }
--- a/crates/decide/src/cell/demand.rs
+++ b/crates/decide/src/cell/demand.rs
@@ -4,14 +4,14 @@
 use passway_types::prelude::*;
 use std::collections::{BTreeMap, HashMap};
 
-/// A change of the expected time below this is not told again.
-const TELL_AGAIN: Duration = Duration::from_millis(500);
+/// A change of the expected time below this is not sent_verdict again.
+const MIN_READY_CHANGE: Duration = Duration::from_millis(500);
 
-/// What one router asked and was told.
+/// What one router asked and was sent_verdict.
 #[derive(Debug)]
 struct Entry {
     demand: Demand,
-    told: Option<DemandVerdict>,
+    sent_verdict: Option<DemandVerdict>,
 }
 
 /// All demands for one model as one.
@@ -31,11 +31,11 @@
 
 /// The demands of all routers.
 #[derive(Debug, Default)]
-pub struct DemandBook {
+pub struct DemandTable {
     entries: HashMap<ModelName, BTreeMap<Incarnation, Entry>>,
 }
 
-impl DemandBook {
+impl DemandTable {
     /// Records a demand; one with nothing waiting is taken back.
     pub fn set(&mut self, demand: Demand) {
         let by_router = self.entries.entry(demand.model.clone()).or_default();
@@ -43,7 +43,13 @@
             by_router.remove(&demand.router);
         } else {
             // A repeated demand is answered again: the router may have missed the answer.
-            by_router.insert(demand.router, Entry { demand, told: None });
+            by_router.insert(
+                demand.router,
+                Entry {
+                    demand,
+                    sent_verdict: None,
+                },
+            );
         }
         self.entries.retain(|_, by_router| !by_router.is_empty());
     }
@@ -87,32 +93,35 @@
         })
     }
 
-    /// All coalesced demands, most pressing first: by priority, then deadline.
-    pub fn in_order(&self) -> Vec<ModelDemand> {
+    /// All coalesced demands, max_loads urgency first: by priority, then deadline.
+    pub fn by_urgency(&self) -> Vec<ModelDemand> {
         let mut all: Vec<ModelDemand> = self
             .entries
             .keys()
             .filter_map(|model| self.get(model))
             .collect();
         all.sort_by(|a, b| {
-            let pressing = |d: &ModelDemand| (d.priority, d.earliest_deadline_at);
-            pressing(a)
-                .cmp(&pressing(b))
+            let urgency = |d: &ModelDemand| (d.priority, d.earliest_deadline_at);
+            urgency(a)
+                .cmp(&urgency(b))
                 .then_with(|| a.model.cmp(&b.model))
         });
         all
     }
 
-    /// The routers that have not been told `verdict` about the model yet, and
-    /// marks them as told. A refusal ends the demand.
-    pub fn tell(&mut self, model: &str, verdict: DemandVerdict) -> Vec<Incarnation> {
+    /// The routers that have not been sent_verdict `verdict` about the model yet, and
+    /// marks them as sent_verdict. A refusal ends the demand.
+    pub fn mark_sent(&mut self, model: &str, verdict: DemandVerdict) -> Vec<Incarnation> {
         let Some(by_router) = self.entries.get_mut(model) else {
             return Vec::new();
         };
         let mut routers = Vec::new();
         for (router, entry) in by_router.iter_mut() {
-            if entry.told.is_none_or(|told| is_news(told, verdict)) {
-                entry.told = Some(verdict);
+            if entry
+                .sent_verdict
+                .is_none_or(|sent_verdict| should_resend(sent_verdict, verdict))
+            {
+                entry.sent_verdict = Some(verdict);
                 routers.push(*router);
             }
         }
@@ -123,11 +132,11 @@
     }
 }
 
-fn is_news(told: DemandVerdict, verdict: DemandVerdict) -> bool {
-    match (told, verdict) {
-        (DemandVerdict::ReadyAt(before), DemandVerdict::ReadyAt(after)) => {
-            let moved = before.max(after).duration_since(before.min(after));
-            moved >= TELL_AGAIN
+fn should_resend(sent_verdict: DemandVerdict, verdict: DemandVerdict) -> bool {
+    match (sent_verdict, verdict) {
+        (DemandVerdict::ReadyAt(previous), DemandVerdict::ReadyAt(after)) => {
+            let change = previous.max(after).duration_since(previous.min(after));
+            change >= MIN_READY_CHANGE
         }
         _ => true,
     }
--- a/crates/decide/src/cell/ordering.rs
+++ b/crates/decide/src/cell/orders.rs
@@ -3,14 +3,14 @@
 use super::term::{Stage, Term};
 use super::upstreams::{OrderInFlight, UpstreamView, Upstreams};
 use super::{Action, Decision};
-use crate::messages::{Order, OrderKind, fence_of};
+use crate::messages::{Order, OrderKind, fencing_number};
 use crate::plan::{Placement, PlacementState};
 use passway_config::Catalog;
 use passway_config::document::Fencing;
 use passway_types::prelude::*;
 
 /// An upstream that the list no longer has is given this much of the term to answer.
-const GONE_PATIENCE: Duration = Duration::from_secs(2);
+const REMOVED_UPSTREAM_GRACE: Duration = Duration::from_secs(2);
 /// Time for routers to hear that a replica gets nothing new.
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
 
@@ -20,7 +20,7 @@
 /// unload order that it answered. Any other upstream must have answered
 /// "absent" to an order sent after every older order had settled, those of
 /// former holders included. One that forgets its number at a restart counts
-/// among the others: a holder that was paused before it sent may wake after
+/// among the others: a holder that was paused previous it sent may wake after
 /// the restart.
 pub(super) fn free_absent(term: &mut Term, upstreams: &Upstreams, actions: &mut Vec<Action>) {
     let leaving: Vec<(PlacementId, UpstreamId)> = term
@@ -37,11 +37,11 @@
             continue;
         };
         let fenced = view.entry.fencing == Fencing::Keeps;
-        if !fenced && !was_settled(term, view, id, ordered_at) {
+        if !fenced && !older_orders_settled(term, view, id, ordered_at) {
             continue;
         }
         if term.draft.free(id, fenced).is_ok() {
-            term.forget(id);
+            term.forget_placement(id);
             actions.push(Action::Audit(Decision::Freed { placement: id }));
         }
     }
@@ -52,39 +52,52 @@
 /// Another machine may come back under the same id and address, so an older
 /// order must not be able to reach it either: the same rules hold as for an
 /// upstream that ignores fencing, with its silence for an "absent".
-pub(super) fn free_gone(term: &mut Term, upstreams: &Upstreams, actions: &mut Vec<Action>) {
-    let since = term.started_at + GONE_PATIENCE;
+pub(super) fn free_removed_upstreams(
+    term: &mut Term,
+    upstreams: &Upstreams,
+    actions: &mut Vec<Action>,
+) {
+    let since = term.started_at + REMOVED_UPSTREAM_GRACE;
     for view in upstreams
         .iter()
-        .filter(|view| view.is_gone(since) && view.order.is_none())
+        .filter(|view| view.is_removed(since) && view.order.is_none())
     {
-        let Some(silent_at) = view.silent_at else {
+        let Some(unanswered_poll_at) = view.unanswered_poll_at else {
             continue;
         };
-        let lost: Vec<PlacementId> = term
+        let removed: Vec<PlacementId> = term
             .draft
             .on_upstream(&view.entry.id)
             .map(|placement| placement.id)
             .collect();
-        for id in lost {
-            if was_settled(term, view, id, silent_at) && term.draft.free(id, false).is_ok() {
-                term.forget(id);
+        for id in removed {
+            if older_orders_settled(term, view, id, unanswered_poll_at)
+                && term.draft.free(id, false).is_ok()
+            {
+                term.forget_placement(id);
                 actions.push(Action::Audit(Decision::Freed { placement: id }));
             }
         }
     }
 }
 
-/// Whether nothing that was sent before `ordered_at` could arrive after it.
-fn was_settled(term: &Term, view: &UpstreamView, id: PlacementId, ordered_at: Instant) -> bool {
-    let former_cleared = term
-        .former
-        .cleared_at()
-        .is_none_or(|cleared| ordered_at >= cleared);
-    view.is_settled(ordered_at) && former_cleared && !term.draft.former_may_order(id)
+/// Whether nothing that was sent previous `ordered_at` could arrive after it.
+fn older_orders_settled(
+    term: &Term,
+    view: &UpstreamView,
+    id: PlacementId,
+    ordered_at: Instant,
+) -> bool {
+    let previous_holders_cleared = term
+        .previous_holders
+        .last_cleared_at()
+        .is_none_or(|last_cleared_at| ordered_at >= last_cleared_at);
+    view.is_settled(ordered_at)
+        && previous_holders_cleared
+        && !term.draft.previous_holder_may_order(id)
 }
 
-/// Hands at most one order to each upstream that can take one.
+/// Hands at max_loads one order to each upstream that can take one.
 pub(super) fn send_orders(
     term: &mut Term,
     now: Instant,
@@ -93,17 +106,17 @@
     actions: &mut Vec<Action>,
 ) {
     send_unloads(term, now, catalog, upstreams, actions);
-    let most = catalog.weight_store.max_loads as usize;
+    let max_loads = catalog.weight_store.max_loads as usize;
     let mut loads = term.loads_in_flight(upstreams);
-    for placement in loads_wanted(term, catalog) {
-        if loads >= most {
+    for placement in pending_loads(term, catalog) {
+        if loads >= max_loads {
             return;
         }
-        let takes = upstreams
+        let can_send = upstreams
             .get(&placement.upstream)
-            .is_some_and(|view| view.takes_order(now));
-        if takes {
-            send(
+            .is_some_and(|view| view.accepts_order(now));
+        if can_send {
+            send_order(
                 term,
                 now,
                 catalog,
@@ -134,8 +147,8 @@
         let Some(view) = upstreams.get(&placement.upstream) else {
             continue;
         };
-        if view.takes_order(now) && wants_unload(term, now, view, &placement) {
-            send(
+        if view.accepts_order(now) && needs_unload(term, now, view, &placement) {
+            send_order(
                 term,
                 now,
                 catalog,
@@ -148,15 +161,15 @@
     }
 }
 
-fn wants_unload(term: &Term, now: Instant, view: &UpstreamView, placement: &Placement) -> bool {
+fn needs_unload(term: &Term, now: Instant, view: &UpstreamView, placement: &Placement) -> bool {
     match term.stage(placement.id) {
         // Absent, but an older order could still have arrived after: ask again
         // once everything has settled.
         Stage::Absent { ordered_at } => {
             view.entry.fencing != Fencing::Keeps
                 && term.draft.placement(placement.id).is_some()
-                && !was_settled(term, view, placement.id, ordered_at)
-                && was_settled(term, view, placement.id, now)
+                && !older_orders_settled(term, view, placement.id, ordered_at)
+                && older_orders_settled(term, view, placement.id, now)
         }
         Stage::Ready => is_drained(term, now, view, placement),
         Stage::Unknown | Stage::Loading => true,
@@ -165,30 +178,30 @@
 
 /// Whether routers have stopped sending and nothing runs any more.
 fn is_drained(term: &Term, now: Instant, view: &UpstreamView, placement: &Placement) -> bool {
-    let Some(withdrawn_at) = term.progress.withdrawn_at(placement.id) else {
+    let Some(routes_withdrawn_at) = term.progress.routes_withdrawn_at(placement.id) else {
         return true;
     };
-    let quiet_at = withdrawn_at + DRAIN_GRACE;
+    let quiet_at = routes_withdrawn_at + DRAIN_GRACE;
     let asked_since = view
         .status
         .as_ref()
-        .is_some_and(|(asked_at, _)| *asked_at >= quiet_at);
+        .is_some_and(|(polled_at, _)| *polled_at >= quiet_at);
     let running = view
-        .reported(&placement.model)
+        .reported_model(&placement.model)
         .map_or(0, |loaded| loaded.running);
     now >= quiet_at && asked_since && running == 0
 }
 
-/// Held placements that need a load order, most pressing first.
-fn loads_wanted(term: &Term, catalog: &Catalog) -> Vec<Placement> {
+/// Held placements that need a load order, max_loads pressing first.
+fn pending_loads(term: &Term, catalog: &Catalog) -> Vec<Placement> {
     let base_ready = |placement: &Placement| {
         let base = catalog
             .models
             .get(&placement.model)
             .and_then(|model| model.base.as_ref());
         base.is_none_or(|base| {
-            let beside = term.plan().find(base, &placement.upstream);
-            beside.is_some_and(|p| term.stage(p.id) == Stage::Ready)
+            let base_placement = term.plan().find(base, &placement.upstream);
+            base_placement.is_some_and(|p| term.stage(p.id) == Stage::Ready)
         })
     };
     let mut wanted: Vec<Placement> = term
@@ -203,19 +216,19 @@
         .filter(|p| base_ready(p))
         .cloned()
         .collect();
-    wanted.sort_by_key(|p| urgency(term, catalog, p));
+    wanted.sort_by_key(|p| load_urgency(term, catalog, p));
     wanted
 }
 
 /// Order of loads: those that are waited for by priority and deadline, then the rest.
-pub(super) fn urgency(
+pub(super) fn load_urgency(
     term: &Term,
     catalog: &Catalog,
     placement: &Placement,
 ) -> (bool, u32, Option<Instant>, PlacementId) {
-    let own = term.demands.get(&placement.model);
+    let own_demand = term.demands.get(&placement.model);
     // A base is as pressing as the adapter that waits for it.
-    let dependent = term.plan().on_upstream(&placement.upstream).find_map(|p| {
+    let adapter_demand = term.plan().on_upstream(&placement.upstream).find_map(|p| {
         let model = catalog.models.get(&p.model)?;
         let is_adapter_of = model.base.as_ref() == Some(&placement.model);
         if is_adapter_of {
@@ -224,14 +237,14 @@
             None
         }
     });
-    let demand = own.or(dependent);
+    let demand = own_demand.or(adapter_demand);
     let priority = demand.as_ref().map_or(u32::MAX, |d| d.priority);
     let deadline_at = demand.as_ref().map(|d| d.earliest_deadline_at);
     (demand.is_none(), priority, deadline_at, placement.id)
 }
 
 /// Hands one order to the sender.
-fn send(
+fn send_order(
     term: &mut Term,
     now: Instant,
     catalog: &Catalog,
@@ -243,10 +256,10 @@
     let Some(view) = upstreams.get_mut(&placement.upstream) else {
         return;
     };
-    term.orders_made += 1;
+    term.order_count += 1;
     let order = Order {
         kind,
-        fence: fence_of(term.epoch(), term.orders_made),
+        fence: fencing_number(term.epoch(), term.order_count),
         placement: placement.id,
         model: placement.model.clone(),
         base: catalog
--- a/crates/decide/src/cell/placing.rs
+++ b/crates/decide/src/cell/placing.rs
@@ -1,12 +1,12 @@
 //! Which model goes where, what makes room for it, and when it is ready.
 
 use super::demand::ModelDemand;
-use super::idle::{is_idle, loss};
-use super::ordering::urgency;
+use super::idle::{eviction_cost, is_idle};
+use super::orders::load_urgency;
 use super::term::{Stage, Term};
 use super::upstreams::{UpstreamView, Upstreams};
 use super::{Action, Decision};
-use crate::plan::{Placement, PlacementState, PlanError, Reason, Wish};
+use crate::plan::{DesiredPlacement, Placement, PlacementState, PlanError, Reason};
 use passway_config::Catalog;
 use passway_config::catalog::Model;
 use passway_config::policy::Attributes;
@@ -14,7 +14,7 @@
 
 /// What every decision looks at besides the term itself.
 #[derive(Clone, Copy)]
-pub(super) struct Scene<'a> {
+pub(super) struct DecisionContext<'a> {
     /// The current time.
     pub(super) now: Instant,
     /// The configuration in force.
@@ -24,33 +24,37 @@
 }
 
 /// Expected time to drain and unload a replica that makes room.
-const MAKE_ROOM: Duration = Duration::from_millis(1_500);
+const EVICTION_TIME: Duration = Duration::from_millis(1_500);
 /// Retry hint when no upstream has room.
-const NO_CAPACITY_RETRY: Duration = Duration::from_secs(2);
+const NO_CAPACITY_RETRY_AFTER: Duration = Duration::from_secs(2);
 /// Shortest expected time to a first serving replica.
-const SHORTEST_WAIT: Duration = Duration::from_millis(50);
+const MIN_READY_DELAY: Duration = Duration::from_millis(50);
 /// Places every model that is waited for and has no replica, or too few.
-pub(super) fn place_demands(term: &mut Term, scene: Scene<'_>, actions: &mut Vec<Action>) {
-    let Scene { catalog, .. } = scene;
-    term.refused.clear();
-    for demand in term.demands.in_order() {
+pub(super) fn place_demands(
+    term: &mut Term,
+    context: DecisionContext<'_>,
+    actions: &mut Vec<Action>,
+) {
+    let DecisionContext { catalog, .. } = context;
+    term.unplaceable.clear();
+    for demand in term.demands.by_urgency() {
         let Some(model) = catalog.models.get(&demand.model) else {
-            term.refused
+            term.unplaceable
                 .insert(demand.model.clone(), ResultCode::UnknownModel);
             continue;
         };
         let held = held_count(term, &demand.model);
         let first = held == 0;
-        if !first && !wants_more(term, catalog, &demand, held) {
+        if !first && !needs_more_replicas(term, catalog, &demand, held) {
             continue;
         }
         if term.draft.replicas(&demand.model).count() >= model.max_replicas as usize {
             continue;
         }
-        if let Some(code) = place(term, scene, model, &demand, first, actions)
+        if let Some(code) = place(term, context, model, &demand, first, actions)
             && first
         {
-            term.refused.insert(demand.model.clone(), code);
+            term.unplaceable.insert(demand.model.clone(), code);
         }
     }
 }
@@ -63,7 +67,7 @@
 }
 
 /// Whether more wait than the replicas held can run at one time.
-fn wants_more(term: &Term, catalog: &Catalog, demand: &ModelDemand, held: usize) -> bool {
+fn needs_more_replicas(term: &Term, catalog: &Catalog, demand: &ModelDemand, held: usize) -> bool {
     let slots: u32 = term
         .draft
         .replicas(&demand.model)
@@ -76,27 +80,27 @@
 /// Places one replica, or begins to make room for it; returns why it cannot.
 fn place(
     term: &mut Term,
-    scene: Scene<'_>,
+    context: DecisionContext<'_>,
     model: &Model,
     demand: &ModelDemand,
     may_evict: bool,
     actions: &mut Vec<Action>,
 ) -> Option<ResultCode> {
-    let Scene {
+    let DecisionContext {
         now,
         catalog,
         upstreams,
-    } = scene;
+    } = context;
     let mut views: Vec<&UpstreamView> = upstreams
         .iter()
-        .filter(|view| view.takes_placements())
+        .filter(|view| view.accepts_placements())
         .collect();
-    views.sort_by_key(|view| place_cost(term, now, view, model));
+    views.sort_by_key(|view| placement_cost(term, now, view, model));
     let mut code = ResultCode::NoCapacity;
     for view in &views {
         match reserve(term, catalog, view, model, demand, actions) {
             Ok(()) => {
-                term.making_room.remove(&model.name);
+                term.evictions.remove(&model.name);
                 return None;
             }
             Err(PlanError::WorkspaceAtCap) => code = ResultCode::WorkspaceAtCap,
@@ -106,15 +110,15 @@
     if code == ResultCode::WorkspaceAtCap || !may_evict {
         return Some(code);
     }
-    if is_room_under_way(term, &model.name) {
+    if is_eviction_in_progress(term, &model.name) {
         return None;
     }
-    let made = make_room(term, scene, &views, model, actions);
-    if made { None } else { Some(code) }
+    let evicted = evict_replicas(term, context, &views, model, actions);
+    if evicted { None } else { Some(code) }
 }
 
 /// What a replica on this upstream costs: the load, then the memory already taken.
-fn place_cost(
+fn placement_cost(
     term: &Term,
     now: Instant,
     view: &UpstreamView,
@@ -124,10 +128,10 @@
         .base
         .as_ref()
         .is_some_and(|base| term.draft.find(base, &view.entry.id).is_none());
-    let load = term
-        .progress
-        .estimator
-        .load_time(now, view.tier(&model.name), model.size_bytes);
+    let load =
+        term.progress
+            .estimator
+            .load_time(now, view.checkpoint_tier(&model.name), model.size_bytes);
     let taken_bytes = term.draft.reserved_bytes(&view.entry.id);
     (base_absent, load, taken_bytes, view.entry.id.clone())
 }
@@ -143,20 +147,26 @@
 ) -> Result<(), PlanError> {
     let upstream = &view.entry.id;
     let mut draft = term.draft.clone();
-    let mut made = Vec::new();
+    let mut evicted = Vec::new();
     if let Some(base) = &model.base
         && draft.find(base, upstream).is_none()
     {
         let reason = Reason::BaseOf(model.name.clone());
-        made.push(draft.reserve(catalog, &wish(catalog, base, upstream, demand, reason))?);
+        evicted.push(draft.reserve(
+            catalog,
+            &desired_placement(catalog, base, upstream, demand, reason),
+        )?);
     }
     let reason = Reason::Demand(demand.workspace.clone());
-    made.push(draft.reserve(
+    evicted.push(draft.reserve(
         catalog,
-        &wish(catalog, &model.name, upstream, demand, reason),
+        &desired_placement(catalog, &model.name, upstream, demand, reason),
     )?);
     term.draft = draft;
-    for placement in made.into_iter().filter_map(|id| term.draft.placement(id)) {
+    for placement in evicted
+        .into_iter()
+        .filter_map(|id| term.draft.placement(id))
+    {
         actions.push(Action::Audit(Decision::Placed {
             placement: placement.id,
             model: placement.model.clone(),
@@ -167,20 +177,20 @@
     Ok(())
 }
 
-fn wish(
+fn desired_placement(
     catalog: &Catalog,
     model: &ModelName,
     upstream: &UpstreamId,
     demand: &ModelDemand,
     reason: Reason,
-) -> Wish {
+) -> DesiredPlacement {
     let attributes = Attributes {
         workspace: &demand.workspace,
         model,
         kind: "",
         priority: demand.priority,
     };
-    Wish {
+    DesiredPlacement {
         model: model.clone(),
         upstream: upstream.clone(),
         workspace: demand.workspace.clone(),
@@ -189,49 +199,54 @@
     }
 }
 
-fn is_room_under_way(term: &mut Term, model: &ModelName) -> bool {
-    let Some(upstream) = term.making_room.get(model) else {
+fn is_eviction_in_progress(term: &mut Term, model: &ModelName) -> bool {
+    let Some(upstream) = term.evictions.get(model) else {
         return false;
     };
-    let under_way = term
+    let in_progress = term
         .draft
         .on_upstream(upstream)
         .any(|p| p.state == PlacementState::Leaving);
-    if !under_way {
-        term.making_room.remove(model);
+    if !in_progress {
+        term.evictions.remove(model);
     }
-    under_way
+    in_progress
 }
 
-/// Unloads the idle replicas, on one upstream, whose loss costs least.
-fn make_room(
+/// Unloads the idle replicas, on one upstream, whose eviction_cost costs least.
+fn evict_replicas(
     term: &mut Term,
-    scene: Scene<'_>,
+    context: DecisionContext<'_>,
     views: &[&UpstreamView],
     model: &Model,
     actions: &mut Vec<Action>,
 ) -> bool {
-    let choices = views
+    let options = views
         .iter()
-        .filter_map(|view| victims(term, scene, view, model));
-    let best = choices.min_by(|a, b| a.cost.total_cmp(&b.cost));
+        .filter_map(|view| plan_eviction(term, context, view, model));
+    let best = options.min_by(|a, b| a.cost.total_cmp(&b.cost));
     let Some(best) = best else { return false };
     for id in best.placements {
-        term.begin_unload(scene.catalog, id, "makes room", actions);
+        term.begin_unload(context.catalog, id, "makes room", actions);
     }
-    term.making_room.insert(model.name.clone(), best.upstream);
+    term.evictions.insert(model.name.clone(), best.upstream);
     true
 }
 
 /// Replicas that would make room on one upstream.
-struct Victims {
+struct Eviction {
     upstream: UpstreamId,
     placements: Vec<PlacementId>,
     cost: f64,
 }
 
-fn victims(term: &Term, scene: Scene<'_>, view: &UpstreamView, model: &Model) -> Option<Victims> {
-    let Scene { now, catalog, .. } = scene;
+fn plan_eviction(
+    term: &Term,
+    context: DecisionContext<'_>,
+    view: &UpstreamView,
+    model: &Model,
+) -> Option<Eviction> {
+    let DecisionContext { now, catalog, .. } = context;
     let upstream = &view.entry.id;
     let base = model
         .base
@@ -250,29 +265,33 @@
         .on_upstream(upstream)
         .filter(|p| Some(&p.model) != model.base.as_ref())
         .filter(|p| is_idle(term, catalog, view, p))
-        .map(|p| (loss(term, now, view, p), p))
+        .map(|p| (eviction_cost(term, now, view, p), p))
         .collect();
     idle.sort_by(|a, b| a.0.total_cmp(&b.0));
-    let mut victims = Victims {
+    let mut eviction = Eviction {
         upstream: upstream.clone(),
         placements: Vec::new(),
         cost: 0.0,
     };
-    let mut gained_bytes = free_bytes;
+    let mut free_bytes_after = free_bytes;
     for (cost, placement) in idle {
-        if gained_bytes >= needed_bytes {
+        if free_bytes_after >= needed_bytes {
             break;
         }
-        gained_bytes += placement.reserved_bytes;
-        victims.cost += cost;
-        victims.placements.push(placement.id);
+        free_bytes_after += placement.reserved_bytes;
+        eviction.cost += cost;
+        eviction.placements.push(placement.id);
     }
-    (gained_bytes >= needed_bytes).then_some(victims)
+    (free_bytes_after >= needed_bytes).then_some(eviction)
 }
 
 /// When a model that is waited for is expected to serve.
-pub(super) fn estimate_ready(term: &Term, scene: Scene<'_>, demand: &ModelDemand) -> Instant {
-    let Scene { now, catalog, .. } = scene;
+pub(super) fn estimate_ready(
+    term: &Term,
+    context: DecisionContext<'_>,
+    demand: &ModelDemand,
+) -> Instant {
+    let DecisionContext { now, catalog, .. } = context;
     let held = term
         .draft
         .replicas(&demand.model)
@@ -280,34 +299,36 @@
     let waits = held.map(
         |placement| match term.progress.estimator.remaining(now, placement.id) {
             Some(remaining) => remaining,
-            None => queue_wait(term, scene, placement),
+            None => queue_wait(term, context, placement),
         },
     );
     let wait = waits.min().unwrap_or_else(|| {
         let model = catalog.models.get(&demand.model);
         let size_bytes = model.map_or(0, |model| model.size_bytes);
         let tier = crate::messages::Tier::Remote;
-        MAKE_ROOM + term.progress.estimator.load_time(now, tier, size_bytes)
+        EVICTION_TIME + term.progress.estimator.load_time(now, tier, size_bytes)
     });
-    now + wait.max(SHORTEST_WAIT)
+    now + wait.max(MIN_READY_DELAY)
 }
 
 /// Time until a placement that still waits for its load order is ready.
-fn queue_wait(term: &Term, scene: Scene<'_>, placement: &Placement) -> Duration {
-    let Scene {
+fn queue_wait(term: &Term, context: DecisionContext<'_>, placement: &Placement) -> Duration {
+    let DecisionContext {
         now,
         catalog,
         upstreams,
-    } = scene;
-    let load_of = |p: &Placement| {
-        let tier = upstreams.get(&p.upstream).map(|view| view.tier(&p.model));
+    } = context;
+    let load_time_of = |p: &Placement| {
+        let tier = upstreams
+            .get(&p.upstream)
+            .map(|view| view.checkpoint_tier(&p.model));
         let tier = tier.unwrap_or(crate::messages::Tier::Remote);
         term.progress
             .estimator
             .load_time(now, tier, p.reserved_bytes)
     };
-    let mine = urgency(term, catalog, placement);
-    let most = catalog.weight_store.max_loads;
+    let own_urgency = load_urgency(term, catalog, placement);
+    let max_loads = catalog.weight_store.max_loads;
     let mut ahead = Duration::ZERO;
     for other in term.draft.placements().filter(|p| p.id != placement.id) {
         let is_held = other.state == PlacementState::Held;
@@ -317,19 +338,24 @@
                 .estimator
                 .remaining(now, other.id)
                 .unwrap_or_default(),
-            Stage::Unknown if is_held && urgency(term, catalog, other) < mine => load_of(other),
+            Stage::Unknown if is_held && load_urgency(term, catalog, other) < own_urgency => {
+                load_time_of(other)
+            }
             _ => Duration::ZERO,
         };
     }
-    ahead / most + load_of(placement)
+    ahead / max_loads + load_time_of(placement)
 }
 
 /// When to come back after a refusal: when the first load in progress ends, since
 /// until then nothing changes, but at least after a while.
-pub(super) fn retry_after_refusal(term: &Term, now: Instant) -> Duration {
+pub(super) fn refusal_retry_after(term: &Term, now: Instant) -> Duration {
     let loading = term
         .draft
         .placements()
         .filter_map(|p| term.progress.estimator.remaining(now, p.id));
-    loading.min().unwrap_or_default().max(NO_CAPACITY_RETRY)
+    loading
+        .min()
+        .unwrap_or_default()
+        .max(NO_CAPACITY_RETRY_AFTER)
 }
--- a/crates/decide/src/cell/progress.rs
+++ b/crates/decide/src/cell/progress.rs
@@ -27,20 +27,20 @@
 #[derive(Debug, Clone, Copy)]
 struct Progress {
     stage: Stage,
-    since: Instant,
+    entered_at: Instant,
     /// When the routes to it were taken back.
-    withdrawn_at: Option<Instant>,
+    routes_withdrawn_at: Option<Instant>,
 }
 
 /// The progress of all placements of a term.
 #[derive(Debug)]
-pub(super) struct ProgressBook {
+pub(super) struct ProgressTable {
     placements: HashMap<PlacementId, Progress>,
     /// Follows the stages: a load begins, ends or is given up.
     pub(super) estimator: LoadEstimator,
 }
 
-impl ProgressBook {
+impl ProgressTable {
     /// Nothing is known of any placement.
     pub(super) fn new(estimator: LoadEstimator) -> Self {
         Self {
@@ -56,27 +56,27 @@
     }
 
     /// Since when a placement is as far as it is; `None` if nothing is known of it.
-    pub(super) fn since(&self, id: PlacementId) -> Option<Instant> {
-        self.placements.get(&id).map(|progress| progress.since)
+    pub(super) fn entered_at(&self, id: PlacementId) -> Option<Instant> {
+        self.placements.get(&id).map(|progress| progress.entered_at)
     }
 
     /// When the routes to a placement were taken back.
-    pub(super) fn withdrawn_at(&self, id: PlacementId) -> Option<Instant> {
-        self.placements.get(&id)?.withdrawn_at
+    pub(super) fn routes_withdrawn_at(&self, id: PlacementId) -> Option<Instant> {
+        self.placements.get(&id)?.routes_withdrawn_at
     }
 
-    /// The routes to a placement are taken back, unless they were before.
-    pub(super) fn withdraw(&mut self, now: Instant, id: PlacementId) {
+    /// The routes to a placement are taken back, unless they were previous.
+    pub(super) fn withdraw_routes(&mut self, now: Instant, id: PlacementId) {
         let progress = self.placements.entry(id).or_insert(Progress {
             stage: Stage::Unknown,
-            since: now,
-            withdrawn_at: None,
+            entered_at: now,
+            routes_withdrawn_at: None,
         });
-        progress.withdrawn_at.get_or_insert(now);
+        progress.routes_withdrawn_at.get_or_insert(now);
     }
 
     /// Placements that upstreams load.
-    pub(super) fn loading(&self) -> usize {
+    pub(super) fn loading_count(&self) -> usize {
         let all = self.placements.values();
         all.filter(|p| p.stage == Stage::Loading).count()
     }
@@ -88,27 +88,31 @@
     }
 
     /// Takes in an upstream's report about what the plan has there.
-    pub(super) fn observe(&mut self, now: Instant, plan: &Plan, view: &UpstreamView) {
-        let Some((asked_at, _)) = &view.status else {
+    pub(super) fn apply_report(&mut self, now: Instant, plan: &Plan, view: &UpstreamView) {
+        let Some((polled_at, _)) = &view.status else {
             return;
         };
-        let held = plan.on_upstream(&view.entry.id);
-        for placement in held.filter(|p| p.state == PlacementState::Held) {
-            if let Some(stage) = self.reported(*asked_at, view, placement) {
+        let placements = plan.on_upstream(&view.entry.id);
+        for placement in placements.filter(|p| p.state == PlacementState::Held) {
+            if let Some(stage) = self.stage_from_report(*polled_at, view, placement) {
                 self.enter(now, stage, view, placement);
             }
         }
     }
 
     /// The stage that a report takes a placement to; `None` if it changes nothing.
-    fn reported(
+    fn stage_from_report(
         &self,
-        asked_at: Instant,
+        polled_at: Instant,
         view: &UpstreamView,
         placement: &Placement,
     ) -> Option<Stage> {
-        let state = view.reported(&placement.model).map(|loaded| loaded.state);
-        let is_newer = self.since(placement.id).is_none_or(|at| asked_at > at);
+        let state = view
+            .reported_model(&placement.model)
+            .map(|loaded| loaded.state);
+        let is_newer = self
+            .entered_at(placement.id)
+            .is_none_or(|at| polled_at > at);
         match (self.stage(placement.id), state) {
             (Stage::Unknown | Stage::Loading, Some(LoadedState::Ready)) => Some(Stage::Ready),
             (Stage::Unknown, Some(LoadedState::Loading)) => Some(Stage::Loading),
@@ -123,7 +127,7 @@
         match stage {
             Stage::Ready => self.estimator.finish(now, placement.id),
             Stage::Loading => {
-                let tier = view.tier(&placement.model);
+                let tier = view.checkpoint_tier(&placement.model);
                 self.estimator
                     .begin(now, placement.id, tier, placement.reserved_bytes);
             }
@@ -131,14 +135,14 @@
         }
         let progress = Progress {
             stage,
-            since: now,
-            withdrawn_at: None,
+            entered_at: now,
+            routes_withdrawn_at: None,
         };
         self.placements.insert(placement.id, progress);
     }
 
     /// Takes in the answer to an order; `tier` is where the upstream has the model.
-    pub(super) fn answered(
+    pub(super) fn apply_answer(
         &mut self,
         now: Instant,
         sent: &OrderInFlight,
@@ -160,8 +164,8 @@
         }
         let progress = Progress {
             stage,
-            since: now,
-            withdrawn_at: self.withdrawn_at(order.placement),
+            entered_at: now,
+            routes_withdrawn_at: self.routes_withdrawn_at(order.placement),
         };
         self.placements.insert(order.placement, progress);
     }
--- a/crates/decide/src/cell/publish.rs
+++ b/crates/decide/src/cell/publish.rs
@@ -1,7 +1,7 @@
 //! What the holder of a term tells routers: routes, and answers to demands.
 
 use super::Action;
-use super::placing::{self, Scene};
+use super::placing::{self, DecisionContext};
 use super::term::{Stage, Term};
 use super::upstreams::Upstreams;
 use crate::messages::{DemandVerdict, RouteChange};
@@ -9,32 +9,36 @@
 use passway_types::prelude::*;
 use std::collections::BTreeSet;
 
-/// Time given to upstreams for a first report before routes are published.
-const FIRST_REPORTS: Duration = Duration::from_secs(1);
+/// Time given to upstreams for a first report previous routes are published.
+const FIRST_REPORT_WINDOW: Duration = Duration::from_secs(1);
 /// Retry hint when the key-value service does not answer.
-const CONTROL_RETRY: Duration = Duration::from_secs(2);
+const CONTROL_RETRY_AFTER: Duration = Duration::from_secs(2);
 impl Term {
-    pub(super) fn answer_demands(&mut self, scene: Scene<'_>, actions: &mut Vec<Action>) {
-        let now = scene.now;
-        for demand in self.demands.in_order() {
+    pub(super) fn answer_demands(
+        &mut self,
+        context: DecisionContext<'_>,
+        actions: &mut Vec<Action>,
+    ) {
+        let now = context.now;
+        for demand in self.demands.by_urgency() {
             let model = &demand.model;
             if self.is_routed(model) {
                 continue;
             }
-            let verdict = if let Some(code) = self.refused.remove(model) {
-                let retry_at = now + placing::retry_after_refusal(self, now);
+            let verdict = if let Some(code) = self.unplaceable.remove(model) {
+                let retry_at = now + placing::refusal_retry_after(self, now);
                 DemandVerdict::Refused { code, retry_at }
             } else if self.is_blocked(now) && !self.is_loading(model) {
                 let code = ResultCode::ControlUnavailable;
                 DemandVerdict::Refused {
                     code,
-                    retry_at: now + CONTROL_RETRY,
+                    retry_at: now + CONTROL_RETRY_AFTER,
                 }
             } else {
-                let ready_at = placing::estimate_ready(self, scene, &demand);
+                let ready_at = placing::estimate_ready(self, context, &demand);
                 DemandVerdict::ReadyAt(ready_at)
             };
-            for router in self.demands.tell(model, verdict) {
+            for router in self.demands.mark_sent(model, verdict) {
                 actions.push(Action::AnswerDemand {
                     router,
                     model: model.clone(),
@@ -45,7 +49,7 @@
     }
 
     fn is_routed(&self, model: &str) -> bool {
-        let routes = self.published.as_ref();
+        let routes = self.published_routes.as_ref();
         routes.is_some_and(|routes| routes.iter().any(|(routed, _)| &**routed == model))
     }
 
@@ -59,9 +63,9 @@
 
     /// Whether every upstream has reported, or has had the time to. Before that
     /// "no room" would only mean "nobody asked yet".
-    pub(super) fn knows_upstreams(&self, now: Instant, upstreams: &Upstreams) -> bool {
-        let heard_all = upstreams.iter().all(|view| view.status.is_some());
-        heard_all || now >= self.started_at + FIRST_REPORTS
+    pub(super) fn has_upstream_reports(&self, now: Instant, upstreams: &Upstreams) -> bool {
+        let all_reported = upstreams.iter().all(|view| view.status.is_some());
+        all_reported || now >= self.started_at + FIRST_REPORT_WINDOW
     }
 
     pub(super) fn publish(
@@ -70,25 +74,25 @@
         now: Instant,
         actions: &mut Vec<Action>,
     ) {
-        if self.published.is_none() && !self.knows_upstreams(now, upstreams) {
+        if self.published_routes.is_none() && !self.has_upstream_reports(now, upstreams) {
             return;
         }
         let routes = self.routes(upstreams);
-        let change = match &self.published {
+        let change = match &self.published_routes {
             None => RouteChange {
                 added: routes.iter().cloned().collect(),
                 removed: vec![],
-                whole: true,
+                is_snapshot: true,
             },
-            Some(before) => RouteChange {
-                added: routes.difference(before).cloned().collect(),
-                removed: before.difference(&routes).cloned().collect(),
-                whole: false,
+            Some(previous) => RouteChange {
+                added: routes.difference(previous).cloned().collect(),
+                removed: previous.difference(&routes).cloned().collect(),
+                is_snapshot: false,
             },
         };
-        if change.whole || !change.added.is_empty() || !change.removed.is_empty() {
-            actions.push(Action::Publish(change));
-            self.published = Some(routes);
+        if change.is_snapshot || !change.added.is_empty() || !change.removed.is_empty() {
+            actions.push(Action::PublishRoutes(change));
+            self.published_routes = Some(routes);
         }
     }
 
@@ -96,7 +100,7 @@
         let serves = |id: &UpstreamId| {
             upstreams
                 .get(id)
-                .is_some_and(|view| view.reachable && !view.is_leaving())
+                .is_some_and(|view| view.is_reachable && !view.is_leaving())
         };
         self.plan()
             .placements()
--- a/crates/decide/src/cell/term.rs
+++ b/crates/decide/src/cell/term.rs
@@ -1,17 +1,17 @@
 //! One term of leadership over a cell.
 
-use super::demand::DemandBook;
-use super::former::FormerHolders;
+use super::demand::DemandTable;
 use super::idle;
 use super::lease::HeldLease;
-use super::ordering;
-use super::placing::{self, Scene};
-use super::progress::ProgressBook;
+use super::orders;
+use super::placing::{self, DecisionContext};
+use super::previous_holders::PreviousHolders;
+use super::progress::ProgressTable;
 pub use super::progress::Stage;
 use super::upstreams::{OrderInFlight, Upstreams};
-use super::usage::ModelUse;
+use super::usage::ModelUsage;
 use super::write::{Change, CommittedPlan, InFlight, Resolution};
-use super::{Action, Decision, READ_RETRY, change_id};
+use super::{Action, Decision, READ_RETRY_DELAY, change_id};
 use crate::estimate::LoadEstimator;
 use crate::messages::{OrderAnswer, OrderKind, Tier, Usage};
 use crate::plan::{PlacementState, Plan};
@@ -26,23 +26,23 @@
     /// The committed plan with decisions that are not written yet.
     pub(super) draft: Plan,
     in_flight: Option<Change<InFlight>>,
-    write_began_at: Option<Instant>,
+    write_started_at: Option<Instant>,
     /// A write that is open for longer counts as an outage of the key-value service.
-    write_patience: Duration,
-    read_at: Option<Instant>,
+    write_outage_after: Duration,
+    next_read_at: Option<Instant>,
     lease: HeldLease,
     pub(super) started_at: Instant,
-    changes_made: u64,
-    pub(super) orders_made: u32,
-    pub(super) progress: ProgressBook,
-    pub(super) demands: DemandBook,
-    pub(super) usage: HashMap<ModelName, ModelUse>,
+    change_count: u64,
+    pub(super) order_count: u32,
+    pub(super) progress: ProgressTable,
+    pub(super) demands: DemandTable,
+    pub(super) usage: HashMap<ModelName, ModelUsage>,
     /// Where room is being made for a model.
-    pub(super) making_room: HashMap<ModelName, UpstreamId>,
+    pub(super) evictions: HashMap<ModelName, UpstreamId>,
     /// Models that cannot be placed for now, and why.
-    pub(super) refused: HashMap<ModelName, ResultCode>,
-    pub(super) published: Option<BTreeSet<(ModelName, UpstreamId)>>,
-    pub(super) former: FormerHolders,
+    pub(super) unplaceable: HashMap<ModelName, ResultCode>,
+    pub(super) published_routes: Option<BTreeSet<(ModelName, UpstreamId)>>,
+    pub(super) previous_holders: PreviousHolders,
     pub(super) idle_check_at: Instant,
 }
 
@@ -52,27 +52,29 @@
         committed: CommittedPlan,
         lease_until: Instant,
         catalog: &Catalog,
-        changes_made: u64,
-        write_patience: Duration,
+        change_count: u64,
+        write_outage_after: Duration,
     ) -> Self {
         Self {
             draft: committed.plan().clone(),
             committed,
             in_flight: None,
-            write_began_at: None,
-            write_patience,
-            read_at: None,
+            write_started_at: None,
+            write_outage_after,
+            next_read_at: None,
             lease: HeldLease::new(now, lease_until),
             started_at: now,
-            changes_made,
-            orders_made: 0,
-            progress: ProgressBook::new(LoadEstimator::new(catalog.weight_store.expected_mb_per_s)),
-            demands: DemandBook::default(),
+            change_count,
+            order_count: 0,
+            progress: ProgressTable::new(LoadEstimator::new(
+                catalog.weight_store.expected_mb_per_s,
+            )),
+            demands: DemandTable::default(),
             usage: HashMap::new(),
-            making_room: HashMap::new(),
-            refused: HashMap::new(),
-            published: None,
-            former: FormerHolders::new(now),
+            evictions: HashMap::new(),
+            unplaceable: HashMap::new(),
+            published_routes: None,
+            previous_holders: PreviousHolders::new(now),
             idle_check_at: now,
         }
     }
@@ -94,31 +96,31 @@
 
     /// Whether the lease can be relied on.
     pub fn has_lease(&self, now: Instant) -> bool {
-        now < self.lease.until()
+        now < self.lease.valid_until()
     }
 
     /// The moment after which no order may leave.
     pub(super) fn orders_not_after(&self) -> Instant {
-        self.lease.until()
+        self.lease.valid_until()
     }
 
     pub(super) fn tick(&mut self, now: Instant, actions: &mut Vec<Action>) {
         if self.lease.begin_renewal(now) {
             actions.push(Action::RenewLease);
         }
-        if self.read_at.is_some_and(|at| now >= at) {
-            self.read_at = None;
+        if self.next_read_at.is_some_and(|at| now >= at) {
+            self.next_read_at = None;
             actions.push(Action::ReadPlan);
         }
-        self.probe_former(now, actions);
+        self.probe_previous_holders(now, actions);
     }
 
-    pub(super) fn lease_renewed(&mut self, until_at: Instant) {
-        self.lease.renewed(until_at);
+    pub(super) fn lease_renewed(&mut self, valid_until: Instant) {
+        self.lease.renewed(valid_until);
     }
 
     pub(super) fn renewal_failed(&mut self) {
-        self.lease.renewal_failed(READ_RETRY);
+        self.lease.renewal_failed(READ_RETRY_DELAY);
     }
 
     pub(super) fn write_done(&mut self, now: Instant, id: ChangeId, version: Version) {
@@ -132,19 +134,19 @@
     /// decision may stay unwritten for long, and the model goes on serving.
     fn commit(&mut self, now: Instant, committed: CommittedPlan) {
         self.committed = committed;
-        self.write_began_at = None;
+        self.write_started_at = None;
         let leaving = self.committed.plan().placements();
         for placement in leaving.filter(|p| p.state == PlacementState::Leaving) {
-            self.progress.withdraw(now, placement.id);
+            self.progress.withdraw_routes(now, placement.id);
         }
     }
 
     pub(super) fn write_unclear(&mut self, now: Instant) {
-        self.read_at = Some(now);
+        self.next_read_at = Some(now);
     }
 
     pub(super) fn read_failed(&mut self, now: Instant) {
-        self.read_at = Some(now + READ_RETRY);
+        self.next_read_at = Some(now + READ_RETRY_DELAY);
     }
 
     /// Learns from a read what became of the change in flight.
@@ -154,19 +156,19 @@
         &mut self,
         now: Instant,
         version: Version,
-        found: Option<Plan>,
+        stored: Option<Plan>,
     ) -> Result<(), ()> {
         let Some(change) = self.in_flight.take() else {
             return Ok(());
         };
-        match change.resolve(version, found) {
+        match change.resolve(version, stored) {
             Resolution::Committed(committed) => {
                 self.commit(now, committed);
                 Ok(())
             }
             // Our own term stands in the service, so anything else is a later term
             // or a service that lost what it had confirmed.
-            Resolution::NotApplied { .. } | Resolution::Deposed => Err(()),
+            Resolution::NotApplied { .. } | Resolution::Superseded => Err(()),
         }
     }
 
@@ -177,45 +179,45 @@
             .record(usage);
     }
 
-    pub(super) fn router_gone(&mut self, router: Incarnation) {
+    pub(super) fn remove_router(&mut self, router: Incarnation) {
         self.demands.remove_router(router);
         for usage in self.usage.values_mut() {
             usage.remove_router(router);
         }
     }
 
-    pub(super) fn former_gone(&mut self, epoch: Epoch, settled_at: Instant) {
-        self.former.gone(epoch, settled_at);
+    pub(super) fn mark_holder_stopped(&mut self, epoch: Epoch, settled_at: Instant) {
+        self.previous_holders.mark_stopped(epoch, settled_at);
     }
 
-    fn probe_former(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        for epoch in self.former.take_settled(now) {
-            self.draft.clear_former(epoch);
+    fn probe_previous_holders(&mut self, now: Instant, actions: &mut Vec<Action>) {
+        for epoch in self.previous_holders.take_settled(now) {
+            self.draft.clear_previous_holder(epoch);
         }
-        for former in self.former.due_probes(now, &self.draft) {
-            actions.push(Action::ProbeFormer {
-                epoch: former.epoch,
-                holder: former.holder,
+        for previous_holder in self.previous_holders.due_probes(now, &self.draft) {
+            actions.push(Action::ProbePreviousHolder {
+                epoch: previous_holder.epoch,
+                holder: previous_holder.holder,
             });
         }
     }
 
     /// Takes in all reports at the begin of a term.
-    pub(super) fn adopt(&mut self, now: Instant, upstreams: &Upstreams) {
+    pub(super) fn apply_all_reports(&mut self, now: Instant, upstreams: &Upstreams) {
         for view in upstreams.iter() {
-            self.progress.observe(now, self.committed.plan(), view);
+            self.progress.apply_report(now, self.committed.plan(), view);
         }
     }
 
     /// Takes in an upstream's report.
-    pub(super) fn observe(&mut self, now: Instant, upstreams: &Upstreams, upstream: &str) {
+    pub(super) fn apply_report(&mut self, now: Instant, upstreams: &Upstreams, upstream: &str) {
         if let Some(view) = upstreams.get(upstream) {
-            self.progress.observe(now, self.committed.plan(), view);
+            self.progress.apply_report(now, self.committed.plan(), view);
         }
     }
 
     /// Takes in the answer to an order.
-    pub(super) fn answered(
+    pub(super) fn apply_answer(
         &mut self,
         now: Instant,
         upstreams: &Upstreams,
@@ -223,8 +225,8 @@
         answer: OrderAnswer,
     ) {
         let view = upstreams.get(&sent.order.upstream);
-        let tier = view.map_or(Tier::Remote, |view| view.tier(&sent.order.model));
-        self.progress.answered(now, sent, answer, tier);
+        let tier = view.map_or(Tier::Remote, |view| view.checkpoint_tier(&sent.order.model));
+        self.progress.apply_answer(now, sent, answer, tier);
     }
 
     /// Does whatever can be done now.
@@ -237,23 +239,23 @@
     ) {
         self.demands.expire(now);
         if self.has_lease(now) {
-            ordering::free_gone(self, upstreams, actions);
-            let scene = Scene {
+            orders::free_removed_upstreams(self, upstreams, actions);
+            let context = DecisionContext {
                 now,
                 catalog,
                 upstreams,
             };
-            if self.knows_upstreams(now, upstreams) {
-                placing::place_demands(self, scene, actions);
+            if self.has_upstream_reports(now, upstreams) {
+                placing::place_demands(self, context, actions);
             }
-            idle::unload_unneeded(self, scene, actions);
-            ordering::free_absent(self, upstreams, actions);
-            self.flush(now, actions);
-            ordering::send_orders(self, now, catalog, upstreams, actions);
+            idle::unload_unneeded(self, context, actions);
+            orders::free_absent(self, upstreams, actions);
+            self.write_draft(now, actions);
+            orders::send_orders(self, now, catalog, upstreams, actions);
         }
         self.publish(upstreams, now, actions);
         self.answer_demands(
-            Scene {
+            DecisionContext {
                 now,
                 catalog,
                 upstreams,
@@ -263,23 +265,23 @@
     }
 
     /// Writes the draft if it differs from what stands and no write is open.
-    fn flush(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    fn write_draft(&mut self, now: Instant, actions: &mut Vec<Action>) {
         if self.in_flight.is_some() || &self.draft == self.committed.plan() {
             return;
         }
-        self.changes_made += 1;
-        self.draft.last_change = change_id(self.draft.holder.incarnation, self.changes_made);
+        self.change_count += 1;
+        self.draft.last_change = change_id(self.draft.holder.incarnation, self.change_count);
         let (sent, action) = Change::draft(self.draft.clone()).send(self.committed.version());
         self.in_flight = Some(sent);
-        self.write_began_at.get_or_insert(now);
+        self.write_started_at.get_or_insert(now);
         actions.push(action);
     }
 
     /// Whether new decisions cannot be written or ordered at present.
     pub(super) fn is_blocked(&self, now: Instant) -> bool {
         let write_open = self
-            .write_began_at
-            .is_some_and(|began| now >= began + self.write_patience);
+            .write_started_at
+            .is_some_and(|began| now >= began + self.write_outage_after);
         write_open || !self.has_lease(now)
     }
 
@@ -308,10 +310,10 @@
     pub(super) fn loads_in_flight(&self, upstreams: &Upstreams) -> usize {
         let ordered = upstreams.iter().filter_map(|view| view.order.as_ref());
         let ordered = ordered.filter(|sent| sent.order.kind == OrderKind::Load);
-        self.progress.loading() + ordered.count()
+        self.progress.loading_count() + ordered.count()
     }
 
-    pub(super) fn forget(&mut self, id: PlacementId) {
+    pub(super) fn forget_placement(&mut self, id: PlacementId) {
         self.progress.forget(id);
     }
 }
--- a/crates/decide/src/cell/upstreams.rs
+++ b/crates/decide/src/cell/upstreams.rs
@@ -11,7 +11,7 @@
 use std::collections::HashMap;
 
 /// Pause before an upstream that did not take an order is tried again.
-const ORDER_RETRY: Duration = Duration::from_millis(500);
+const ORDER_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// An order that was handed to the sender and is not answered.
 #[derive(Debug, Clone)]
@@ -24,13 +24,13 @@
 
 /// What the platform's list says of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum ListingState {
     /// It is listed, or was never heard of.
     Listed,
     /// It is listed as leaving.
     Leaving,
     /// It was listed and is no more.
-    Gone,
+    Removed,
 }
 
 /// One upstream as the controller sees it.
@@ -41,15 +41,15 @@
     /// The last report and when it was asked for.
     pub status: Option<(Instant, UpstreamStatus)>,
     /// Whether the last question was answered.
-    pub reachable: bool,
+    pub is_reachable: bool,
     /// When the last question was asked, if it was not answered.
-    pub silent_at: Option<Instant>,
+    pub unanswered_poll_at: Option<Instant>,
     /// When the last question was asked; what an earlier one brings is stale.
-    asked_at: Option<Instant>,
+    polled_at: Option<Instant>,
     /// What the platform's list says.
-    pub standing: Standing,
+    pub listing: ListingState,
     /// Whether the configuration has it.
-    pub configured: bool,
+    pub is_configured: bool,
     /// The one order under way.
     pub order: Option<OrderInFlight>,
     /// Until then an unanswered order may still arrive.
@@ -63,11 +63,11 @@
         Self {
             entry,
             status: None,
-            reachable: false,
-            silent_at: None,
-            asked_at: None,
-            standing: Standing::Listed,
-            configured: true,
+            is_reachable: false,
+            unanswered_poll_at: None,
+            polled_at: None,
+            listing: ListingState::Listed,
+            is_configured: true,
             order: None,
             unsettled_until: None,
             retry_at: None,
@@ -75,18 +75,21 @@
     }
 
     /// Whether new models may be placed on it.
-    pub fn takes_placements(&self) -> bool {
-        self.reachable && !self.is_leaving()
+    pub fn accepts_placements(&self) -> bool {
+        self.is_reachable && !self.is_leaving()
     }
 
     /// Whether it gets no new work, by whoever's word: the platform's list, the
     /// operators, or its own. Each may take its word back.
     pub fn is_leaving(&self) -> bool {
-        let own_word = self
+        let reports_leaving = self
             .status
             .as_ref()
             .is_some_and(|(_, status)| status.leaving);
-        self.standing != Standing::Listed || !self.configured || self.entry.draining || own_word
+        self.listing != ListingState::Listed
+            || !self.is_configured
+            || self.entry.draining
+            || reports_leaving
     }
 
     /// Whether it is gone for good, so that nothing is left of what it held.
@@ -94,13 +97,14 @@
     /// The list lags, so it is not believed alone: the upstream must also have
     /// been silent to a question asked after `since`. A new holder may have heard
     /// of its end long ago, and not that it came back and was used since.
-    pub fn is_gone(&self, since: Instant) -> bool {
-        self.standing == Standing::Gone && self.silent_at.is_some_and(|at| at >= since)
+    pub fn is_removed(&self, since: Instant) -> bool {
+        self.listing == ListingState::Removed
+            && self.unanswered_poll_at.is_some_and(|at| at >= since)
     }
 
     /// Whether an order may be sent now.
-    pub fn takes_order(&self, now: Instant) -> bool {
-        self.reachable && self.order.is_none() && self.retry_at.is_none_or(|at| now >= at)
+    pub fn accepts_order(&self, now: Instant) -> bool {
+        self.is_reachable && self.order.is_none() && self.retry_at.is_none_or(|at| now >= at)
     }
 
     /// Whether no order of this process can arrive any more but the one in flight.
@@ -109,22 +113,23 @@
     }
 
     /// A model in the last report.
-    pub fn reported(&self, model: &str) -> Option<&LoadedModel> {
+    pub fn reported_model(&self, model: &str) -> Option<&LoadedModel> {
         let (_, status) = self.status.as_ref()?;
         status.loaded.iter().find(|loaded| &*loaded.model == model)
     }
 
     /// Whether the last report says that the model serves.
     pub fn is_ready(&self, model: &str) -> bool {
-        self.reported(model)
+        self.reported_model(model)
             .is_some_and(|loaded| loaded.state == LoadedState::Ready)
     }
 
     /// Where the model's checkpoint lies.
-    pub fn tier(&self, model: &str) -> Tier {
+    pub fn checkpoint_tier(&self, model: &str) -> Tier {
         let cached = self.status.as_ref().map(|(_, status)| &status.cached);
-        let found = cached.and_then(|cached| cached.iter().find(|(name, _)| &**name == model));
-        found.map_or(Tier::Remote, |(_, tier)| *tier)
+        let cached_entry =
+            cached.and_then(|cached| cached.iter().find(|(name, _)| &**name == model));
+        cached_entry.map_or(Tier::Remote, |(_, tier)| *tier)
     }
 }
 
@@ -152,7 +157,7 @@
         // An upstream that the catalog no longer has gets nothing new, but what
         // it holds is still unloaded properly.
         for (id, view) in &mut self.views {
-            view.configured = catalog.upstreams.contains_key(id);
+            view.is_configured = catalog.upstreams.contains_key(id);
         }
     }
 
@@ -172,30 +177,30 @@
     }
 
     /// Records what the platform\'s list says.
-    pub fn set_standing(&mut self, id: &str, standing: Standing) {
+    pub fn set_listing(&mut self, id: &str, listing: ListingState) {
         if let Some(view) = self.views.get_mut(id) {
-            view.standing = standing;
+            view.listing = listing;
         }
     }
 
     /// Records a report, or that the upstream could not be asked.
-    pub fn reported(&mut self, id: &str, asked_at: Instant, status: Option<UpstreamStatus>) {
+    pub fn record_status(&mut self, id: &str, polled_at: Instant, status: Option<UpstreamStatus>) {
         let Some(view) = self.views.get_mut(id) else {
             return;
         };
-        if view.asked_at.is_some_and(|last| asked_at < last) {
+        if view.polled_at.is_some_and(|last| polled_at < last) {
             return;
         }
-        view.asked_at = Some(asked_at);
-        view.reachable = status.is_some();
-        view.silent_at = status.is_none().then_some(asked_at);
+        view.polled_at = Some(polled_at);
+        view.is_reachable = status.is_some();
+        view.unanswered_poll_at = status.is_none().then_some(polled_at);
         if let Some(status) = status {
-            view.status = Some((asked_at, status));
+            view.status = Some((polled_at, status));
         }
     }
 
     /// Records what became of an order, and returns it if it is the one under way.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         now: Instant,
         id: &str,
@@ -209,14 +214,14 @@
             .take_if(|in_flight| in_flight.order.fence == fence);
         match answer {
             OrderAnswer::Lost => {
-                view.unsettled_until = Some(now + limits.order_settle);
-                view.retry_at = Some(now + ORDER_RETRY);
+                view.unsettled_until = Some(now + limits.order_settle_time);
+                view.retry_at = Some(now + ORDER_RETRY_DELAY);
             }
             OrderAnswer::NotSent
             | OrderAnswer::NoRoom
             | OrderAnswer::Busy
             | OrderAnswer::Fenced
-            | OrderAnswer::Unloading => view.retry_at = Some(now + ORDER_RETRY),
+            | OrderAnswer::Unloading => view.retry_at = Some(now + ORDER_RETRY_DELAY),
             OrderAnswer::Loading | OrderAnswer::Loaded | OrderAnswer::Absent => {
                 view.retry_at = None;
             }
--- a/crates/decide/src/cell/usage.rs
+++ b/crates/decide/src/cell/usage.rs
@@ -1,19 +1,19 @@
 //! How the models of a cell are used, by the reports of all routers.
 
-use crate::keep::IdleHistory;
 use crate::messages::Usage;
+use crate::retention::IdleHistory;
 use passway_types::prelude::*;
 use std::collections::HashMap;
 
 /// How one model is used.
 #[derive(Debug, Default)]
-pub(super) struct ModelUse {
+pub(super) struct ModelUsage {
     running: HashMap<Incarnation, u32>,
     pub(super) last_used_at: Option<Instant>,
     pub(super) history: IdleHistory,
 }
 
-impl ModelUse {
+impl ModelUsage {
     /// Whether requests run at any router.
     pub(super) fn is_running(&self) -> bool {
         self.running.values().any(|running| *running > 0)
--- a/crates/decide/src/cell/write.rs
+++ b/crates/decide/src/cell/write.rs
@@ -43,7 +43,7 @@
         plan: Option<Plan>,
     },
     /// Another holder has begun a later term.
-    Deposed,
+    Superseded,
 }
 
 impl Change<Drafted> {
@@ -85,32 +85,32 @@
         }
     }
 
-    /// Decides from what a later read found.
+    /// Decides from what a later read stored.
     ///
     /// The change is recognised by its id, never written again blindly: a write
     /// whose answer was lost may have taken effect, or may still.
-    pub fn resolve(self, version: Version, found: Option<Plan>) -> Resolution {
-        let Some(found) = found else {
+    pub fn resolve(self, version: Version, stored: Option<Plan>) -> Resolution {
+        let Some(stored) = stored else {
             return Resolution::NotApplied {
                 version,
                 plan: None,
             };
         };
-        if found.epoch > self.plan.epoch {
-            return Resolution::Deposed;
+        if stored.epoch > self.plan.epoch {
+            return Resolution::Superseded;
         }
-        if found.epoch < self.plan.epoch {
+        if stored.epoch < self.plan.epoch {
             return Resolution::NotApplied {
                 version,
-                plan: Some(found),
+                plan: Some(stored),
             };
         }
-        if found.holder != self.plan.holder {
-            return Resolution::Deposed;
+        if stored.holder != self.plan.holder {
+            return Resolution::Superseded;
         }
         Resolution::Committed(CommittedPlan {
             version,
-            plan: found,
+            plan: stored,
         })
     }
 }
--- a/crates/decide/src/claim.rs
+++ b/crates/decide/src/claim.rs
@@ -52,7 +52,7 @@
     /// Write a claim against this version, and send only if the write took effect.
     Write(Version),
     /// The claim is ours: the earlier write took effect.
-    Ours(Version),
+    Owned(Version),
     /// Answer with what the service answered before.
     Replay(StoredAnswer),
     /// Refuse: another attempt is in progress or its outcome is unknown.
@@ -62,15 +62,15 @@
 }
 
 /// Decides the next step from the value that stands under the key.
-pub fn next_step(found: Option<(Version, &Claim)>, attempt: u128, digest: u64) -> ClaimStep {
-    let Some((version, claim)) = found else {
+pub fn next_step(stored: Option<(Version, &Claim)>, attempt: u128, digest: u64) -> ClaimStep {
+    let Some((version, claim)) = stored else {
         return ClaimStep::Write(0);
     };
     if claim.request_digest != digest {
         return ClaimStep::KeyReused;
     }
     match &claim.state {
-        ClaimState::Claimed if claim.attempt == attempt => ClaimStep::Ours(version),
+        ClaimState::Claimed if claim.attempt == attempt => ClaimStep::Owned(version),
         ClaimState::Claimed | ClaimState::Unknown => ClaimStep::RepeatUnknown,
         ClaimState::Done(answer) => ClaimStep::Replay(answer.clone()),
         ClaimState::Released => ClaimStep::Write(version),
--- a/crates/decide/src/estimate.rs
+++ b/crates/decide/src/estimate.rs
@@ -2,11 +2,11 @@
 //!
 //! An expected time is the product of two learned numbers:
 //!
-//! * for each tier and class of size, the usual time of a load, learned slowly.
+//! * for each tier and class of size, the typical time of a load, learned slowly.
 //!   Small loads are nearly all waiting and start-up, large ones nearly all
 //!   transfer, so neither tells how long the other takes;
 //! * for each tier, a slowdown that all sizes share, learned fast: the weight
-//!   store slows down and recovers as a whole.
+//!   store slows down and recovers as a total.
 //!
 //! An overdue load raises the slowdown before it ends, so a slow weight store
 //! shows within the time of one load.
@@ -15,22 +15,22 @@
 use passway_types::prelude::*;
 use std::collections::HashMap;
 
-/// Weight of the newest load in a class's usual time.
-const USUAL_WEIGHT: f64 = 0.1;
+/// Weight of the newest load in a class's typical time.
+const TYPICAL_TIME_WEIGHT: f64 = 0.1;
 /// Weight of the newest load in a tier's slowdown.
 const SLOWDOWN_WEIGHT: f64 = 0.6;
 /// A load in progress is overdue past this many times the expected time.
-const OVERDUE: f64 = 1.25;
+const OVERDUE_FACTOR: f64 = 1.25;
 /// The end of a load is learned this much late; not yet a sign of a slow store.
 const REPORT_LAG: Duration = Duration::from_millis(500);
 /// An overdue load is expected to take this many times what it took so far.
-const OVERDUE_STRETCH: f64 = 2.0;
+const OVERDUE_EXTRAPOLATION: f64 = 2.0;
 /// Pace assumed for a checkpoint on disk against one in the weight store.
 const DISK_SPEEDUP: f64 = 4.0;
 /// Pace assumed for a checkpoint in memory against one in the weight store.
 const MEMORY_SPEEDUP: f64 = 16.0;
 /// Time that any load takes besides the transfer, until it is learned.
-const START_TIME: Duration = Duration::from_millis(300);
+const LOAD_OVERHEAD: Duration = Duration::from_millis(300);
 /// Bounds of a slowdown; beyond them one strange load would tell too much.
 const SLOWDOWN_BOUNDS: (f64, f64) = (0.05, 100.0);
 
@@ -39,7 +39,7 @@
 
 /// A load in progress.
 #[derive(Debug, Clone, Copy)]
-struct Running {
+struct LoadInProgress {
     tier: Tier,
     size_bytes: u64,
     started_at: Instant,
@@ -49,9 +49,9 @@
 #[derive(Debug)]
 pub struct LoadEstimator {
     remote_mb_per_s: u64,
-    usual: HashMap<(Tier, SizeClass), Duration>,
-    slowdown: HashMap<Tier, f64>,
-    running: HashMap<PlacementId, Running>,
+    typical_times: HashMap<(Tier, SizeClass), Duration>,
+    slowdowns: HashMap<Tier, f64>,
+    in_progress: HashMap<PlacementId, LoadInProgress>,
 }
 
 impl LoadEstimator {
@@ -59,17 +59,17 @@
     pub fn new(remote_mb_per_s: u64) -> Self {
         Self {
             remote_mb_per_s,
-            usual: HashMap::new(),
-            slowdown: HashMap::new(),
-            running: HashMap::new(),
+            typical_times: HashMap::new(),
+            slowdowns: HashMap::new(),
+            in_progress: HashMap::new(),
         }
     }
 
     /// Records that a load began.
     pub fn begin(&mut self, now: Instant, id: PlacementId, tier: Tier, size_bytes: u64) {
-        self.running.insert(
+        self.in_progress.insert(
             id,
-            Running {
+            LoadInProgress {
                 tier,
                 size_bytes,
                 started_at: now,
@@ -79,49 +79,50 @@
 
     /// Records that a load ended well, and learns from it.
     pub fn finish(&mut self, now: Instant, id: PlacementId) {
-        let Some(load) = self.running.remove(&id) else {
+        let Some(load) = self.in_progress.remove(&id) else {
             return;
         };
-        let took_s = now.saturating_duration_since(load.started_at).as_secs_f64();
-        let usual_s = self.usual_time(load.tier, load.size_bytes).as_secs_f64();
-        let slowdown = self.slowdown.entry(load.tier).or_insert(1.0);
-        let observed = took_s / usual_s.max(f64::MIN_POSITIVE);
+        let duration_s = now.saturating_duration_since(load.started_at).as_secs_f64();
+        let typical_s = self.typical_time(load.tier, load.size_bytes).as_secs_f64();
+        let slowdown = self.slowdowns.entry(load.tier).or_insert(1.0);
+        let observed = duration_s / typical_s.max(f64::MIN_POSITIVE);
         *slowdown += SLOWDOWN_WEIGHT * (observed - *slowdown);
         *slowdown = slowdown.clamp(SLOWDOWN_BOUNDS.0, SLOWDOWN_BOUNDS.1);
-        let unslowed_s = took_s / *slowdown;
+        let unslowed_duration_s = duration_s / *slowdown;
         let key = (load.tier, size_class(load.size_bytes));
-        let learned_s = match self.usual.get(&key) {
-            Some(_) => usual_s + USUAL_WEIGHT * (unslowed_s - usual_s),
+        let learned_s = match self.typical_times.get(&key) {
+            Some(_) => typical_s + TYPICAL_TIME_WEIGHT * (unslowed_duration_s - typical_s),
             // The first load of its class tells more than any guess.
-            None => unslowed_s,
+            None => unslowed_duration_s,
         };
-        self.usual.insert(key, Duration::from_secs_f64(learned_s));
+        self.typical_times
+            .insert(key, Duration::from_secs_f64(learned_s));
     }
 
     /// Forgets a load that failed or was taken back.
     pub fn abandon(&mut self, id: PlacementId) {
-        self.running.remove(&id);
+        self.in_progress.remove(&id);
     }
 
-    /// Expected time of a whole load.
+    /// Expected time of a total load.
     pub fn load_time(&self, now: Instant, tier: Tier, size_bytes: u64) -> Duration {
-        self.usual_time(tier, size_bytes)
+        self.typical_time(tier, size_bytes)
             .mul_f64(self.current_slowdown(now, tier))
     }
 
     /// Expected time until a load in progress ends.
     pub fn remaining(&self, now: Instant, id: PlacementId) -> Option<Duration> {
-        let load = self.running.get(&id)?;
+        let load = self.in_progress.get(&id)?;
         let expected = self.load_time(now, load.tier, load.size_bytes);
-        let whole = self
-            .overdue_time(now, load)
-            .map_or(expected, |own| own.max(expected));
-        Some(whole.saturating_sub(now.saturating_duration_since(load.started_at)))
+        let total = self
+            .extrapolated_time(now, load)
+            .map_or(expected, |extrapolated| extrapolated.max(expected));
+        Some(total.saturating_sub(now.saturating_duration_since(load.started_at)))
     }
 
-    /// The usual time of a load: learned for its class, else from the operators' figure.
-    fn usual_time(&self, tier: Tier, size_bytes: u64) -> Duration {
-        let learned = self.usual.get(&(tier, size_class(size_bytes)));
+    /// The typical time of a load: learned for its class, else from the operators' figure.
+    fn typical_time(&self, tier: Tier, size_bytes: u64) -> Duration {
+        let learned = self.typical_times.get(&(tier, size_class(size_bytes)));
         learned.copied().unwrap_or_else(|| {
             let remote =
                 Duration::from_micros((size_bytes >> 20) * 1_000_000 / self.remote_mb_per_s);
@@ -130,23 +131,23 @@
                 Tier::Disk => remote.div_f64(DISK_SPEEDUP),
                 Tier::Memory => remote.div_f64(MEMORY_SPEEDUP),
             };
-            START_TIME + transfer
+            LOAD_OVERHEAD + transfer
         })
     }
 
     /// The learned slowdown, or more if a load in progress is overdue. Only a
-    /// load whose usual time was learned tells something about others.
+    /// load whose typical time was learned tells something about others.
     fn current_slowdown(&self, now: Instant, tier: Tier) -> f64 {
-        let learned = self.slowdown.get(&tier).copied().unwrap_or(1.0);
-        let known = self.running.values().filter(|load| {
+        let learned = self.slowdowns.get(&tier).copied().unwrap_or(1.0);
+        let with_learned_time = self.in_progress.values().filter(|load| {
             load.tier == tier
                 && self
-                    .usual
+                    .typical_times
                     .contains_key(&(tier, size_class(load.size_bytes)))
         });
-        let overdue = known.filter_map(|load| {
-            let usual = self.usual_time(tier, load.size_bytes).as_secs_f64();
-            Some(self.overdue_time(now, load)?.as_secs_f64() / usual.max(f64::MIN_POSITIVE))
+        let overdue = with_learned_time.filter_map(|load| {
+            let typical = self.typical_time(tier, load.size_bytes).as_secs_f64();
+            Some(self.extrapolated_time(now, load)?.as_secs_f64() / typical.max(f64::MIN_POSITIVE))
         });
         overdue.fold(learned, f64::max)
     }
@@ -154,12 +155,12 @@
     /// What an overdue load is expected to take in all. Nothing tells how long it
     /// will still take but that it has taken so long already, so it is expected
     /// to take as long again.
-    fn overdue_time(&self, now: Instant, load: &Running) -> Option<Duration> {
-        let learned = self.slowdown.get(&load.tier).copied().unwrap_or(1.0);
-        let usual = self.usual_time(load.tier, load.size_bytes);
+    fn extrapolated_time(&self, now: Instant, load: &LoadInProgress) -> Option<Duration> {
+        let learned = self.slowdowns.get(&load.tier).copied().unwrap_or(1.0);
+        let typical = self.typical_time(load.tier, load.size_bytes);
         let so_far = now.saturating_duration_since(load.started_at);
-        let is_overdue = so_far > usual.mul_f64(learned * OVERDUE) + REPORT_LAG;
-        is_overdue.then(|| so_far.mul_f64(OVERDUE_STRETCH))
+        let is_overdue = so_far > typical.mul_f64(learned * OVERDUE_FACTOR) + REPORT_LAG;
+        is_overdue.then(|| so_far.mul_f64(OVERDUE_EXTRAPOLATION))
     }
 }
 
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -7,14 +7,14 @@
 //!   counts and memory are checked together inside it.
 //! * [`cell`] decides for one cell: leadership, placements, orders.
 //! * [`router`] decides for one router: admission, waiting, routing, retries.
-//! * [`estimate`] learns how long loads take; [`keep`] decides how long an idle
+//! * [`estimate`] learns how long loads take; [`retention`] decides how long an idle
 //!   replica stays.
 //! * [`claim`] is the life cycle of a call that may not be repeated.
 
 pub mod cell;
 pub mod claim;
 pub mod estimate;
-pub mod keep;
 pub mod messages;
 pub mod plan;
+pub mod retention;
 pub mod router;
--- a/crates/decide/src/messages.rs
+++ b/crates/decide/src/messages.rs
@@ -17,12 +17,12 @@
 const ORDER_BITS: u32 = 32;
 
 /// The fencing number of the `order`th order of an epoch.
-pub fn fence_of(epoch: Epoch, order: u32) -> Fence {
+pub fn fencing_number(epoch: Epoch, order: u32) -> Fence {
     (epoch << ORDER_BITS) | u64::from(order)
 }
 
 /// The epoch that a fencing number was made in.
-pub fn epoch_of(fence: Fence) -> Epoch {
+pub fn fence_epoch(fence: Fence) -> Epoch {
     fence >> ORDER_BITS
 }
 
@@ -168,5 +168,5 @@
     /// Replicas that get nothing new from now on.
     pub removed: Vec<(ModelName, UpstreamId)>,
     /// Whether `added` is the whole table and everything else is removed.
-    pub whole: bool,
+    pub is_snapshot: bool,
 }
--- a/crates/decide/src/plan.rs
+++ b/crates/decide/src/plan.rs
@@ -31,7 +31,7 @@
 
 /// A holder of an earlier epoch that is not yet known to be unable to send orders.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FormerHolder {
+pub struct PreviousHolder {
     /// The epoch it held.
     pub epoch: Epoch,
     /// Who it is.
@@ -87,7 +87,7 @@
     /// The model has its decided number of replicas.
     ReplicaLimit,
     /// The upstream has too little memory left.
-    Memory,
+    InsufficientMemory,
     /// The upstream holds the model already.
     AlreadyPlaced,
     /// The adapter's base is not held on the upstream.
@@ -102,7 +102,7 @@
 
 /// What a new placement is for.
 #[derive(Debug, Clone)]
-pub struct Wish {
+pub struct DesiredPlacement {
     /// The model or adapter.
     pub model: ModelName,
     /// Where it should stand.
@@ -124,14 +124,14 @@
     pub holder: Holder,
     /// The change that was written last; tells whether a write took effect.
     pub last_change: ChangeId,
-    former: Vec<FormerHolder>,
+    former: Vec<PreviousHolder>,
     next_placement: PlacementId,
     placements: BTreeMap<PlacementId, Placement>,
 }
 
 impl Plan {
     /// The first plan of a cell.
-    pub fn first(holder: Holder) -> Self {
+    pub fn initial(holder: Holder) -> Self {
         Self {
             epoch: 1,
             holder,
@@ -145,12 +145,12 @@
     /// Begins the next epoch with a new holder; the one before becomes a former holder.
     pub fn take_over(&mut self, holder: Holder) {
         let former = std::mem::replace(&mut self.holder, holder);
-        self.former.push(FormerHolder {
+        self.former.push(PreviousHolder {
             epoch: self.epoch,
             holder: former,
         });
         self.epoch += 1;
-        self.forget_idle_former();
+        self.remove_irrelevant_holders();
     }
 
     /// All placements, by id.
@@ -164,7 +164,7 @@
     }
 
     /// Former holders that may still send orders.
-    pub fn former(&self) -> &[FormerHolder] {
+    pub fn previous_holders(&self) -> &[PreviousHolder] {
         &self.former
     }
 
@@ -201,33 +201,40 @@
     ///
     /// # Errors
     /// The invariant that the new placement would break.
-    pub fn reserve(&mut self, catalog: &Catalog, wish: &Wish) -> Result<PlacementId, PlanError> {
-        let model = catalog.models.get(&wish.model).ok_or(PlanError::Unknown)?;
+    pub fn reserve(
+        &mut self,
+        catalog: &Catalog,
+        desired: &DesiredPlacement,
+    ) -> Result<PlacementId, PlanError> {
+        let model = catalog
+            .models
+            .get(&desired.model)
+            .ok_or(PlanError::Unknown)?;
         let upstream = catalog
             .upstreams
-            .get(&wish.upstream)
+            .get(&desired.upstream)
             .ok_or(PlanError::Unknown)?;
         if model.cell != upstream.cell {
             return Err(PlanError::Unknown);
         }
-        if self.find(&wish.model, &wish.upstream).is_some() {
+        if self.find(&desired.model, &desired.upstream).is_some() {
             return Err(PlanError::AlreadyPlaced);
         }
-        if self.replicas(&wish.model).count() >= model.max_replicas as usize {
+        if self.replicas(&desired.model).count() >= model.max_replicas as usize {
             return Err(PlanError::ReplicaLimit);
         }
         if let Some(base) = &model.base
-            && !self.holds(base, &wish.upstream)
+            && !self.is_held(base, &desired.upstream)
         {
             return Err(PlanError::BaseMissing);
         }
-        if self.reserved_bytes(&wish.upstream) + model.size_bytes > upstream.memory_bytes {
-            return Err(PlanError::Memory);
+        if self.reserved_bytes(&desired.upstream) + model.size_bytes > upstream.memory_bytes {
+            return Err(PlanError::InsufficientMemory);
         }
-        let held_bytes = self.workspace_bytes(&wish.workspace) + model.size_bytes;
-        if wish
+        let held_bytes = self.workspace_bytes(&desired.workspace) + model.size_bytes;
+        if desired
             .max_held_bytes
-            .is_some_and(|cap_bytes| held_bytes > cap_bytes)
+            .is_some_and(|max_bytes| held_bytes > max_bytes)
         {
             return Err(PlanError::WorkspaceAtCap);
         }
@@ -235,19 +242,19 @@
         self.next_placement += 1;
         let placement = Placement {
             id,
-            model: wish.model.clone(),
-            upstream: wish.upstream.clone(),
+            model: desired.model.clone(),
+            upstream: desired.upstream.clone(),
             reserved_bytes: model.size_bytes,
             state: PlacementState::Held,
             created_epoch: self.epoch,
-            workspace: wish.workspace.clone(),
-            reason: wish.reason.clone(),
+            workspace: desired.workspace.clone(),
+            reason: desired.reason.clone(),
         };
         self.placements.insert(id, placement);
         Ok(id)
     }
 
-    fn holds(&self, model: &str, upstream: &str) -> bool {
+    fn is_held(&self, model: &str, upstream: &str) -> bool {
         self.find(model, upstream)
             .is_some_and(|p| p.state == PlacementState::Held)
     }
@@ -276,7 +283,7 @@
     }
 
     /// Whether a former holder may still have an order for the placement under way.
-    pub fn former_may_order(&self, id: PlacementId) -> bool {
+    pub fn previous_holder_may_order(&self, id: PlacementId) -> bool {
         let Some(placement) = self.placements.get(&id) else {
             return false;
         };
@@ -292,21 +299,21 @@
     /// # Errors
     /// [`PlanError::OrderMayArrive`] while a former holder could bring it back.
     pub fn free(&mut self, id: PlacementId, fenced: bool) -> Result<(), PlanError> {
-        if !fenced && self.former_may_order(id) {
+        if !fenced && self.previous_holder_may_order(id) {
             return Err(PlanError::OrderMayArrive);
         }
         self.placements.remove(&id).ok_or(PlanError::Unknown)?;
-        self.forget_idle_former();
+        self.remove_irrelevant_holders();
         Ok(())
     }
 
     /// Records that the holder of `epoch` can send no more orders.
-    pub fn clear_former(&mut self, epoch: Epoch) {
+    pub fn clear_previous_holder(&mut self, epoch: Epoch) {
         self.former.retain(|former| former.epoch != epoch);
     }
 
     /// A former holder matters only while a placement stands that it may have ordered.
-    fn forget_idle_former(&mut self) {
+    fn remove_irrelevant_holders(&mut self) {
         let oldest = self.placements().map(|p| p.created_epoch).min();
         self.former
             .retain(|former| oldest.is_some_and(|oldest| former.epoch >= oldest));
--- a/crates/decide/src/router/admission.rs
+++ b/crates/decide/src/router/admission.rs
@@ -1,7 +1,7 @@
 //! Whether a request is taken in at all.
 
-use super::queue::Waiting;
-use super::{ANSWER_MARGIN, Arrival, BUSY_RETRY, DEFAULT_PRIORITY, RouterCore};
+use super::queue::WaitingRequest;
+use super::{Arrival, BUSY_RETRY_AFTER, DEADLINE_MARGIN, DEFAULT_PRIORITY, RouterCore};
 use passway_config::policy::Attributes;
 use passway_types::prelude::*;
 
@@ -15,10 +15,10 @@
             let refusal = Refusal::new(ResultCode::Draining, "this instance is leaving");
             return Err(refusal.retry_after(Duration::ZERO));
         }
-        let bounded = self.current_until;
+        let bounded = self.config_current_until;
         if bounded.is_some_and(|until| now >= until || self.catalog.revision == 0) {
             let refusal = Refusal::new(ResultCode::ConfigStale, "no word of the configuration");
-            return Err(refusal.retry_after(BUSY_RETRY));
+            return Err(refusal.retry_after(BUSY_RETRY_AFTER));
         }
         Ok(())
     }
@@ -28,7 +28,7 @@
         &mut self,
         now: Instant,
         arrival: &Arrival,
-    ) -> Result<(ModelName, Waiting), Refusal> {
+    ) -> Result<(ModelName, WaitingRequest), Refusal> {
         self.check_serving(now)?;
         let unknown = || Refusal::new(ResultCode::UnknownModel, arrival.model.clone());
         let model = self
@@ -43,32 +43,32 @@
             .workspaces
             .get(arrival.workspace.as_str())
             .ok_or_else(unknown)?;
-        if self.waiters.of_workspace(&workspace.name) >= workspace.max_waiting {
+        if self.waiters.count_of_workspace(&workspace.name) >= workspace.max_waiting {
             return Err(Refusal::new(
                 ResultCode::QueueFull,
                 "too many requests of the workspace wait",
             )
-            .retry_after(BUSY_RETRY));
+            .retry_after(BUSY_RETRY_AFTER));
         }
-        let asked_priority = arrival.priority.unwrap_or(DEFAULT_PRIORITY);
-        let ruling = self.catalog.policy.rule(&Attributes {
+        let requested_priority = arrival.priority.unwrap_or(DEFAULT_PRIORITY);
+        let decision = self.catalog.policy.rule(&Attributes {
             workspace: &workspace.name,
             model: &model,
             kind: &arrival.kind,
-            priority: asked_priority,
+            priority: requested_priority,
         });
         let deadline_at = arrival
             .deadline_at
             .unwrap_or(now + workspace.default_deadline);
-        let may_wait_until = ruling.may_wait.map(|may_wait| now + may_wait);
-        let waiting = Waiting {
+        let may_wait_until = decision.may_wait.map(|may_wait| now + may_wait);
+        let waiting = WaitingRequest {
             request: arrival.request,
             workspace: workspace.name.clone(),
-            asked_priority,
-            priority: ruling.priority.unwrap_or(DEFAULT_PRIORITY),
+            requested_priority,
+            priority: decision.priority.unwrap_or(DEFAULT_PRIORITY),
             deadline_at,
             give_up_at: may_wait_until.map_or(deadline_at, |at| at.min(deadline_at)),
-            max_running: ruling.max_running,
+            max_running: decision.max_running,
             may_have_run: false,
         };
         self.check_reachable(now, &model, &waiting)?;
@@ -80,13 +80,13 @@
         &mut self,
         now: Instant,
         model: &ModelName,
-        waiting: &Waiting,
+        waiting: &WaitingRequest,
     ) -> Result<(), Refusal> {
-        if let Some(refusal) = self.forecast.refusal(now, model) {
+        if let Some(refusal) = self.forecast.active_refusal(now, model) {
             return Err(refusal);
         }
         let start_at = self.expected_start(now, model);
-        if start_at + ANSWER_MARGIN > waiting.give_up_at {
+        if start_at + DEADLINE_MARGIN > waiting.give_up_at {
             return Err(super::refusals::deadline_unreachable(now, start_at));
         }
         Ok(())
--- a/crates/decide/src/router/events.rs
+++ b/crates/decide/src/router/events.rs
@@ -1,4 +1,4 @@
-//! What a router's decisions are told, and what they ask for.
+//! What a router's decisions are sent, and what they ask for.
 
 use crate::messages::{Demand, Usage};
 use passway_types::prelude::*;
@@ -22,7 +22,7 @@
 
 /// How an attempt at an upstream ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
+pub enum AttemptOutcome {
     /// The whole answer was passed on.
     Served {
         /// Tokens in the answer.
--- a/crates/decide/src/router/share.rs
+++ b/crates/decide/src/router/fair_share.rs
@@ -9,53 +9,54 @@
 use std::collections::HashMap;
 
 /// Counters are kept in thousandths of a token.
-const MILLI: i64 = 1_000;
+const MILLI_PER_TOKEN: i64 = 1_000;
 
 #[derive(Debug, Default)]
 struct Counter {
-    served_milli: u64,
+    served_milli_tokens: u64,
     share: u32,
-    active: bool,
+    is_active: bool,
 }
 
 /// The counters of all workspaces at one router.
 #[derive(Debug, Default)]
-pub struct ShareClock {
+pub struct TokenCounters {
     counters: HashMap<WorkspaceName, Counter>,
 }
 
-impl ShareClock {
+impl TokenCounters {
     /// A request of the workspace begins to wait.
-    pub fn join(&mut self, workspace: &WorkspaceName, share: u32) {
-        let active = self.counters.values().filter(|counter| counter.active);
-        let lowest_milli = active.map(|counter| counter.served_milli).min();
+    pub fn activate(&mut self, workspace: &WorkspaceName, share: u32) {
+        let active = self.counters.values().filter(|counter| counter.is_active);
+        let lowest_milli = active.map(|counter| counter.served_milli_tokens).min();
         let counter = self.counters.entry(workspace.clone()).or_default();
         counter.share = share.max(1);
-        if !counter.active {
-            counter.active = true;
-            counter.served_milli = counter.served_milli.max(lowest_milli.unwrap_or(0));
+        if !counter.is_active {
+            counter.is_active = true;
+            counter.served_milli_tokens =
+                counter.served_milli_tokens.max(lowest_milli.unwrap_or(0));
         }
     }
 
     /// No request of the workspace waits any more.
-    pub fn leave(&mut self, workspace: &str) {
+    pub fn deactivate(&mut self, workspace: &str) {
         if let Some(counter) = self.counters.get_mut(workspace) {
-            counter.active = false;
+            counter.is_active = false;
         }
     }
 
     /// Charges tokens; a negative number corrects an earlier guess.
     pub fn charge(&mut self, workspace: &str, tokens: i64) {
         if let Some(counter) = self.counters.get_mut(workspace) {
-            let milli = tokens * MILLI / i64::from(counter.share.max(1));
-            counter.served_milli = counter.served_milli.saturating_add_signed(milli);
+            let milli = tokens * MILLI_PER_TOKEN / i64::from(counter.share.max(1));
+            counter.served_milli_tokens = counter.served_milli_tokens.saturating_add_signed(milli);
         }
     }
 
     /// Weighted tokens served, in thousandths.
-    pub fn served_milli(&self, workspace: &str) -> u64 {
+    pub fn served_milli_tokens(&self, workspace: &str) -> u64 {
         self.counters
             .get(workspace)
-            .map_or(0, |counter| counter.served_milli)
+            .map_or(0, |counter| counter.served_milli_tokens)
     }
 }
--- a/crates/decide/src/router/forecast.rs
+++ b/crates/decide/src/router/forecast.rs
@@ -4,11 +4,11 @@
 use std::collections::HashMap;
 
 /// First guess of the time that a warm engine needs for a whole request.
-const FIRST_SERVICE_TIME: Duration = Duration::from_millis(200);
+const INITIAL_SERVICE_TIME: Duration = Duration::from_millis(200);
 /// Weight of the newest service time in the moving average, as a divisor.
 const SERVICE_TIME_DIVISOR: u32 = 8;
 /// Time for which a refusal by the controller answers new arrivals too.
-const REFUSAL_MEMORY: Duration = Duration::from_millis(250);
+const REFUSAL_TTL: Duration = Duration::from_millis(250);
 
 /// What controllers answered to demands, and how long requests take.
 #[derive(Debug)]
@@ -22,7 +22,7 @@
 impl Default for Forecast {
     fn default() -> Self {
         Self {
-            service_time: FIRST_SERVICE_TIME,
+            service_time: INITIAL_SERVICE_TIME,
             ready_at: HashMap::new(),
             refused: HashMap::new(),
         }
@@ -31,9 +31,9 @@
 
 impl Forecast {
     /// A request was served in so much time.
-    pub(super) fn served(&mut self, took: Duration) {
-        let kept = self.service_time / SERVICE_TIME_DIVISOR * (SERVICE_TIME_DIVISOR - 1);
-        self.service_time = kept + took / SERVICE_TIME_DIVISOR;
+    pub(super) fn record_service_time(&mut self, duration: Duration) {
+        let previous_part = self.service_time / SERVICE_TIME_DIVISOR * (SERVICE_TIME_DIVISOR - 1);
+        self.service_time = previous_part + duration / SERVICE_TIME_DIVISOR;
     }
 
     /// The controller expects the model to be ready at a moment.
@@ -47,20 +47,20 @@
     }
 
     /// The controller refused the model.
-    pub(super) fn refuse(&mut self, now: Instant, model: &ModelName, refusal: Refusal) {
+    pub(super) fn set_refusal(&mut self, now: Instant, model: &ModelName, refusal: Refusal) {
         self.ready_at.remove(model);
-        let until = now + REFUSAL_MEMORY;
+        let until = now + REFUSAL_TTL;
         self.refused.insert(model.clone(), (until, refusal));
     }
 
     /// The refusal that new arrivals for the model get.
-    pub(super) fn refusal(&mut self, now: Instant, model: &ModelName) -> Option<Refusal> {
+    pub(super) fn active_refusal(&mut self, now: Instant, model: &ModelName) -> Option<Refusal> {
         self.refused.retain(|_, (until, _)| *until > now);
         self.refused.get(model).map(|(_, refusal)| refusal.clone())
     }
 
     /// A route to the model is there: what controllers answered before is void.
-    pub(super) fn routed(&mut self, model: &ModelName) {
+    pub(super) fn clear(&mut self, model: &ModelName) {
         self.ready_at.remove(model);
         self.refused.remove(model);
     }
@@ -68,7 +68,7 @@
     /// When a request is expected to start with so many before it.
     ///
     /// `slots` is how many run at one time; `None` if the model has no route.
-    pub(super) fn start(
+    pub(super) fn expected_start(
         &self,
         now: Instant,
         model: &str,
--- a/crates/decide/src/router/queue.rs
+++ b/crates/decide/src/router/queue.rs
@@ -1,23 +1,23 @@
 //! Requests that wait for one model.
 
-use super::share::ShareClock;
+use super::fair_share::TokenCounters;
 use passway_types::prelude::*;
 use std::collections::{BTreeMap, HashMap};
 
 /// A request that waits.
 #[derive(Debug, Clone)]
-pub struct Waiting {
+pub struct WaitingRequest {
     /// Its number.
     pub request: RequestId,
     /// The caller's workspace.
     pub workspace: WorkspaceName,
     /// The priority that the caller asks for; orders requests within the workspace.
-    pub asked_priority: u32,
+    pub requested_priority: u32,
     /// The priority that policy gives; orders requests across workspaces.
     pub priority: u32,
     /// The caller's deadline.
     pub deadline_at: Instant,
-    /// When it is refused if it still waits; at most the deadline.
+    /// When it is refused if it still waits; at max_running the deadline.
     pub give_up_at: Instant,
     /// Most requests of the workspace that run at one time.
     pub max_running: Option<u32>,
@@ -25,12 +25,12 @@
     pub may_have_run: bool,
 }
 
-impl Waiting {
+impl WaitingRequest {
     /// The final answer when the request is given up for the reason of `refusal`.
     ///
     /// A reason that says "not run" speaks of the last attempt alone; if an
     /// earlier one may have reached an upstream, the answer must say "unknown".
-    pub fn final_answer(&self, refusal: Refusal) -> Refusal {
+    pub fn final_refusal(&self, refusal: Refusal) -> Refusal {
         if !self.may_have_run || refusal.code.ran() != Ran::NotRun {
             return refusal;
         }
@@ -49,12 +49,12 @@
 /// Order within one workspace: policy's priority, asked priority, deadline, arrival.
 type WorkspaceKey = (u32, u32, Instant, RequestId);
 
-/// Where a request stands; a smaller place goes first.
+/// Where a request stands; a smaller position goes first.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct QueuePosition {
     priority: u32,
     /// Weighted tokens that the workspace has been served, in thousandths.
-    served_milli: u64,
+    served_milli_tokens: u64,
     key: WorkspaceKey,
     workspace: WorkspaceName,
 }
@@ -62,13 +62,13 @@
 /// The queue of one model.
 #[derive(Debug, Default)]
 pub struct ModelQueue {
-    workspaces: HashMap<WorkspaceName, BTreeMap<WorkspaceKey, Waiting>>,
+    workspaces: HashMap<WorkspaceName, BTreeMap<WorkspaceKey, WaitingRequest>>,
     by_request: HashMap<RequestId, (WorkspaceName, WorkspaceKey)>,
 }
 
 impl ModelQueue {
     /// Adds a request.
-    pub fn push(&mut self, waiting: Waiting) {
+    pub fn push(&mut self, waiting: WaitingRequest) {
         let key = key_of(&waiting);
         self.by_request
             .insert(waiting.request, (waiting.workspace.clone(), key));
@@ -90,16 +90,20 @@
 
     /// The request that goes first: by priority, then the workspace that was served
     /// least for its share, then the workspace's own order.
-    pub fn first(&self, shares: &ShareClock, may_run: impl Fn(&Waiting) -> bool) -> Option<Place> {
+    pub fn next_to_start(
+        &self,
+        shares: &TokenCounters,
+        is_allowed: impl Fn(&WaitingRequest) -> bool,
+    ) -> Option<QueuePosition> {
         let heads = self
             .workspaces
             .values()
             .filter_map(|workspace| workspace.iter().next());
-        let heads = heads.filter(|(_, waiting)| may_run(waiting));
+        let heads = heads.filter(|(_, waiting)| is_allowed(waiting));
         heads
-            .map(|(key, waiting)| Place {
+            .map(|(key, waiting)| QueuePosition {
                 priority: waiting.priority,
-                served_milli: shares.served_milli(&waiting.workspace),
+                served_milli_tokens: shares.served_milli_tokens(&waiting.workspace),
                 key: *key,
                 workspace: waiting.workspace.clone(),
             })
@@ -107,46 +111,46 @@
     }
 
     /// The request with the earliest time to give up.
-    pub fn earliest(&self) -> Option<&Waiting> {
+    pub fn earliest_to_give_up(&self) -> Option<&WaitingRequest> {
         let all = self.workspaces.values().flat_map(BTreeMap::values);
         all.min_by_key(|waiting| waiting.give_up_at)
     }
 
-    /// The place of a request.
-    pub fn find(&self, request: RequestId) -> Option<Place> {
+    /// The position of a request.
+    pub fn position_of(&self, request: RequestId) -> Option<QueuePosition> {
         let (workspace, key) = self.by_request.get(&request)?;
-        Some(Place {
+        Some(QueuePosition {
             priority: key.0,
-            served_milli: 0,
+            served_milli_tokens: 0,
             key: *key,
             workspace: workspace.clone(),
         })
     }
 
-    /// The places of all requests that match.
-    pub fn places(&self, matches: impl Fn(&Waiting) -> bool) -> Vec<Place> {
+    /// The positions of all requests that match.
+    pub fn positions(&self, matches: impl Fn(&WaitingRequest) -> bool) -> Vec<QueuePosition> {
         let all = self.workspaces.values().flat_map(BTreeMap::values);
         all.filter(|waiting| matches(waiting))
-            .filter_map(|w| self.find(w.request))
+            .filter_map(|w| self.position_of(w.request))
             .collect()
     }
 
     /// Takes a request out.
-    pub fn remove(&mut self, place: &Place) -> Option<Waiting> {
-        let workspace = self.workspaces.get_mut(&place.workspace)?;
-        let waiting = workspace.remove(&place.key)?;
+    pub fn remove(&mut self, position: &QueuePosition) -> Option<WaitingRequest> {
+        let workspace = self.workspaces.get_mut(&position.workspace)?;
+        let waiting = workspace.remove(&position.key)?;
         if workspace.is_empty() {
-            self.workspaces.remove(&place.workspace);
+            self.workspaces.remove(&position.workspace);
         }
         self.by_request.remove(&waiting.request);
         Some(waiting)
     }
 }
 
-fn key_of(waiting: &Waiting) -> WorkspaceKey {
+fn key_of(waiting: &WaitingRequest) -> WorkspaceKey {
     (
         waiting.priority,
-        waiting.asked_priority,
+        waiting.requested_priority,
         waiting.give_up_at,
         waiting.request,
     )
--- a/crates/decide/src/router/refusals.rs
+++ b/crates/decide/src/router/refusals.rs
@@ -1,23 +1,25 @@
 //! Giving up requests that wait.
 
-use super::queue::Waiting;
-use super::{ANSWER_MARGIN, BUSY_RETRY, RouterAction, RouterCore};
+use super::queue::WaitingRequest;
+use super::{BUSY_RETRY_AFTER, DEADLINE_MARGIN, RouterAction, RouterCore};
 use passway_types::prelude::*;
 
 impl RouterCore {
     /// Refuses every waiting request that has waited until its time to give up.
-    pub(super) fn refuse_overdue(
+    pub(super) fn refuse_expired(
         &mut self,
         now: Instant,
         model: &ModelName,
         actions: &mut Vec<RouterAction>,
     ) {
         let start_at = self.expected_start(now, model);
-        let wait = start_at.saturating_duration_since(now).max(BUSY_RETRY);
+        let wait = start_at
+            .saturating_duration_since(now)
+            .max(BUSY_RETRY_AFTER);
         let refusal =
             Refusal::new(ResultCode::DeadlinePassed, "waited until the deadline").retry_after(wait);
-        let due = |waiting: &Waiting| now + ANSWER_MARGIN >= waiting.give_up_at;
-        self.refuse_where(model, due, &refusal, actions);
+        let due = |waiting: &WaitingRequest| now + DEADLINE_MARGIN >= waiting.give_up_at;
+        self.refuse_matching(model, due, &refusal, actions);
     }
 
     /// Refuses at once every waiting request whose deadline lies before the expected start.
@@ -34,22 +36,22 @@
             return;
         };
         let refusal = deadline_unreachable(now, ready_at);
-        let too_late = |waiting: &Waiting| ready_at + ANSWER_MARGIN > waiting.give_up_at;
-        self.refuse_where(model, too_late, &refusal, actions);
+        let too_late = |waiting: &WaitingRequest| ready_at + DEADLINE_MARGIN > waiting.give_up_at;
+        self.refuse_matching(model, too_late, &refusal, actions);
     }
 
     /// Refuses the waiting requests for a model that match.
-    pub(super) fn refuse_where(
+    pub(super) fn refuse_matching(
         &mut self,
         model: &ModelName,
-        matches: impl Fn(&Waiting) -> bool,
+        matches: impl Fn(&WaitingRequest) -> bool,
         refusal: &Refusal,
         actions: &mut Vec<RouterAction>,
     ) {
-        for waiting in self.waiters.remove_where(model, matches) {
+        for waiting in self.waiters.remove_matching(model, matches) {
             actions.push(RouterAction::Refuse {
                 request: waiting.request,
-                refusal: waiting.final_answer(refusal.clone()),
+                refusal: waiting.final_refusal(refusal.clone()),
             });
         }
     }
--- a/crates/decide/src/router/replicas.rs
+++ b/crates/decide/src/router/replicas.rs
@@ -13,14 +13,14 @@
     routes: HashMap<ModelName, Vec<UpstreamId>>,
     /// This router's requests by upstream.
     running: HashMap<UpstreamId, u32>,
-    blocked_until: HashMap<UpstreamId, Instant>,
-    /// Replicas that upstreams denied to hold; the controller hears of it from
+    upstream_blocked_until: HashMap<UpstreamId, Instant>,
+    /// Replicas that upstreams replica_blocked to hold; the controller hears of it from
     /// the upstream itself and takes the route back if that lasts.
-    denied_until: HashMap<(ModelName, UpstreamId), Instant>,
+    replica_blocked_until: HashMap<(ModelName, UpstreamId), Instant>,
     /// Routers that share the slots of each upstream.
-    routers: u32,
-    /// Routers that are listed, and until when they count as there.
-    expected: Option<(u32, Instant)>,
+    router_count: u32,
+    /// Routers that are listed_count, and until when they count as there.
+    assumed_routers: Option<(u32, Instant)>,
 }
 
 impl Replicas {
@@ -30,24 +30,24 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             routes: HashMap::new(),
             running: HashMap::new(),
-            blocked_until: HashMap::new(),
-            denied_until: HashMap::new(),
-            routers: 1,
-            expected: None,
+            upstream_blocked_until: HashMap::new(),
+            replica_blocked_until: HashMap::new(),
+            router_count: 1,
+            assumed_routers: None,
         }
     }
 
     /// So many routers count as there until a moment.
-    pub(super) fn expect_routers(&mut self, listed: u32, until: Instant) {
-        self.expected = Some((listed, until));
-        self.routers = self.routers.max(listed);
+    pub(super) fn assume_listed_routers(&mut self, listed_count: u32, until: Instant) {
+        self.assumed_routers = Some((listed_count, until));
+        self.router_count = self.router_count.max(listed_count);
     }
 
-    /// So many routers are known to controllers.
-    pub(super) fn set_routers(&mut self, known: u32, now: Instant) {
-        let expected = self.expected.filter(|(_, until)| now < *until);
-        let listed = expected.map_or(1, |(listed, _)| listed);
-        self.routers = known.max(listed).max(1);
+    /// So many routers are known_count to controllers.
+    pub(super) fn set_router_count(&mut self, known_count: u32, now: Instant) {
+        let assumed = self.assumed_routers.filter(|(_, until)| now < *until);
+        let listed_count = assumed.map_or(1, |(listed_count, _)| listed_count);
+        self.router_count = known_count.max(listed_count).max(1);
     }
 
     /// Whether any upstream is routed to for the model.
@@ -74,22 +74,22 @@
     }
 
     /// Removes all routes of the models that match.
-    pub(super) fn remove_models(&mut self, matches: impl Fn(&ModelName) -> bool) {
+    pub(super) fn remove_routes_where(&mut self, matches: impl Fn(&ModelName) -> bool) {
         self.routes.retain(|model, _| !matches(model));
     }
 
     /// This router's slots for a model on all its upstreams; `None` without a route.
-    pub(super) fn slots_of(&self, catalog: &Catalog, model: &str) -> Option<u32> {
+    pub(super) fn total_slots(&self, catalog: &Catalog, model: &str) -> Option<u32> {
         let upstreams = self.routes.get(model)?;
-        Some(upstreams.iter().map(|id| self.slots(catalog, id)).sum())
+        Some(upstreams.iter().map(|id| self.slots_on(catalog, id)).sum())
     }
 
     /// This router's part of an upstream's slots.
-    fn slots(&self, catalog: &Catalog, upstream: &str) -> u32 {
+    fn slots_on(&self, catalog: &Catalog, upstream: &str) -> u32 {
         catalog
             .upstreams
             .get(upstream)
-            .map_or(0, |entry| (entry.slots / self.routers).max(1))
+            .map_or(0, |entry| (entry.slots / self.router_count).max(1))
     }
 
     fn running_on(&self, upstream: &str) -> u32 {
@@ -103,11 +103,16 @@
         model: &ModelName,
         upstream: &UpstreamId,
     ) -> bool {
-        let is_over = |until: &Instant| now >= *until;
-        let blocked = !self.blocked_until.get(upstream).is_none_or(is_over);
+        let is_past = |until: &Instant| now >= *until;
+        let upstream_blocked = !self
+            .upstream_blocked_until
+            .get(upstream)
+            .is_none_or(is_past);
         let replica = (model.clone(), upstream.clone());
-        let denied = !self.denied_until.get(&replica).is_none_or(is_over);
-        !blocked && !denied && self.running_on(upstream) < self.slots(catalog, upstream)
+        let replica_blocked = !self.replica_blocked_until.get(&replica).is_none_or(is_past);
+        !upstream_blocked
+            && !replica_blocked
+            && self.running_on(upstream) < self.slots_on(catalog, upstream)
     }
 
     /// Whether any replica of the model can take a request.
@@ -117,7 +122,7 @@
     }
 
     /// Power of two choices over the free replicas, by this router's own load.
-    pub(super) fn choose(
+    pub(super) fn choose_upstream(
         &mut self,
         now: Instant,
         catalog: &Catalog,
@@ -142,29 +147,34 @@
     }
 
     /// A request was sent to the upstream.
-    pub(super) fn started(&mut self, upstream: &UpstreamId) {
+    pub(super) fn request_started(&mut self, upstream: &UpstreamId) {
         *self.running.entry(upstream.clone()).or_default() += 1;
     }
 
     /// A request to the upstream is over.
-    pub(super) fn ended(&mut self, upstream: &UpstreamId) {
+    pub(super) fn request_ended(&mut self, upstream: &UpstreamId) {
         super::decrement(&mut self.running, upstream);
     }
 
     /// Nothing is sent to the upstream until a moment.
-    pub(super) fn block(&mut self, upstream: &UpstreamId, until: Instant) {
-        self.blocked_until.insert(upstream.clone(), until);
+    pub(super) fn block_upstream(&mut self, upstream: &UpstreamId, until: Instant) {
+        self.upstream_blocked_until.insert(upstream.clone(), until);
     }
 
     /// Nothing is sent to one replica until a moment.
-    pub(super) fn deny(&mut self, model: &ModelName, upstream: &UpstreamId, until: Instant) {
+    pub(super) fn block_replica(
+        &mut self,
+        model: &ModelName,
+        upstream: &UpstreamId,
+        until: Instant,
+    ) {
         let replica = (model.clone(), upstream.clone());
-        self.denied_until.insert(replica, until);
+        self.replica_blocked_until.insert(replica, until);
     }
 
     /// Drops the blocks that are over.
-    pub(super) fn expire(&mut self, now: Instant) {
-        self.blocked_until.retain(|_, until| now < *until);
-        self.denied_until.retain(|_, until| now < *until);
+    pub(super) fn remove_expired_blocks(&mut self, now: Instant) {
+        self.upstream_blocked_until.retain(|_, until| now < *until);
+        self.replica_blocked_until.retain(|_, until| now < *until);
     }
 }
--- a/crates/decide/src/router/reports.rs
+++ b/crates/decide/src/router/reports.rs
@@ -5,15 +5,15 @@
 use passway_types::prelude::*;
 
 /// Shortest pause between two demands for one model.
-const DEMAND_PAUSE: Duration = Duration::from_millis(100);
-/// An unanswered or standing demand is repeated after this time.
-const DEMAND_REPEAT: Duration = Duration::from_secs(1);
+const MIN_DEMAND_INTERVAL: Duration = Duration::from_millis(100);
+/// An unanswered or listing demand is repeated after this time.
+const DEMAND_REPEAT_INTERVAL: Duration = Duration::from_secs(1);
 /// Pause between two reports of use for a model in use.
-const USAGE_PAUSE: Duration = Duration::from_millis(500);
+const USAGE_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The last demand told to the controller for a model.
+/// The last demand sent to the controller for a model.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Told {
+pub(super) struct SentDemand {
     pub(super) at: Instant,
     pub(super) waiting: u32,
     pub(super) earliest_deadline_at: Instant,
@@ -21,42 +21,47 @@
 
 impl RouterCore {
     /// Tells the controller of models that are waited for and have no replica with room.
-    pub(super) fn tell_demands(&mut self, now: Instant, actions: &mut Vec<RouterAction>) {
-        let gone: Vec<ModelName> = self
-            .told
+    pub(super) fn send_demands(&mut self, now: Instant, actions: &mut Vec<RouterAction>) {
+        let satisfied: Vec<ModelName> = self
+            .sent_demands
             .keys()
             .filter(|model| !self.waiters.has_model(model))
             .cloned()
             .collect();
-        for model in gone {
-            if let Some(told) = self.told.remove(&model) {
-                let deadline_at = told.earliest_deadline_at;
+        for model in satisfied {
+            if let Some(sent) = self.sent_demands.remove(&model) {
+                let deadline_at = sent.earliest_deadline_at;
                 actions.push(self.demand(&model, "".into(), 0, deadline_at, DEFAULT_PRIORITY));
             }
         }
         for model in self.waiters.models() {
-            self.tell_demand(now, &model, actions);
+            self.send_demand_if_due(now, &model, actions);
         }
     }
 
-    fn tell_demand(&mut self, now: Instant, model: &ModelName, actions: &mut Vec<RouterAction>) {
-        let Some(first) = self.waiters.earliest(model) else {
+    fn send_demand_if_due(
+        &mut self,
+        now: Instant,
+        model: &ModelName,
+        actions: &mut Vec<RouterAction>,
+    ) {
+        let Some(first) = self.waiters.earliest_to_give_up(model) else {
             return;
         };
-        let waiting = u32::try_from(self.waiters.of_model(model)).unwrap_or(u32::MAX);
+        let waiting = u32::try_from(self.waiters.count_for_model(model)).unwrap_or(u32::MAX);
         let earliest_deadline_at = first.give_up_at;
-        if let Some(told) = self.told.get(model) {
-            let since = now.saturating_duration_since(told.at);
-            let changed = waiting > told.waiting.saturating_mul(2)
-                || earliest_deadline_at < told.earliest_deadline_at;
-            if since < DEMAND_PAUSE || (!changed && since < DEMAND_REPEAT) {
+        if let Some(sent) = self.sent_demands.get(model) {
+            let elapsed = now.saturating_duration_since(sent.at);
+            let changed = waiting > sent.waiting.saturating_mul(2)
+                || earliest_deadline_at < sent.earliest_deadline_at;
+            if elapsed < MIN_DEMAND_INTERVAL || (!changed && elapsed < DEMAND_REPEAT_INTERVAL) {
                 return;
             }
         }
         let (workspace, priority) = (first.workspace.clone(), first.priority);
-        self.told.insert(
+        self.sent_demands.insert(
             model.clone(),
-            Told {
+            SentDemand {
                 at: now,
                 waiting,
                 earliest_deadline_at,
@@ -74,7 +79,7 @@
         priority: u32,
     ) -> RouterAction {
         RouterAction::Demand(Demand {
-            router: self.me,
+            router: self.router,
             model: model.clone(),
             workspace,
             waiting,
@@ -84,14 +89,14 @@
     }
 
     pub(super) fn report_usage(&mut self, now: Instant, actions: &mut Vec<RouterAction>) {
-        if now < self.usage_at {
+        if now < self.next_usage_report_at {
             return;
         }
-        self.usage_at = now + USAGE_PAUSE;
-        for model in self.used.drain() {
-            let running = self.attempts.of_model(&model);
+        self.next_usage_report_at = now + USAGE_REPORT_INTERVAL;
+        for model in self.models_in_use.drain() {
+            let running = self.attempts.running_on_model(&model);
             let usage = Usage {
-                router: self.me,
+                router: self.router,
                 model,
                 running,
                 last_used_at: now,
@@ -99,6 +104,6 @@
             actions.push(RouterAction::Usage(usage));
         }
         // A model with requests in progress is in use until they end.
-        self.used.extend(self.attempts.models().cloned());
+        self.models_in_use.extend(self.attempts.models().cloned());
     }
 }
--- a/crates/decide/src/router/waiters.rs
+++ b/crates/decide/src/router/waiters.rs
@@ -1,7 +1,7 @@
 //! All requests that wait at one router, by model, and the shares of their workspaces.
 
-use super::queue::{ModelQueue, Place, Waiting};
-use super::share::ShareClock;
+use super::fair_share::TokenCounters;
+use super::queue::{ModelQueue, QueuePosition, WaitingRequest};
 use passway_types::prelude::*;
 use std::collections::{BTreeMap, HashMap};
 
@@ -11,7 +11,7 @@
     queues: BTreeMap<ModelName, ModelQueue>,
     /// How many requests of each workspace wait.
     by_workspace: HashMap<WorkspaceName, u32>,
-    shares: ShareClock,
+    shares: TokenCounters,
 }
 
 impl Waiters {
@@ -21,12 +21,12 @@
     }
 
     /// Requests that wait for a model.
-    pub(super) fn of_model(&self, model: &str) -> usize {
+    pub(super) fn count_for_model(&self, model: &str) -> usize {
         self.queues.get(model).map_or(0, ModelQueue::len)
     }
 
     /// Requests of a workspace that wait.
-    pub(super) fn of_workspace(&self, workspace: &str) -> u32 {
+    pub(super) fn count_of_workspace(&self, workspace: &str) -> u32 {
         self.by_workspace.get(workspace).copied().unwrap_or(0)
     }
 
@@ -41,78 +41,87 @@
     }
 
     /// The request for a model with the earliest time to give up.
-    pub(super) fn earliest(&self, model: &str) -> Option<&Waiting> {
-        self.queues.get(model).and_then(ModelQueue::earliest)
+    pub(super) fn earliest_to_give_up(&self, model: &str) -> Option<&WaitingRequest> {
+        self.queues
+            .get(model)
+            .and_then(ModelQueue::earliest_to_give_up)
     }
 
     /// A request begins to wait; `share` is that of its workspace.
-    pub(super) fn add(&mut self, model: ModelName, waiting: Waiting, share: u32) {
+    pub(super) fn add(&mut self, model: ModelName, waiting: WaitingRequest, share: u32) {
         *self
             .by_workspace
             .entry(waiting.workspace.clone())
             .or_default() += 1;
-        self.shares.join(&waiting.workspace, share);
+        self.shares.activate(&waiting.workspace, share);
         self.queues.entry(model).or_default().push(waiting);
     }
 
     /// Takes a request out.
-    pub(super) fn remove(&mut self, model: &ModelName, place: &Place) -> Option<Waiting> {
+    pub(super) fn remove(
+        &mut self,
+        model: &ModelName,
+        position: &QueuePosition,
+    ) -> Option<WaitingRequest> {
         let queue = self.queues.get_mut(model)?;
-        let waiting = queue.remove(place)?;
+        let waiting = queue.remove(position)?;
         if queue.is_empty() {
             self.queues.remove(model);
         }
         if let Some(count) = self.by_workspace.get_mut(&waiting.workspace) {
             *count = count.saturating_sub(1);
             if *count == 0 {
-                self.shares.leave(&waiting.workspace);
+                self.shares.deactivate(&waiting.workspace);
             }
         }
         Some(waiting)
     }
 
     /// Takes out all requests for a model that match.
-    pub(super) fn remove_where(
+    pub(super) fn remove_matching(
         &mut self,
         model: &ModelName,
-        matches: impl Fn(&Waiting) -> bool,
-    ) -> Vec<Waiting> {
-        let places = self.queues.get(model).map(|queue| queue.places(matches));
-        let places = places.unwrap_or_default();
-        let removed = places.iter().filter_map(|place| self.remove(model, place));
+        matches: impl Fn(&WaitingRequest) -> bool,
+    ) -> Vec<WaitingRequest> {
+        let positions = self.queues.get(model).map(|queue| queue.positions(matches));
+        let positions = positions.unwrap_or_default();
+        let removed = positions
+            .iter()
+            .filter_map(|position| self.remove(model, position));
         removed.collect()
     }
 
     /// Takes out a request whose model is not known.
     pub(super) fn remove_request(&mut self, request: RequestId) {
-        let found = self
-            .queues
-            .iter()
-            .find_map(|(model, queue)| queue.find(request).map(|place| (model.clone(), place)));
-        if let Some((model, place)) = found {
-            self.remove(&model, &place);
+        let found = self.queues.iter().find_map(|(model, queue)| {
+            queue
+                .position_of(request)
+                .map(|position| (model.clone(), position))
+        });
+        if let Some((model, position)) = found {
+            self.remove(&model, &position);
         }
     }
 
     /// The request that goes first among the models and requests that may run.
-    pub(super) fn first(
+    pub(super) fn next_to_start(
         &self,
         model_may_run: impl Fn(&ModelName) -> bool,
-        may_run: impl Fn(&Waiting) -> bool,
-    ) -> Option<(ModelName, Place)> {
-        let mut best: Option<(&ModelName, Place)> = None;
+        is_allowed: impl Fn(&WaitingRequest) -> bool,
+    ) -> Option<(ModelName, QueuePosition)> {
+        let mut best: Option<(&ModelName, QueuePosition)> = None;
         for (model, queue) in &self.queues {
             if !model_may_run(model) {
                 continue;
             }
-            let Some(place) = queue.first(&self.shares, &may_run) else {
+            let Some(position) = queue.next_to_start(&self.shares, &is_allowed) else {
                 continue;
             };
-            if best.as_ref().is_none_or(|(_, first)| place < *first) {
-                best = Some((model, place));
+            if best.as_ref().is_none_or(|(_, first)| position < *first) {
+                best = Some((model, position));
             }
         }
-        best.map(|(model, place)| (model.clone(), place))
+        best.map(|(model, position)| (model.clone(), position))
     }
 
     /// Charges tokens to a workspace; a negative number corrects an earlier guess.
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -123,7 +123,7 @@
                         }));
                     }
                 }
-                ClaimStep::Ours(version) => {
+                ClaimStep::Owned(version) => {
                     return Ok(Claimed::Send(OwnClaim {
                         key,
                         version,
--- a/crates/router/src/control.rs
+++ b/crates/router/src/control.rs
@@ -169,9 +169,9 @@
         }
         self.want_config(address, heartbeat.config_revision, shared, now);
         let mut core = shared.core();
-        core.set_routers(routers, now);
+        core.set_router_count(routers, now);
         if !heartbeat.isolated {
-            core.set_current_until(now + shared.limits.stale_limit);
+            core.set_config_current_until(now + shared.limits.stale_limit);
         }
     }
 
@@ -246,10 +246,10 @@
         let change = RouteChange {
             added: all(routes.added),
             removed: all(routes.removed),
-            whole: routes.whole,
+            is_snapshot: routes.whole,
         };
         self.decide(shared, |core, now| {
-            core.routes_changed(now, &change, &routes.cell)
+            core.apply_route_change(now, &change, &routes.cell)
         });
     }
 
@@ -273,7 +273,9 @@
             None => DemandVerdict::ReadyAt(now + Duration::from_millis(verdict.ready_in_ms)),
         };
         let model: ModelName = verdict.model.as_str().into();
-        self.decide(shared, |core, now| core.verdict(now, &model, decided));
+        self.decide(shared, |core, now| {
+            core.handle_verdict(now, &model, decided)
+        });
     }
 
     /// Makes one decision and carries out what it says.
--- a/crates/router/src/generate.rs
+++ b/crates/router/src/generate.rs
@@ -5,7 +5,7 @@
 use crate::shared::{InProgress, Shared, Word};
 use crate::stream::{EngineStream, StreamReader};
 use crossbeam::channel::Receiver;
-use passway_decide::router::{Arrival, Ended};
+use passway_decide::router::{Arrival, AttemptOutcome};
 use passway_http::{Body, Caller, Request, Response};
 use passway_platform::http::{CallError, agent, classify};
 use passway_types::clock;
@@ -52,7 +52,7 @@
 #[derive(Debug)]
 enum Attempt {
     Answer(ureq::http::Response<ureq::Body>),
-    Ended(Ended),
+    Ended(AttemptOutcome),
     Late,
 }
 
@@ -103,7 +103,7 @@
         priority: meta.priority,
         deadline_at: meta.deadline_at,
     };
-    control.decide(shared, |core, now| core.arrive(now, &arrival));
+    control.decide(shared, |core, now| core.handle_arrival(now, &arrival));
     let label = job.label.clone();
     let answered = job.run();
     let wait_ms = u64::try_from(clock::since(arrived_at).as_millis()).unwrap_or(u64::MAX);
@@ -122,7 +122,7 @@
         let request = self.request;
         self.control.decide(&self.shared, |core, now| {
             core.abandon(request);
-            core.ended(now, request, Ended::Abandoned)
+            core.attempt_ended(now, request, AttemptOutcome::Abandoned)
         });
     }
 }
@@ -149,7 +149,7 @@
                     return Err(Refusal::new(ResultCode::AnswerLate, "no answer in time"));
                 }
                 // Nothing was passed on yet, so the request may run again.
-                Err(_) => self.ended(Ended::Failed),
+                Err(_) => self.ended(AttemptOutcome::Failed),
             }
         }
     }
@@ -207,7 +207,7 @@
     ) -> Attempt {
         let catalog = self.shared.catalog.load();
         let Some(entry) = catalog.upstreams.get(upstream) else {
-            return Attempt::Ended(Ended::NotLoaded);
+            return Attempt::Ended(AttemptOutcome::NotLoaded);
         };
         let left = deadline_at.saturating_duration_since(clock::now());
         let mut body = self.body.clone();
@@ -220,7 +220,7 @@
             .header(RESUME_HEADER, resume_at.to_string())
             .body(body.to_string());
         let Ok(request) = request else {
-            return Attempt::Ended(Ended::Failed);
+            return Attempt::Ended(AttemptOutcome::Failed);
         };
         let agent = agent(None, 0);
         let configured = agent
@@ -244,22 +244,23 @@
         log::debug!(request = self.label.as_str(), upstream = upstream, error:% = error;
             "attempt failed");
         match classify(error) {
-            CallError::NotSent => Attempt::Ended(Ended::Unreachable),
+            CallError::NotSent => Attempt::Ended(AttemptOutcome::Unreachable),
             CallError::Lost if clock::now() >= deadline_at => Attempt::Late,
-            CallError::Lost => Attempt::Ended(Ended::Failed),
+            CallError::Lost => Attempt::Ended(AttemptOutcome::Failed),
         }
     }
 
-    fn ended(&self, ended: Ended) {
+    fn ended(&self, ended: AttemptOutcome) {
         let request = self.request;
-        self.control
-            .decide(&self.shared, |core, now| core.ended(now, request, ended));
+        self.control.decide(&self.shared, |core, now| {
+            core.attempt_ended(now, request, ended)
+        });
     }
 
     /// Records that the answer was passed on whole.
     pub(crate) fn served(&self, tokens: u32) {
         self.shared.metrics.served();
-        self.ended(Ended::Served { tokens });
+        self.ended(AttemptOutcome::Served { tokens });
     }
 
     fn whole(&self, body: Vec<u8>) -> Response {
@@ -291,7 +292,7 @@
     /// # Errors
     /// The refusal that ends the stream.
     pub(crate) fn resume(&self, delivered: u32) -> Result<EngineStream, Refusal> {
-        self.ended(Ended::Failed);
+        self.ended(AttemptOutcome::Failed);
         loop {
             match self.next_answer(delivered)? {
                 (Attempt::Answer(response), _) => {
@@ -313,8 +314,8 @@
     match response.status().as_u16() {
         200 => Attempt::Answer(response),
         // Engines answer so before anything runs.
-        404 => Attempt::Ended(Ended::NotLoaded),
-        429 => Attempt::Ended(Ended::Busy),
-        _ => Attempt::Ended(Ended::Failed),
+        404 => Attempt::Ended(AttemptOutcome::NotLoaded),
+        429 => Attempt::Ended(AttemptOutcome::Busy),
+        _ => Attempt::Ended(AttemptOutcome::Failed),
     }
 }
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -85,10 +85,10 @@
         ));
         let now = clock::now();
         let mut core = RouterCore::new(incarnation, catalog.clone(), now);
-        core.set_current_until(now);
+        core.set_config_current_until(now);
         // Each instance runs a controller and a router.
         let listed = u32::try_from(settings.controllers.len()).unwrap_or(u32::MAX);
-        core.expect_routers(listed, now + STARTING_TIME);
+        core.assume_listed_routers(listed, now + STARTING_TIME);
         Ok(Self {
             catalog: ArcSwap::new(catalog),
             metrics: Metrics::default(),
--- a/crates/standins/src/bin/passway-slopes/cell.rs
+++ b/crates/standins/src/bin/passway-slopes/cell.rs
@@ -28,9 +28,9 @@
         let tick = time(ROUNDS, || drop(black_box(cell.handle(now, Event::Tick))));
         let status = time(ROUNDS, || {
             let upstream: UpstreamId = "upstream-0".into();
-            let event = Event::Status {
+            let event = Event::StatusPolled {
                 upstream,
-                asked_at: now,
+                polled_at: now,
                 status: None,
             };
             drop(black_box(cell.handle(now, event)));
@@ -53,9 +53,9 @@
     let mut pending = vec![Event::Tick];
     for upstream in catalog.upstreams.keys() {
         let status = Some(UpstreamStatus::default());
-        pending.push(Event::Status {
+        pending.push(Event::StatusPolled {
             upstream: upstream.clone(),
-            asked_at: now,
+            polled_at: now,
             status,
         });
     }
@@ -99,9 +99,9 @@
         address: "10.0.0.1:7000".parse().context("address")?,
     };
     let limits = CellLimits {
-        standby_poll: Duration::from_millis(300),
-        order_settle: Duration::from_secs(10),
-        write_patience: Duration::from_millis(500),
+        standby_poll_interval: Duration::from_millis(300),
+        order_settle_time: Duration::from_secs(10),
+        write_outage_after: Duration::from_millis(500),
     };
     let cell = CellController::new("main".into(), me, limits, catalog.clone(), now);
     Ok(cell)
@@ -122,7 +122,9 @@
 /// What follows an action where nothing fails; `version` is that of the last write.
 fn answer(action: Action, until_at: Instant, version: Version) -> Option<Event> {
     match action {
-        Action::AcquireLease => Some(Event::LeaseGranted { until_at }),
+        Action::AcquireLease => Some(Event::LeaseGranted {
+            valid_until: until_at,
+        }),
         Action::ReadPlan => Some(Event::PlanRead {
             version: 0,
             plan: None,
@@ -131,7 +133,7 @@
             change: plan.last_change,
             version,
         }),
-        Action::SendOrder(order) => Some(Event::Order {
+        Action::SendOrder(order) => Some(Event::OrderAnswered {
             upstream: order.upstream,
             fence: order.fence,
             answer: OrderAnswer::Loaded,
--- a/crates/standins/src/sizes.rs
+++ b/crates/standins/src/sizes.rs
@@ -5,7 +5,7 @@
     AdapterEntry, Document, ModelEntry, PolicyEntry, UpstreamEntry, WorkspaceEntry,
 };
 use passway_decide::messages::RouteChange;
-use passway_decide::router::{Arrival, Ended, RouterAction, RouterCore};
+use passway_decide::router::{Arrival, AttemptOutcome, RouterAction, RouterCore};
 use passway_types::prelude::*;
 
 /// How much a configuration holds.
@@ -121,9 +121,9 @@
         let change = RouteChange {
             added: added.collect(),
             removed: Vec::new(),
-            whole: true,
+            is_snapshot: true,
         };
-        core.routes_changed(now, &change, "main");
+        core.apply_route_change(now, &change, "main");
         Self {
             core,
             now,
@@ -145,10 +145,10 @@
             priority: None,
             deadline_at: None,
         };
-        for action in self.core.arrive(self.now, &arrival) {
+        for action in self.core.handle_arrival(self.now, &arrival) {
             if let RouterAction::Start { request, .. } = action {
                 self.core
-                    .ended(self.now, request, Ended::Served { tokens: 10 });
+                    .attempt_ended(self.now, request, AttemptOutcome::Served { tokens: 10 });
             }
         }
     }
--- a/tests/all/cell_faults.rs
+++ b/tests/all/cell_faults.rs
@@ -8,7 +8,7 @@
 use passway_config::document::{
     AdapterEntry, Fencing, KeepEntry, KeepPolicyName, ModelEntry, UpstreamEntry, WorkspaceEntry,
 };
-use passway_decide::cell::upstreams::Standing;
+use passway_decide::cell::upstreams::ListingState;
 use passway_types::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -77,8 +77,12 @@
         4 | 5 => world.store.down = false,
         6 => world.restart_engine(rng.random_range(0..3)),
         7 => {
-            let standing = [Standing::Listed, Standing::Leaving, Standing::Gone];
-            world.set_standing(rng.random_range(0..3), standing[rng.random_range(0..3)]);
+            let listing = [
+                ListingState::Listed,
+                ListingState::Leaving,
+                ListingState::Removed,
+            ];
+            world.set_listing(rng.random_range(0..3), listing[rng.random_range(0..3)]);
         }
         _ => {}
     }
@@ -115,7 +119,7 @@
     world.store.down = false;
     world.chances = Chances::default();
     for engine in 0..3 {
-        world.set_standing(engine, Standing::Listed);
+        world.set_listing(engine, ListingState::Listed);
     }
     for node in 0..NODES {
         if world.nodes[node].controller.is_none() {
--- a/tests/all/cell_scenarios.rs
+++ b/tests/all/cell_scenarios.rs
@@ -20,7 +20,7 @@
 use passway_config::document::{
     AdapterEntry, Fencing, KeepEntry, KeepPolicyName, ModelEntry, UpstreamEntry, WorkspaceEntry,
 };
-use passway_decide::cell::upstreams::Standing;
+use passway_decide::cell::upstreams::ListingState;
 use passway_decide::messages::DemandVerdict;
 use passway_types::prelude::*;
 use std::fmt::Write;
@@ -75,12 +75,12 @@
         "load" => world.load_time = Duration::from_millis(case.take_arg("ms")?),
         "upstream" => {
             let state: String = case.take_arg("state")?;
-            let standing = match state.as_str() {
-                "gone" => Standing::Gone,
-                "leaving" => Standing::Leaving,
-                _ => Standing::Listed,
+            let listing = match state.as_str() {
+                "gone" => ListingState::Removed,
+                "leaving" => ListingState::Leaving,
+                _ => ListingState::Listed,
             };
-            world.set_standing(case.take_arg("engine")?, standing);
+            world.set_listing(case.take_arg("engine")?, listing);
         }
         "engine" => world.restart_engine(case.take_arg("restart")?),
         "show" => return Ok(show(world)),
@@ -175,7 +175,11 @@
     match &world.store.plan {
         None => writeln!(out, "no plan").expect("string"),
         Some((_, plan)) => {
-            let former: Vec<Epoch> = plan.former().iter().map(|former| former.epoch).collect();
+            let former: Vec<Epoch> = plan
+                .previous_holders()
+                .iter()
+                .map(|former| former.epoch)
+                .collect();
             writeln!(out, "epoch {}, former {former:?}", plan.epoch).expect("string");
             for p in plan.placements() {
                 writeln!(
--- a/tests/all/cell_world.rs
+++ b/tests/all/cell_world.rs
@@ -10,9 +10,9 @@
 
 use engine::{Engine, engine_id};
 use passway_config::{Catalog, Document};
-use passway_decide::cell::upstreams::Standing;
+use passway_decide::cell::upstreams::ListingState;
 use passway_decide::cell::{CellController, CellLimits, Event};
-use passway_decide::messages::{Demand, DemandVerdict, Order, epoch_of};
+use passway_decide::messages::{Demand, DemandVerdict, Order, fence_epoch};
 use passway_decide::plan::{Holder, Plan};
 use passway_types::prelude::*;
 use rand::{RngExt, SeedableRng};
@@ -130,9 +130,9 @@
                 .expect("address"),
         };
         let limits = CellLimits {
-            standby_poll: Duration::from_millis(300),
-            order_settle: LONGEST_DELAY,
-            write_patience: Duration::from_millis(500),
+            standby_poll_interval: Duration::from_millis(300),
+            order_settle_time: LONGEST_DELAY,
+            write_outage_after: Duration::from_millis(500),
         };
         let controller =
             CellController::new("main".into(), me, limits, self.catalog.clone(), self.now);
@@ -165,13 +165,17 @@
 
     /// The platform takes an engine away with all that it holds, or brings it
     /// back empty, and its list says so.
-    pub fn set_standing(&mut self, number: usize, standing: Standing) {
-        self.engines[number].set_gone(standing == Standing::Gone);
+    pub fn set_listing(&mut self, number: usize, listing: ListingState) {
+        self.engines[number].set_gone(listing == ListingState::Removed);
         let upstream = engine_id(number);
         for node in 0..self.nodes.len() {
             let lag = self.delay(Duration::from_secs(2));
             let upstream = upstream.clone();
-            self.post_event(lag, node, Event::UpstreamStanding { upstream, standing });
+            self.post_event(
+                lag,
+                node,
+                Event::UpstreamListingChanged { upstream, listing },
+            );
         }
     }
 
@@ -233,8 +237,8 @@
         if !self.is_awake(node) {
             return;
         }
-        if let Event::Order { fence, .. } = &event {
-            let epoch = epoch_of(*fence);
+        if let Event::OrderAnswered { fence, .. } = &event {
+            let epoch = fence_epoch(*fence);
             let in_hand = &mut self.nodes[node].in_hand;
             if let Some(place) = in_hand.iter().position(|held| *held == epoch) {
                 in_hand.remove(place);
@@ -263,9 +267,9 @@
             for engine in 0..self.engines.len() {
                 let status = self.engines[engine].status(self.now);
                 let upstream = engine_id(engine);
-                let event = Event::Status {
+                let event = Event::StatusPolled {
                     upstream,
-                    asked_at: self.now,
+                    polled_at: self.now,
                     status,
                 };
                 let lag = self.delay(Duration::from_millis(300));
--- a/tests/all/cell_world/calls.rs
+++ b/tests/all/cell_world/calls.rs
@@ -4,7 +4,7 @@
 use super::store::LEASE;
 use super::{CellWorld, LONGEST_DELAY, Message};
 use passway_decide::cell::{Action, Event};
-use passway_decide::messages::{Order, OrderAnswer, RouteChange, epoch_of};
+use passway_decide::messages::{Order, OrderAnswer, RouteChange, fence_epoch};
 use passway_decide::plan::{Holder, Plan};
 use passway_types::prelude::*;
 
@@ -32,7 +32,7 @@
             }
             Action::WritePlan { expected, plan } => self.write_call(node, expected, plan),
             Action::SendOrder(order) => self.order_call(node, order),
-            Action::ProbeFormer { epoch, holder } => {
+            Action::ProbePreviousHolder { epoch, holder } => {
                 let asker_incarnation = self.nodes[node].incarnation;
                 let probe = Message::Probe {
                     asker: node,
@@ -42,7 +42,7 @@
                 };
                 self.post(short, probe);
             }
-            Action::Publish(change) => self.publish(node, &change),
+            Action::PublishRoutes(change) => self.publish(node, &change),
             Action::AnswerDemand { model, verdict, .. } => {
                 let at = self.now;
                 self.nodes[node].verdicts.push((at, model, verdict));
@@ -53,7 +53,7 @@
 
     fn publish(&mut self, node: usize, change: &RouteChange) {
         let routes = &mut self.nodes[node].routes;
-        if change.whole {
+        if change.is_snapshot {
             routes.clear();
         }
         for route in &change.removed {
@@ -65,29 +65,29 @@
     fn write_call(&mut self, node: usize, expected: Version, plan: Box<Plan>) {
         let short = self.delay(Duration::from_millis(5));
         if self.store.down {
-            self.post_event(CALL_TIMEOUT, node, Event::WriteUnclear);
+            self.post_event(CALL_TIMEOUT, node, Event::WriteOutcomeUnknown);
         } else if self.chance(self.chances.delay_write) {
             let late = self.delay(LONGEST_DELAY);
             self.post(late, Message::Write { expected, plan });
-            self.post_event(CALL_TIMEOUT, node, Event::WriteUnclear);
+            self.post_event(CALL_TIMEOUT, node, Event::WriteOutcomeUnknown);
         } else {
             let change = plan.last_change;
             let written = self.store.write(expected, *plan);
             let lost = self.chance(self.chances.lose_write_answer);
             let event = match written {
                 Some(version) if !lost => Event::WriteDone { change, version },
-                _ => Event::WriteUnclear,
+                _ => Event::WriteOutcomeUnknown,
             };
             self.post_event(short, node, event);
         }
     }
 
     fn order_call(&mut self, node: usize, order: Order) {
-        self.nodes[node].in_hand.push(epoch_of(order.fence));
+        self.nodes[node].in_hand.push(fence_epoch(order.fence));
         let incarnation = self.nodes[node].incarnation;
         if self.now >= order.not_after {
             let (upstream, fence) = (order.upstream, order.fence);
-            let event = Event::Order {
+            let event = Event::OrderAnswered {
                 upstream,
                 fence,
                 answer: OrderAnswer::NotSent,
@@ -117,7 +117,7 @@
         }
         let engine = engine_number(&order.upstream);
         if self.engines[engine].down {
-            let event = Event::Order {
+            let event = Event::OrderAnswered {
                 upstream: order.upstream,
                 fence: order.fence,
                 answer: OrderAnswer::NotSent,
@@ -132,7 +132,7 @@
             self.post_event(
                 CALL_TIMEOUT,
                 node,
-                Event::Order {
+                Event::OrderAnswered {
                     upstream,
                     fence,
                     answer: OrderAnswer::Lost,
@@ -148,7 +148,7 @@
         self.post_event(
             short,
             node,
-            Event::Order {
+            Event::OrderAnswered {
                 upstream,
                 fence,
                 answer,
@@ -182,7 +182,7 @@
         let may_order =
             node.incarnation == former.incarnation && (leads || node.in_hand.contains(&epoch));
         if !may_order {
-            let event = Event::FormerGone(epoch);
+            let event = Event::PreviousHolderStopped(epoch);
             let message = Message::ToNode {
                 node: asker,
                 incarnation: asker_incarnation,
--- a/tests/all/cell_world/store.rs
+++ b/tests/all/cell_world/store.rs
@@ -28,14 +28,14 @@
         if self.down {
             return Event::LeaseUnavailable;
         }
-        let standing = self.lease.as_ref();
-        if standing.is_some_and(|lease| now < lease.until && lease.holder != holder) {
+        let current = self.lease.as_ref();
+        if current.is_some_and(|lease| now < lease.until && lease.holder != holder) {
             return Event::LeaseDenied;
         }
         let until = now + LEASE;
         self.lease = Some(Lease { holder, until });
         Event::LeaseGranted {
-            until_at: now + RELIED_ON,
+            valid_until: now + RELIED_ON,
         }
     }
 
@@ -47,7 +47,7 @@
             Some(lease) if lease.holder == holder && now < lease.until => {
                 lease.until = now + LEASE;
                 Event::LeaseGranted {
-                    until_at: now + RELIED_ON,
+                    valid_until: now + RELIED_ON,
                 }
             }
             _ => Event::LeaseDenied,
--- a/tests/all/config_freshness.rs
+++ b/tests/all/config_freshness.rs
@@ -15,10 +15,10 @@
 fn current_without_tick() {
     let now = Instant::now();
     let mut core = RouterCore::new(1, Arc::new(Catalog::default()), now);
-    core.set_current_until(now);
+    core.set_config_current_until(now);
     assert_eq!(code(&core, now), Some(ResultCode::ConfigStale));
     // Word comes, then the configuration; no tick runs in between.
-    core.set_current_until(now + LIMIT);
+    core.set_config_current_until(now + LIMIT);
     assert_eq!(code(&core, now), Some(ResultCode::ConfigStale));
     let catalog = Catalog {
         revision: 1,
@@ -36,7 +36,7 @@
         ..Catalog::default()
     };
     let mut core = RouterCore::new(1, Arc::new(catalog), now);
-    core.set_current_until(now + LIMIT);
+    core.set_config_current_until(now + LIMIT);
     let last = now + LIMIT.saturating_sub(Duration::from_millis(1));
     assert_eq!(code(&core, last), None);
     assert_eq!(code(&core, now + LIMIT), Some(ResultCode::ConfigStale));
--- a/tests/all/fair_share.rs
+++ b/tests/all/fair_share.rs
@@ -3,7 +3,7 @@
 use passway_config::document::{ModelEntry, PolicyEntry, UpstreamEntry, WorkspaceEntry};
 use passway_config::{Catalog, Document};
 use passway_decide::messages::RouteChange;
-use passway_decide::router::{Arrival, Ended, RouterAction, RouterCore};
+use passway_decide::router::{Arrival, AttemptOutcome, RouterAction, RouterCore};
 use passway_types::prelude::*;
 use std::collections::{BTreeMap, HashMap};
 
@@ -57,9 +57,9 @@
         let change = RouteChange {
             added: vec![route],
             removed: Vec::new(),
-            whole: true,
+            is_snapshot: true,
         };
-        core.routes_changed(now, &change, "main");
+        core.apply_route_change(now, &change, "main");
         Self {
             now,
             start: now,
@@ -85,7 +85,7 @@
             priority: None,
             deadline_at: None,
         };
-        let actions = self.core.arrive(self.now, &arrival);
+        let actions = self.core.handle_arrival(self.now, &arrival);
         self.perform(actions);
     }
 
@@ -114,9 +114,9 @@
             }
             let ((at, request), _) = entry.remove_entry();
             self.now = at;
-            let actions = self
-                .core
-                .ended(at, request, Ended::Served { tokens: TOKENS });
+            let actions =
+                self.core
+                    .attempt_ended(at, request, AttemptOutcome::Served { tokens: TOKENS });
             self.perform(actions);
         }
         self.now = until;
--- a/tests/all/former_holder.rs
+++ b/tests/all/former_holder.rs
@@ -126,15 +126,15 @@
     let route = RouteChange {
         added: vec![(model.clone(), "engine0".into())],
         removed: vec![],
-        whole: true,
+        is_snapshot: true,
     };
-    core.routes_changed(now, &route, CELL);
+    core.apply_route_change(now, &route, CELL);
     // The answer to a demand of before the route was known.
     let refused = DemandVerdict::Refused {
         code: ResultCode::ControlUnavailable,
         retry_at: now,
     };
-    core.verdict(now, &model, refused);
+    core.handle_verdict(now, &model, refused);
     let arrival = Arrival {
         request: 1,
         model: MODEL.into(),
@@ -143,7 +143,7 @@
         priority: None,
         deadline_at: Some(now + Duration::from_secs(5)),
     };
-    let actions = core.arrive(now, &arrival);
+    let actions = core.handle_arrival(now, &arrival);
     let is_start = |action: &RouterAction| matches!(action, RouterAction::Start { .. });
     assert!(actions.iter().any(is_start), "{actions:?}");
 }
--- a/tests/all/retry_budget.rs
+++ b/tests/all/retry_budget.rs
@@ -3,7 +3,7 @@
 use passway_config::document::{ModelEntry, UpstreamEntry, WorkspaceEntry};
 use passway_config::{Catalog, Document};
 use passway_decide::messages::RouteChange;
-use passway_decide::router::{Arrival, Ended, RouterAction, RouterCore};
+use passway_decide::router::{Arrival, AttemptOutcome, RouterAction, RouterCore};
 use passway_types::prelude::*;
 
 const UPSTREAMS: usize = 9;
@@ -40,9 +40,9 @@
     let change = RouteChange {
         added: added.collect(),
         removed: Vec::new(),
-        whole: true,
+        is_snapshot: true,
     };
-    core.routes_changed(now, &change, "main");
+    core.apply_route_change(now, &change, "main");
     core
 }
 
@@ -59,14 +59,14 @@
 }
 
 /// Attempts and whole answers when attempts at every third upstream end so.
-fn attempts(failure: Ended) -> (u64, u64) {
+fn attempts(failure: AttemptOutcome) -> (u64, u64) {
     let mut now = Instant::now();
     let mut core = core(now);
     let (mut attempts, mut served) = (0, 0);
     for request in 0..REQUESTS {
         now += BETWEEN;
         let arrival = arrival(request);
-        let mut actions = core.arrive(now, &arrival);
+        let mut actions = core.handle_arrival(now, &arrival);
         actions.extend(core.tick(now));
         while let Some(action) = actions.pop() {
             let RouterAction::Start {
@@ -81,10 +81,10 @@
             let ended = if fails {
                 failure
             } else {
-                Ended::Served { tokens: 1 }
+                AttemptOutcome::Served { tokens: 1 }
             };
             served += u64::from(!fails);
-            actions.extend(core.ended(now, request, ended));
+            actions.extend(core.attempt_ended(now, request, ended));
         }
     }
     (attempts, served)
@@ -93,10 +93,10 @@
 #[test]
 fn third_fails() {
     for failure in [
-        Ended::Unreachable,
-        Ended::Failed,
-        Ended::Busy,
-        Ended::NotLoaded,
+        AttemptOutcome::Unreachable,
+        AttemptOutcome::Failed,
+        AttemptOutcome::Busy,
+        AttemptOutcome::NotLoaded,
     ] {
         let (attempts, served) = attempts(failure);
         println!("{failure:?}: {attempts} attempts, {served} served, of {REQUESTS}");
@@ -116,7 +116,7 @@
     let mut actions = Vec::new();
     for request in first..first + 900 {
         let arrival = arrival(request);
-        actions.extend(core.arrive(now, &arrival));
+        actions.extend(core.handle_arrival(now, &arrival));
     }
     let starts = |action: &&RouterAction| matches!(action, RouterAction::Start { .. });
     actions.iter().filter(starts).count()
@@ -126,9 +126,9 @@
 fn starting_fleet_shares() {
     let now = Instant::now();
     let mut core = core(now);
-    core.expect_routers(6, now + Duration::from_secs(15));
+    core.assume_listed_routers(6, now + Duration::from_secs(15));
     // The first heartbeat of a controller that only this router has reached yet.
-    core.set_routers(1, now);
+    core.set_router_count(1, now);
     assert_eq!(started(&mut core, 0, now), UPSTREAMS * (64 / 6));
 }
 
@@ -136,8 +136,8 @@
 fn lost_routers_share() {
     let now = Instant::now();
     let mut core = core(now);
-    core.expect_routers(6, now + Duration::from_secs(15));
+    core.assume_listed_routers(6, now + Duration::from_secs(15));
     let later = now + Duration::from_secs(20);
-    core.set_routers(2, later);
+    core.set_router_count(2, later);
     assert_eq!(started(&mut core, 0, later), UPSTREAMS * 32);
 }
--- a/tests/all/router_faults.rs
+++ b/tests/all/router_faults.rs
@@ -7,7 +7,7 @@
 use passway_config::document::{ModelEntry, PolicyEntry, UpstreamEntry, WorkspaceEntry};
 use passway_config::{Catalog, Document};
 use passway_decide::messages::{DemandVerdict, RouteChange};
-use passway_decide::router::{Arrival, Ended, RouterAction, RouterCore};
+use passway_decide::router::{Arrival, AttemptOutcome, RouterAction, RouterCore};
 use passway_types::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -33,7 +33,7 @@
 /// An attempt that an upstream works on.
 struct Attempt {
     request: RequestId,
-    ended: Ended,
+    ended: AttemptOutcome,
 }
 
 struct World {
@@ -137,7 +137,7 @@
             priority: None,
             deadline_at: Some(deadline_at),
         };
-        let actions = self.core.arrive(self.now, &arrival);
+        let actions = self.core.handle_arrival(self.now, &arrival);
         self.perform(actions);
     }
 
@@ -179,22 +179,22 @@
         }
         let deadline_at = known.deadline_at;
         let (ended, time) = match self.rng.random_range(0..10) {
-            0 => (Ended::Unreachable, self.ms(1, 10)),
-            1 => (Ended::NotLoaded, self.ms(1, 10)),
-            2 => (Ended::Busy, self.ms(1, 10)),
-            3 => (Ended::Failed, self.ms(5, 500)),
-            4 => (Ended::Abandoned, Duration::from_hours(1)),
-            _ => (Ended::Served { tokens: 20 }, self.ms(10, 400)),
+            0 => (AttemptOutcome::Unreachable, self.ms(1, 10)),
+            1 => (AttemptOutcome::NotLoaded, self.ms(1, 10)),
+            2 => (AttemptOutcome::Busy, self.ms(1, 10)),
+            3 => (AttemptOutcome::Failed, self.ms(5, 500)),
+            4 => (AttemptOutcome::Abandoned, Duration::from_hours(1)),
+            _ => (AttemptOutcome::Served { tokens: 20 }, self.ms(10, 400)),
         };
         let known = self.requests.get_mut(&request).expect("known");
         known.reached |= matches!(
             ended,
-            Ended::Failed | Ended::Abandoned | Ended::Served { .. }
+            AttemptOutcome::Failed | AttemptOutcome::Abandoned | AttemptOutcome::Served { .. }
         );
         // The program ends an attempt that is not answered at the deadline.
         let at = (self.now + time).min(deadline_at);
         let ended = if self.now + time > deadline_at {
-            Ended::Abandoned
+            AttemptOutcome::Abandoned
         } else {
             ended
         };
@@ -236,7 +236,7 @@
                     break;
                 }
                 let (_, (model, verdict)) = entry.remove_entry();
-                let actions = self.core.verdict(self.now, &model, verdict);
+                let actions = self.core.handle_verdict(self.now, &model, verdict);
                 self.perform(actions);
             }
             self.now = until;
@@ -249,13 +249,18 @@
     }
 
     fn end(&mut self, attempt: &Attempt) {
-        if matches!(attempt.ended, Ended::Served { .. } | Ended::Abandoned) {
+        if matches!(
+            attempt.ended,
+            AttemptOutcome::Served { .. } | AttemptOutcome::Abandoned
+        ) {
             self.requests
                 .get_mut(&attempt.request)
                 .expect("known")
                 .finals += 1;
         }
-        let actions = self.core.ended(self.now, attempt.request, attempt.ended);
+        let actions = self
+            .core
+            .attempt_ended(self.now, attempt.request, attempt.ended);
         self.perform(actions);
     }
 
@@ -269,7 +274,7 @@
                 format!("engine{}", self.rng.random_range(0..ENGINES)).into(),
             );
             let mut change = RouteChange {
-                whole: self.rng.random_bool(0.1),
+                is_snapshot: self.rng.random_bool(0.1),
                 ..Default::default()
             };
             if self.rng.random_bool(0.7) {
@@ -277,7 +282,7 @@
             } else {
                 change.removed.push(route);
             }
-            let actions = self.core.routes_changed(self.now, &change, "main");
+            let actions = self.core.apply_route_change(self.now, &change, "main");
             self.perform(actions);
         }
     }
--- a/tests/all/slow_store.rs
+++ b/tests/all/slow_store.rs
@@ -70,7 +70,7 @@
             priority: None,
             deadline_at: Some(self.world.now + deadline),
         };
-        let actions = self.router.arrive(self.world.now, &arrival);
+        let actions = self.router.handle_arrival(self.world.now, &arrival);
         self.perform(actions);
         self.requests
     }
@@ -99,17 +99,17 @@
             let now = self.world.now;
             let verdicts = std::mem::take(&mut self.world.nodes[0].verdicts);
             for (_, model, verdict) in verdicts {
-                let actions = self.router.verdict(now, &model, verdict);
+                let actions = self.router.handle_verdict(now, &model, verdict);
                 self.perform(actions);
             }
             let routes = self.world.nodes[0].routes.clone();
             let change = RouteChange {
                 added: routes.difference(&self.routes).cloned().collect(),
                 removed: self.routes.difference(&routes).cloned().collect(),
-                whole: false,
+                is_snapshot: false,
             };
             self.routes = routes;
-            let actions = self.router.routes_changed(now, &change, "main");
+            let actions = self.router.apply_route_change(now, &change, "main");
             self.perform(actions);
             let actions = self.router.tick(now);
             self.perform(actions);
