--- a/crates/decide/src/cell.rs
+++ b/crates/decide/src/cell.rs
@@ -1,14 +1,15 @@
-//! The decisions for one cell: who leads, what is placed where, which orders go out.
+//! Decision logic of one cell: leadership, placements and orders to upstreams.
 //!
-//! A [`CellController`] is fed [`Event`]s and returns [`Action`]s. Every
-//! controller process has one for each cell; only the one whose term is written
-//! in the plan acts. Safety rests on the plan's compare-and-swap and on fencing
-//! numbers; the lease only decides who tries.
+//! A [`CellController`] takes [`Event`]s and returns [`Action`]s. Every controller process has one
+//! per cell, and only the one whose term is written in the plan acts. Safety depends on the
+//! compare-and-swap of the plan and on fencing numbers; the lease only decides which controller
+//! tries to lead.
 //!
 //! * [`write`]: the life cycle of a change of the plan.
-//! * [`term`]: what the holder of a term knows and does.
-//! * [`lease`], [`previous_holders`], [`progress`], [`usage`], [`demand`], [`upstreams`]: what it knows.
-//! * [`placing`], [`idle`], [`orders`], [`publish`]: what it does.
+//! * [`term`]: the state and the actions of the holder during one term.
+//! * [`lease`], [`previous_holders`], [`progress`], [`usage`], [`demand`], [`upstreams`]: the parts
+//!   of that state.
+//! * [`placing`], [`idle`], [`orders`], [`publish`]: the parts of its actions.
 
 pub mod demand;
 mod idle;
@@ -33,40 +34,41 @@
 use upstreams::{ListingState, Upstreams};
 use write::{Change, InFlight, Resolution};
 
-/// Longest time between two attempts of a standby to take the lease, as a power of two of the first.
+/// Limit of a standby's backoff: the exponent of 2 by which its poll interval grows.
 const MAX_STANDBY_BACKOFF_EXPONENT: u32 = 10;
-/// Pause before a read of the key-value service is tried again.
+/// Delay before a failed read of the plan is retried.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Bounds that the program's settings give.
+/// Time limits from the program's settings.
 #[derive(Debug, Clone)]
 pub struct CellLimits {
-    /// Time between two looks of the first standby at the lease.
+    /// Interval at which the first standby tries to take the lease.
     pub standby_poll_interval: Duration,
     /// Time after which an unanswered order can no longer arrive.
     pub order_settle_time: Duration,
-    /// A write that is open for longer counts as an outage of the key-value service.
+    /// A write without an outcome for longer than this counts as an outage of the key-value
+    /// service.
     pub write_outage_after: Duration,
 }
 
-/// Something that happened.
+/// An input of a [`CellController`].
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// Time passed.
+    /// Time has passed.
     Tick,
-    /// The lease was taken or renewed; orders may leave until `valid_until`, which
-    /// is counted from before the call was change.
+    /// The lease was taken or renewed. Orders may be sent until `valid_until`, which is counted
+    /// from before the lease call was sent.
     LeaseGranted {
-        /// The last moment at which the lease can be relied on.
+        /// The last time at which the lease can be relied on.
         valid_until: Instant,
     },
-    /// Another controller has the lease, or ours lapsed.
+    /// Another controller has the lease, or this controller's lease expired.
     LeaseDenied,
-    /// The key-value service did not answer about the lease.
+    /// The key-value service did not answer a lease call.
     LeaseUnavailable,
     /// The plan was read.
     PlanRead {
-        /// Its version, 0 if there is none.
+        /// The version of the plan, 0 if there is none.
         version: Version,
         /// The plan, if there is one.
         plan: Option<Box<Plan>>,
@@ -75,158 +77,158 @@
     PlanUnavailable,
     /// A write took effect.
     WriteDone {
-        /// The change that was written; an answer to an earlier one is stale.
+        /// The id of the written change. An answer to an earlier change is ignored.
         change: ChangeId,
-        /// The version it made.
+        /// The version that the write created.
         version: Version,
     },
     /// The last write did not take effect, or its answer was lost.
     WriteOutcomeUnknown,
-    /// An order was answered.
+    /// An order was answered, or its sender gave up on it.
     OrderAnswered {
-        /// The order's upstream.
+        /// The upstream that the order was for.
         upstream: UpstreamId,
         /// The order's fencing number.
         fence: Fence,
-        /// What became of it.
+        /// The answer to the order.
         answer: OrderAnswer,
     },
-    /// An upstream reported, or could not be asked.
+    /// An upstream was polled for its status.
     StatusPolled {
-        /// Which upstream.
+        /// The upstream.
         upstream: UpstreamId,
-        /// When the question was change.
+        /// When the poll was sent.
         polled_at: Instant,
-        /// The report; `None` if the upstream could not be reached.
+        /// The status report; `None` if the upstream did not answer.
         status: Option<UpstreamStatus>,
     },
-    /// A router's demand.
+    /// A demand from a router.
     Demand(Demand),
-    /// A router's report of use.
+    /// A usage report from a router.
     Usage(Usage),
-    /// A router's connection ended.
+    /// The connection of a router was closed.
     RouterDisconnected(Incarnation),
-    /// The holder of an earlier epoch can send no more.
+    /// The holder of this earlier epoch can send no more orders.
     PreviousHolderStopped(Epoch),
-    /// What the platform's list says of an upstream has changed.
+    /// The state of an upstream in the platform's instance list has changed.
     UpstreamListingChanged {
-        /// Which upstream.
+        /// The upstream.
         upstream: UpstreamId,
-        /// What the list says now.
+        /// The new state.
         listing: ListingState,
     },
-    /// A newer configuration is in force.
+    /// A newer configuration is in use.
     Catalog(Arc<Catalog>),
-    /// How many live controllers come before this one for the cell.
+    /// The number of running controllers that precede this one in the ranking for the cell.
     Rank(u32),
-    /// The process is to stop.
+    /// The process is about to stop.
     Shutdown,
 }
 
-/// Something to do.
+/// An output of a [`CellController`], to be carried out by the program.
 #[derive(Debug, Clone)]
 pub enum Action {
     /// Try to take the cell's lease.
     AcquireLease,
     /// Renew the lease.
     RenewLease,
-    /// Give the lease back.
+    /// Release the lease.
     ReleaseLease,
     /// Read the plan.
     ReadPlan,
     /// Write the plan if its version is still `expected`.
     WritePlan {
-        /// The version that must still stand.
+        /// The version that the stored plan must have.
         expected: Version,
         /// The new plan.
         plan: Box<Plan>,
     },
-    /// Send an order, unless its time has passed.
+    /// Send an order unless its `not_after` time has passed.
     SendOrder(Order),
     /// Answer a router's demand.
     AnswerDemand {
-        /// Which router.
+        /// The incarnation of the router.
         router: Incarnation,
-        /// The model.
+        /// The model that the demand is for.
         model: ModelName,
         /// The answer.
         verdict: DemandVerdict,
     },
-    /// Tell routers where requests may be change.
+    /// Send the change of the routing table to all routers.
     PublishRoutes(RouteChange),
-    /// Find out whether a former holder can still send orders.
+    /// Find out whether a previous holder can still send orders.
     ProbePreviousHolder {
-        /// Its epoch.
+        /// The epoch of the previous holder.
         epoch: Epoch,
-        /// Who it is.
+        /// The previous holder.
         holder: Holder,
     },
-    /// Record a decision.
+    /// Record a decision in the audit trail.
     Audit(Decision),
 }
 
-/// A decision worth an entry in the audit trail.
+/// A decision that is recorded in the audit trail.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
     /// A term of leadership began.
     TookOver {
-        /// Its epoch.
+        /// The epoch of the term.
         epoch: Epoch,
     },
-    /// A term ended.
+    /// A term of leadership ended.
     StoodDown {
-        /// Its epoch.
+        /// The epoch of the term.
         epoch: Epoch,
     },
-    /// A placement was decided.
+    /// A placement was added to the plan.
     Placed {
         /// The placement.
         placement: PlacementId,
         /// The model.
         model: ModelName,
-        /// Where.
+        /// The upstream.
         upstream: UpstreamId,
-        /// Why.
+        /// Why the placement was made.
         reason: String,
     },
-    /// A placement is to leave.
+    /// A placement was marked as leaving.
     Unloading {
         /// The placement.
         placement: PlacementId,
         /// The model.
         model: ModelName,
-        /// Where.
+        /// The upstream.
         upstream: UpstreamId,
-        /// Why.
+        /// Why the model is unloaded.
         reason: &'static str,
     },
-    /// A placement's memory is free again.
+    /// A placement was removed and its memory is free.
     Freed {
         /// The placement.
         placement: PlacementId,
     },
 }
 
-/// How this controller stands towards the cell.
+/// The role of this controller in the cell.
 #[derive(Debug)]
 enum Role {
-    /// Another controller leads, or nobody yet.
+    /// Another controller leads, or none does.
     Standby { poll_at: Instant },
-    /// The lease is asked for.
+    /// The controller has asked for the lease.
     Acquiring,
-    /// The lease is ours; the plan is read or written to begin the term.
+    /// The controller has the lease and reads or writes the plan to begin its term.
     TakingOver {
         lease_until: Instant,
         next_read_at: Option<Instant>,
         change: Option<Change<InFlight>>,
     },
-    /// The term is written in the plan.
+    /// The controller's term is written in the plan.
     Active(Box<Term>),
-    /// The process stops and takes no more terms.
+    /// The process is stopping and begins no more terms.
     Stopped,
 }
 
-/// Decides for one cell.
+/// The decision state of a controller for one cell.
 #[derive(Debug)]
 pub struct CellController {
     cell: CellName,
@@ -240,7 +242,7 @@
 }
 
 impl CellController {
-    /// A standby for `cell`.
+    /// Returns a standby for `cell`.
     pub fn new(
         cell: CellName,
         this_holder: Holder,
@@ -262,7 +264,7 @@
         }
     }
 
-    /// The term in progress, if this controller leads.
+    /// Returns the term in progress if this controller leads.
     pub fn term(&self) -> Option<&Term> {
         if let Role::Active(term) = &self.role {
             Some(term)
@@ -271,13 +273,13 @@
         }
     }
 
-    /// Takes one event and returns what to do, in order.
+    /// Handles an event and returns the actions to carry out, in order.
     pub fn handle(&mut self, now: Instant, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
             Event::Tick => self.tick(now, &mut actions),
             Event::LeaseGranted { valid_until } => {
-                self.lease_granted(valid_until, now, &mut actions)
+                self.lease_granted(valid_until, now, &mut actions);
             }
             Event::LeaseDenied => self.step_down(now, &mut actions),
             Event::LeaseUnavailable => self.lease_unavailable(now),
@@ -297,12 +299,12 @@
                 fence,
                 answer,
             } => {
-                let answered =
+                let answered_order =
                     self.upstreams
                         .record_answer(now, &upstream, fence, answer, &self.limits);
-                if let Some(answered) = answered {
+                if let Some(answered_order) = answered_order {
                     self.with_term(|term, upstreams| {
-                        term.apply_answer(now, upstreams, &answered, answer)
+                        term.apply_answer(now, upstreams, &answered_order, answer);
                     });
                 }
             }
@@ -317,7 +319,7 @@
             Event::Demand(demand) => self.with_term(|term, _| term.demands.set(demand)),
             Event::Usage(usage) => self.with_term(|term, _| term.record_usage(&usage)),
             Event::RouterDisconnected(router) => {
-                self.with_term(|term, _| term.remove_router(router))
+                self.with_term(|term, _| term.remove_router(router));
             }
             Event::PreviousHolderStopped(epoch) => {
                 let settled_at = now + self.limits.order_settle_time;
@@ -331,9 +333,9 @@
         actions
     }
 
-    fn with_term(&mut self, change: impl FnOnce(&mut Term, &Upstreams)) {
+    fn with_term(&mut self, update: impl FnOnce(&mut Term, &Upstreams)) {
         if let Role::Active(term) = &mut self.role {
-            change(term, &self.upstreams);
+            update(term, &self.upstreams);
         }
     }
 
@@ -392,8 +394,8 @@
         }
     }
 
-    /// Standbys further back look more rarely, so that the sum of all looks is
-    /// bounded however many controllers there are.
+    /// Returns the poll delay of this standby. It doubles with the rank, so that the total rate of
+    /// polls stays bounded for any number of controllers.
     fn standby_poll_delay(&self) -> Duration {
         self.limits.standby_poll_interval * 2_u32.pow(self.rank.min(MAX_STANDBY_BACKOFF_EXPONENT))
     }
@@ -528,7 +530,7 @@
     }
 }
 
-/// The id of the `count`th change that a process makes; unlike any other process's.
+/// Returns the id of the `count`th change by a process. No other process uses the same id.
 fn change_id(incarnation: Incarnation, count: u64) -> ChangeId {
     (incarnation << 24) ^ count
 }
--- a/crates/decide/src/cell/demand.rs
+++ b/crates/decide/src/cell/demand.rs
@@ -1,29 +1,29 @@
-//! Demands of routers for models, coalesced per model.
+//! Demands of routers for models, merged per model.
 
 use crate::messages::{Demand, DemandVerdict};
 use passway_types::prelude::*;
 use std::collections::{BTreeMap, HashMap};
 
-/// A change of the expected time below this is not sent_verdict again.
+/// A router is notified again if the expected ready time changes by at least this.
 const MIN_READY_CHANGE: Duration = Duration::from_millis(500);
 
-/// What one router asked and was sent_verdict.
+/// The demand of one router for a model, and the verdict last sent in answer.
 #[derive(Debug)]
 struct Entry {
     demand: Demand,
     sent_verdict: Option<DemandVerdict>,
 }
 
-/// All demands for one model as one.
+/// The demands of all routers for one model, merged.
 #[derive(Debug, Clone)]
 pub struct ModelDemand {
     /// The model or adapter.
     pub model: ModelName,
-    /// Requests that wait at all routers.
+    /// Number of waiting requests at all routers.
     pub waiting: u32,
-    /// The earliest deadline among them.
+    /// The earliest deadline of the waiting requests.
     pub earliest_deadline_at: Instant,
-    /// The best priority among them.
+    /// The most urgent (lowest) priority among the routers' demands.
     pub priority: u32,
     /// The workspace of the request with the earliest deadline.
     pub workspace: WorkspaceName,
@@ -36,13 +36,14 @@
 }
 
 impl DemandTable {
-    /// Records a demand; one with nothing waiting is taken back.
+    /// Records a demand. A demand with 0 waiting requests withdraws the previous one.
     pub fn set(&mut self, demand: Demand) {
         let by_router = self.entries.entry(demand.model.clone()).or_default();
         if demand.waiting == 0 {
             by_router.remove(&demand.router);
         } else {
-            // A repeated demand is answered again: the router may have missed the answer.
+            // Clearing the sent verdict makes the controller answer a repeated demand again,
+            // because the router may have missed the first answer.
             by_router.insert(
                 demand.router,
                 Entry {
@@ -54,7 +55,7 @@
         self.entries.retain(|_, by_router| !by_router.is_empty());
     }
 
-    /// Forgets a router.
+    /// Removes the demands of a router.
     pub fn remove_router(&mut self, router: Incarnation) {
         for by_router in self.entries.values_mut() {
             by_router.remove(&router);
@@ -62,7 +63,7 @@
         self.entries.retain(|_, by_router| !by_router.is_empty());
     }
 
-    /// Forgets demands whose deadline has passed.
+    /// Removes demands whose earliest deadline has passed.
     pub fn expire(&mut self, now: Instant) {
         for by_router in self.entries.values_mut() {
             by_router.retain(|_, entry| entry.demand.earliest_deadline_at > now);
@@ -70,12 +71,12 @@
         self.entries.retain(|_, by_router| !by_router.is_empty());
     }
 
-    /// Whether any request waits for the model.
+    /// Whether requests wait for the model at any router.
     pub fn contains(&self, model: &str) -> bool {
         self.entries.contains_key(model)
     }
 
-    /// The coalesced demand for one model.
+    /// Returns the merged demand for one model.
     pub fn get(&self, model: &str) -> Option<ModelDemand> {
         let by_router = self.entries.get(model)?;
         let first = by_router
@@ -93,7 +94,7 @@
         })
     }
 
-    /// All coalesced demands, max_loads urgency first: by priority, then deadline.
+    /// Returns all merged demands, most urgent first: by priority, then by deadline.
     pub fn by_urgency(&self) -> Vec<ModelDemand> {
         let mut all: Vec<ModelDemand> = self
             .entries
@@ -109,8 +110,8 @@
         all
     }
 
-    /// The routers that have not been sent_verdict `verdict` about the model yet, and
-    /// marks them as sent_verdict. A refusal ends the demand.
+    /// Returns the routers that need to receive `verdict` about the model, and records it as sent
+    /// to them. A refusal removes the demand.
     pub fn mark_sent(&mut self, model: &str, verdict: DemandVerdict) -> Vec<Incarnation> {
         let Some(by_router) = self.entries.get_mut(model) else {
             return Vec::new();
@@ -119,7 +120,7 @@
         for (router, entry) in by_router.iter_mut() {
             if entry
                 .sent_verdict
-                .is_none_or(|sent_verdict| should_resend(sent_verdict, verdict))
+                .is_none_or(|sent| should_resend(sent, verdict))
             {
                 entry.sent_verdict = Some(verdict);
                 routers.push(*router);
@@ -132,10 +133,10 @@
     }
 }
 
-fn should_resend(sent_verdict: DemandVerdict, verdict: DemandVerdict) -> bool {
-    match (sent_verdict, verdict) {
-        (DemandVerdict::ReadyAt(previous), DemandVerdict::ReadyAt(after)) => {
-            let change = previous.max(after).duration_since(previous.min(after));
+fn should_resend(sent: DemandVerdict, verdict: DemandVerdict) -> bool {
+    match (sent, verdict) {
+        (DemandVerdict::ReadyAt(previous), DemandVerdict::ReadyAt(current)) => {
+            let change = previous.max(current).duration_since(previous.min(current));
             change >= MIN_READY_CHANGE
         }
         _ => true,
--- a/crates/decide/src/cell/idle.rs
+++ b/crates/decide/src/cell/idle.rs
@@ -1,4 +1,4 @@
-//! Which replicas are idle, and which of them go.
+//! Detection of idle replicas and the decision to unload them.
 
 use super::Action;
 use super::placing::DecisionContext;
@@ -9,21 +9,22 @@
 use passway_config::Catalog;
 use passway_types::prelude::*;
 
-/// Pause between two looks for idle replicas.
+/// Interval between checks for idle replicas.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Whether nothing runs on or waits for a ready replica, nor for an adapter on it.
+/// Whether a replica is ready, nothing runs on it, no request waits for its model, and no adapter
+/// is placed on it.
 pub(super) fn is_idle(
     term: &Term,
     catalog: &Catalog,
     view: &UpstreamView,
     placement: &Placement,
 ) -> bool {
-    let adapters_present = term.draft.on_upstream(&placement.upstream).any(|p| {
+    let has_adapters = term.draft.on_upstream(&placement.upstream).any(|p| {
         let model = catalog.models.get(&p.model);
         model.is_some_and(|model| model.base.as_ref() == Some(&placement.model))
     });
-    let running = term
+    let is_running = term
         .usage
         .get(&placement.model)
         .is_some_and(super::usage::ModelUsage::is_running)
@@ -32,12 +33,13 @@
             .is_some_and(|loaded| loaded.running > 0);
     placement.state == PlacementState::Held
         && term.stage(placement.id) == Stage::Ready
-        && !adapters_present
-        && !running
+        && !has_adapters
+        && !is_running
         && !term.demands.contains(&placement.model)
 }
 
-/// Expected cost of losing an idle replica: its reload, the likelier the more recent its use.
+/// Returns the expected cost of evicting an idle replica: its reload time, divided by a term that
+/// grows with its idle time because a recently used model is more likely to be used again.
 pub(super) fn eviction_cost(
     term: &Term,
     now: Instant,
@@ -45,11 +47,11 @@
     placement: &Placement,
 ) -> f64 {
     let reload = reload_time(term, now, view, placement);
-    let idle = now.saturating_duration_since(last_used_at(term, now, placement));
-    reload.as_secs_f64() / (1.0 + idle.as_secs_f64())
+    let idle_time = now.saturating_duration_since(last_used_at(term, now, placement));
+    reload.as_secs_f64() / (1.0 + idle_time.as_secs_f64())
 }
 
-/// Expected time to load a replica again where it stands.
+/// Returns the expected time to reload a replica on its upstream.
 fn reload_time(term: &Term, now: Instant, view: &UpstreamView, placement: &Placement) -> Duration {
     let tier = view.checkpoint_tier(&placement.model);
     term.progress
@@ -66,7 +68,8 @@
     used_at.max(ready_at).unwrap_or(now)
 }
 
-/// Unloads what is idle for too long, what its upstream or the catalog no longer keeps.
+/// Unloads replicas that are idle for too long, are on a leaving upstream, or are no longer in the
+/// catalog.
 pub(super) fn unload_unneeded(
     term: &mut Term,
     context: DecisionContext<'_>,
@@ -82,14 +85,14 @@
     }
     term.idle_check_at = now + IDLE_CHECK_INTERVAL;
     let policy = retention_policy(&catalog.keep);
-    let none = IdleHistory::default();
-    let held: Vec<Placement> = term
+    let no_history = IdleHistory::default();
+    let held_placements: Vec<Placement> = term
         .draft
         .placements()
         .filter(|p| p.state == PlacementState::Held)
         .cloned()
         .collect();
-    for placement in held {
+    for placement in held_placements {
         let Some(view) = upstreams.get(&placement.upstream) else {
             continue;
         };
@@ -102,10 +105,10 @@
             let history = term
                 .usage
                 .get(&placement.model)
-                .map_or(&none, |usage| &usage.history);
-            let keep_until =
+                .map_or(&no_history, |usage| &usage.history);
+            let retained_until =
                 last_used_at(term, now, &placement) + policy.retention_time(history, reload);
-            if now < keep_until {
+            if now < retained_until {
                 continue;
             }
             "idle"
--- a/crates/decide/src/cell/lease.rs
+++ b/crates/decide/src/cell/lease.rs
@@ -1,11 +1,11 @@
-//! The lease of a term: how long it can be relied on and when it is renewed.
+//! The lease of a term: until when the lease can be relied on and when to renew it.
 
 use passway_types::prelude::*;
 
-/// The lease is renewed after this part of its time.
+/// The lease is renewed after this fraction of its duration.
 const RENEWAL_DIVISOR: u32 = 3;
 
-/// A lease that was granted.
+/// A granted lease.
 #[derive(Debug)]
 pub(super) struct HeldLease {
     valid_until: Instant,
@@ -14,7 +14,7 @@
 }
 
 impl HeldLease {
-    /// A lease that can be relied on until a moment.
+    /// Returns a lease that can be relied on until `valid_until`.
     pub(super) fn new(now: Instant, valid_until: Instant) -> Self {
         Self {
             valid_until,
@@ -23,19 +23,19 @@
         }
     }
 
-    /// The moment until which it can be relied on.
+    /// Returns the time until which the lease can be relied on.
     pub(super) fn valid_until(&self) -> Instant {
         self.valid_until
     }
 
-    /// Whether it is to be renewed now; then a renewal counts as begun.
+    /// Whether a renewal is due. If so, the renewal counts as started.
     pub(super) fn begin_renewal(&mut self, now: Instant) -> bool {
         let is_due = now >= self.renew_at && !self.is_renewing;
         self.is_renewing |= is_due;
         is_due
     }
 
-    /// It was renewed until a moment.
+    /// Records a renewal until `valid_until`.
     pub(super) fn renewed(&mut self, valid_until: Instant) {
         let renewal_due_at = self.renew_at;
         self.is_renewing = false;
@@ -44,7 +44,7 @@
             + valid_until.saturating_duration_since(renewal_due_at) / RENEWAL_DIVISOR;
     }
 
-    /// The renewal was not answered; it is tried again after a delay.
+    /// Records that a renewal got no answer, and schedules the next attempt after `delay`.
     pub(super) fn renewal_failed(&mut self, delay: Duration) {
         self.is_renewing = false;
         self.renew_at += delay;
--- a/crates/decide/src/cell/orders.rs
+++ b/crates/decide/src/cell/orders.rs
@@ -1,4 +1,4 @@
-//! Which orders go to upstreams, and when memory is free again.
+//! Orders to upstreams, and the release of memory.
 
 use super::term::{Stage, Term};
 use super::upstreams::{OrderInFlight, UpstreamView, Upstreams};
@@ -9,19 +9,19 @@
 use passway_config::document::Fencing;
 use passway_types::prelude::*;
 
-/// An upstream that the list no longer has is given this much of the term to answer.
+/// The holder must have led for this long before a missing status answer of a removed upstream
+/// counts.
 const REMOVED_UPSTREAM_GRACE: Duration = Duration::from_secs(2);
-/// Time for routers to hear that a replica gets nothing new.
+/// Time for routers to receive the withdrawal of a route.
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
 
-/// Frees placements that are absent for good.
+/// Frees leaving placements whose model is known to stay absent.
 ///
-/// An upstream that keeps fencing numbers refuses whatever is older than the
-/// unload order that it answered. Any other upstream must have answered
-/// "absent" to an order sent after every older order had settled, those of
-/// former holders included. One that forgets its number at a restart counts
-/// among the others: a holder that was paused previous it sent may wake after
-/// the restart.
+/// An upstream that keeps its fencing number across restarts rejects every order older than the
+/// unload order it answered. Any other upstream must have answered "absent" to an order that was
+/// sent after all older orders had settled, including those of previous holders. This includes
+/// upstreams that forget the fencing number at a restart: a holder that was paused before sending
+/// an order may resume after the restart.
 pub(super) fn free_absent(term: &mut Term, upstreams: &Upstreams, actions: &mut Vec<Action>) {
     let leaving: Vec<(PlacementId, UpstreamId)> = term
         .draft
@@ -36,22 +36,22 @@
         let Stage::Absent { ordered_at } = term.stage(id) else {
             continue;
         };
-        let fenced = view.entry.fencing == Fencing::Keeps;
-        if !fenced && !older_orders_settled(term, view, id, ordered_at) {
+        let is_fenced = view.entry.fencing == Fencing::Keeps;
+        if !is_fenced && !older_orders_settled(term, view, id, ordered_at) {
             continue;
         }
-        if term.draft.free(id, fenced).is_ok() {
+        if term.draft.free(id, is_fenced).is_ok() {
             term.forget_placement(id);
             actions.push(Action::Audit(Decision::Freed { placement: id }));
         }
     }
 }
 
-/// Frees what stood on upstreams that are gone for good.
+/// Frees the placements on upstreams that are removed for good.
 ///
-/// Another machine may come back under the same id and address, so an older
-/// order must not be able to reach it either: the same rules hold as for an
-/// upstream that ignores fencing, with its silence for an "absent".
+/// Another machine may start under the same id and address, and an older order must not reach that
+/// machine either. So the rules for upstreams without fencing apply, with an unanswered poll in
+/// place of the answer "absent".
 pub(super) fn free_removed_upstreams(
     term: &mut Term,
     upstreams: &Upstreams,
@@ -81,7 +81,7 @@
     }
 }
 
-/// Whether nothing that was sent previous `ordered_at` could arrive after it.
+/// Whether every order sent before `ordered_at` had settled by then, so that none can arrive later.
 fn older_orders_settled(
     term: &Term,
     view: &UpstreamView,
@@ -97,7 +97,7 @@
         && !term.draft.previous_holder_may_order(id)
 }
 
-/// Hands at max_loads one order to each upstream that can take one.
+/// Hands at most one order to the sender of each upstream that can accept one.
 pub(super) fn send_orders(
     term: &mut Term,
     now: Instant,
@@ -107,9 +107,9 @@
 ) {
     send_unloads(term, now, catalog, upstreams, actions);
     let max_loads = catalog.weight_store.max_loads as usize;
-    let mut loads = term.loads_in_flight(upstreams);
+    let mut load_count = term.loads_in_flight(upstreams);
     for placement in pending_loads(term, catalog) {
-        if loads >= max_loads {
+        if load_count >= max_loads {
             return;
         }
         let can_send = upstreams
@@ -125,7 +125,7 @@
                 upstreams,
                 actions,
             );
-            loads += 1;
+            load_count += 1;
         }
     }
 }
@@ -163,8 +163,8 @@
 
 fn needs_unload(term: &Term, now: Instant, view: &UpstreamView, placement: &Placement) -> bool {
     match term.stage(placement.id) {
-        // Absent, but an older order could still have arrived after: ask again
-        // once everything has settled.
+        // The model is absent, but an older order may have arrived since. Unload again once all
+        // older orders have settled.
         Stage::Absent { ordered_at } => {
             view.entry.fencing != Fencing::Keeps
                 && term.draft.placement(placement.id).is_some()
@@ -176,25 +176,25 @@
     }
 }
 
-/// Whether routers have stopped sending and nothing runs any more.
+/// Whether routers have stopped sending requests to the replica and none is running.
 fn is_drained(term: &Term, now: Instant, view: &UpstreamView, placement: &Placement) -> bool {
     let Some(routes_withdrawn_at) = term.progress.routes_withdrawn_at(placement.id) else {
         return true;
     };
-    let quiet_at = routes_withdrawn_at + DRAIN_GRACE;
-    let asked_since = view
+    let drained_from = routes_withdrawn_at + DRAIN_GRACE;
+    let has_report_since = view
         .status
         .as_ref()
-        .is_some_and(|(polled_at, _)| *polled_at >= quiet_at);
+        .is_some_and(|(polled_at, _)| *polled_at >= drained_from);
     let running = view
         .reported_model(&placement.model)
         .map_or(0, |loaded| loaded.running);
-    now >= quiet_at && asked_since && running == 0
+    now >= drained_from && has_report_since && running == 0
 }
 
-/// Held placements that need a load order, max_loads pressing first.
+/// Returns the held placements that need a load order, most urgent first.
 fn pending_loads(term: &Term, catalog: &Catalog) -> Vec<Placement> {
-    let base_ready = |placement: &Placement| {
+    let is_base_ready = |placement: &Placement| {
         let base = catalog
             .models
             .get(&placement.model)
@@ -204,7 +204,7 @@
             base_placement.is_some_and(|p| term.stage(p.id) == Stage::Ready)
         })
     };
-    let mut wanted: Vec<Placement> = term
+    let mut pending: Vec<Placement> = term
         .plan()
         .placements()
         .filter(|p| p.state == PlacementState::Held && term.stage(p.id) == Stage::Unknown)
@@ -213,21 +213,21 @@
                 .placement(p.id)
                 .is_some_and(|d| d.state == PlacementState::Held)
         })
-        .filter(|p| base_ready(p))
+        .filter(|p| is_base_ready(p))
         .cloned()
         .collect();
-    wanted.sort_by_key(|p| load_urgency(term, catalog, p));
-    wanted
+    pending.sort_by_key(|p| load_urgency(term, catalog, p));
+    pending
 }
 
-/// Order of loads: those that are waited for by priority and deadline, then the rest.
+/// Sort key for loads: demanded models first, by priority and deadline, then all others.
 pub(super) fn load_urgency(
     term: &Term,
     catalog: &Catalog,
     placement: &Placement,
 ) -> (bool, u32, Option<Instant>, PlacementId) {
     let own_demand = term.demands.get(&placement.model);
-    // A base is as pressing as the adapter that waits for it.
+    // A base is as urgent as the adapter that needs it.
     let adapter_demand = term.plan().on_upstream(&placement.upstream).find_map(|p| {
         let model = catalog.models.get(&p.model)?;
         let is_adapter_of = model.base.as_ref() == Some(&placement.model);
--- a/crates/decide/src/cell/placing.rs
+++ b/crates/decide/src/cell/placing.rs
@@ -1,4 +1,4 @@
-//! Which model goes where, what makes room for it, and when it is ready.
+//! Placement of models, eviction of idle replicas and estimates of when a model is ready.
 
 use super::demand::ModelDemand;
 use super::idle::{eviction_cost, is_idle};
@@ -12,24 +12,24 @@
 use passway_config::policy::Attributes;
 use passway_types::prelude::*;
 
-/// What every decision looks at besides the term itself.
+/// The inputs of every decision, besides the term.
 #[derive(Clone, Copy)]
 pub(super) struct DecisionContext<'a> {
     /// The current time.
     pub(super) now: Instant,
-    /// The configuration in force.
+    /// The configuration in use.
     pub(super) catalog: &'a Catalog,
-    /// What is known of the upstreams.
+    /// The known state of the upstreams.
     pub(super) upstreams: &'a Upstreams,
 }
 
-/// Expected time to drain and unload a replica that makes room.
+/// Expected time to drain and unload an evicted replica.
 const EVICTION_TIME: Duration = Duration::from_millis(1_500);
-/// Retry hint when no upstream has room.
+/// Minimum retry-after hint when no upstream has free memory.
 const NO_CAPACITY_RETRY_AFTER: Duration = Duration::from_secs(2);
-/// Shortest expected time to a first serving replica.
+/// Minimum expected time until a model serves.
 const MIN_READY_DELAY: Duration = Duration::from_millis(50);
-/// Places every model that is waited for and has no replica, or too few.
+/// Places every demanded model that has no replica or too few.
 pub(super) fn place_demands(
     term: &mut Term,
     context: DecisionContext<'_>,
@@ -43,16 +43,16 @@
                 .insert(demand.model.clone(), ResultCode::UnknownModel);
             continue;
         };
-        let held = held_count(term, &demand.model);
-        let first = held == 0;
-        if !first && !needs_more_replicas(term, catalog, &demand, held) {
+        let held_replicas = held_count(term, &demand.model);
+        let is_first = held_replicas == 0;
+        if !is_first && !needs_more_replicas(term, catalog, &demand, held_replicas) {
             continue;
         }
         if term.draft.replicas(&demand.model).count() >= model.max_replicas as usize {
             continue;
         }
-        if let Some(code) = place(term, context, model, &demand, first, actions)
-            && first
+        if let Some(code) = place(term, context, model, &demand, is_first, actions)
+            && is_first
         {
             term.unplaceable.insert(demand.model.clone(), code);
         }
@@ -66,24 +66,29 @@
         .count()
 }
 
-/// Whether more wait than the replicas held can run at one time.
-fn needs_more_replicas(term: &Term, catalog: &Catalog, demand: &ModelDemand, held: usize) -> bool {
+/// Whether more requests wait than the model's replicas can run at once.
+fn needs_more_replicas(
+    term: &Term,
+    catalog: &Catalog,
+    demand: &ModelDemand,
+    held_replicas: usize,
+) -> bool {
     let slots: u32 = term
         .draft
         .replicas(&demand.model)
         .filter_map(|p| catalog.upstreams.get(&p.upstream))
         .map(|upstream| upstream.slots)
         .sum();
-    held > 0 && demand.waiting > slots
+    held_replicas > 0 && demand.waiting > slots
 }
 
-/// Places one replica, or begins to make room for it; returns why it cannot.
+/// Places one replica or begins an eviction for it. Returns the reason if neither is possible.
 fn place(
     term: &mut Term,
     context: DecisionContext<'_>,
     model: &Model,
     demand: &ModelDemand,
-    may_evict: bool,
+    can_evict: bool,
     actions: &mut Vec<Action>,
 ) -> Option<ResultCode> {
     let DecisionContext {
@@ -107,7 +112,7 @@
             Err(_) => {}
         }
     }
-    if code == ResultCode::WorkspaceAtCap || !may_evict {
+    if code == ResultCode::WorkspaceAtCap || !can_evict {
         return Some(code);
     }
     if is_eviction_in_progress(term, &model.name) {
@@ -117,26 +122,32 @@
     if evicted { None } else { Some(code) }
 }
 
-/// What a replica on this upstream costs: the load, then the memory already taken.
+/// Sort key for upstreams: those that have the base first, then by load time, then by reserved
+/// memory.
 fn placement_cost(
     term: &Term,
     now: Instant,
     view: &UpstreamView,
     model: &Model,
 ) -> (bool, Duration, u64, UpstreamId) {
-    let base_absent = model
+    let is_base_absent = model
         .base
         .as_ref()
         .is_some_and(|base| term.draft.find(base, &view.entry.id).is_none());
-    let load =
+    let load_time =
         term.progress
             .estimator
             .load_time(now, view.checkpoint_tier(&model.name), model.size_bytes);
-    let taken_bytes = term.draft.reserved_bytes(&view.entry.id);
-    (base_absent, load, taken_bytes, view.entry.id.clone())
+    let reserved_bytes = term.draft.reserved_bytes(&view.entry.id);
+    (
+        is_base_absent,
+        load_time,
+        reserved_bytes,
+        view.entry.id.clone(),
+    )
 }
 
-/// Reserves memory for the model, and for its base if that is missing.
+/// Reserves memory for the model, and for its base if the upstream lacks it.
 fn reserve(
     term: &mut Term,
     catalog: &Catalog,
@@ -147,23 +158,23 @@
 ) -> Result<(), PlanError> {
     let upstream = &view.entry.id;
     let mut draft = term.draft.clone();
-    let mut evicted = Vec::new();
+    let mut reserved = Vec::new();
     if let Some(base) = &model.base
         && draft.find(base, upstream).is_none()
     {
         let reason = Reason::BaseOf(model.name.clone());
-        evicted.push(draft.reserve(
+        reserved.push(draft.reserve(
             catalog,
             &desired_placement(catalog, base, upstream, demand, reason),
         )?);
     }
     let reason = Reason::Demand(demand.workspace.clone());
-    evicted.push(draft.reserve(
+    reserved.push(draft.reserve(
         catalog,
         &desired_placement(catalog, &model.name, upstream, demand, reason),
     )?);
     term.draft = draft;
-    for placement in evicted
+    for placement in reserved
         .into_iter()
         .filter_map(|id| term.draft.placement(id))
     {
@@ -203,17 +214,17 @@
     let Some(upstream) = term.evictions.get(model) else {
         return false;
     };
-    let in_progress = term
+    let is_in_progress = term
         .draft
         .on_upstream(upstream)
         .any(|p| p.state == PlacementState::Leaving);
-    if !in_progress {
+    if !is_in_progress {
         term.evictions.remove(model);
     }
-    in_progress
+    is_in_progress
 }
 
-/// Unloads the idle replicas, on one upstream, whose eviction_cost costs least.
+/// Evicts idle replicas on the upstream where this costs least.
 fn evict_replicas(
     term: &mut Term,
     context: DecisionContext<'_>,
@@ -233,7 +244,7 @@
     true
 }
 
-/// Replicas that would make room on one upstream.
+/// Replicas to evict from one upstream, and the expected cost.
 struct Eviction {
     upstream: UpstreamId,
     placements: Vec<PlacementId>,
@@ -285,23 +296,24 @@
     (free_bytes_after >= needed_bytes).then_some(eviction)
 }
 
-/// When a model that is waited for is expected to serve.
+/// Returns when a demanded model is expected to serve.
 pub(super) fn estimate_ready(
     term: &Term,
     context: DecisionContext<'_>,
     demand: &ModelDemand,
 ) -> Instant {
     let DecisionContext { now, catalog, .. } = context;
-    let held = term
+    let held_replicas = term
         .draft
         .replicas(&demand.model)
         .filter(|p| p.state == PlacementState::Held);
-    let waits = held.map(
-        |placement| match term.progress.estimator.remaining(now, placement.id) {
-            Some(remaining) => remaining,
-            None => queue_wait(term, context, placement),
-        },
-    );
+    let waits =
+        held_replicas.map(
+            |placement| match term.progress.estimator.remaining(now, placement.id) {
+                Some(remaining) => remaining,
+                None => queue_wait(term, context, placement),
+            },
+        );
     let wait = waits.min().unwrap_or_else(|| {
         let model = catalog.models.get(&demand.model);
         let size_bytes = model.map_or(0, |model| model.size_bytes);
@@ -311,7 +323,7 @@
     now + wait.max(MIN_READY_DELAY)
 }
 
-/// Time until a placement that still waits for its load order is ready.
+/// Returns the expected time until a placement that still waits for its load order is ready.
 fn queue_wait(term: &Term, context: DecisionContext<'_>, placement: &Placement) -> Duration {
     let DecisionContext {
         now,
@@ -329,10 +341,10 @@
     };
     let own_urgency = load_urgency(term, catalog, placement);
     let max_loads = catalog.weight_store.max_loads;
-    let mut ahead = Duration::ZERO;
+    let mut time_ahead = Duration::ZERO;
     for other in term.draft.placements().filter(|p| p.id != placement.id) {
         let is_held = other.state == PlacementState::Held;
-        ahead += match term.stage(other.id) {
+        time_ahead += match term.stage(other.id) {
             Stage::Loading => term
                 .progress
                 .estimator
@@ -344,11 +356,11 @@
             _ => Duration::ZERO,
         };
     }
-    ahead / max_loads + load_time_of(placement)
+    time_ahead / max_loads + load_time_of(placement)
 }
 
-/// When to come back after a refusal: when the first load in progress ends, since
-/// until then nothing changes, but at least after a while.
+/// Returns the retry-after time for a refusal: the time until the first load in progress ends,
+/// because nothing changes before, and at least [`NO_CAPACITY_RETRY_AFTER`].
 pub(super) fn refusal_retry_after(term: &Term, now: Instant) -> Duration {
     let loading = term
         .draft
--- a/crates/decide/src/cell/previous_holders.rs
+++ b/crates/decide/src/cell/previous_holders.rs
@@ -1,24 +1,24 @@
-//! Former holders of a cell, which may still have an order under way.
+//! Previous holders of a cell, whose orders may still be in flight.
 
 use crate::plan::{Plan, PreviousHolder};
 use passway_types::prelude::*;
 use std::collections::HashMap;
 
-/// Pause between two probes of holder holders.
+/// Interval between probes of previous holders.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What is known of the holder holders that a plan names.
+/// The known state of the previous holders in a plan.
 #[derive(Debug)]
 pub(super) struct PreviousHolders {
-    /// Holders that are gone, and when the last order of each has arrived or never will.
+    /// Holders that send no more orders, by epoch, and when their last order has settled.
     settling: HashMap<Epoch, Instant>,
-    /// When the last of them was cleared.
+    /// When a previous holder was last cleared from the plan.
     last_cleared_at: Option<Instant>,
     next_probe_at: Instant,
 }
 
 impl PreviousHolders {
-    /// Nothing is known; all are probed at once.
+    /// Returns an empty state, in which all previous holders are probed at once.
     pub(super) fn new(now: Instant) -> Self {
         Self {
             settling: HashMap::new(),
@@ -27,17 +27,18 @@
         }
     }
 
-    /// When the last of them was cleared.
+    /// Returns when a previous holder was last cleared from the plan.
     pub(super) fn last_cleared_at(&self) -> Option<Instant> {
         self.last_cleared_at
     }
 
-    /// The holder of an epoch sends no more; what it sent is settled at a moment.
+    /// Records that the holder of `epoch` sends no more orders and that all its orders have settled
+    /// at `settled_at`.
     pub(super) fn mark_stopped(&mut self, epoch: Epoch, settled_at: Instant) {
         self.settling.entry(epoch).or_insert(settled_at);
     }
 
-    /// Takes out the epochs whose orders are settled.
+    /// Removes and returns the epochs whose orders have settled.
     pub(super) fn take_settled(&mut self, now: Instant) -> Vec<Epoch> {
         let settled = self.settling.extract_if(|_, at| now >= *at);
         let settled: Vec<Epoch> = settled.map(|(epoch, _)| epoch).collect();
@@ -47,7 +48,8 @@
         settled
     }
 
-    /// The holders to probe now: those that the plan names and that are not known to be gone.
+    /// Returns the holders in the plan that are due for a probe, except those known to have
+    /// stopped.
     pub(super) fn due_probes(&mut self, now: Instant, plan: &Plan) -> Vec<PreviousHolder> {
         if now < self.next_probe_at {
             return Vec::new();
--- a/crates/decide/src/cell/progress.rs
+++ b/crates/decide/src/cell/progress.rs
@@ -1,4 +1,4 @@
-//! How far placements are on their upstreams, by reports and by answers to orders.
+//! Progress of placements on their upstreams, from status reports and answers to orders.
 
 use super::upstreams::{OrderInFlight, UpstreamView};
 use crate::estimate::LoadEstimator;
@@ -7,41 +7,41 @@
 use passway_types::prelude::*;
 use std::collections::HashMap;
 
-/// How far a placement is on its upstream, as far as the holder knows.
+/// The stage of a placement on its upstream, as known to the holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
     /// Nothing is known; an order is needed.
     Unknown,
-    /// The upstream loads it.
+    /// The upstream is loading the model.
     Loading,
-    /// It serves.
+    /// The model serves requests.
     Ready,
-    /// An unload order handed over at this time was answered with "absent".
+    /// The upstream answered "absent" to an unload order.
     Absent {
-        /// When the order was handed to the sender.
+        /// When that order was handed to the sender.
         ordered_at: Instant,
     },
 }
 
-/// A placement's stage and the times that go with it.
+/// The stage of a placement and when it changed.
 #[derive(Debug, Clone, Copy)]
 struct Progress {
     stage: Stage,
     entered_at: Instant,
-    /// When the routes to it were taken back.
+    /// When the routes to the replica were withdrawn.
     routes_withdrawn_at: Option<Instant>,
 }
 
-/// The progress of all placements of a term.
+/// The progress of all placements in a term.
 #[derive(Debug)]
 pub(super) struct ProgressTable {
     placements: HashMap<PlacementId, Progress>,
-    /// Follows the stages: a load begins, ends or is given up.
+    /// Load time estimates, updated whenever a load begins, ends or is given up.
     pub(super) estimator: LoadEstimator,
 }
 
 impl ProgressTable {
-    /// Nothing is known of any placement.
+    /// Returns a table in which nothing is known of any placement.
     pub(super) fn new(estimator: LoadEstimator) -> Self {
         Self {
             placements: HashMap::new(),
@@ -49,23 +49,23 @@
         }
     }
 
-    /// How far a placement is.
+    /// Returns the stage of a placement.
     pub(super) fn stage(&self, id: PlacementId) -> Stage {
         let progress = self.placements.get(&id);
         progress.map_or(Stage::Unknown, |progress| progress.stage)
     }
 
-    /// Since when a placement is as far as it is; `None` if nothing is known of it.
+    /// Returns when a placement entered its stage; `None` if nothing is known of it.
     pub(super) fn entered_at(&self, id: PlacementId) -> Option<Instant> {
         self.placements.get(&id).map(|progress| progress.entered_at)
     }
 
-    /// When the routes to a placement were taken back.
+    /// Returns when the routes to a placement were withdrawn.
     pub(super) fn routes_withdrawn_at(&self, id: PlacementId) -> Option<Instant> {
         self.placements.get(&id)?.routes_withdrawn_at
     }
 
-    /// The routes to a placement are taken back, unless they were previous.
+    /// Records that the routes to a placement are withdrawn, unless they were withdrawn earlier.
     pub(super) fn withdraw_routes(&mut self, now: Instant, id: PlacementId) {
         let progress = self.placements.entry(id).or_insert(Progress {
             stage: Stage::Unknown,
@@ -75,19 +75,19 @@
         progress.routes_withdrawn_at.get_or_insert(now);
     }
 
-    /// Placements that upstreams load.
+    /// Returns the number of placements that upstreams are loading.
     pub(super) fn loading_count(&self) -> usize {
         let all = self.placements.values();
         all.filter(|p| p.stage == Stage::Loading).count()
     }
 
-    /// Forgets a placement.
+    /// Removes a placement.
     pub(super) fn forget(&mut self, id: PlacementId) {
         self.placements.remove(&id);
         self.estimator.abandon(id);
     }
 
-    /// Takes in an upstream's report about what the plan has there.
+    /// Applies an upstream's status report to the held placements on it.
     pub(super) fn apply_report(&mut self, now: Instant, plan: &Plan, view: &UpstreamView) {
         let Some((polled_at, _)) = &view.status else {
             return;
@@ -100,7 +100,7 @@
         }
     }
 
-    /// The stage that a report takes a placement to; `None` if it changes nothing.
+    /// Returns the stage that a status report leads to; `None` if the report changes nothing.
     fn stage_from_report(
         &self,
         polled_at: Instant,
@@ -141,20 +141,21 @@
         self.placements.insert(placement.id, progress);
     }
 
-    /// Takes in the answer to an order; `tier` is where the upstream has the model.
+    /// Applies the answer to an order. `tier` is the storage tier of the checkpoint at the
+    /// upstream.
     pub(super) fn apply_answer(
         &mut self,
         now: Instant,
-        sent: &OrderInFlight,
+        answered: &OrderInFlight,
         answer: OrderAnswer,
         tier: Tier,
     ) {
-        let order = &sent.order;
+        let order = &answered.order;
         let stage = match (order.kind, answer) {
             (OrderKind::Load, OrderAnswer::Loading) => Stage::Loading,
             (OrderKind::Load, OrderAnswer::Loaded) => Stage::Ready,
             (OrderKind::Unload, OrderAnswer::Absent) => Stage::Absent {
-                ordered_at: sent.handed_at,
+                ordered_at: answered.handed_at,
             },
             _ => return,
         };
--- a/crates/decide/src/cell/publish.rs
+++ b/crates/decide/src/cell/publish.rs
@@ -1,4 +1,4 @@
-//! What the holder of a term tells routers: routes, and answers to demands.
+//! Messages from the holder of a term to routers: routes and answers to demands.
 
 use super::Action;
 use super::placing::{self, DecisionContext};
@@ -9,9 +9,9 @@
 use passway_types::prelude::*;
 use std::collections::BTreeSet;
 
-/// Time given to upstreams for a first report previous routes are published.
+/// Time for upstreams to send their first report before routes are published.
 const FIRST_REPORT_WINDOW: Duration = Duration::from_secs(1);
-/// Retry hint when the key-value service does not answer.
+/// Retry-after hint while the key-value service does not answer.
 const CONTROL_RETRY_AFTER: Duration = Duration::from_secs(2);
 impl Term {
     pub(super) fn answer_demands(
@@ -50,7 +50,11 @@
 
     fn is_routed(&self, model: &str) -> bool {
         let routes = self.published_routes.as_ref();
-        routes.is_some_and(|routes| routes.iter().any(|(routed, _)| &**routed == model))
+        routes.is_some_and(|routes| {
+            routes
+                .iter()
+                .any(|(routed_model, _)| &**routed_model == model)
+        })
     }
 
     fn is_loading(&self, model: &str) -> bool {
@@ -61,8 +65,8 @@
         })
     }
 
-    /// Whether every upstream has reported, or has had the time to. Before that
-    /// "no room" would only mean "nobody asked yet".
+    /// Whether every upstream has reported or had the time to. Before that, missing capacity would
+    /// only mean that no upstream has been polled yet.
     pub(super) fn has_upstream_reports(&self, now: Instant, upstreams: &Upstreams) -> bool {
         let all_reported = upstreams.iter().all(|view| view.status.is_some());
         all_reported || now >= self.started_at + FIRST_REPORT_WINDOW
@@ -97,7 +101,7 @@
     }
 
     fn routes(&self, upstreams: &Upstreams) -> BTreeSet<(ModelName, UpstreamId)> {
-        let serves = |id: &UpstreamId| {
+        let is_serving = |id: &UpstreamId| {
             upstreams
                 .get(id)
                 .is_some_and(|view| view.is_reachable && !view.is_leaving())
@@ -105,7 +109,7 @@
         self.plan()
             .placements()
             .filter(|p| p.state == PlacementState::Held && self.stage(p.id) == Stage::Ready)
-            .filter(|p| serves(&p.upstream))
+            .filter(|p| is_serving(&p.upstream))
             .map(|p| (p.model.clone(), p.upstream.clone()))
             .collect()
     }
--- a/crates/decide/src/cell/term.rs
+++ b/crates/decide/src/cell/term.rs
@@ -19,15 +19,16 @@
 use passway_types::prelude::*;
 use std::collections::{BTreeSet, HashMap};
 
-/// What the holder of a term knows.
+/// The state of the holder during its term.
 #[derive(Debug)]
 pub struct Term {
     pub(super) committed: CommittedPlan,
-    /// The committed plan with decisions that are not written yet.
+    /// The committed plan plus decisions that are not written yet.
     pub(super) draft: Plan,
     in_flight: Option<Change<InFlight>>,
     write_started_at: Option<Instant>,
-    /// A write that is open for longer counts as an outage of the key-value service.
+    /// A write without an outcome for longer than this counts as an outage of the key-value
+    /// service.
     write_outage_after: Duration,
     next_read_at: Option<Instant>,
     lease: HeldLease,
@@ -37,9 +38,9 @@
     pub(super) progress: ProgressTable,
     pub(super) demands: DemandTable,
     pub(super) usage: HashMap<ModelName, ModelUsage>,
-    /// Where room is being made for a model.
+    /// The upstream on which replicas are being evicted for a model.
     pub(super) evictions: HashMap<ModelName, UpstreamId>,
-    /// Models that cannot be placed for now, and why.
+    /// Models that cannot be placed for now, and the reason.
     pub(super) unplaceable: HashMap<ModelName, ResultCode>,
     pub(super) published_routes: Option<BTreeSet<(ModelName, UpstreamId)>>,
     pub(super) previous_holders: PreviousHolders,
@@ -79,17 +80,17 @@
         }
     }
 
-    /// The term's epoch.
+    /// Returns the term's epoch.
     pub fn epoch(&self) -> Epoch {
         self.committed.plan().epoch
     }
 
-    /// The plan as it is known to be written.
+    /// Returns the plan that is known to be written.
     pub fn plan(&self) -> &Plan {
         self.committed.plan()
     }
 
-    /// How far a placement is.
+    /// Returns the stage of a placement.
     pub fn stage(&self, id: PlacementId) -> Stage {
         self.progress.stage(id)
     }
@@ -99,7 +100,7 @@
         now < self.lease.valid_until()
     }
 
-    /// The moment after which no order may leave.
+    /// Returns the time from which no order may be sent any more.
     pub(super) fn orders_not_after(&self) -> Instant {
         self.lease.valid_until()
     }
@@ -129,14 +130,15 @@
         }
     }
 
-    /// Takes over a plan that is known to be written. Routes to what is leaving
-    /// are taken back now and not when that was decided: in an outage the
-    /// decision may stay unwritten for long, and the model goes on serving.
+    /// Adopts a plan that is known to be written.
+    ///
+    /// Routes to leaving placements are withdrawn now and not when the unload was decided. During
+    /// an outage the decision may stay unwritten for a long time, and the model continues to serve.
     fn commit(&mut self, now: Instant, committed: CommittedPlan) {
         self.committed = committed;
         self.write_started_at = None;
-        let leaving = self.committed.plan().placements();
-        for placement in leaving.filter(|p| p.state == PlacementState::Leaving) {
+        let placements = self.committed.plan().placements();
+        for placement in placements.filter(|p| p.state == PlacementState::Leaving) {
             self.progress.withdraw_routes(now, placement.id);
         }
     }
@@ -149,9 +151,9 @@
         self.next_read_at = Some(now + READ_RETRY_DELAY);
     }
 
-    /// Learns from a read what became of the change in flight.
+    /// Determines the outcome of the change in flight from a read of the plan.
     ///
-    /// Returns an error if another holder has begun a later term.
+    /// Returns an error if this term is no longer the stored one.
     pub(super) fn plan_read(
         &mut self,
         now: Instant,
@@ -166,8 +168,8 @@
                 self.commit(now, committed);
                 Ok(())
             }
-            // Our own term stands in the service, so anything else is a later term
-            // or a service that lost what it had confirmed.
+            // This term was already stored, so a different plan is from a later term or the service
+            // has lost a confirmed write.
             Resolution::NotApplied { .. } | Resolution::Superseded => Err(()),
         }
     }
@@ -202,34 +204,36 @@
         }
     }
 
-    /// Takes in all reports at the begin of a term.
+    /// Applies the last reports of all upstreams at the start of a term.
     pub(super) fn apply_all_reports(&mut self, now: Instant, upstreams: &Upstreams) {
         for view in upstreams.iter() {
             self.progress.apply_report(now, self.committed.plan(), view);
         }
     }
 
-    /// Takes in an upstream's report.
+    /// Applies the last report of one upstream.
     pub(super) fn apply_report(&mut self, now: Instant, upstreams: &Upstreams, upstream: &str) {
         if let Some(view) = upstreams.get(upstream) {
             self.progress.apply_report(now, self.committed.plan(), view);
         }
     }
 
-    /// Takes in the answer to an order.
+    /// Applies the answer to an order.
     pub(super) fn apply_answer(
         &mut self,
         now: Instant,
         upstreams: &Upstreams,
-        sent: &OrderInFlight,
+        answered: &OrderInFlight,
         answer: OrderAnswer,
     ) {
-        let view = upstreams.get(&sent.order.upstream);
-        let tier = view.map_or(Tier::Remote, |view| view.checkpoint_tier(&sent.order.model));
-        self.progress.apply_answer(now, sent, answer, tier);
+        let view = upstreams.get(&answered.order.upstream);
+        let tier = view.map_or(Tier::Remote, |view| {
+            view.checkpoint_tier(&answered.order.model)
+        });
+        self.progress.apply_answer(now, answered, answer, tier);
     }
 
-    /// Does whatever can be done now.
+    /// Takes all decisions that are possible now.
     pub(super) fn advance(
         &mut self,
         now: Instant,
@@ -264,28 +268,28 @@
         );
     }
 
-    /// Writes the draft if it differs from what stands and no write is open.
+    /// Writes the draft if it differs from the committed plan and no write is in flight.
     fn write_draft(&mut self, now: Instant, actions: &mut Vec<Action>) {
         if self.in_flight.is_some() || &self.draft == self.committed.plan() {
             return;
         }
         self.change_count += 1;
         self.draft.last_change = change_id(self.draft.holder.incarnation, self.change_count);
-        let (sent, action) = Change::draft(self.draft.clone()).send(self.committed.version());
-        self.in_flight = Some(sent);
+        let (in_flight, action) = Change::draft(self.draft.clone()).send(self.committed.version());
+        self.in_flight = Some(in_flight);
         self.write_started_at.get_or_insert(now);
         actions.push(action);
     }
 
-    /// Whether new decisions cannot be written or ordered at present.
+    /// Whether decisions can currently not be written or orders not be sent.
     pub(super) fn is_blocked(&self, now: Instant) -> bool {
-        let write_open = self
+        let is_write_overdue = self
             .write_started_at
             .is_some_and(|began| now >= began + self.write_outage_after);
-        write_open || !self.has_lease(now)
+        is_write_overdue || !self.has_lease(now)
     }
 
-    /// Decides that a placement is to leave.
+    /// Marks a placement as leaving. Returns false if the plan rejects the change.
     pub(super) fn begin_unload(
         &mut self,
         catalog: &Catalog,
@@ -308,9 +312,10 @@
     }
 
     pub(super) fn loads_in_flight(&self, upstreams: &Upstreams) -> usize {
-        let ordered = upstreams.iter().filter_map(|view| view.order.as_ref());
-        let ordered = ordered.filter(|sent| sent.order.kind == OrderKind::Load);
-        self.progress.loading_count() + ordered.count()
+        let in_flight_orders = upstreams.iter().filter_map(|view| view.order.as_ref());
+        let in_flight_orders =
+            in_flight_orders.filter(|in_flight| in_flight.order.kind == OrderKind::Load);
+        self.progress.loading_count() + in_flight_orders.count()
     }
 
     pub(super) fn forget_placement(&mut self, id: PlacementId) {
--- a/crates/decide/src/cell/upstreams.rs
+++ b/crates/decide/src/cell/upstreams.rs
@@ -1,7 +1,6 @@
-//! What a controller knows of the upstreams of its cell.
+//! The known state of the upstreams of a cell.
 //!
-//! This knowledge outlives a term, because an order that was sent in one term
-//! may still arrive in the next.
+//! This state outlives a term, because an order sent in one term may arrive during the next.
 
 use super::CellLimits;
 use crate::messages::{LoadedModel, LoadedState, Order, OrderAnswer, Tier, UpstreamStatus};
@@ -10,51 +9,51 @@
 use passway_types::prelude::*;
 use std::collections::HashMap;
 
-/// Pause before an upstream that did not take an order is tried again.
+/// Delay before the next order to an upstream that did not carry out the last one.
 const ORDER_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// An order that was handed to the sender and is not answered.
+/// An order that was handed to the sender and has no answer yet.
 #[derive(Debug, Clone)]
 pub struct OrderInFlight {
     /// The order.
     pub order: Order,
-    /// When it was handed over.
+    /// When the order was handed to the sender.
     pub handed_at: Instant,
 }
 
-/// What the platform's list says of an upstream.
+/// The state of an upstream in the platform's instance list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListingState {
-    /// It is listed, or was never heard of.
+    /// The upstream is listed, or has never been in the list.
     Listed,
-    /// It is listed as leaving.
+    /// The upstream is listed as leaving.
     Leaving,
-    /// It was listed and is no more.
+    /// The upstream was listed and is not any more.
     Removed,
 }
 
-/// One upstream as the controller sees it.
+/// One upstream as known to the controller.
 #[derive(Debug)]
 pub struct UpstreamView {
-    /// Its entry in the catalog.
+    /// The upstream's entry in the catalog.
     pub entry: Arc<Upstream>,
-    /// The last report and when it was asked for.
+    /// The last status report and when the poll for it was sent.
     pub status: Option<(Instant, UpstreamStatus)>,
-    /// Whether the last question was answered.
+    /// Whether the last poll was answered.
     pub is_reachable: bool,
-    /// When the last question was asked, if it was not answered.
+    /// When the last poll was sent, if it got no answer.
     pub unanswered_poll_at: Option<Instant>,
-    /// When the last question was asked; what an earlier one brings is stale.
+    /// When the last poll was sent. Answers to earlier polls are ignored.
     polled_at: Option<Instant>,
-    /// What the platform's list says.
+    /// The state in the platform's instance list.
     pub listing: ListingState,
-    /// Whether the configuration has it.
+    /// Whether the upstream is in the configuration.
     pub is_configured: bool,
-    /// The one order under way.
+    /// The order in flight; at most one per upstream.
     pub order: Option<OrderInFlight>,
-    /// Until then an unanswered order may still arrive.
+    /// The time until which an unanswered order may still arrive.
     pub unsettled_until: Option<Instant>,
-    /// No order is sent before.
+    /// The time before which no order is sent.
     pub retry_at: Option<Instant>,
 }
 
@@ -74,13 +73,13 @@
         }
     }
 
-    /// Whether new models may be placed on it.
+    /// Whether models may be placed on the upstream.
     pub fn accepts_placements(&self) -> bool {
         self.is_reachable && !self.is_leaving()
     }
 
-    /// Whether it gets no new work, by whoever's word: the platform's list, the
-    /// operators, or its own. Each may take its word back.
+    /// Whether the upstream gets no new work. The platform's list, the operators and the upstream
+    /// itself can each declare it leaving, and each can withdraw the declaration.
     pub fn is_leaving(&self) -> bool {
         let reports_leaving = self
             .status
@@ -92,11 +91,11 @@
             || reports_leaving
     }
 
-    /// Whether it is gone for good, so that nothing is left of what it held.
+    /// Whether the upstream is removed for good, so that all models on it are lost.
     ///
-    /// The list lags, so it is not believed alone: the upstream must also have
-    /// been silent to a question asked after `since`. A new holder may have heard
-    /// of its end long ago, and not that it came back and was used since.
+    /// The list may be out of date, so an unanswered poll sent at or after `since` is required as
+    /// well. A new holder may have learned of the removal long ago but not that the upstream
+    /// returned and was used again.
     pub fn is_removed(&self, since: Instant) -> bool {
         self.listing == ListingState::Removed
             && self.unanswered_poll_at.is_some_and(|at| at >= since)
@@ -107,24 +106,24 @@
         self.is_reachable && self.order.is_none() && self.retry_at.is_none_or(|at| now >= at)
     }
 
-    /// Whether no order of this process can arrive any more but the one in flight.
+    /// Whether no order of this process can arrive any more, except the one in flight.
     pub fn is_settled(&self, now: Instant) -> bool {
         self.unsettled_until.is_none_or(|until| now >= until)
     }
 
-    /// A model in the last report.
+    /// Returns the model's entry in the last status report.
     pub fn reported_model(&self, model: &str) -> Option<&LoadedModel> {
         let (_, status) = self.status.as_ref()?;
         status.loaded.iter().find(|loaded| &*loaded.model == model)
     }
 
-    /// Whether the last report says that the model serves.
+    /// Whether the model serves according to the last status report.
     pub fn is_ready(&self, model: &str) -> bool {
         self.reported_model(model)
             .is_some_and(|loaded| loaded.state == LoadedState::Ready)
     }
 
-    /// Where the model's checkpoint lies.
+    /// Returns the storage tier of the model's checkpoint at this upstream.
     pub fn checkpoint_tier(&self, model: &str) -> Tier {
         let cached = self.status.as_ref().map(|(_, status)| &status.cached);
         let cached_entry =
@@ -140,50 +139,50 @@
 }
 
 impl Upstreams {
-    /// Every upstream that the catalog has for the cell; nothing is known of them yet.
+    /// Returns all upstreams of the cell in the catalog; nothing is known of them yet.
     pub fn new(catalog: &Catalog, cell: &str) -> Self {
         let mut upstreams = Self::default();
         upstreams.use_catalog(catalog, cell);
         upstreams
     }
 
-    /// Takes over a newer catalog and keeps what is known.
+    /// Applies a newer catalog and retains the known state.
     pub fn use_catalog(&mut self, catalog: &Catalog, cell: &str) {
         for entry in catalog.upstreams_of(cell) {
             let view = self.views.entry(entry.id.clone());
             let view = view.or_insert_with(|| UpstreamView::new(entry.clone()));
             view.entry = entry.clone();
         }
-        // An upstream that the catalog no longer has gets nothing new, but what
-        // it holds is still unloaded properly.
+        // An upstream that is no longer in the catalog gets no new work, but the models on it are
+        // still unloaded properly.
         for (id, view) in &mut self.views {
             view.is_configured = catalog.upstreams.contains_key(id);
         }
     }
 
-    /// One upstream.
+    /// Returns one upstream.
     pub fn get(&self, id: &str) -> Option<&UpstreamView> {
         self.views.get(id)
     }
 
-    /// One upstream, to change.
+    /// Returns one upstream for modification.
     pub fn get_mut(&mut self, id: &str) -> Option<&mut UpstreamView> {
         self.views.get_mut(id)
     }
 
-    /// All upstreams.
+    /// Returns all upstreams.
     pub fn iter(&self) -> impl Iterator<Item = &UpstreamView> {
         self.views.values()
     }
 
-    /// Records what the platform\'s list says.
+    /// Records the upstream's state in the platform's instance list.
     pub fn set_listing(&mut self, id: &str, listing: ListingState) {
         if let Some(view) = self.views.get_mut(id) {
             view.listing = listing;
         }
     }
 
-    /// Records a report, or that the upstream could not be asked.
+    /// Records a status report, or that the upstream did not answer the poll.
     pub fn record_status(&mut self, id: &str, polled_at: Instant, status: Option<UpstreamStatus>) {
         let Some(view) = self.views.get_mut(id) else {
             return;
@@ -199,7 +198,7 @@
         }
     }
 
-    /// Records what became of an order, and returns it if it is the one under way.
+    /// Records the answer to an order. Returns the order if it is the one in flight.
     pub fn record_answer(
         &mut self,
         now: Instant,
@@ -209,7 +208,7 @@
         limits: &CellLimits,
     ) -> Option<OrderInFlight> {
         let view = self.views.get_mut(id)?;
-        let sent = view
+        let answered_order = view
             .order
             .take_if(|in_flight| in_flight.order.fence == fence);
         match answer {
@@ -226,6 +225,6 @@
                 view.retry_at = None;
             }
         }
-        sent
+        answered_order
     }
 }
--- a/crates/decide/src/cell/usage.rs
+++ b/crates/decide/src/cell/usage.rs
@@ -1,11 +1,11 @@
-//! How the models of a cell are used, by the reports of all routers.
+//! Usage of the models of a cell, from the reports of all routers.
 
 use crate::messages::Usage;
 use crate::retention::IdleHistory;
 use passway_types::prelude::*;
 use std::collections::HashMap;
 
-/// How one model is used.
+/// Usage of one model.
 #[derive(Debug, Default)]
 pub(super) struct ModelUsage {
     running: HashMap<Incarnation, u32>,
@@ -14,12 +14,12 @@
 }
 
 impl ModelUsage {
-    /// Whether requests run at any router.
+    /// Whether requests run on the model at any router.
     pub(super) fn is_running(&self) -> bool {
         self.running.values().any(|running| *running > 0)
     }
 
-    /// Takes in a router's report.
+    /// Records a router's report.
     pub(super) fn record(&mut self, usage: &Usage) {
         if !self.is_running()
             && let Some(last) = self.last_used_at
@@ -31,7 +31,7 @@
         self.last_used_at = self.last_used_at.max(Some(usage.last_used_at));
     }
 
-    /// Forgets a router.
+    /// Removes a router.
     pub(super) fn remove_router(&mut self, router: Incarnation) {
         self.running.remove(&router);
     }
--- a/crates/decide/src/cell/write.rs
+++ b/crates/decide/src/cell/write.rs
@@ -1,18 +1,17 @@
 //! The life cycle of a change of the plan: drafted, in flight, committed.
 //!
-//! Orders are made from a [`CommittedPlan`] only, and the only ways to one lead
-//! through a confirmed write. That a load is ordered before its placement is
-//! written is thereby not a rule to remember but a program that does not compile.
+//! Orders are made from a [`CommittedPlan`] only, which can only be obtained from a confirmed
+//! write. So a program that sends a load order before its placement is written does not compile.
 
 use super::Action;
 use crate::plan::Plan;
 use passway_types::prelude::*;
 use std::marker::PhantomData;
 
-/// A change that has not left the process.
+/// State of a change that has not been sent.
 #[derive(Debug)]
 pub struct Drafted;
-/// A change that was sent and whose outcome is open.
+/// State of a change that was sent and has no known outcome.
 #[derive(Debug)]
 pub struct InFlight;
 
@@ -30,16 +29,16 @@
     plan: Plan,
 }
 
-/// What a read tells about a change in flight.
+/// The outcome of a change in flight, as found by a read of the plan.
 #[derive(Debug)]
 pub enum Resolution {
-    /// It took effect, or an earlier one of the same holder did.
+    /// The change, or an earlier change of the same term, has taken effect.
     Committed(CommittedPlan),
-    /// It has not taken effect; this is what stands.
+    /// The change has not taken effect.
     NotApplied {
-        /// The version that stands.
+        /// The stored version.
         version: Version,
-        /// The plan that stands.
+        /// The stored plan.
         plan: Option<Plan>,
     },
     /// Another holder has begun a later term.
@@ -47,7 +46,7 @@
 }
 
 impl Change<Drafted> {
-    /// Drafts a change that leads to `plan`.
+    /// Drafts a change to `plan`.
     pub fn draft(plan: Plan) -> Self {
         Self {
             plan,
@@ -55,7 +54,7 @@
         }
     }
 
-    /// Sends it against the version that it was drafted on.
+    /// Sends the change, to be applied if the stored version is still `expected`.
     pub fn send(self, expected: Version) -> (Change<InFlight>, Action) {
         let action = Action::WritePlan {
             expected,
@@ -72,12 +71,12 @@
 }
 
 impl Change<InFlight> {
-    /// The change's id, which its answers carry.
+    /// Returns the id of the change, which the answer to the write carries.
     pub fn id(&self) -> ChangeId {
         self.plan.last_change
     }
 
-    /// The write's own answer says that it took effect.
+    /// Confirms the change after the write was answered with success.
     pub fn confirm(self, version: Version) -> CommittedPlan {
         CommittedPlan {
             version,
@@ -85,10 +84,11 @@
         }
     }
 
-    /// Decides from what a later read stored.
+    /// Determines the outcome from a later read.
     ///
-    /// The change is recognised by its id, never written again blindly: a write
-    /// whose answer was lost may have taken effect, or may still.
+    /// A change with an unknown outcome is never written again blindly, because the write may have
+    /// taken effect or may still do so. The stored plan counts as committed if it has the epoch and
+    /// the holder of the change.
     pub fn resolve(self, version: Version, stored: Option<Plan>) -> Resolution {
         let Some(stored) = stored else {
             return Resolution::NotApplied {
@@ -116,12 +116,12 @@
 }
 
 impl CommittedPlan {
-    /// The plan.
+    /// Returns the plan.
     pub fn plan(&self) -> &Plan {
         &self.plan
     }
 
-    /// The version under which it stands.
+    /// Returns the version under which the plan is stored.
     pub fn version(&self) -> Version {
         self.version
     }
--- a/crates/decide/src/claim.rs
+++ b/crates/decide/src/claim.rs
@@ -1,26 +1,26 @@
 //! The life cycle of a call that may not be repeated.
 //!
-//! Each caller's key is one value in the key-value service. A router writes
-//! [`ClaimState::Claimed`] by compare-and-swap against "absent" before the call
-//! leaves, so at most one attempt under a key ever leaves. The states only move
-//! forward: claimed, then done, unknown or released. A released claim is one
-//! whose owner knows that nothing left; it may be claimed again.
+//! Each idempotency key of a caller has one value in the key-value service. Before a router sends
+//! the call, it writes [`ClaimState::Claimed`] by compare-and-swap against an absent value, so at
+//! most one attempt per key is ever sent. The state only moves forward: from claimed to done,
+//! unknown or released. The owner of a released claim knows that nothing was sent, so another
+//! attempt may claim the key again.
 
 use passway_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// A stored answer.
+/// The stored answer of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredAnswer {
-    /// The HTTP status of the service's answer.
+    /// The HTTP status of the answer.
     pub http_status: u16,
-    /// Its content type.
+    /// The content type of the answer.
     pub content_type: String,
-    /// Its body.
+    /// The body of the answer.
     pub body: Vec<u8>,
 }
 
-/// How far a call has come.
+/// The progress of a call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimState {
@@ -28,40 +28,40 @@
     Claimed,
     /// The service answered.
     Done(StoredAnswer),
-    /// The call left and its outcome was not learned.
+    /// The call was sent and its outcome is unknown.
     Unknown,
-    /// The owner knows that nothing left.
+    /// The owner knows that nothing was sent.
     Released,
 }
 
-/// The value kept under a caller's key.
+/// The value stored under a caller's idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The attempt that owns the claim, unique over all routers; by it a lost
-    /// answer of the key-value service is read back.
+    /// The attempt that owns the claim, unique over all routers. A router whose write got no answer
+    /// reads the claim back and recognizes its own by this number.
     pub attempt: u128,
-    /// Digest of the request; the same key with another request is refused.
+    /// Digest of the request. The same key with a different request is refused.
     pub request_digest: u64,
-    /// How far the call has come.
+    /// The progress of the call.
     pub state: ClaimState,
 }
 
-/// What a router does after it read the value under a key.
+/// What a router does after reading the value under a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimStep {
-    /// Write a claim against this version, and send only if the write took effect.
+    /// Write a claim against this version and send the call only if the write took effect.
     Write(Version),
-    /// The claim is ours: the earlier write took effect.
+    /// This attempt already owns the claim: its earlier write took effect.
     Owned(Version),
-    /// Answer with what the service answered before.
+    /// Answer with the stored answer of the service.
     Replay(StoredAnswer),
     /// Refuse: another attempt is in progress or its outcome is unknown.
     RepeatUnknown,
-    /// Refuse: the key belongs to another request.
+    /// Refuse: the key belongs to a different request.
     KeyReused,
 }
 
-/// Decides the next step from the value that stands under the key.
+/// Decides the next step of an attempt from the value stored under the key.
 pub fn next_step(stored: Option<(Version, &Claim)>, attempt: u128, digest: u64) -> ClaimStep {
     let Some((version, claim)) = stored else {
         return ClaimStep::Write(0);
--- a/crates/decide/src/messages.rs
+++ b/crates/decide/src/messages.rs
@@ -1,32 +1,32 @@
-//! What the decisions of routers and controllers say to each other and to upstreams.
+//! Messages between routers, controllers and upstreams, as the decision logic sees them.
 
 use passway_types::prelude::*;
 
-/// Where the checkpoint of a model lies, seen from one upstream.
+/// Storage tier of a model's checkpoint, relative to one upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Tier {
-    /// In the memory of the upstream's machine.
+    /// In the main memory of the upstream's machine.
     Memory,
-    /// On its disk.
+    /// On a disk of the upstream's machine.
     Disk,
     /// Only in the weight store.
     Remote,
 }
 
-/// Bits of a fencing number that count the orders of one epoch.
+/// Low bits of a fencing number, which hold the order number within an epoch.
 const ORDER_BITS: u32 = 32;
 
-/// The fencing number of the `order`th order of an epoch.
+/// Returns the fencing number of order number `order` of an epoch.
 pub fn fencing_number(epoch: Epoch, order: u32) -> Fence {
     (epoch << ORDER_BITS) | u64::from(order)
 }
 
-/// The epoch that a fencing number was made in.
+/// Returns the epoch in which a fencing number was issued.
 pub fn fence_epoch(fence: Fence) -> Epoch {
     fence >> ORDER_BITS
 }
 
-/// What an order asks of an upstream.
+/// The kind of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderKind {
     /// Load the model.
@@ -35,138 +35,139 @@
     Unload,
 }
 
-/// An order to an upstream.
+/// An order from the holder of a cell to an upstream.
 ///
-/// The sender checks `not_after` as the last thing before it sends.
+/// The sender checks `not_after` immediately before it sends the order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
-    /// What is asked.
+    /// Whether to load or to unload the model.
     pub kind: OrderKind,
-    /// The fencing number; larger than that of every earlier order of the cell.
+    /// The fencing number, larger than that of every earlier order in the cell.
     pub fence: Fence,
-    /// The placement it belongs to.
+    /// The placement that the order is for.
     pub placement: PlacementId,
     /// The model or adapter.
     pub model: ModelName,
-    /// The base of an adapter.
+    /// The base model, if `model` is an adapter.
     pub base: Option<ModelName>,
-    /// Accelerator memory of the replica.
+    /// Accelerator memory of the replica, in bytes.
     pub size_bytes: u64,
-    /// The upstream that it goes to.
+    /// The upstream that receives the order.
     pub upstream: UpstreamId,
-    /// The local time after which it may not be sent.
+    /// The local time from which the order must not be sent any more.
     pub not_after: Instant,
 }
 
-/// What became of an order.
+/// The answer to an order, or what is known without one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// A load was accepted or is in progress.
+    /// The upstream accepted the load, or the load is in progress.
     Loading,
     /// The model is loaded.
     Loaded,
-    /// An unload was accepted or is in progress.
+    /// The upstream accepted the unload, or the unload is in progress.
     Unloading,
     /// The model is not on the upstream.
     Absent,
-    /// The upstream has no room; the order had no effect.
+    /// The upstream has too little free memory; the order had no effect.
     NoRoom,
-    /// Requests still run on the model; the order had no effect.
+    /// Requests are still running on the model; the order had no effect.
     Busy,
-    /// The fencing number was too old; the order had no effect.
+    /// The upstream has seen a higher fencing number; the order had no effect.
     Fenced,
     /// The order was never sent.
     NotSent,
-    /// The order may or may not arrive.
+    /// No answer arrived; the upstream may still receive and carry out the order.
     Lost,
 }
 
-/// The state of one model as its upstream reports it.
+/// The state of one model in an upstream's status report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadedState {
-    /// Its load is in progress.
+    /// The load is in progress.
     Loading,
-    /// It serves.
+    /// The model serves requests.
     Ready,
-    /// Its unload is in progress.
+    /// The unload is in progress.
     Unloading,
 }
 
-/// One model in a status report.
+/// One model in an upstream's status report.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LoadedModel {
     /// The model or adapter.
     pub model: ModelName,
-    /// How far it is.
+    /// Whether the model is loading, ready or unloading.
     pub state: LoadedState,
-    /// Requests that run on it.
+    /// Requests that run on the model.
     pub running: u32,
 }
 
-/// An upstream's own report; it may lag.
+/// An upstream's status report. It may be out of date when it arrives.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct UpstreamStatus {
-    /// Drawn when the engine started; a new number means that it lost everything.
+    /// The boot id, drawn when the engine starts. A new id means that the engine has lost all its
+    /// models.
     pub boot: Incarnation,
-    /// Models on its accelerators.
+    /// Models on the upstream's accelerators.
     pub loaded: Vec<LoadedModel>,
-    /// Checkpoints nearer than the weight store.
+    /// Checkpoints in memory or on disk, with their storage tier.
     pub cached: Vec<(ModelName, Tier)>,
-    /// Whether the engine itself says that it is leaving.
+    /// Whether the engine itself reports that it is leaving.
     pub leaving: bool,
 }
 
-/// Waiting requests of one router for one model, told as one demand.
+/// The requests of one router that wait for one model, reported to the controller as one demand.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Demand {
-    /// The router.
+    /// The incarnation of the router.
     pub router: Incarnation,
     /// The model or adapter.
     pub model: ModelName,
-    /// The workspace that waits first.
+    /// The workspace of the request with the earliest deadline.
     pub workspace: WorkspaceName,
-    /// Requests that wait; 0 takes the demand back.
+    /// Number of waiting requests; 0 withdraws the demand.
     pub waiting: u32,
-    /// The earliest deadline among them.
+    /// The earliest deadline of the waiting requests.
     pub earliest_deadline_at: Instant,
-    /// The best priority among them.
+    /// The priority of the request with the earliest deadline; a lower number is more urgent.
     pub priority: u32,
 }
 
-/// What the cell answers to a demand.
+/// The controller's answer to a demand.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DemandVerdict {
-    /// The model is expected to serve at this time.
+    /// The model is expected to serve from this time.
     ReadyAt(Instant),
-    /// The model will not be woken for now.
+    /// The model will not be loaded for now.
     Refused {
-        /// Why.
+        /// The reason for the refusal.
         code: ResultCode,
-        /// When to come back.
+        /// The earliest useful time for a retry.
         retry_at: Instant,
     },
 }
 
-/// Use of a model as one router saw it since its last report.
+/// A router's report of how it uses a model.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Usage {
-    /// The router.
+    /// The incarnation of the router.
     pub router: Incarnation,
     /// The model or adapter.
     pub model: ModelName,
-    /// Requests of the router in progress on the model.
+    /// Requests of this router that run on the model.
     pub running: u32,
-    /// The last time a request began or ended.
+    /// The last time at which a request to the model started or ended.
     pub last_used_at: Instant,
 }
 
-/// A change of where requests may be sent.
+/// A change of the routing table of a cell.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RouteChange {
-    /// Replicas that serve from now on.
+    /// Replicas that requests may be sent to from now on.
     pub added: Vec<(ModelName, UpstreamId)>,
-    /// Replicas that get nothing new from now on.
+    /// Replicas that receive no new requests from now on.
     pub removed: Vec<(ModelName, UpstreamId)>,
-    /// Whether `added` is the whole table and everything else is removed.
+    /// Whether `added` is the complete table and all other routes are removed.
     pub is_snapshot: bool,
 }
--- a/crates/decide/src/plan.rs
+++ b/crates/decide/src/plan.rs
@@ -1,15 +1,15 @@
-//! The plan of one cell: the aggregate that must stay exact.
+//! The plan of one cell: its placements, whose invariants hold exactly.
 //!
-//! A plan is one value in the key-value service. Whoever writes it does so by
-//! compare-and-swap on the whole value, so replica counts and memory, which are
-//! checked by the methods here, hold for every plan that was ever written.
+//! A plan is one value in the key-value service. Every write is a compare-and-swap of the whole
+//! value. The methods of [`Plan`] check replica counts and memory, so these hold for every plan
+//! that was ever written.
 //!
 //! Invariants of a written plan:
-//! 1. the bytes of all placements on an upstream are at most its memory;
-//! 2. a model has at most its decided number of replicas, in whatever state;
-//! 3. an adapter stands only beside a replica of its base on the same upstream;
-//! 4. an upstream holds a model at most once;
-//! 5. a placement is removed only when no order for it can still arrive.
+//! 1. The placements on an upstream reserve at most its memory.
+//! 2. A model has at most its configured number of replicas, whatever their states.
+//! 3. An adapter is placed only on an upstream that also has a replica of its base.
+//! 4. An upstream has at most one placement of a model.
+//! 5. A placement is removed only when no order for it can arrive any more.
 
 use passway_config::Catalog;
 use passway_types::prelude::*;
@@ -20,25 +20,25 @@
 /// A controller process that holds or held a cell.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Holder {
-    /// The instance it runs on.
+    /// The instance on which the process runs.
     pub instance: InstanceId,
-    /// Which process on that instance.
+    /// The incarnation of the process.
     pub incarnation: Incarnation,
-    /// Where it listens; a process that answers there with another incarnation
-    /// proves this one gone.
+    /// The address on which the process listens. If a process with another incarnation answers
+    /// there, this one has terminated.
     pub address: SocketAddr,
 }
 
-/// A holder of an earlier epoch that is not yet known to be unable to send orders.
+/// The holder of an earlier epoch that may still be able to send orders.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PreviousHolder {
-    /// The epoch it held.
+    /// The epoch in which the process held the cell.
     pub epoch: Epoch,
-    /// Who it is.
+    /// The process.
     pub holder: Holder,
 }
 
-/// What is decided about a placement.
+/// The decided state of a placement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlacementState {
@@ -52,85 +52,88 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// Requests of a workspace wait for the model.
+    /// Requests of this workspace wait for the model.
     Demand(WorkspaceName),
-    /// An adapter on this base is wanted.
+    /// This adapter needs the model as its base.
     BaseOf(ModelName),
 }
 
-/// One replica of one model on one upstream.
+/// One replica of a model on one upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Placement {
-    /// Its id, never used twice within the cell.
+    /// The id, never reused within the cell.
     pub id: PlacementId,
     /// The model or adapter.
     pub model: ModelName,
-    /// Where it stands.
+    /// The upstream on which the replica is placed.
     pub upstream: UpstreamId,
-    /// The accelerator memory it reserves.
+    /// Accelerator memory that the placement reserves, in bytes.
     pub reserved_bytes: u64,
-    /// What is decided about it.
+    /// The decided state.
     pub state: PlacementState,
-    /// The epoch that made it; holders of earlier epochs never ordered it.
+    /// The epoch in which the placement was made. Holders of earlier epochs never sent orders for
+    /// it.
     pub created_epoch: Epoch,
-    /// The workspace it is held for.
+    /// The workspace that the memory is accounted to.
     pub workspace: WorkspaceName,
-    /// Why it was made.
+    /// Why the placement was made.
     pub reason: Reason,
 }
 
-/// Why the plan refuses a change.
+/// Why the plan rejects a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlanError {
-    /// The model or upstream is not in the catalog, or of another cell.
+    /// The model or upstream is not in the catalog, or the two belong to different cells.
     Unknown,
-    /// The model has its decided number of replicas.
+    /// The model already has its configured number of replicas.
     ReplicaLimit,
-    /// The upstream has too little memory left.
+    /// The upstream has too little free memory.
     InsufficientMemory,
-    /// The upstream holds the model already.
+    /// The upstream already has a placement of the model.
     AlreadyPlaced,
-    /// The adapter's base is not held on the upstream.
+    /// The base of the adapter is not held on the upstream.
     BaseMissing,
-    /// An adapter still stands on this base.
+    /// An adapter on this base is still held on the upstream.
     AdapterPresent,
-    /// The workspace's cap on held memory would be passed.
+    /// The workspace would exceed its cap on held memory.
     WorkspaceAtCap,
     /// An order for the placement can still arrive.
     OrderMayArrive,
 }
 
-/// What a new placement is for.
+/// A placement that the controller wants to add to the plan.
 #[derive(Debug, Clone)]
 pub struct DesiredPlacement {
     /// The model or adapter.
     pub model: ModelName,
-    /// Where it should stand.
+    /// The upstream on which to place the model.
     pub upstream: UpstreamId,
-    /// The workspace it is held for.
+    /// The workspace that the memory is accounted to.
     pub workspace: WorkspaceName,
-    /// Why.
+    /// Why the placement is wanted.
     pub reason: Reason,
-    /// The workspace's cap on held memory, in bytes.
+    /// The workspace's cap on held memory in the cell, in bytes.
     pub max_held_bytes: Option<u64>,
 }
 
-/// The decided placements of one cell.
+/// The placements of one cell and the term of leadership that decided them.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
-    /// The term of leadership that wrote it.
+    /// The term of leadership that wrote the plan.
     pub epoch: Epoch,
-    /// Who holds that term.
+    /// The holder of that term.
     pub holder: Holder,
-    /// The change that was written last; tells whether a write took effect.
+    /// The id of the last written change. A holder reads it to find out whether its write took
+    /// effect.
     pub last_change: ChangeId,
+    /// Previous holders that may still send orders. `former` is the name in the stored plan.
     former: Vec<PreviousHolder>,
     next_placement: PlacementId,
     placements: BTreeMap<PlacementId, Placement>,
 }
 
 impl Plan {
-    /// The first plan of a cell.
+    /// Returns the first plan of a cell, without placements.
     pub fn initial(holder: Holder) -> Self {
         Self {
             epoch: 1,
@@ -142,54 +145,54 @@
         }
     }
 
-    /// Begins the next epoch with a new holder; the one before becomes a former holder.
+    /// Begins the next epoch with a new holder and records the current holder as a previous one.
     pub fn take_over(&mut self, holder: Holder) {
-        let former = std::mem::replace(&mut self.holder, holder);
+        let previous_holder = std::mem::replace(&mut self.holder, holder);
         self.former.push(PreviousHolder {
             epoch: self.epoch,
-            holder: former,
+            holder: previous_holder,
         });
         self.epoch += 1;
         self.remove_irrelevant_holders();
     }
 
-    /// All placements, by id.
+    /// Returns all placements, ordered by id.
     pub fn placements(&self) -> impl Iterator<Item = &Placement> {
         self.placements.values()
     }
 
-    /// One placement.
+    /// Returns the placement with this id.
     pub fn placement(&self, id: PlacementId) -> Option<&Placement> {
         self.placements.get(&id)
     }
 
-    /// Former holders that may still send orders.
+    /// Returns the previous holders that may still be able to send orders.
     pub fn previous_holders(&self) -> &[PreviousHolder] {
         &self.former
     }
 
-    /// The placement of a model on an upstream.
+    /// Returns the placement of a model on an upstream.
     pub fn find(&self, model: &str, upstream: &str) -> Option<&Placement> {
         self.placements()
             .find(|p| &*p.model == model && &*p.upstream == upstream)
     }
 
-    /// The placements on an upstream.
+    /// Returns the placements on an upstream.
     pub fn on_upstream<'a>(&'a self, upstream: &'a str) -> impl Iterator<Item = &'a Placement> {
         self.placements().filter(move |p| &*p.upstream == upstream)
     }
 
-    /// The replicas of a model, whatever is decided about them.
+    /// Returns the placements of a model, whatever their states.
     pub fn replicas<'a>(&'a self, model: &'a str) -> impl Iterator<Item = &'a Placement> {
         self.placements().filter(move |p| &*p.model == model)
     }
 
-    /// Bytes reserved on an upstream.
+    /// Returns the memory reserved on an upstream, in bytes.
     pub fn reserved_bytes(&self, upstream: &str) -> u64 {
         self.on_upstream(upstream).map(|p| p.reserved_bytes).sum()
     }
 
-    /// Bytes held for a workspace over the cell.
+    /// Returns the memory held for a workspace in the cell, in bytes.
     pub fn workspace_bytes(&self, workspace: &str) -> u64 {
         self.placements()
             .filter(|p| &*p.workspace == workspace)
@@ -197,10 +200,10 @@
             .sum()
     }
 
-    /// Adds a placement.
+    /// Adds a placement and returns its id.
     ///
     /// # Errors
-    /// The invariant that the new placement would break.
+    /// The invariant or cap that the new placement would violate.
     pub fn reserve(
         &mut self,
         catalog: &Catalog,
@@ -259,21 +262,21 @@
             .is_some_and(|p| p.state == PlacementState::Held)
     }
 
-    /// Decides that a placement is to leave.
+    /// Marks a placement as leaving.
     ///
     /// # Errors
-    /// [`PlanError::AdapterPresent`] while an adapter is held on this base.
+    /// [`PlanError::AdapterPresent`] while an adapter on this base is held on the upstream.
     pub fn begin_unload(&mut self, catalog: &Catalog, id: PlacementId) -> Result<(), PlanError> {
         let placement = self.placements.get(&id).ok_or(PlanError::Unknown)?;
         let base = &placement.model;
-        let adapter_held = self.on_upstream(&placement.upstream).any(|p| {
+        let is_adapter_held = self.on_upstream(&placement.upstream).any(|p| {
             p.state == PlacementState::Held
                 && catalog
                     .models
                     .get(&p.model)
                     .is_some_and(|m| m.base.as_ref() == Some(base))
         });
-        if adapter_held {
+        if is_adapter_held {
             return Err(PlanError::AdapterPresent);
         }
         if let Some(placement) = self.placements.get_mut(&id) {
@@ -282,24 +285,25 @@
         Ok(())
     }
 
-    /// Whether a former holder may still have an order for the placement under way.
+    /// Whether an order of a previous holder for the placement can still arrive.
     pub fn previous_holder_may_order(&self, id: PlacementId) -> bool {
         let Some(placement) = self.placements.get(&id) else {
             return false;
         };
         self.former
             .iter()
-            .any(|former| former.epoch >= placement.created_epoch)
+            .any(|previous| previous.epoch >= placement.created_epoch)
     }
 
-    /// Removes a placement that the upstream has confirmed absent.
+    /// Removes a placement after the upstream has confirmed that the model is absent.
     ///
-    /// `fenced` says that the upstream refuses orders of former holders.
+    /// `fenced` states that the upstream rejects the orders of previous holders.
     ///
     /// # Errors
-    /// [`PlanError::OrderMayArrive`] while a former holder could bring it back.
-    pub fn free(&mut self, id: PlacementId, fenced: bool) -> Result<(), PlanError> {
-        if !fenced && self.previous_holder_may_order(id) {
+    /// [`PlanError::OrderMayArrive`] while an order of a previous holder could load the model
+    /// again.
+    pub fn free(&mut self, id: PlacementId, is_fenced: bool) -> Result<(), PlanError> {
+        if !is_fenced && self.previous_holder_may_order(id) {
             return Err(PlanError::OrderMayArrive);
         }
         self.placements.remove(&id).ok_or(PlanError::Unknown)?;
@@ -309,13 +313,14 @@
 
     /// Records that the holder of `epoch` can send no more orders.
     pub fn clear_previous_holder(&mut self, epoch: Epoch) {
-        self.former.retain(|former| former.epoch != epoch);
+        self.former.retain(|previous| previous.epoch != epoch);
     }
 
-    /// A former holder matters only while a placement stands that it may have ordered.
+    /// Removes previous holders that cannot have sent an order for any remaining placement.
     fn remove_irrelevant_holders(&mut self) {
-        let oldest = self.placements().map(|p| p.created_epoch).min();
-        self.former
-            .retain(|former| oldest.is_some_and(|oldest| former.epoch >= oldest));
+        let oldest_epoch = self.placements().map(|p| p.created_epoch).min();
+        self.former.retain(|previous| {
+            oldest_epoch.is_some_and(|oldest_epoch| previous.epoch >= oldest_epoch)
+        });
     }
 }
--- a/crates/decide/src/retention.rs
+++ b/crates/decide/src/retention.rs
@@ -1,14 +1,14 @@
-//! How long an idle replica is kept_for.
+//! Policies for how long an idle replica stays loaded.
 //!
-//! Keeping costs accelerator seconds, unloading costs the next caller a cold
-//! start. The weights of the two costs are the operators' settings.
+//! An idle replica costs accelerator seconds, an unloaded one costs the next caller a cold start.
+//! Operators set the weights of the two costs in the configuration.
 
 use passway_config::document::{KeepEntry, KeepPolicyName};
 use std::time::Duration;
 
-/// Idle gaps remembered for each model.
+/// Number of idle gaps recorded per model.
 const MAX_GAPS: usize = 64;
-/// Gaps below which the histogram says nothing and ski_rental-rental decides.
+/// With fewer recorded gaps, the histogram policy falls back to ski rental.
 const MIN_GAPS: usize = 8;
 
 /// The idle gaps of one model, newest last.
@@ -18,7 +18,7 @@
 }
 
 impl IdleHistory {
-    /// Records a gap between two uses.
+    /// Records the gap between two uses.
     pub fn record(&mut self, gap: Duration) {
         if self.gaps.len() == MAX_GAPS {
             self.gaps.remove(0);
@@ -27,16 +27,17 @@
     }
 }
 
-/// Decides how long a replica stays after its last use.
+/// Decides how long a replica stays loaded after its last use.
 pub trait RetentionPolicy {
-    /// The time to kept_for it, given what a reload_time costs.
+    /// Returns the idle time after which the replica is unloaded, given the time that a reload
+    /// takes.
     fn retention_time(&self, history: &IdleHistory, reload_time: Duration) -> Duration;
 }
 
-/// A fixed time-out.
+/// Unloads after a fixed idle time.
 #[derive(Debug, Clone, Copy)]
 pub struct Fixed {
-    /// The time-out.
+    /// The idle time.
     pub max_idle: Duration,
 }
 
@@ -46,12 +47,13 @@
     }
 }
 
-/// Holds idle as long as a reload_time would cost: never more than twice the best cost.
+/// Keeps a replica for as long as its reload would cost. The total cost is at most twice the
+/// optimum.
 #[derive(Debug, Clone, Copy)]
 pub struct SkiRental {
-    /// Cost of a cold second against an idle second.
+    /// Cost of a second of cold start, in idle seconds.
     pub cold_cost_ratio: f64,
-    /// Longest kept_for.
+    /// The longest idle time that the policy returns.
     pub max_idle: Duration,
 }
 
@@ -61,10 +63,10 @@
     }
 }
 
-/// Holds for the time that would have cost least over the remembered gaps.
+/// Keeps a replica for the time that would have cost least over the recorded gaps.
 #[derive(Debug, Clone, Copy)]
 pub struct Histogram {
-    /// Decides while too few gaps are known.
+    /// The policy that is used with fewer than `MIN_GAPS` recorded gaps.
     pub fallback: SkiRental,
 }
 
@@ -85,7 +87,7 @@
     }
 }
 
-/// The summed cost, in idle seconds, of keeping for `kept_for` over the gaps.
+/// Total cost, in idle seconds, if the replica had been kept for `kept_for` in each of the gaps.
 fn expected_cost(gaps: &[Duration], kept_for: Duration, cold_cost_s: f64) -> f64 {
     let cost = |gap: &Duration| {
         if *gap <= kept_for {
@@ -97,7 +99,7 @@
     gaps.iter().map(cost).sum()
 }
 
-/// The policy that the configuration names.
+/// Returns the policy that the configuration names.
 pub fn retention_policy(entry: &KeepEntry) -> Box<dyn RetentionPolicy + Send> {
     let max_idle = Duration::from_millis(entry.max_idle_ms);
     let ski_rental = SkiRental {
--- a/crates/decide/src/router.rs
+++ b/crates/decide/src/router.rs
@@ -1,19 +1,19 @@
-//! The decisions of one router: admission, waiting, routing and retries.
+//! Decision logic of one router: admission, queueing, routing and retries.
 //!
-//! A [`RouterCore`] is sent_demands what happens and returns [`RouterAction`]s. Every
-//! request that arrives ends in exactly one `Refuse`, or in a `Start` whose end
-//! the caller reports with [`RouterCore::ended`].
+//! A [`RouterCore`] is notified of events and returns [`RouterAction`]s. Every request that arrives
+//! gets exactly one final answer: a `Refuse`, or a `Start` whose outcome the caller reports with
+//! [`RouterCore::attempt_ended`].
 //!
-//! * [`events`]: what goes in and comes out.
-//! * `admission`: whether a request is taken in at all.
-//! * `waiters`: the queues of all models, each a [`queue`], and the [`fair_share`] of
-//!   tokens that each workspace has had.
-//! * `replicas`: the routes, and which upstream has a slot free.
-//! * `attempts`: starting requests at upstreams, and what follows their end;
-//!   [`budget`] is how many retries may be added to the traffic.
-//! * `forecast`: when a model's requests can start; `refusals` gives up those
-//!   that would start too late.
-//! * `reports`: demands and use, as controllers are sent_demands of them.
+//! * [`events`]: the inputs and outputs of the router.
+//! * `admission`: whether a request is accepted.
+//! * `waiters`: one [`queue`] per model and the token counters for [`fair_share`] between
+//!   workspaces.
+//! * `replicas`: the routes, and which upstreams have a free slot.
+//! * `attempts`: starting requests at upstreams and handling their outcomes. [`budget`] limits the
+//!   retries added to the traffic.
+//! * `forecast`: when requests for a model can start. `refusals` refuses requests that would start
+//!   too late.
+//! * `reports`: demand and usage reports to controllers.
 
 mod admission;
 mod attempts;
@@ -40,14 +40,14 @@
 use std::collections::{HashMap, HashSet};
 use waiters::Waiters;
 
-/// Time for a refusal to travel to the caller before its deadline.
+/// Time before a request's deadline that is reserved for the answer to reach the caller.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(50);
-/// Priority of a request that policy gives none.
+/// Priority of a request if neither the caller nor a policy sets one.
 const DEFAULT_PRIORITY: u32 = 100;
-/// Retry hint when a queue is full or a cap is reached.
+/// Retry-after hint when a queue is full or a cap is reached.
 const BUSY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Decides for one router.
+/// The decision state of one router.
 #[derive(Debug)]
 pub struct RouterCore {
     router: Incarnation,
@@ -61,12 +61,13 @@
     models_in_use: HashSet<ModelName>,
     next_usage_report_at: Instant,
     draining: bool,
-    /// Until when the configuration counts as current; `None` without a bound.
+    /// The time until which the configuration counts as current; `None` means forever.
     config_current_until: Option<Instant>,
 }
 
 impl RouterCore {
-    /// A router that knows a catalog and no routes.
+    /// Returns a router with this catalog and without routes. `router` also seeds its random
+    /// choices.
     pub fn new(router: Incarnation, catalog: Arc<Catalog>, now: Instant) -> Self {
         Self {
             router,
@@ -84,52 +85,54 @@
         }
     }
 
-    /// Takes over a newer catalog.
+    /// Replaces the catalog unless the new one has an older revision.
     pub fn use_catalog(&mut self, catalog: Arc<Catalog>) {
         if catalog.revision >= self.catalog.revision {
             self.catalog = catalog;
         }
     }
 
-    /// The catalog in force.
+    /// Returns the catalog in use.
     pub fn catalog(&self) -> &Arc<Catalog> {
         &self.catalog
     }
 
-    /// So many routers are listed_count, and may share the upstreams before controllers know them.
-    /// Until a moment they are taken to be there: routers of a fleet that starts would each
-    /// take an upstream for their own, be turned away by the other routers' requests, and
-    /// spend their retries on that.
+    /// Assumes until `until` that at least `listed_count` routers share the upstreams, even if
+    /// controllers know fewer.
+    ///
+    /// When a fleet starts, controllers do not know all routers yet. Without the assumption each
+    /// router would use all slots of an upstream, be turned away because of the other routers'
+    /// requests and spend its retry budget on that.
     pub fn assume_listed_routers(&mut self, listed_count: u32, until: Instant) {
         self.replicas.assume_listed_routers(listed_count, until);
     }
 
-    /// How many routers share the upstreams, as controllers know them.
+    /// Sets how many routers share the upstreams, as reported by controllers.
     pub fn set_router_count(&mut self, known_count: u32, now: Instant) {
         self.replicas.set_router_count(known_count, now);
     }
 
-    /// Stops taking new requests; those that wait or run go on.
+    /// Stops accepting new requests. Waiting and running requests continue.
     pub fn drain(&mut self) {
         self.draining = true;
     }
 
-    /// Records until when the configuration counts as current.
+    /// Sets the time until which the configuration counts as current.
     pub fn set_config_current_until(&mut self, until: Instant) {
         self.config_current_until = Some(until);
     }
 
-    /// Requests that wait or run.
+    /// Returns the number of requests that wait or run.
     pub fn in_progress(&self) -> usize {
         self.attempts.len() + self.waiting()
     }
 
-    /// Requests that wait.
+    /// Returns the number of requests that wait.
     pub fn waiting(&self) -> usize {
         self.waiters.len()
     }
 
-    /// Takes a request in: it starts, waits, or is refused.
+    /// Accepts a request, which starts or waits, or refuses it.
     pub fn handle_arrival(&mut self, now: Instant, arrival: &Arrival) -> Vec<RouterAction> {
         let mut actions = Vec::new();
         let request = arrival.request;
@@ -144,7 +147,7 @@
         actions
     }
 
-    /// When a request that joins the model's queue now is expected to start.
+    /// Returns when a request that joins the model's queue now is expected to start.
     fn expected_start(&self, now: Instant, model: &str) -> Instant {
         let slots = self.replicas.total_slots(&self.catalog, model);
         let ahead = self.waiters.count_for_model(model);
@@ -157,14 +160,14 @@
         self.waiters.add(model, waiting, share);
     }
 
-    /// The caller of a waiting request went away.
+    /// Removes a waiting request whose caller has disconnected.
     pub fn abandon(&mut self, request: RequestId) {
         self.waiters.remove_request(request);
     }
 
-    /// Takes in where requests may be sent.
+    /// Applies a change of the routing table of `cell`.
     ///
-    /// `cell_models` tells which models a whole table speaks for.
+    /// A snapshot replaces the routes of all models of `cell`.
     pub fn apply_route_change(
         &mut self,
         now: Instant,
@@ -176,7 +179,7 @@
             self.replicas.remove_routes_where(|model| {
                 catalog.models.get(model).is_none_or(|m| &*m.cell == cell)
             });
-            // A new table may come from a new holder, which knows no demand yet.
+            // The snapshot may come from a new holder, which has not received any demand.
             self.sent_demands.clear();
         }
         for (model, upstream) in &change.removed {
@@ -192,7 +195,7 @@
         actions
     }
 
-    /// Takes in the controller's answer to a demand.
+    /// Handles the controller's answer to a demand.
     pub fn handle_verdict(
         &mut self,
         now: Instant,
@@ -205,7 +208,7 @@
                 self.forecast.set_ready_at(model, ready_at);
                 self.refuse_unreachable(now, model, &mut actions);
             }
-            // The answer to a demand of before the route was known_count.
+            // Ignored: the refusal answers a demand that was sent before the route was known.
             DemandVerdict::Refused { .. } if self.replicas.has_route(model) => {}
             DemandVerdict::Refused { code, retry_at } => {
                 let refusal = Refusal::new(code, "the model is asleep and cannot be woken")
@@ -218,7 +221,7 @@
         actions
     }
 
-    /// Does what time brings: refusals, retries after a block, repeated demands, reports of use.
+    /// Does what is due: refusals, retries after a backoff, repeated demands and usage reports.
     pub fn tick(&mut self, now: Instant) -> Vec<RouterAction> {
         let mut actions = Vec::new();
         for model in self.waiters.models() {
@@ -233,7 +236,7 @@
     }
 }
 
-/// Takes one off a count and removes it at zero.
+/// Decrements the count of a key and removes the key at zero.
 fn decrement(counts: &mut HashMap<Arc<str>, u32>, key: &Arc<str>) {
     if let Some(count) = counts.get_mut(key) {
         *count = count.saturating_sub(1);
--- a/crates/decide/src/router/admission.rs
+++ b/crates/decide/src/router/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a request is taken in at all.
+//! Admission: whether a request is accepted.
 
 use super::queue::WaitingRequest;
 use super::{Arrival, BUSY_RETRY_AFTER, DEADLINE_MARGIN, DEFAULT_PRIORITY, RouterCore};
@@ -6,43 +6,45 @@
 use passway_types::prelude::*;
 
 impl RouterCore {
-    /// Whether this instance takes new work at all.
+    /// Checks whether this router accepts new requests.
     ///
     /// # Errors
-    /// The refusal that any new request gets.
+    /// The refusal for every new request, while the router drains or its configuration is out of
+    /// date.
     pub fn check_serving(&self, now: Instant) -> Result<(), Refusal> {
         if self.draining {
             let refusal = Refusal::new(ResultCode::Draining, "this instance is leaving");
             return Err(refusal.retry_after(Duration::ZERO));
         }
-        let bounded = self.config_current_until;
-        if bounded.is_some_and(|until| now >= until || self.catalog.revision == 0) {
+        let current_until = self.config_current_until;
+        if current_until.is_some_and(|until| now >= until || self.catalog.revision == 0) {
             let refusal = Refusal::new(ResultCode::ConfigStale, "no word of the configuration");
             return Err(refusal.retry_after(BUSY_RETRY_AFTER));
         }
         Ok(())
     }
 
-    /// Resolves a request's names and rules on it.
+    /// Resolves the names in a request and applies the policy to it.
     pub(super) fn admit(
         &mut self,
         now: Instant,
         arrival: &Arrival,
     ) -> Result<(ModelName, WaitingRequest), Refusal> {
         self.check_serving(now)?;
-        let unknown = || Refusal::new(ResultCode::UnknownModel, arrival.model.clone());
+        let unknown_model = || Refusal::new(ResultCode::UnknownModel, arrival.model.clone());
         let model = self
             .catalog
             .resolve(&arrival.model)
-            .ok_or_else(unknown)?
+            .ok_or_else(unknown_model)?
             .name
             .clone();
-        let unknown = || Refusal::new(ResultCode::UnknownWorkspace, arrival.workspace.clone());
+        let unknown_workspace =
+            || Refusal::new(ResultCode::UnknownWorkspace, arrival.workspace.clone());
         let workspace = self
             .catalog
             .workspaces
             .get(arrival.workspace.as_str())
-            .ok_or_else(unknown)?;
+            .ok_or_else(unknown_workspace)?;
         if self.waiters.count_of_workspace(&workspace.name) >= workspace.max_waiting {
             return Err(Refusal::new(
                 ResultCode::QueueFull,
@@ -75,7 +77,7 @@
         Ok((model, waiting))
     }
 
-    /// Refuses at once what is known not to be served in time.
+    /// Refuses a request that is known not to start in time.
     fn check_reachable(
         &mut self,
         now: Instant,
--- a/crates/decide/src/router/events.rs
+++ b/crates/decide/src/router/events.rs
@@ -1,70 +1,70 @@
-//! What a router's decisions are sent, and what they ask for.
+//! Inputs and outputs of a router's decisions.
 
 use crate::messages::{Demand, Usage};
 use passway_types::prelude::*;
 
-/// A request as it arrives.
+/// A request that has arrived.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// Its number.
+    /// The request's number, unique within the router.
     pub request: RequestId,
     /// The model, adapter or alias that the caller names.
     pub model: String,
     /// The caller's workspace.
     pub workspace: String,
-    /// The kind that the caller names, or empty.
+    /// The request kind given by the caller, or empty.
     pub kind: String,
-    /// The priority that the caller asks for within its workspace.
+    /// The priority that the caller requests within its workspace.
     pub priority: Option<u32>,
-    /// The caller's deadline; `None` takes the workspace's default.
+    /// The caller's deadline; `None` means the workspace's default.
     pub deadline_at: Option<Instant>,
 }
 
-/// How an attempt at an upstream ended.
+/// The outcome of an attempt at an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The whole answer was passed on.
+    /// The complete answer was forwarded to the caller.
     Served {
         /// Tokens in the answer.
         tokens: u32,
     },
-    /// The connection was refused: nothing reached the upstream.
+    /// The connection was refused; nothing reached the upstream.
     Unreachable,
-    /// The upstream does not hold the model: nothing ran.
+    /// The upstream does not have the model; nothing ran.
     NotLoaded,
-    /// The upstream has no slot free: nothing ran.
+    /// The upstream has no free slot; nothing ran.
     Busy,
-    /// The upstream failed; the request may go on elsewhere.
+    /// The upstream failed after it may have run the request. The request may be retried elsewhere.
     Failed,
-    /// The caller went away, or the deadline passed.
+    /// The caller disconnected or the deadline passed.
     Abandoned,
 }
 
-/// Something for the router's program to do.
+/// An action for the router program to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RouterAction {
     /// Send the request to an upstream.
     Start {
-        /// Which request.
+        /// The request's number.
         request: RequestId,
-        /// Where to.
+        /// The upstream to send to.
         upstream: UpstreamId,
         /// The resolved model.
         model: ModelName,
         /// The request's deadline.
         deadline_at: Instant,
-        /// The priority that policy gives it.
+        /// The priority that the policy assigns.
         priority: u32,
     },
-    /// Answer the request for good.
+    /// Send the caller a final refusal.
     Refuse {
-        /// Which request.
+        /// The request's number.
         request: RequestId,
-        /// The answer.
+        /// The refusal to send.
         refusal: Refusal,
     },
-    /// Tell the cell's controller.
+    /// Send a demand to the controller of the model's cell.
     Demand(Demand),
-    /// Tell the cell's controller.
+    /// Send a usage report to the controller of the model's cell.
     Usage(Usage),
 }
--- a/crates/decide/src/router/queue.rs
+++ b/crates/decide/src/router/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for one model.
+//! The queue of requests that wait for one model.
 
 use super::fair_share::TokenCounters;
 use passway_types::prelude::*;
@@ -7,29 +7,29 @@
 /// A request that waits.
 #[derive(Debug, Clone)]
 pub struct WaitingRequest {
-    /// Its number.
+    /// The request's number.
     pub request: RequestId,
     /// The caller's workspace.
     pub workspace: WorkspaceName,
-    /// The priority that the caller asks for; orders requests within the workspace.
+    /// The priority that the caller requests. It orders requests within the workspace.
     pub requested_priority: u32,
-    /// The priority that policy gives; orders requests across workspaces.
+    /// The priority that the policy assigns. It orders requests across workspaces.
     pub priority: u32,
     /// The caller's deadline.
     pub deadline_at: Instant,
-    /// When it is refused if it still waits; at max_running the deadline.
+    /// The time at which the request is refused if it still waits; at most the deadline.
     pub give_up_at: Instant,
-    /// Most requests of the workspace that run at one time.
+    /// Maximum number of requests of the workspace that may run at once.
     pub max_running: Option<u32>,
     /// Whether an earlier attempt may have reached an upstream.
     pub may_have_run: bool,
 }
 
 impl WaitingRequest {
-    /// The final answer when the request is given up for the reason of `refusal`.
+    /// Returns the answer to the caller when the request is given up with `refusal`.
     ///
-    /// A reason that says "not run" speaks of the last attempt alone; if an
-    /// earlier one may have reached an upstream, the answer must say "unknown".
+    /// A "not run" refusal describes the last attempt only. If an earlier attempt may have reached
+    /// an upstream, the answer says "unknown" instead.
     pub fn final_refusal(&self, refusal: Refusal) -> Refusal {
         if !self.may_have_run || refusal.code.ran() != Ran::NotRun {
             return refusal;
@@ -46,20 +46,20 @@
     }
 }
 
-/// Order within one workspace: policy's priority, asked priority, deadline, arrival.
+/// Order within a workspace: policy priority, requested priority, time to give up, request number.
 type WorkspaceKey = (u32, u32, Instant, RequestId);
 
-/// Where a request stands; a smaller position goes first.
+/// Position of a request; a smaller position starts first.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueuePosition {
     priority: u32,
-    /// Weighted tokens that the workspace has been served, in thousandths.
+    /// Served tokens of the workspace divided by its share, in thousandths of a token.
     served_milli_tokens: u64,
     key: WorkspaceKey,
     workspace: WorkspaceName,
 }
 
-/// The queue of one model.
+/// The waiting requests for one model.
 #[derive(Debug, Default)]
 pub struct ModelQueue {
     workspaces: HashMap<WorkspaceName, BTreeMap<WorkspaceKey, WaitingRequest>>,
@@ -78,18 +78,19 @@
             .insert(key, waiting);
     }
 
-    /// How many wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.by_request.len()
     }
 
-    /// Whether none waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.by_request.is_empty()
     }
 
-    /// The request that goes first: by priority, then the workspace that was served
-    /// least for its share, then the workspace's own order.
+    /// Returns the position of the request that starts first: by priority, then by the workspace
+    /// with the fewest served tokens for its share, then by the order within the workspace. Only
+    /// the first request of each workspace is considered.
     pub fn next_to_start(
         &self,
         shares: &TokenCounters,
@@ -110,13 +111,14 @@
             .min()
     }
 
-    /// The request with the earliest time to give up.
+    /// Returns the request with the earliest time to give up.
     pub fn earliest_to_give_up(&self) -> Option<&WaitingRequest> {
         let all = self.workspaces.values().flat_map(BTreeMap::values);
         all.min_by_key(|waiting| waiting.give_up_at)
     }
 
-    /// The position of a request.
+    /// Returns the position of a request. The served tokens are left at 0; removal does not use
+    /// them.
     pub fn position_of(&self, request: RequestId) -> Option<QueuePosition> {
         let (workspace, key) = self.by_request.get(&request)?;
         Some(QueuePosition {
@@ -127,7 +129,7 @@
         })
     }
 
-    /// The positions of all requests that match.
+    /// Returns the positions of all requests that match.
     pub fn positions(&self, matches: impl Fn(&WaitingRequest) -> bool) -> Vec<QueuePosition> {
         let all = self.workspaces.values().flat_map(BTreeMap::values);
         all.filter(|waiting| matches(waiting))
@@ -135,7 +137,7 @@
             .collect()
     }
 
-    /// Takes a request out.
+    /// Removes and returns a request.
     pub fn remove(&mut self, position: &QueuePosition) -> Option<WaitingRequest> {
         let workspace = self.workspaces.get_mut(&position.workspace)?;
         let waiting = workspace.remove(&position.key)?;
--- a/crates/decide/src/router/refusals.rs
+++ b/crates/decide/src/router/refusals.rs
@@ -1,11 +1,11 @@
-//! Giving up requests that wait.
+//! Refusal of waiting requests.
 
 use super::queue::WaitingRequest;
 use super::{BUSY_RETRY_AFTER, DEADLINE_MARGIN, RouterAction, RouterCore};
 use passway_types::prelude::*;
 
 impl RouterCore {
-    /// Refuses every waiting request that has waited until its time to give up.
+    /// Refuses every waiting request whose time to give up has come.
     pub(super) fn refuse_expired(
         &mut self,
         now: Instant,
@@ -18,11 +18,11 @@
             .max(BUSY_RETRY_AFTER);
         let refusal =
             Refusal::new(ResultCode::DeadlinePassed, "waited until the deadline").retry_after(wait);
-        let due = |waiting: &WaitingRequest| now + DEADLINE_MARGIN >= waiting.give_up_at;
-        self.refuse_matching(model, due, &refusal, actions);
+        let is_expired = |waiting: &WaitingRequest| now + DEADLINE_MARGIN >= waiting.give_up_at;
+        self.refuse_matching(model, is_expired, &refusal, actions);
     }
 
-    /// Refuses at once every waiting request whose deadline lies before the expected start.
+    /// Refuses every waiting request that must give up before the expected start.
     pub(super) fn refuse_unreachable(
         &mut self,
         now: Instant,
@@ -36,8 +36,9 @@
             return;
         };
         let refusal = deadline_unreachable(now, ready_at);
-        let too_late = |waiting: &WaitingRequest| ready_at + DEADLINE_MARGIN > waiting.give_up_at;
-        self.refuse_matching(model, too_late, &refusal, actions);
+        let is_too_late =
+            |waiting: &WaitingRequest| ready_at + DEADLINE_MARGIN > waiting.give_up_at;
+        self.refuse_matching(model, is_too_late, &refusal, actions);
     }
 
     /// Refuses the waiting requests for a model that match.
@@ -57,7 +58,7 @@
     }
 }
 
-/// The refusal of a request that would start after its deadline.
+/// Returns the refusal for a request that would start after its deadline.
 pub(super) fn deadline_unreachable(now: Instant, start_at: Instant) -> Refusal {
     let wait = start_at.saturating_duration_since(now);
     let detail = format!("expected to start in {} ms", wait.as_millis());
--- a/crates/decide/src/router/reports.rs
+++ b/crates/decide/src/router/reports.rs
@@ -1,14 +1,14 @@
-//! What a router tells controllers: demands, coalesced per model, and use.
+//! Reports to controllers: demands, merged per model, and usage.
 
 use super::{DEFAULT_PRIORITY, RouterAction, RouterCore};
 use crate::messages::{Demand, Usage};
 use passway_types::prelude::*;
 
-/// Shortest pause between two demands for one model.
+/// Minimum interval between two demands for one model.
 const MIN_DEMAND_INTERVAL: Duration = Duration::from_millis(100);
-/// An unanswered or listing demand is repeated after this time.
+/// Interval after which an unchanged demand is sent again.
 const DEMAND_REPEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// Pause between two reports of use for a model in use.
+/// Interval between usage reports for the models in use.
 const USAGE_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The last demand sent to the controller for a model.
@@ -20,7 +20,7 @@
 }
 
 impl RouterCore {
-    /// Tells the controller of models that are waited for and have no replica with room.
+    /// Sends demands for the models that requests wait for, and withdraws those that are satisfied.
     pub(super) fn send_demands(&mut self, now: Instant, actions: &mut Vec<RouterAction>) {
         let satisfied: Vec<ModelName> = self
             .sent_demands
@@ -52,9 +52,9 @@
         let earliest_deadline_at = first.give_up_at;
         if let Some(sent) = self.sent_demands.get(model) {
             let elapsed = now.saturating_duration_since(sent.at);
-            let changed = waiting > sent.waiting.saturating_mul(2)
+            let has_changed = waiting > sent.waiting.saturating_mul(2)
                 || earliest_deadline_at < sent.earliest_deadline_at;
-            if elapsed < MIN_DEMAND_INTERVAL || (!changed && elapsed < DEMAND_REPEAT_INTERVAL) {
+            if elapsed < MIN_DEMAND_INTERVAL || (!has_changed && elapsed < DEMAND_REPEAT_INTERVAL) {
                 return;
             }
         }
@@ -103,7 +103,7 @@
             };
             actions.push(RouterAction::Usage(usage));
         }
-        // A model with requests in progress is in use until they end.
+        // A model stays in use until its running requests end.
         self.models_in_use.extend(self.attempts.models().cloned());
     }
 }
--- a/crates/decide/src/router/waiters.rs
+++ b/crates/decide/src/router/waiters.rs
@@ -1,4 +1,4 @@
-//! All requests that wait at one router, by model, and the shares of their workspaces.
+//! All requests that wait at one router, by model, and the token counters of their workspaces.
 
 use super::fair_share::TokenCounters;
 use super::queue::{ModelQueue, QueuePosition, WaitingRequest};
@@ -9,28 +9,28 @@
 #[derive(Debug, Default)]
 pub(super) struct Waiters {
     queues: BTreeMap<ModelName, ModelQueue>,
-    /// How many requests of each workspace wait.
+    /// Number of waiting requests per workspace.
     by_workspace: HashMap<WorkspaceName, u32>,
     shares: TokenCounters,
 }
 
 impl Waiters {
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     pub(super) fn len(&self) -> usize {
         self.queues.values().map(ModelQueue::len).sum()
     }
 
-    /// Requests that wait for a model.
+    /// Returns the number of requests that wait for a model.
     pub(super) fn count_for_model(&self, model: &str) -> usize {
         self.queues.get(model).map_or(0, ModelQueue::len)
     }
 
-    /// Requests of a workspace that wait.
+    /// Returns the number of waiting requests of a workspace.
     pub(super) fn count_of_workspace(&self, workspace: &str) -> u32 {
         self.by_workspace.get(workspace).copied().unwrap_or(0)
     }
 
-    /// Models that are waited for.
+    /// Returns the models that requests wait for.
     pub(super) fn models(&self) -> Vec<ModelName> {
         self.queues.keys().cloned().collect()
     }
@@ -40,14 +40,14 @@
         self.queues.contains_key(model)
     }
 
-    /// The request for a model with the earliest time to give up.
+    /// Returns the request for a model with the earliest time to give up.
     pub(super) fn earliest_to_give_up(&self, model: &str) -> Option<&WaitingRequest> {
         self.queues
             .get(model)
             .and_then(ModelQueue::earliest_to_give_up)
     }
 
-    /// A request begins to wait; `share` is that of its workspace.
+    /// Adds a request; `share` is the share of its workspace.
     pub(super) fn add(&mut self, model: ModelName, waiting: WaitingRequest, share: u32) {
         *self
             .by_workspace
@@ -57,7 +57,7 @@
         self.queues.entry(model).or_default().push(waiting);
     }
 
-    /// Takes a request out.
+    /// Removes and returns the request at a position in a model's queue.
     pub(super) fn remove(
         &mut self,
         model: &ModelName,
@@ -77,7 +77,7 @@
         Some(waiting)
     }
 
-    /// Takes out all requests for a model that match.
+    /// Removes and returns all matching requests for a model.
     pub(super) fn remove_matching(
         &mut self,
         model: &ModelName,
@@ -91,7 +91,7 @@
         removed.collect()
     }
 
-    /// Takes out a request whose model is not known.
+    /// Removes a request by its number alone.
     pub(super) fn remove_request(&mut self, request: RequestId) {
         let found = self.queues.iter().find_map(|(model, queue)| {
             queue
@@ -103,7 +103,8 @@
         }
     }
 
-    /// The request that goes first among the models and requests that may run.
+    /// Returns the request that starts first, among the models and requests that are allowed to
+    /// start.
     pub(super) fn next_to_start(
         &self,
         model_may_run: impl Fn(&ModelName) -> bool,
@@ -117,14 +118,17 @@
             let Some(position) = queue.next_to_start(&self.shares, &is_allowed) else {
                 continue;
             };
-            if best.as_ref().is_none_or(|(_, first)| position < *first) {
+            if best
+                .as_ref()
+                .is_none_or(|(_, best_position)| position < *best_position)
+            {
                 best = Some((model, position));
             }
         }
         best.map(|(model, position)| (model.clone(), position))
     }
 
-    /// Charges tokens to a workspace; a negative number corrects an earlier guess.
+    /// Charges tokens to a workspace. A negative number corrects an earlier estimate.
     pub(super) fn charge(&mut self, workspace: &str, tokens: i64) {
         self.shares.charge(workspace, tokens);
     }
--- a/crates/standins/src/bin/passway-slopes/cell.rs
+++ b/crates/standins/src/bin/passway-slopes/cell.rs
@@ -120,11 +120,9 @@
 }
 
 /// What follows an action where nothing fails; `version` is that of the last write.
-fn answer(action: Action, until_at: Instant, version: Version) -> Option<Event> {
+fn answer(action: Action, valid_until: Instant, version: Version) -> Option<Event> {
     match action {
-        Action::AcquireLease => Some(Event::LeaseGranted {
-            valid_until: until_at,
-        }),
+        Action::AcquireLease => Some(Event::LeaseGranted { valid_until }),
         Action::ReadPlan => Some(Event::PlanRead {
             version: 0,
             plan: None,
