--- a/tests/all/cell_faults.rs
+++ b/tests/all/cell_faults.rs
@@ -1,8 +1,9 @@
-//! Replica counts and memory stay exact under faults drawn at random.
+//! Randomized fault test of a cell: replica counts and memory must stay exact while controllers,
+//! engines and the key-value service fail.
 //!
-//! `PASSWAY_FAULT_RUNS` sets the number of runs, `PASSWAY_FAULT_SEED` the first seed.
+//! `PASSWAY_FAULT_RUNS` sets the number of runs and `PASSWAY_FAULT_SEED` the first seed.
 
-use crate::cell_world::{CellWorld, Chances};
+use crate::cell_world::{CellWorld, FaultChances};
 use crate::support::FaultRuns;
 use passway_config::Document;
 use passway_config::document::{
@@ -16,9 +17,10 @@
 const DEFAULT_RUNS: u64 = 1_000;
 const NODES: usize = 3;
 const MODELS: usize = 5;
-const CALM: Duration = Duration::from_secs(30);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Three engines with room for two models and a bit each, five models, two adapters.
+/// Three engines, five models and two adapters; each engine has memory for two models and both
+/// adapters.
 fn document(rng: &mut ChaCha8Rng) -> Document {
     let upstreams = (0..3).map(|number| UpstreamEntry {
         id: format!("engine{number}"),
@@ -66,15 +68,15 @@
     }
 }
 
-/// One fault, or none.
-fn disturb(world: &mut CellWorld, rng: &mut ChaCha8Rng) {
+/// Injects one random fault, or none.
+fn inject_fault(world: &mut CellWorld, rng: &mut ChaCha8Rng) {
     let node = rng.random_range(0..NODES);
     match rng.random_range(0..14) {
         0 => world.kill(node),
         1 => world.restart(node),
         2 => world.pause(node, Duration::from_millis(rng.random_range(100..8_000))),
-        3 => world.store.down = true,
-        4 | 5 => world.store.down = false,
+        3 => world.store.is_down = true,
+        4 | 5 => world.store.is_down = false,
         6 => world.restart_engine(rng.random_range(0..3)),
         7 => {
             let listing = [
@@ -88,20 +90,20 @@
     }
 }
 
-fn disturbed_run(seed: u64) -> CellWorld {
+fn run_with_faults(seed: u64) -> CellWorld {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let document = document(&mut rng);
-    let mut chance = |most| rng.random_range(0..=most);
-    let chances = Chances {
-        lose_write_answer: chance(20),
-        delay_write: chance(10),
-        lose_order_answer: chance(20),
-        delay_order: chance(20),
-        hold_order: chance(8),
+    let mut draw_chance = |max| rng.random_range(0..=max);
+    let fault_chances = FaultChances {
+        lose_write_answer: draw_chance(20),
+        delay_write: draw_chance(10),
+        lose_order_answer: draw_chance(20),
+        delay_order: draw_chance(20),
+        hold_order: draw_chance(8),
     };
-    let mut world = CellWorld::new(seed, NODES, &document, chances);
+    let mut world = CellWorld::new(seed, NODES, &document, fault_chances);
     for _ in 0..60 {
-        disturb(&mut world, &mut rng);
+        inject_fault(&mut world, &mut rng);
         if rng.random_bool(0.5) {
             world.demand(
                 &random_model(&mut rng),
@@ -114,10 +116,10 @@
     world
 }
 
-/// After the faults end, a model that is asked for is served again.
+/// Ends all faults and returns whether a demanded model is served again in time.
 fn recovers(world: &mut CellWorld) -> bool {
-    world.store.down = false;
-    world.chances = Chances::default();
+    world.store.is_down = false;
+    world.fault_chances = FaultChances::default();
     for engine in 0..3 {
         world.set_listing(engine, ListingState::Listed);
     }
@@ -126,7 +128,7 @@
             world.restart(node);
         }
     }
-    let steps = CALM.as_millis() / 500;
+    let steps = RECOVERY_TIMEOUT.as_millis() / 500;
     for _ in 0..steps {
         world.demand("m3@1", 1, Duration::from_secs(10));
         world.run(Duration::from_millis(500));
@@ -138,41 +140,41 @@
 }
 
 #[test]
-fn exact_under_faults() {
+fn counts_and_memory_exact_under_faults() {
     let runs = FaultRuns::from_environment(DEFAULT_RUNS);
-    let mut broken = Vec::new();
-    let mut stuck = Vec::new();
+    let mut violations = Vec::new();
+    let mut stuck_seeds = Vec::new();
     let mut loads = 0;
     for seed in runs.seeds() {
-        let mut world = disturbed_run(seed);
-        let recovered = recovers(&mut world);
+        let mut world = run_with_faults(seed);
+        let has_recovered = recovers(&mut world);
         loads += world
             .engines
             .iter()
-            .flat_map(|engine| engine.loads.values())
+            .flat_map(|engine| engine.load_counts.values())
             .sum::<u32>();
         if let Some(violation) = world.violations.first() {
-            broken.push(format!("seed {seed}: {violation}"));
-        } else if !recovered {
-            stuck.push(seed);
+            violations.push(format!("seed {seed}: {violation}"));
+        } else if !has_recovered {
+            stuck_seeds.push(seed);
         }
     }
     println!(
         "{} runs, {loads} loads, {} broken, {} stuck",
         runs.count,
-        broken.len(),
-        stuck.len()
+        violations.len(),
+        stuck_seeds.len()
     );
-    runs.assert_none_broken(&broken);
+    runs.assert_none_broken(&violations);
     assert!(
-        stuck.is_empty(),
+        stuck_seeds.is_empty(),
         "{} of {} runs are stuck: {:?}",
-        stuck.len(),
+        stuck_seeds.len(),
         runs.count,
-        &stuck[..stuck.len().min(9)]
+        &stuck_seeds[..stuck_seeds.len().min(9)]
     );
     assert!(
         loads > u32::try_from(runs.count).expect("few"),
-        "the runs load too little to prove anything"
+        "too few loads happened for a meaningful test"
     );
 }
--- a/tests/all/cell_scenarios.rs
+++ b/tests/all/cell_scenarios.rs
@@ -1,7 +1,7 @@
 //! Scripted scenarios of a cell: `tests/all/scenarios/cell/*`.
 //!
-//! A script is a list of commands, each followed by `----` and what it prints;
-//! `REWRITE=1 cargo test cell_scenarios` blesses the outputs anew. Commands:
+//! A script is a list of commands, each followed by `----` and the expected output.
+//! `REWRITE=1 cargo test cell_scenarios` replaces the expected outputs. Commands:
 //!
 //! * `world nodes=N engines=N memory=MB fencing=ignores|forgets|keeps`
 //! * `demand model=NAME waiting=N deadline_ms=N`
@@ -12,9 +12,10 @@
 //! * `engine restart=N`
 //! * `upstream engine=N state=listed|leaving|gone`
 //! * `load ms=N`: how long loads take from now on
-//! * `show`: the leader, the plan, what engines hold, broken promises, last verdicts
+//! * `show`: the leader, the plan, the models on the engines, broken invariants, the latest
+//!   verdicts
 
-use crate::cell_world::{CellWorld, Chances};
+use crate::cell_world::{CellWorld, FaultChances};
 use datadriven::{TestCase, walk};
 use passway_config::Document;
 use passway_config::document::{
@@ -28,22 +29,22 @@
 const SEED: u64 = 7;
 
 #[test]
-fn scripts_hold() {
+fn scripts_print_expected_output() {
     walk("tests/all/scenarios/cell", |file| {
         let mut world = None;
         file.run(|case| {
             let mut case = case.clone();
-            run(&mut world, &mut case).expect("script")
+            run_command(&mut world, &mut case).expect("script")
         });
     });
 }
 
-fn run(
+fn run_command(
     world: &mut Option<CellWorld>,
     case: &mut TestCase,
 ) -> Result<String, datadriven::DataDrivenError> {
     if case.directive == "world" {
-        *world = Some(build(case)?);
+        *world = Some(build_world(case)?);
         return Ok(String::new());
     }
     let world = world.as_mut().expect("`world` comes first");
@@ -56,22 +57,22 @@
         }
         "run" => world.run(Duration::from_millis(case.take_arg("ms")?)),
         "pause" => {
-            let node = node(world, case)?;
+            let node = node_index(world, case)?;
             world.pause(node, Duration::from_millis(case.take_arg("ms")?));
         }
         "kill" => {
-            let node = node(world, case)?;
+            let node = node_index(world, case)?;
             world.kill(node);
         }
         "restart" => {
-            let node = node(world, case)?;
+            let node = node_index(world, case)?;
             world.restart(node);
         }
         "store" => {
             let state: String = case.take_arg("state")?;
-            world.store.down = state == "down";
+            world.store.is_down = state == "down";
         }
-        "chance" => chance(&mut world.chances, case)?,
+        "chance" => set_chance(&mut world.fault_chances, case)?,
         "load" => world.load_time = Duration::from_millis(case.take_arg("ms")?),
         "upstream" => {
             let state: String = case.take_arg("state")?;
@@ -89,7 +90,10 @@
     Ok(String::new())
 }
 
-fn node(world: &CellWorld, case: &mut TestCase) -> Result<usize, datadriven::DataDrivenError> {
+fn node_index(
+    world: &CellWorld,
+    case: &mut TestCase,
+) -> Result<usize, datadriven::DataDrivenError> {
     let text: String = case.take_arg("node")?;
     Ok(if text == "leader" {
         world.leader().expect("a leader")
@@ -98,22 +102,25 @@
     })
 }
 
-fn chance(chances: &mut Chances, case: &mut TestCase) -> Result<(), datadriven::DataDrivenError> {
-    let what: String = case.take_arg("what")?;
+fn set_chance(
+    fault_chances: &mut FaultChances,
+    case: &mut TestCase,
+) -> Result<(), datadriven::DataDrivenError> {
+    let chance_name: String = case.take_arg("what")?;
     let percent = case.take_arg("percent")?;
-    let chance = match what.as_str() {
-        "lose_write_answer" => &mut chances.lose_write_answer,
-        "delay_write" => &mut chances.delay_write,
-        "lose_order_answer" => &mut chances.lose_order_answer,
-        "delay_order" => &mut chances.delay_order,
-        "hold_order" => &mut chances.hold_order,
+    let chance = match chance_name.as_str() {
+        "lose_write_answer" => &mut fault_chances.lose_write_answer,
+        "delay_write" => &mut fault_chances.delay_write,
+        "lose_order_answer" => &mut fault_chances.lose_order_answer,
+        "delay_order" => &mut fault_chances.delay_order,
+        "hold_order" => &mut fault_chances.hold_order,
         other => panic!("unknown chance {other}"),
     };
     *chance = percent;
     Ok(())
 }
 
-fn build(case: &mut TestCase) -> Result<CellWorld, datadriven::DataDrivenError> {
+fn build_world(case: &mut TestCase) -> Result<CellWorld, datadriven::DataDrivenError> {
     let nodes = case.take_arg("nodes")?;
     let engines: usize = case.take_arg("engines")?;
     let memory_mb = case.take_arg("memory")?;
@@ -158,7 +165,12 @@
         },
         ..Document::default()
     };
-    Ok(CellWorld::new(SEED, nodes, &document, Chances::default()))
+    Ok(CellWorld::new(
+        SEED,
+        nodes,
+        &document,
+        FaultChances::default(),
+    ))
 }
 
 fn show(world: &mut CellWorld) -> String {
@@ -170,17 +182,17 @@
         .nodes
         .iter()
         .filter_map(|n| n.controller.as_ref()?.term());
-    let believers = terms.count();
-    writeln!(out, "leader {leader}, {believers} believe to lead").expect("string");
+    let leader_count = terms.count();
+    writeln!(out, "leader {leader}, {leader_count} believe to lead").expect("string");
     match &world.store.plan {
         None => writeln!(out, "no plan").expect("string"),
         Some((_, plan)) => {
-            let former: Vec<Epoch> = plan
+            let previous_epochs: Vec<Epoch> = plan
                 .previous_holders()
                 .iter()
-                .map(|former| former.epoch)
+                .map(|previous| previous.epoch)
                 .collect();
-            writeln!(out, "epoch {}, former {former:?}", plan.epoch).expect("string");
+            writeln!(out, "epoch {}, former {previous_epochs:?}", plan.epoch).expect("string");
             for p in plan.placements() {
                 writeln!(
                     out,
@@ -193,7 +205,7 @@
     }
     for (number, engine) in world.engines.iter().enumerate() {
         let held: Vec<&str> = engine.loaded.keys().map(|model| &**model).collect();
-        let loads: u32 = engine.loads.values().sum();
+        let loads: u32 = engine.load_counts.values().sum();
         writeln!(out, "engine{number} holds {held:?} after {loads} loads").expect("string");
     }
     if let Some(node) = world
--- a/tests/all/cell_world.rs
+++ b/tests/all/cell_world.rs
@@ -1,11 +1,12 @@
-//! Fakes at the interfaces of a cell's decisions, on a virtual clock.
+//! Simulation of one cell on a virtual clock: controllers with a fake key-value service and fake
+//! engines.
 //!
-//! The fake engines do not defend themselves: they load whatever arrives and
-//! is not fenced off. Whatever breaks a promise therefore shows.
+//! The fake engines check at most the fencing number and execute every other order, so that a wrong
+//! order shows up as a broken invariant.
 
 mod calls;
 mod engine;
-mod promises;
+mod invariants;
 mod store;
 
 use engine::{Engine, engine_id};
@@ -21,12 +22,12 @@
 use store::Store;
 
 const TICK: Duration = Duration::from_millis(50);
-const STATUS_PAUSE: Duration = Duration::from_millis(200);
-/// Longest time that a message is under way; the settle time of the controllers.
-pub const LONGEST_DELAY: Duration = Duration::from_secs(6);
-/// What goes wrong by chance, each in percent.
+const STATUS_INTERVAL: Duration = Duration::from_millis(200);
+/// Maximum time that a message is in flight, which is also the controllers' order settle time.
+pub const MAX_DELAY: Duration = Duration::from_secs(6);
+/// Probabilities of faults, in percent.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Chances {
+pub struct FaultChances {
     pub lose_write_answer: u32,
     pub delay_write: u32,
     pub lose_order_answer: u32,
@@ -34,7 +35,7 @@
     pub hold_order: u32,
 }
 
-/// A message under way.
+/// A message in flight.
 #[derive(Debug)]
 enum Message {
     ToNode {
@@ -50,17 +51,17 @@
         engine: usize,
         order: Order,
     },
-    /// An order that passed the check of its time and waits to be sent.
-    InHand {
+    /// An order of a node that stopped between the check of `not_after` and sending the order.
+    PausedOrder {
         node: usize,
         incarnation: Incarnation,
         order: Order,
     },
     Probe {
-        asker: usize,
-        asker_incarnation: Incarnation,
+        prober: usize,
+        prober_incarnation: Incarnation,
         epoch: Epoch,
-        former: Holder,
+        previous_holder: Holder,
     },
 }
 
@@ -69,78 +70,83 @@
     pub controller: Option<CellController>,
     pub incarnation: Incarnation,
     pub paused_until: Option<Instant>,
-    in_hand: Vec<Epoch>,
+    unanswered_epochs: Vec<Epoch>,
     pub routes: BTreeSet<(ModelName, UpstreamId)>,
     pub verdicts: Vec<(Instant, ModelName, DemandVerdict)>,
 }
 
-/// The world of one cell.
+/// The simulated cell.
 pub struct CellWorld {
     pub now: Instant,
-    start: Instant,
+    started_at: Instant,
     rng: ChaCha8Rng,
-    pub chances: Chances,
+    pub fault_chances: FaultChances,
     pub catalog: Arc<Catalog>,
     pub nodes: Vec<Node>,
     pub engines: Vec<Engine>,
     pub store: Store,
     pub load_time: Duration,
     queue: BTreeMap<(Instant, u64), Message>,
-    sent: u64,
-    started_nodes: u64,
-    status_at: Instant,
+    message_count: u64,
+    incarnation_count: u64,
+    next_status_at: Instant,
     pub violations: Vec<String>,
 }
 
 impl CellWorld {
-    pub fn new(seed: u64, nodes: usize, document: &Document, chances: Chances) -> Self {
+    pub fn new(seed: u64, nodes: usize, document: &Document, fault_chances: FaultChances) -> Self {
         let now = Instant::now();
         let catalog = Arc::new(Catalog::build(document, 1).expect("catalog"));
         let engines = document.upstreams.iter().map(Engine::new);
         let mut world = Self {
             now,
-            start: now,
+            started_at: now,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            chances,
+            fault_chances,
             catalog,
             nodes: Vec::new(),
             engines: engines.collect(),
             store: Store::default(),
             load_time: Duration::from_millis(400),
             queue: BTreeMap::new(),
-            sent: 0,
-            started_nodes: 0,
-            status_at: now,
+            message_count: 0,
+            incarnation_count: 0,
+            next_status_at: now,
             violations: Vec::new(),
         };
         for number in 0..nodes {
-            let node = world.fresh_node(number);
+            let node = world.new_node(number);
             world.nodes.push(node);
         }
         world
     }
 
-    fn fresh_node(&mut self, number: usize) -> Node {
-        self.started_nodes += 1;
-        let me = Holder {
+    fn new_node(&mut self, number: usize) -> Node {
+        self.incarnation_count += 1;
+        let holder = Holder {
             instance: format!("entry{number}").into(),
-            incarnation: self.started_nodes,
+            incarnation: self.incarnation_count,
             address: format!("10.0.0.{}:7000", number + 1)
                 .parse()
                 .expect("address"),
         };
         let limits = CellLimits {
             standby_poll_interval: Duration::from_millis(300),
-            order_settle_time: LONGEST_DELAY,
+            order_settle_time: MAX_DELAY,
             write_outage_after: Duration::from_millis(500),
         };
-        let controller =
-            CellController::new("main".into(), me, limits, self.catalog.clone(), self.now);
+        let controller = CellController::new(
+            "main".into(),
+            holder,
+            limits,
+            self.catalog.clone(),
+            self.now,
+        );
         Node {
             controller: Some(controller),
-            incarnation: self.started_nodes,
+            incarnation: self.incarnation_count,
             paused_until: None,
-            in_hand: Vec::new(),
+            unanswered_epochs: Vec::new(),
             routes: BTreeSet::new(),
             verdicts: Vec::new(),
         }
@@ -148,54 +154,55 @@
 
     pub fn kill(&mut self, node: usize) {
         self.nodes[node].controller = None;
-        self.nodes[node].in_hand.clear();
+        self.nodes[node].unanswered_epochs.clear();
     }
 
     pub fn restart(&mut self, node: usize) {
-        self.nodes[node] = self.fresh_node(node);
+        self.nodes[node] = self.new_node(node);
     }
 
-    pub fn pause(&mut self, node: usize, time: Duration) {
-        self.nodes[node].paused_until = Some(self.now + time);
+    pub fn pause(&mut self, node: usize, duration: Duration) {
+        self.nodes[node].paused_until = Some(self.now + duration);
     }
 
     pub fn restart_engine(&mut self, engine: usize) {
         self.engines[engine].restart();
     }
 
-    /// The platform takes an engine away with all that it holds, or brings it
-    /// back empty, and its list says so.
+    /// Removes an engine with all its models or brings it back empty, and notifies the controllers
+    /// of its state in the platform's list.
     pub fn set_listing(&mut self, number: usize, listing: ListingState) {
-        self.engines[number].set_gone(listing == ListingState::Removed);
+        self.engines[number].set_removed(listing == ListingState::Removed);
         let upstream = engine_id(number);
         for node in 0..self.nodes.len() {
-            let lag = self.delay(Duration::from_secs(2));
+            let delay = self.delay(Duration::from_secs(2));
             let upstream = upstream.clone();
-            self.post_event(
-                lag,
+            self.schedule_event(
+                delay,
                 node,
                 Event::UpstreamListingChanged { upstream, listing },
             );
         }
     }
 
-    fn chance(&mut self, percent: u32) -> bool {
+    fn draw_fault(&mut self, percent: u32) -> bool {
         self.rng.random_range(0..100) < percent
     }
 
-    fn delay(&mut self, most: Duration) -> Duration {
-        let most_ms = u64::try_from(most.as_millis()).expect("short");
-        Duration::from_millis(self.rng.random_range(1..=most_ms))
+    fn delay(&mut self, max: Duration) -> Duration {
+        let max_ms = u64::try_from(max.as_millis()).expect("short");
+        Duration::from_millis(self.rng.random_range(1..=max_ms))
     }
 
-    fn post(&mut self, delay: Duration, message: Message) {
-        self.sent += 1;
-        self.queue.insert((self.now + delay, self.sent), message);
+    fn schedule(&mut self, delay: Duration, message: Message) {
+        self.message_count += 1;
+        self.queue
+            .insert((self.now + delay, self.message_count), message);
     }
 
-    fn post_event(&mut self, delay: Duration, node: usize, event: Event) {
+    fn schedule_event(&mut self, delay: Duration, node: usize, event: Event) {
         let incarnation = self.nodes[node].incarnation;
-        self.post(
+        self.schedule(
             delay,
             Message::ToNode {
                 node,
@@ -205,9 +212,9 @@
         );
     }
 
-    /// Lets the time pass.
-    pub fn run(&mut self, time: Duration) {
-        let until = self.now + time;
+    /// Advances the virtual clock.
+    pub fn run(&mut self, duration: Duration) {
+        let until = self.now + duration;
         while self.now < until {
             let step_until = (self.now + TICK).min(until);
             while let Some(entry) = self.queue.first_entry() {
@@ -217,31 +224,34 @@
                 let ((at, _), message) = entry.remove_entry();
                 self.now = self.now.max(at);
                 self.deliver(message);
-                self.check();
+                self.check_invariants();
             }
             self.now = step_until;
             for node in 0..self.nodes.len() {
-                self.give(node, Event::Tick);
+                self.handle_event(node, Event::Tick);
             }
             self.poll_engines();
-            self.check();
+            self.check_invariants();
         }
     }
 
-    pub fn is_awake(&self, node: usize) -> bool {
+    pub fn is_running(&self, node: usize) -> bool {
         let node = &self.nodes[node];
         node.controller.is_some() && node.paused_until.is_none_or(|until| self.now >= until)
     }
 
-    fn give(&mut self, node: usize, event: Event) {
-        if !self.is_awake(node) {
+    fn handle_event(&mut self, node: usize, event: Event) {
+        if !self.is_running(node) {
             return;
         }
         if let Event::OrderAnswered { fence, .. } = &event {
             let epoch = fence_epoch(*fence);
-            let in_hand = &mut self.nodes[node].in_hand;
-            if let Some(place) = in_hand.iter().position(|held| *held == epoch) {
-                in_hand.remove(place);
+            let unanswered_epochs = &mut self.nodes[node].unanswered_epochs;
+            if let Some(index) = unanswered_epochs
+                .iter()
+                .position(|unanswered| *unanswered == epoch)
+            {
+                unanswered_epochs.remove(index);
             }
         }
         let now = self.now;
@@ -252,16 +262,16 @@
     }
 
     fn poll_engines(&mut self) {
-        if self.now < self.status_at {
+        if self.now < self.next_status_at {
             return;
         }
-        self.status_at = self.now + STATUS_PAUSE;
+        self.next_status_at = self.now + STATUS_INTERVAL;
         for node in 0..self.nodes.len() {
-            let leads = self.nodes[node]
+            let is_leader = self.nodes[node]
                 .controller
                 .as_ref()
                 .is_some_and(|c| c.term().is_some());
-            if !leads || !self.is_awake(node) {
+            if !is_leader || !self.is_running(node) {
                 continue;
             }
             for engine in 0..self.engines.len() {
@@ -272,8 +282,8 @@
                     polled_at: self.now,
                     status,
                 };
-                let lag = self.delay(Duration::from_millis(300));
-                self.post_event(lag, node, event);
+                let delay = self.delay(Duration::from_millis(300));
+                self.schedule_event(delay, node, event);
             }
         }
     }
@@ -289,9 +299,9 @@
                     return;
                 }
                 match self.nodes[node].paused_until {
-                    // A paused process finds what came when it wakes.
+                    // A paused process receives the event when it resumes.
                     Some(until) if self.now < until => {
-                        self.post(
+                        self.schedule(
                             until - self.now,
                             Message::ToNode {
                                 node,
@@ -300,29 +310,29 @@
                             },
                         );
                     }
-                    _ => self.give(node, event),
+                    _ => self.handle_event(node, event),
                 }
             }
             Message::Write { expected, plan } => drop(self.store.write(expected, *plan)),
-            Message::Order { engine, .. } if self.engines[engine].down => {}
-            Message::Order { engine, order } => drop(self.execute(engine, &order)),
-            Message::InHand {
+            Message::Order { engine, .. } if self.engines[engine].is_down => {}
+            Message::Order { engine, order } => drop(self.execute_order(engine, &order)),
+            Message::PausedOrder {
                 node,
                 incarnation,
                 order,
-            } => self.send(node, incarnation, order),
+            } => self.send_order(node, incarnation, order),
             Message::Probe {
-                asker,
-                asker_incarnation,
+                prober,
+                prober_incarnation,
                 epoch,
-                former,
+                previous_holder,
             } => {
-                self.probe(asker, asker_incarnation, epoch, &former);
+                self.answer_probe(prober, prober_incarnation, epoch, &previous_holder);
             }
         }
     }
 
-    /// Tells every awake controller of a demand.
+    /// Sends a demand to every running controller.
     pub fn demand(&mut self, model: &str, waiting: u32, deadline: Duration) {
         let demand = Demand {
             router: 1_000,
@@ -333,21 +343,21 @@
             priority: 100,
         };
         for node in 0..self.nodes.len() {
-            self.give(node, Event::Demand(demand.clone()));
+            self.handle_event(node, Event::Demand(demand.clone()));
         }
     }
 
     pub fn leader(&self) -> Option<usize> {
         (0..self.nodes.len()).find(|node| {
             let controller = self.nodes[*node].controller.as_ref();
-            self.is_awake(*node)
+            self.is_running(*node)
                 && controller
                     .and_then(CellController::term)
                     .is_some_and(|term| term.has_lease(self.now))
         })
     }
 
-    /// Whether the leader routes requests for the model.
+    /// Whether the leader has published a route for the model.
     pub fn is_served(&self, model: &str) -> bool {
         self.leader().is_some_and(|node| {
             self.nodes[node]
--- a/tests/all/cell_world/calls.rs
+++ b/tests/all/cell_world/calls.rs
@@ -1,8 +1,8 @@
-//! Calls of the nodes to the store, the engines and each other, and how they fail.
+//! Calls from the nodes to the store, the engines and each other, with injected failures.
 
 use super::engine::engine_number;
-use super::store::LEASE;
-use super::{CellWorld, LONGEST_DELAY, Message};
+use super::store::LEASE_TTL;
+use super::{CellWorld, MAX_DELAY, Message};
 use passway_decide::cell::{Action, Event};
 use passway_decide::messages::{Order, OrderAnswer, RouteChange, fence_epoch};
 use passway_decide::plan::{Holder, Plan};
@@ -11,36 +11,36 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl CellWorld {
-    /// Does what a node decided.
+    /// Carries out an action of a node.
     pub(super) fn perform(&mut self, node: usize, action: Action) {
-        let short = self.delay(Duration::from_millis(5));
+        let short_delay = self.delay(Duration::from_millis(5));
         match action {
             Action::AcquireLease => {
                 let event = self.store.acquire(self.now, self.nodes[node].incarnation);
-                self.post_event(short, node, event);
+                self.schedule_event(short_delay, node, event);
             }
             Action::RenewLease => {
                 let event = self.store.renew(self.now, self.nodes[node].incarnation);
-                self.post_event(short, node, event);
+                self.schedule_event(short_delay, node, event);
             }
             Action::ReleaseLease => {
                 self.store.release(self.nodes[node].incarnation);
             }
             Action::ReadPlan => {
                 let event = self.store.read();
-                self.post_event(short, node, event);
+                self.schedule_event(short_delay, node, event);
             }
-            Action::WritePlan { expected, plan } => self.write_call(node, expected, plan),
-            Action::SendOrder(order) => self.order_call(node, order),
+            Action::WritePlan { expected, plan } => self.write_plan(node, expected, plan),
+            Action::SendOrder(order) => self.dispatch_order(node, order),
             Action::ProbePreviousHolder { epoch, holder } => {
-                let asker_incarnation = self.nodes[node].incarnation;
+                let prober_incarnation = self.nodes[node].incarnation;
                 let probe = Message::Probe {
-                    asker: node,
-                    asker_incarnation,
+                    prober: node,
+                    prober_incarnation,
                     epoch,
-                    former: holder,
+                    previous_holder: holder,
                 };
-                self.post(short, probe);
+                self.schedule(short_delay, probe);
             }
             Action::PublishRoutes(change) => self.publish(node, &change),
             Action::AnswerDemand { model, verdict, .. } => {
@@ -62,28 +62,30 @@
         routes.extend(change.added.iter().cloned());
     }
 
-    fn write_call(&mut self, node: usize, expected: Version, plan: Box<Plan>) {
-        let short = self.delay(Duration::from_millis(5));
-        if self.store.down {
-            self.post_event(CALL_TIMEOUT, node, Event::WriteOutcomeUnknown);
-        } else if self.chance(self.chances.delay_write) {
-            let late = self.delay(LONGEST_DELAY);
-            self.post(late, Message::Write { expected, plan });
-            self.post_event(CALL_TIMEOUT, node, Event::WriteOutcomeUnknown);
+    fn write_plan(&mut self, node: usize, expected: Version, plan: Box<Plan>) {
+        let short_delay = self.delay(Duration::from_millis(5));
+        if self.store.is_down {
+            self.schedule_event(CALL_TIMEOUT, node, Event::WriteOutcomeUnknown);
+        } else if self.draw_fault(self.fault_chances.delay_write) {
+            let long_delay = self.delay(MAX_DELAY);
+            self.schedule(long_delay, Message::Write { expected, plan });
+            self.schedule_event(CALL_TIMEOUT, node, Event::WriteOutcomeUnknown);
         } else {
             let change = plan.last_change;
             let written = self.store.write(expected, *plan);
-            let lost = self.chance(self.chances.lose_write_answer);
+            let is_answer_lost = self.draw_fault(self.fault_chances.lose_write_answer);
             let event = match written {
-                Some(version) if !lost => Event::WriteDone { change, version },
+                Some(version) if !is_answer_lost => Event::WriteDone { change, version },
                 _ => Event::WriteOutcomeUnknown,
             };
-            self.post_event(short, node, event);
+            self.schedule_event(short_delay, node, event);
         }
     }
 
-    fn order_call(&mut self, node: usize, order: Order) {
-        self.nodes[node].in_hand.push(fence_epoch(order.fence));
+    fn dispatch_order(&mut self, node: usize, order: Order) {
+        self.nodes[node]
+            .unanswered_epochs
+            .push(fence_epoch(order.fence));
         let incarnation = self.nodes[node].incarnation;
         if self.now >= order.not_after {
             let (upstream, fence) = (order.upstream, order.fence);
@@ -92,44 +94,45 @@
                 fence,
                 answer: OrderAnswer::NotSent,
             };
-            self.post_event(Duration::ZERO, node, event);
-        } else if self.chance(self.chances.hold_order) {
-            // The check has passed; the process now stops for longer than its lease.
-            let pause = LEASE + self.delay(LEASE * 3);
+            self.schedule_event(Duration::ZERO, node, event);
+        } else if self.draw_fault(self.fault_chances.hold_order) {
+            // The order has passed the check of `not_after`; the process now pauses for longer than
+            // its lease.
+            let pause = LEASE_TTL + self.delay(LEASE_TTL * 3);
             self.pause(node, pause);
-            self.post(
+            self.schedule(
                 pause,
-                Message::InHand {
+                Message::PausedOrder {
                     node,
                     incarnation,
                     order,
                 },
             );
         } else {
-            self.send(node, incarnation, order);
+            self.send_order(node, incarnation, order);
         }
     }
 
-    /// An order leaves its node, unless the process that made it is gone.
-    pub(super) fn send(&mut self, node: usize, incarnation: Incarnation, order: Order) {
+    /// Sends an order, unless the process that made it has terminated.
+    pub(super) fn send_order(&mut self, node: usize, incarnation: Incarnation, order: Order) {
         if self.nodes[node].incarnation != incarnation || self.nodes[node].controller.is_none() {
             return;
         }
         let engine = engine_number(&order.upstream);
-        if self.engines[engine].down {
+        if self.engines[engine].is_down {
             let event = Event::OrderAnswered {
                 upstream: order.upstream,
                 fence: order.fence,
                 answer: OrderAnswer::NotSent,
             };
-            self.post_event(Duration::from_millis(1), node, event);
+            self.schedule_event(Duration::from_millis(1), node, event);
             return;
         }
         let (upstream, fence) = (order.upstream.clone(), order.fence);
-        let answer = if self.chance(self.chances.delay_order) {
-            let late = self.delay(LONGEST_DELAY);
-            self.post(late, Message::Order { engine, order });
-            self.post_event(
+        let answer = if self.draw_fault(self.fault_chances.delay_order) {
+            let long_delay = self.delay(MAX_DELAY);
+            self.schedule(long_delay, Message::Order { engine, order });
+            self.schedule_event(
                 CALL_TIMEOUT,
                 node,
                 Event::OrderAnswered {
@@ -140,13 +143,17 @@
             );
             return;
         } else {
-            self.execute(engine, &order)
+            self.execute_order(engine, &order)
         };
-        let lost = self.chance(self.chances.lose_order_answer);
-        let answer = if lost { OrderAnswer::Lost } else { answer };
-        let short = self.delay(Duration::from_millis(20));
-        self.post_event(
-            short,
+        let is_answer_lost = self.draw_fault(self.fault_chances.lose_order_answer);
+        let answer = if is_answer_lost {
+            OrderAnswer::Lost
+        } else {
+            answer
+        };
+        let short_delay = self.delay(Duration::from_millis(20));
+        self.schedule_event(
+            short_delay,
             node,
             Event::OrderAnswered {
                 upstream,
@@ -156,39 +163,41 @@
         );
     }
 
-    /// An order reaches its engine.
-    pub(super) fn execute(&mut self, engine: usize, order: &Order) -> OrderAnswer {
+    /// Executes an order that has reached its engine.
+    pub(super) fn execute_order(&mut self, engine: usize, order: &Order) -> OrderAnswer {
         self.engines[engine].execute(self.now, self.load_time, order)
     }
 
-    /// A node asks whether a former holder may still order.
-    pub(super) fn probe(
+    /// Answers the probe of a node whether a previous holder can still send orders.
+    pub(super) fn answer_probe(
         &mut self,
-        asker: usize,
-        asker_incarnation: Incarnation,
+        prober: usize,
+        prober_incarnation: Incarnation,
         epoch: Epoch,
-        former: &Holder,
+        previous_holder: &Holder,
     ) {
-        let number: usize = former.instance["entry".len()..].parse().expect("number");
-        if !self.is_awake(number) {
+        let number: usize = previous_holder.instance["entry".len()..]
+            .parse()
+            .expect("number");
+        if !self.is_running(number) {
             return;
         }
         let node = &self.nodes[number];
-        let leads = node
+        let is_leader = node
             .controller
             .as_ref()
             .and_then(|c| c.term())
             .is_some_and(|t| t.epoch() == epoch);
-        let may_order =
-            node.incarnation == former.incarnation && (leads || node.in_hand.contains(&epoch));
+        let may_order = node.incarnation == previous_holder.incarnation
+            && (is_leader || node.unanswered_epochs.contains(&epoch));
         if !may_order {
             let event = Event::PreviousHolderStopped(epoch);
             let message = Message::ToNode {
-                node: asker,
-                incarnation: asker_incarnation,
+                node: prober,
+                incarnation: prober_incarnation,
                 event,
             };
-            self.post(Duration::from_millis(2), message);
+            self.schedule(Duration::from_millis(2), message);
         }
     }
 }
--- a/tests/all/cell_world/engine.rs
+++ b/tests/all/cell_world/engine.rs
@@ -1,4 +1,4 @@
-//! A fake engine that does whatever is ordered and not fenced off.
+//! A fake engine that executes every order with a valid fencing number.
 
 use passway_config::document::{Fencing, UpstreamEntry};
 use passway_decide::messages::{
@@ -13,11 +13,11 @@
     highest_fence: Fence,
     boot: u64,
     pub memory_mb: u64,
-    /// Whether it answers nothing.
-    pub down: bool,
-    /// Size in MB and the moment at which it is ready, of each model.
+    /// Whether the engine answers nothing.
+    pub is_down: bool,
+    /// Size in MB of each model and the time at which it is ready.
     pub loaded: BTreeMap<ModelName, (u64, Instant)>,
-    pub loads: BTreeMap<ModelName, u32>,
+    pub load_counts: BTreeMap<ModelName, u32>,
 }
 
 impl Engine {
@@ -27,9 +27,9 @@
             highest_fence: 0,
             boot: 1,
             memory_mb: entry.memory_mb,
-            down: false,
+            is_down: false,
             loaded: BTreeMap::new(),
-            loads: BTreeMap::new(),
+            load_counts: BTreeMap::new(),
         }
     }
 
@@ -41,18 +41,18 @@
         }
     }
 
-    /// Takes it away with all that it holds, or brings it back empty.
-    pub fn set_gone(&mut self, gone: bool) {
-        self.down = gone;
-        if gone {
+    /// Removes the engine with all its models, or brings it back empty.
+    pub fn set_removed(&mut self, is_removed: bool) {
+        self.is_down = is_removed;
+        if is_removed {
             self.loaded.clear();
             self.boot += 1;
         }
     }
 
-    /// What it says of itself; `None` while it answers nothing.
+    /// Returns the status report; `None` while the engine is down.
     pub fn status(&self, now: Instant) -> Option<UpstreamStatus> {
-        if self.down {
+        if self.is_down {
             return None;
         }
         let loaded = self
@@ -101,7 +101,7 @@
         let size_mb = order.size_bytes >> 20;
         self.loaded
             .insert(order.model.clone(), (size_mb, now + load_time));
-        *self.loads.entry(order.model.clone()).or_default() += 1;
+        *self.load_counts.entry(order.model.clone()).or_default() += 1;
         OrderAnswer::Loading
     }
 }
--- a/tests/all/cell_world/promises.rs
+++ b/tests/all/cell_world/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold of the engines at every moment.
+//! Invariants of the engines that must always hold.
 
 use super::CellWorld;
 use super::engine::engine_id;
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 
 impl CellWorld {
-    /// Judges the promises: memory, replicas, nothing loaded that is not decided.
-    pub(super) fn check(&mut self) {
+    /// Checks memory, replica counts and that every loaded model is in the plan.
+    pub(super) fn check_invariants(&mut self) {
         let mut found = Vec::new();
         let mut replicas: BTreeMap<&ModelName, u32> = BTreeMap::new();
         for (number, engine) in self.engines.iter().enumerate() {
@@ -21,25 +21,25 @@
             for model in engine.loaded.keys() {
                 *replicas.entry(model).or_default() += 1;
                 let plan = self.store.plan.as_ref().map(|(_, plan)| plan);
-                let decided = plan.is_some_and(|p| p.find(model, &engine_id(number)).is_some());
-                if !decided {
-                    found.push(format!("{model} on engine{number} is not decided"));
+                let is_decided = plan.is_some_and(|p| p.find(model, &engine_id(number)).is_some());
+                if !is_decided {
+                    found.push(format!("{model} on engine{number} is not in the plan"));
                 }
             }
         }
         for (model, count) in replicas {
-            let most = self
+            let max_replicas = self
                 .catalog
                 .models
                 .get(model)
                 .map_or(0, |model| model.max_replicas);
-            if count > most {
+            if count > max_replicas {
                 found.push(format!(
-                    "{count} replicas of {model}, decided at most {most}"
+                    "{count} replicas of {model}, at most {max_replicas} are configured"
                 ));
             }
         }
-        let at_ms = (self.now - self.start).as_millis();
+        let at_ms = (self.now - self.started_at).as_millis();
         self.violations
             .extend(found.into_iter().map(|text| format!("{at_ms} ms: {text}")));
     }
--- a/tests/all/fair_share.rs
+++ b/tests/all/fair_share.rs
@@ -1,4 +1,5 @@
-//! Workspaces share a router by their shares, and a flood of one does not move another's tail.
+//! Workspaces get service in proportion to their shares, and a flood of requests from one workspace
+//! does not raise the tail latency of another.
 
 use passway_config::document::{ModelEntry, PolicyEntry, UpstreamEntry, WorkspaceEntry};
 use passway_config::{Catalog, Document};
@@ -8,23 +9,23 @@
 use std::collections::{BTreeMap, HashMap};
 
 const SLOTS: u32 = 4;
-const SERVICE: Duration = Duration::from_millis(50);
+const SERVICE_TIME: Duration = Duration::from_millis(50);
 const TOKENS: u32 = 64;
 
-/// One router before one warm engine, on a virtual clock.
-struct Bench {
+/// One router with one warm engine, on a virtual clock.
+struct RouterSimulation {
     now: Instant,
-    start: Instant,
+    started_at: Instant,
     core: RouterCore,
     running: BTreeMap<(Instant, RequestId), String>,
     arrived: HashMap<RequestId, (String, Instant)>,
-    waits: HashMap<String, Vec<Duration>>,
+    wait_times: HashMap<String, Vec<Duration>>,
     served: HashMap<String, u64>,
-    most_running: HashMap<String, usize>,
-    requests: RequestId,
+    max_running_by_workspace: HashMap<String, usize>,
+    request_count: RequestId,
 }
 
-impl Bench {
+impl RouterSimulation {
     fn new(policies: Vec<PolicyEntry>) -> Self {
         let workspace = |name: &str, share| WorkspaceEntry {
             name: name.into(),
@@ -62,23 +63,23 @@
         core.apply_route_change(now, &change, "main");
         Self {
             now,
-            start: now,
+            started_at: now,
             core,
             running: BTreeMap::new(),
             arrived: HashMap::new(),
-            waits: HashMap::new(),
+            wait_times: HashMap::new(),
             served: HashMap::new(),
-            most_running: HashMap::new(),
-            requests: 0,
+            max_running_by_workspace: HashMap::new(),
+            request_count: 0,
         }
     }
 
-    fn ask(&mut self, workspace: &str) {
-        self.requests += 1;
+    fn send_request(&mut self, workspace: &str) {
+        self.request_count += 1;
         self.arrived
-            .insert(self.requests, (workspace.to_owned(), self.now));
+            .insert(self.request_count, (workspace.to_owned(), self.now));
         let arrival = Arrival {
-            request: self.requests,
+            request: self.request_count,
             model: "m@1".into(),
             workspace: workspace.into(),
             kind: String::new(),
@@ -92,17 +93,21 @@
     fn perform(&mut self, actions: Vec<RouterAction>) {
         for action in actions {
             if let RouterAction::Start { request, .. } = action {
-                let (workspace, since) = self.arrived[&request].clone();
-                self.waits
+                let (workspace, arrived_at) = self.arrived[&request].clone();
+                self.wait_times
                     .entry(workspace.clone())
                     .or_default()
-                    .push(self.now - since);
+                    .push(self.now - arrived_at);
                 *self.served.entry(workspace.clone()).or_default() += u64::from(TOKENS);
                 self.running
-                    .insert((self.now + SERVICE, request), workspace.clone());
-                let now_running = self.running.values().filter(|g| **g == workspace).count();
-                let most = self.most_running.entry(workspace).or_default();
-                *most = (*most).max(now_running);
+                    .insert((self.now + SERVICE_TIME, request), workspace.clone());
+                let running_count = self
+                    .running
+                    .values()
+                    .filter(|running_workspace| **running_workspace == workspace)
+                    .count();
+                let max_running = self.max_running_by_workspace.entry(workspace).or_default();
+                *max_running = (*max_running).max(running_count);
             }
         }
     }
@@ -127,69 +132,72 @@
     }
 
     fn p99(&self, workspace: &str) -> Duration {
-        let mut waits = self.waits[workspace].clone();
-        waits.sort();
-        waits[waits.len() * 99 / 100]
+        let mut wait_times = self.wait_times[workspace].clone();
+        wait_times.sort();
+        wait_times[wait_times.len() * 99 / 100]
     }
 }
 
 #[test]
-fn backlogged_workspaces() {
-    let mut bench = Bench::new(Vec::new());
+fn backlogged_workspaces_served_by_share() {
+    let mut simulation = RouterSimulation::new(Vec::new());
     for _ in 0..2_000 {
-        bench.ask("big");
-        bench.ask("small");
+        simulation.send_request("big");
+        simulation.send_request("small");
     }
     let mut largest_gap = 0;
     for step in 1..200 {
-        bench.run_until(bench.start + SERVICE * step);
-        let weighted = |workspace: &str, share: u64| bench.served(workspace) / share;
+        simulation.run_until(simulation.started_at + SERVICE_TIME * step);
+        let weighted = |workspace: &str, share: u64| simulation.served(workspace) / share;
         largest_gap = largest_gap.max(weighted("big", 3).abs_diff(weighted("small", 1)));
     }
     println!("largest gap of weighted service: {largest_gap} tokens");
     assert!(largest_gap <= u64::from(TOKENS * SLOTS), "{largest_gap}");
 }
 
-/// The small workspace asks once in 100 ms, half of its share of the engine.
-fn small_tail(flood: bool) -> Duration {
-    let mut bench = Bench::new(Vec::new());
+/// Returns the p99 wait of the small workspace, which sends a request every 100 ms: half of its
+/// share of the engine.
+fn small_p99_wait(with_flood: bool) -> Duration {
+    let mut simulation = RouterSimulation::new(Vec::new());
     for step in 1..400 {
-        bench.ask("small");
-        if flood {
+        simulation.send_request("small");
+        if with_flood {
             // Ten times the share of the big workspace.
             for _ in 0..60 {
-                bench.ask("big");
+                simulation.send_request("big");
             }
         }
-        bench.run_until(bench.start + Duration::from_millis(100) * step);
+        simulation.run_until(simulation.started_at + Duration::from_millis(100) * step);
     }
-    bench.p99("small")
+    simulation.p99("small")
 }
 
 #[test]
-fn flood_of_another() {
-    let (alone, flooded) = (small_tail(false), small_tail(true));
-    println!("p99 wait of the small workspace: {alone:?} alone, {flooded:?} beside a flood");
-    // One service time: the engine does not stop what it has begun.
-    assert!(flooded <= alone + SERVICE, "{flooded:?}");
+fn flood_does_not_delay_other_workspace() {
+    let (without_flood, with_flood) = (small_p99_wait(false), small_p99_wait(true));
+    println!(
+        "p99 wait of the small workspace: {without_flood:?} alone, {with_flood:?} beside a flood"
+    );
+    // One service time more, because the engine finishes requests that are already running.
+    assert!(with_flood <= without_flood + SERVICE_TIME, "{with_flood:?}");
 }
 
 #[test]
-fn cap_holds_always() {
+fn running_cap_is_never_exceeded() {
     let cap = PolicyEntry {
         name: "cap".into(),
         when: "workspace == 'big'".into(),
         max_running: Some(2),
         ..PolicyEntry::default()
     };
-    let mut bench = Bench::new(vec![cap]);
+    let mut simulation = RouterSimulation::new(vec![cap]);
     for step in 1..100 {
         for _ in 0..4 {
-            bench.ask("big");
+            simulation.send_request("big");
         }
-        bench.ask("small");
-        bench.run_until(bench.start + Duration::from_millis(20) * step);
+        simulation.send_request("small");
+        simulation.run_until(simulation.started_at + Duration::from_millis(20) * step);
     }
-    assert_eq!(bench.most_running["big"], 2);
-    assert!(bench.most_running["small"] > 0);
+    assert_eq!(simulation.max_running_by_workspace["big"], 2);
+    assert!(simulation.max_running_by_workspace["small"] > 0);
 }
--- a/tests/all/retry_budget.rs
+++ b/tests/all/retry_budget.rs
@@ -1,4 +1,5 @@
-//! Retries stay within their budget when a third of the upstreams fail.
+//! Retries stay within their budget when a third of the upstreams fail, and routers share slots by
+//! the known number of routers.
 
 use passway_config::document::{ModelEntry, UpstreamEntry, WorkspaceEntry};
 use passway_config::{Catalog, Document};
@@ -8,9 +9,9 @@
 
 const UPSTREAMS: usize = 9;
 const REQUESTS: u64 = 20_000;
-const BETWEEN: Duration = Duration::from_millis(2);
+const ARRIVAL_INTERVAL: Duration = Duration::from_millis(2);
 
-fn core(now: Instant) -> RouterCore {
+fn router_core(now: Instant) -> RouterCore {
     let upstreams = (0..UPSTREAMS).map(|number| UpstreamEntry {
         id: format!("engine{number}"),
         address: "10.0.1.1:80".into(),
@@ -46,7 +47,7 @@
     core
 }
 
-/// A request for the only model, without a deadline.
+/// Returns a request for the only model, without a deadline.
 fn arrival(request: RequestId) -> Arrival {
     Arrival {
         request,
@@ -58,13 +59,14 @@
     }
 }
 
-/// Attempts and whole answers when attempts at every third upstream end so.
-fn attempts(failure: AttemptOutcome) -> (u64, u64) {
+/// Returns the numbers of attempts and of complete answers when every attempt at every third
+/// upstream ends with `failure`.
+fn run_with_failures(failure: AttemptOutcome) -> (u64, u64) {
     let mut now = Instant::now();
-    let mut core = core(now);
+    let mut core = router_core(now);
     let (mut attempts, mut served) = (0, 0);
     for request in 0..REQUESTS {
-        now += BETWEEN;
+        now += ARRIVAL_INTERVAL;
         let arrival = arrival(request);
         let mut actions = core.handle_arrival(now, &arrival);
         actions.extend(core.tick(now));
@@ -77,13 +79,13 @@
             };
             attempts += 1;
             let number: usize = upstream["engine".len()..].parse().expect("number");
-            let fails = number.is_multiple_of(3);
-            let ended = if fails {
+            let is_failing = number.is_multiple_of(3);
+            let ended = if is_failing {
                 failure
             } else {
                 AttemptOutcome::Served { tokens: 1 }
             };
-            served += u64::from(!fails);
+            served += u64::from(!is_failing);
             actions.extend(core.attempt_ended(now, request, ended));
         }
     }
@@ -91,14 +93,14 @@
 }
 
 #[test]
-fn third_fails() {
+fn retries_within_budget_when_third_fails() {
     for failure in [
         AttemptOutcome::Unreachable,
         AttemptOutcome::Failed,
         AttemptOutcome::Busy,
         AttemptOutcome::NotLoaded,
     ] {
-        let (attempts, served) = attempts(failure);
+        let (attempts, served) = run_with_failures(failure);
         println!("{failure:?}: {attempts} attempts, {served} served, of {REQUESTS}");
         assert!(
             attempts * 10 <= REQUESTS * 11,
@@ -111,33 +113,33 @@
     }
 }
 
-/// Attempts that a router starts when far more requests come than it may start.
-fn started(core: &mut RouterCore, first: RequestId, now: Instant) -> usize {
+/// Returns how many attempts a router starts when far more requests arrive than it has slots.
+fn count_started(core: &mut RouterCore, first: RequestId, now: Instant) -> usize {
     let mut actions = Vec::new();
     for request in first..first + 900 {
         let arrival = arrival(request);
         actions.extend(core.handle_arrival(now, &arrival));
     }
-    let starts = |action: &&RouterAction| matches!(action, RouterAction::Start { .. });
-    actions.iter().filter(starts).count()
+    let is_start = |action: &&RouterAction| matches!(action, RouterAction::Start { .. });
+    actions.iter().filter(is_start).count()
 }
 
 #[test]
-fn starting_fleet_shares() {
+fn slots_shared_while_fleet_starts() {
     let now = Instant::now();
-    let mut core = core(now);
+    let mut core = router_core(now);
     core.assume_listed_routers(6, now + Duration::from_secs(15));
-    // The first heartbeat of a controller that only this router has reached yet.
+    // The first heartbeat, from a controller that only this router has reached so far.
     core.set_router_count(1, now);
-    assert_eq!(started(&mut core, 0, now), UPSTREAMS * (64 / 6));
+    assert_eq!(count_started(&mut core, 0, now), UPSTREAMS * (64 / 6));
 }
 
 #[test]
-fn lost_routers_share() {
+fn slots_follow_router_count_later() {
     let now = Instant::now();
-    let mut core = core(now);
+    let mut core = router_core(now);
     core.assume_listed_routers(6, now + Duration::from_secs(15));
     let later = now + Duration::from_secs(20);
     core.set_router_count(2, later);
-    assert_eq!(started(&mut core, 0, later), UPSTREAMS * 32);
+    assert_eq!(count_started(&mut core, 0, later), UPSTREAMS * 32);
 }
--- a/tests/all/router_faults.rs
+++ b/tests/all/router_faults.rs
@@ -1,7 +1,7 @@
-//! Every request gets one final answer in time, and "not run" is true, under
-//! faults drawn at random against one router's decisions.
+//! Randomized fault test of one router: every request gets exactly one final answer in time, and a
+//! "not run" answer is given only if no attempt may have run.
 //!
-//! `PASSWAY_FAULT_RUNS` sets the number of runs, `PASSWAY_FAULT_SEED` the first seed.
+//! `PASSWAY_FAULT_RUNS` sets the number of runs and `PASSWAY_FAULT_SEED` the first seed.
 
 use crate::support::FaultRuns;
 use passway_config::document::{ModelEntry, PolicyEntry, UpstreamEntry, WorkspaceEntry};
@@ -18,33 +18,33 @@
 const STEPS: u32 = 1_000;
 const MODELS: usize = 4;
 const ENGINES: usize = 3;
-/// A refusal may leave this much before the deadline, never after it.
-const TRAVEL: Duration = Duration::from_millis(20);
+/// Maximum time from the deadline to a refusal: one tick.
+const MAX_REFUSAL_DELAY: Duration = Duration::from_millis(20);
 
-/// What the test knows of one request.
+/// What the test knows about one request.
 #[derive(Debug)]
-struct Known {
+struct RequestRecord {
     deadline_at: Instant,
-    /// Whether any attempt may have reached an upstream.
-    reached: bool,
-    finals: u32,
+    /// Whether an attempt may have run at an upstream.
+    may_have_run: bool,
+    final_answers: u32,
 }
 
-/// An attempt that an upstream works on.
+/// An attempt that is running at an upstream.
 struct Attempt {
     request: RequestId,
-    ended: AttemptOutcome,
+    outcome: AttemptOutcome,
 }
 
-struct World {
+struct RouterWorld {
     now: Instant,
     rng: ChaCha8Rng,
     core: RouterCore,
-    requests: HashMap<RequestId, Known>,
+    requests: HashMap<RequestId, RequestRecord>,
     attempts: BTreeMap<(Instant, u64), Attempt>,
     verdicts: BTreeMap<(Instant, u64), (ModelName, DemandVerdict)>,
-    numbers: u64,
-    faults: Vec<String>,
+    last_number: u64,
+    violations: Vec<String>,
 }
 
 fn catalog() -> Catalog {
@@ -66,7 +66,7 @@
         slots: 4,
         ..UpstreamEntry::default()
     });
-    let wait = PolicyEntry {
+    let short_wait = PolicyEntry {
         name: "short".into(),
         when: "kind == 'short'".into(),
         may_wait_ms: Some(300),
@@ -76,13 +76,13 @@
         workspaces: workspaces.into(),
         models: models.collect(),
         upstreams: upstreams.collect(),
-        policies: vec![wait],
+        policies: vec![short_wait],
         ..Document::default()
     };
     Catalog::build(&document, 1).expect("catalog")
 }
 
-impl World {
+impl RouterWorld {
     fn new(seed: u64) -> Self {
         let now = Instant::now();
         Self {
@@ -92,33 +92,33 @@
             requests: HashMap::new(),
             attempts: BTreeMap::new(),
             verdicts: BTreeMap::new(),
-            numbers: 0,
-            faults: Vec::new(),
+            last_number: 0,
+            violations: Vec::new(),
         }
     }
 
-    fn number(&mut self) -> u64 {
-        self.numbers += 1;
-        self.numbers
+    fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
     }
 
-    fn ms(&mut self, from: u64, to: u64) -> Duration {
+    fn random_duration_ms(&mut self, from: u64, to: u64) -> Duration {
         Duration::from_millis(self.rng.random_range(from..to))
     }
 
-    fn model(&mut self) -> ModelName {
+    fn random_model(&mut self) -> ModelName {
         format!("m{}@1", self.rng.random_range(0..MODELS)).into()
     }
 
-    fn arrive(&mut self) {
-        let request = self.number();
-        let deadline_at = self.now + self.ms(20, 5_000);
-        let known = Known {
+    fn send_random_request(&mut self) {
+        let request = self.next_number();
+        let deadline_at = self.now + self.random_duration_ms(20, 5_000);
+        let record = RequestRecord {
             deadline_at,
-            reached: false,
-            finals: 0,
+            may_have_run: false,
+            final_answers: 0,
         };
-        self.requests.insert(request, known);
+        self.requests.insert(request, record);
         let kind = if self.rng.random_bool(0.2) {
             "short"
         } else {
@@ -131,7 +131,7 @@
         };
         let arrival = Arrival {
             request,
-            model: self.model().to_string(),
+            model: self.random_model().to_string(),
             workspace: workspace.into(),
             kind: kind.into(),
             priority: None,
@@ -144,14 +144,14 @@
     fn perform(&mut self, actions: Vec<RouterAction>) {
         for action in actions {
             match action {
-                RouterAction::Start { request, .. } => self.started(request),
-                RouterAction::Refuse { request, refusal } => self.refused(request, &refusal),
+                RouterAction::Start { request, .. } => self.start_attempt(request),
+                RouterAction::Refuse { request, refusal } => self.check_refusal(request, &refusal),
                 RouterAction::Demand(demand) if demand.waiting > 0 => {
-                    // Some demands are lost, and some answers are.
+                    // Some demands and some answers are lost.
                     if self.rng.random_bool(0.7) {
-                        let at = self.now + self.ms(1, 50);
-                        let verdict = self.verdict();
-                        let number = self.number();
+                        let at = self.now + self.random_duration_ms(1, 50);
+                        let verdict = self.random_verdict();
+                        let number = self.next_number();
                         self.verdicts.insert((at, number), (demand.model, verdict));
                     }
                 }
@@ -160,63 +160,68 @@
         }
     }
 
-    fn verdict(&mut self) -> DemandVerdict {
+    fn random_verdict(&mut self) -> DemandVerdict {
         if self.rng.random_bool(0.15) {
-            let retry_at = self.now + self.ms(100, 3_000);
+            let retry_at = self.now + self.random_duration_ms(100, 3_000);
             return DemandVerdict::Refused {
                 code: ResultCode::NoCapacity,
                 retry_at,
             };
         }
-        DemandVerdict::ReadyAt(self.now + self.ms(50, 4_000))
+        DemandVerdict::ReadyAt(self.now + self.random_duration_ms(50, 4_000))
     }
 
-    fn started(&mut self, request: RequestId) {
-        let known = self.requests.get_mut(&request).expect("known");
-        if known.finals > 0 {
-            self.faults
+    fn start_attempt(&mut self, request: RequestId) {
+        let record = self.requests.get_mut(&request).expect("known");
+        if record.final_answers > 0 {
+            self.violations
                 .push(format!("request {request} was started after its end"));
         }
-        let deadline_at = known.deadline_at;
-        let (ended, time) = match self.rng.random_range(0..10) {
-            0 => (AttemptOutcome::Unreachable, self.ms(1, 10)),
-            1 => (AttemptOutcome::NotLoaded, self.ms(1, 10)),
-            2 => (AttemptOutcome::Busy, self.ms(1, 10)),
-            3 => (AttemptOutcome::Failed, self.ms(5, 500)),
+        let deadline_at = record.deadline_at;
+        let (outcome, duration) = match self.rng.random_range(0..10) {
+            0 => (AttemptOutcome::Unreachable, self.random_duration_ms(1, 10)),
+            1 => (AttemptOutcome::NotLoaded, self.random_duration_ms(1, 10)),
+            2 => (AttemptOutcome::Busy, self.random_duration_ms(1, 10)),
+            3 => (AttemptOutcome::Failed, self.random_duration_ms(5, 500)),
             4 => (AttemptOutcome::Abandoned, Duration::from_hours(1)),
-            _ => (AttemptOutcome::Served { tokens: 20 }, self.ms(10, 400)),
+            _ => (
+                AttemptOutcome::Served { tokens: 20 },
+                self.random_duration_ms(10, 400),
+            ),
         };
-        let known = self.requests.get_mut(&request).expect("known");
-        known.reached |= matches!(
-            ended,
+        let record = self.requests.get_mut(&request).expect("known");
+        record.may_have_run |= matches!(
+            outcome,
             AttemptOutcome::Failed | AttemptOutcome::Abandoned | AttemptOutcome::Served { .. }
         );
-        // The program ends an attempt that is not answered at the deadline.
-        let at = (self.now + time).min(deadline_at);
-        let ended = if self.now + time > deadline_at {
+        // The program abandons an attempt that has no answer at the deadline.
+        let at = (self.now + duration).min(deadline_at);
+        let outcome = if self.now + duration > deadline_at {
             AttemptOutcome::Abandoned
         } else {
-            ended
+            outcome
         };
-        let number = self.number();
+        let number = self.next_number();
         self.attempts
-            .insert((at, number), Attempt { request, ended });
+            .insert((at, number), Attempt { request, outcome });
     }
 
-    fn refused(&mut self, request: RequestId, refusal: &Refusal) {
-        let known = self.requests.get_mut(&request).expect("known");
-        known.finals += 1;
+    fn check_refusal(&mut self, request: RequestId, refusal: &Refusal) {
+        let record = self.requests.get_mut(&request).expect("known");
+        record.final_answers += 1;
         let text = format!("request {request}, {}", refusal.code);
-        if known.reached && refusal.code.ran() == Ran::NotRun {
-            self.faults.push(format!("{text}: \"not run\" is not true"));
+        if record.may_have_run && refusal.code.ran() == Ran::NotRun {
+            self.violations.push(format!(
+                "{text}: says \"not run\", but an attempt may have run"
+            ));
         }
-        if self.now > known.deadline_at + TRAVEL {
-            self.faults
+        if self.now > record.deadline_at + MAX_REFUSAL_DELAY {
+            self.violations
                 .push(format!("{text}: refused after the deadline"));
         }
         if refusal.retry_after.is_none() {
-            self.faults
-                .push(format!("{text}: does not say when to come back"));
+            self.violations
+                .push(format!("{text}: has no retry-after time"));
         }
     }
 
@@ -229,7 +234,7 @@
                 }
                 let ((at, _), attempt) = entry.remove_entry();
                 self.now = self.now.max(at);
-                self.end(&attempt);
+                self.end_attempt(&attempt);
             }
             while let Some(entry) = self.verdicts.first_entry() {
                 if entry.key().0 > until {
@@ -241,36 +246,36 @@
             }
             self.now = until;
             if step < STEPS / 2 {
-                self.disturb();
+                self.inject_events();
             }
             let actions = self.core.tick(self.now);
             self.perform(actions);
         }
     }
 
-    fn end(&mut self, attempt: &Attempt) {
+    fn end_attempt(&mut self, attempt: &Attempt) {
         if matches!(
-            attempt.ended,
+            attempt.outcome,
             AttemptOutcome::Served { .. } | AttemptOutcome::Abandoned
         ) {
             self.requests
                 .get_mut(&attempt.request)
                 .expect("known")
-                .finals += 1;
+                .final_answers += 1;
         }
         let actions = self
             .core
-            .attempt_ended(self.now, attempt.request, attempt.ended);
+            .attempt_ended(self.now, attempt.request, attempt.outcome);
         self.perform(actions);
     }
 
-    fn disturb(&mut self) {
+    fn inject_events(&mut self) {
         while self.rng.random_bool(0.4) {
-            self.arrive();
+            self.send_random_request();
         }
         if self.rng.random_bool(0.05) {
             let route = (
-                self.model(),
+                self.random_model(),
                 format!("engine{}", self.rng.random_range(0..ENGINES)).into(),
             );
             let mut change = RouteChange {
@@ -287,38 +292,43 @@
         }
     }
 
-    fn judge(&mut self) {
-        for (request, known) in &self.requests {
-            if known.finals != 1 {
-                let text = format!("request {request} has {} final answers", known.finals);
-                self.faults.push(text);
+    fn check_final_answers(&mut self) {
+        for (request, record) in &self.requests {
+            if record.final_answers != 1 {
+                let text = format!(
+                    "request {request} has {} final answers",
+                    record.final_answers
+                );
+                self.violations.push(text);
             }
         }
         if self.core.in_progress() > 0 {
-            self.faults
-                .push(format!("{} requests are left", self.core.in_progress()));
+            self.violations.push(format!(
+                "{} requests are still in progress",
+                self.core.in_progress()
+            ));
         }
     }
 }
 
 #[test]
-fn final_and_true() {
+fn final_answers_are_unique_and_truthful() {
     let runs = FaultRuns::from_environment(DEFAULT_RUNS);
-    let mut broken = Vec::new();
+    let mut broken_runs = Vec::new();
     let mut requests = 0;
     for seed in runs.seeds() {
-        let mut world = World::new(seed);
+        let mut world = RouterWorld::new(seed);
         world.run();
-        world.judge();
+        world.check_final_answers();
         requests += world.requests.len();
-        if let Some(fault) = world.faults.first() {
-            broken.push(format!("seed {seed}: {fault}"));
+        if let Some(violation) = world.violations.first() {
+            broken_runs.push(format!("seed {seed}: {violation}"));
         }
     }
     println!(
         "{} runs, {requests} requests, {} broken",
         runs.count,
-        broken.len()
+        broken_runs.len()
     );
-    runs.assert_none_broken(&broken);
+    runs.assert_none_broken(&broken_runs);
 }
--- a/tests/all/slow_store.rs
+++ b/tests/all/slow_store.rs
@@ -1,7 +1,7 @@
-//! With the weight store slowed down, what cannot be met is refused as soon as
-//! that is known, with when to come back.
+//! While the weight store is slow, requests that cannot meet their deadline are refused as soon as
+//! this is known, with a retry-after time.
 
-use crate::cell_world::{CellWorld, Chances};
+use crate::cell_world::{CellWorld, FaultChances};
 use passway_config::Document;
 use passway_config::document::{ModelEntry, UpstreamEntry, WeightStoreEntry, WorkspaceEntry};
 use passway_decide::messages::RouteChange;
@@ -11,16 +11,16 @@
 
 const STEP: Duration = Duration::from_millis(50);
 
-/// A cell with one router that hears and is heard at once.
-struct Joined {
+/// A cell with one router, connected without delay.
+struct ConnectedCell {
     world: CellWorld,
     router: RouterCore,
     routes: BTreeSet<(ModelName, UpstreamId)>,
-    requests: RequestId,
-    ended: Vec<(RequestId, Instant, Option<Refusal>)>,
+    request_count: RequestId,
+    outcomes: Vec<(RequestId, Instant, Option<Refusal>)>,
 }
 
-impl Joined {
+impl ConnectedCell {
     fn new() -> Self {
         let models = (0..8).map(|number| ModelEntry {
             name: format!("m{number}"),
@@ -40,30 +40,30 @@
                 memory_mb: 1_000,
                 ..UpstreamEntry::default()
             }],
-            // 10 MB at 25 MB/s: the 400 ms that a load takes at full speed.
+            // 10 MB at 25 MB/s take 400 ms, the load time at full speed.
             weight_store: WeightStoreEntry {
                 max_loads: 4,
                 expected_mb_per_s: 25,
             },
             ..Document::default()
         };
-        let world = CellWorld::new(1, 1, &document, Chances::default());
+        let world = CellWorld::new(1, 1, &document, FaultChances::default());
         let router = RouterCore::new(9, world.catalog.clone(), world.now);
-        let mut joined = Self {
+        let mut cell = Self {
             world,
             router,
             routes: BTreeSet::new(),
-            requests: 0,
-            ended: Vec::new(),
+            request_count: 0,
+            outcomes: Vec::new(),
         };
-        joined.run(Duration::from_secs(1));
-        joined
+        cell.run(Duration::from_secs(1));
+        cell
     }
 
-    fn ask(&mut self, model: &str, deadline: Duration) -> RequestId {
-        self.requests += 1;
+    fn send_request(&mut self, model: &str, deadline: Duration) -> RequestId {
+        self.request_count += 1;
         let arrival = Arrival {
-            request: self.requests,
+            request: self.request_count,
             model: format!("{model}@1"),
             workspace: "default".into(),
             kind: String::new(),
@@ -72,16 +72,16 @@
         };
         let actions = self.router.handle_arrival(self.world.now, &arrival);
         self.perform(actions);
-        self.requests
+        self.request_count
     }
 
     fn perform(&mut self, actions: Vec<RouterAction>) {
         let now = self.world.now;
         for action in actions {
             match action {
-                RouterAction::Start { request, .. } => self.ended.push((request, now, None)),
+                RouterAction::Start { request, .. } => self.outcomes.push((request, now, None)),
                 RouterAction::Refuse { request, refusal } => {
-                    self.ended.push((request, now, Some(refusal)));
+                    self.outcomes.push((request, now, Some(refusal)));
                 }
                 RouterAction::Demand(demand) => {
                     let deadline = demand.earliest_deadline_at.saturating_duration_since(now);
@@ -92,8 +92,8 @@
         }
     }
 
-    fn run(&mut self, time: Duration) {
-        let until = self.world.now + time;
+    fn run(&mut self, duration: Duration) {
+        let until = self.world.now + duration;
         while self.world.now < until {
             self.world.run(STEP);
             let now = self.world.now;
@@ -116,61 +116,71 @@
         }
     }
 
-    /// When the request ended, counted from `since`, and its refusal.
-    fn end_of(&self, request: RequestId, since: Instant) -> (Duration, Option<Refusal>) {
-        let ended = self.ended.iter().find(|(number, _, _)| *number == request);
-        let (_, at, refusal) = ended.expect("ended");
-        (*at - since, refusal.clone())
+    /// Returns the time from `sent_at` to the end of the request, and its refusal.
+    fn outcome_of(&self, request: RequestId, sent_at: Instant) -> (Duration, Option<Refusal>) {
+        let outcome = self
+            .outcomes
+            .iter()
+            .find(|(number, _, _)| *number == request);
+        let (_, at, refusal) = outcome.expect("ended");
+        (*at - sent_at, refusal.clone())
     }
 }
 
 #[test]
-fn refused_when_known() {
-    let mut joined = Joined::new();
-    joined.world.load_time = Duration::from_secs(4);
-    let began_at = joined.world.now;
-    let first = joined.ask("m0", Duration::from_secs(3));
-    let patient = joined.ask("m1", Duration::from_secs(20));
-    joined.run(Duration::from_secs(6));
-    let (after, refusal) = joined.end_of(first, began_at);
+fn refused_once_deadline_unreachable() {
+    let mut cell = ConnectedCell::new();
+    cell.world.load_time = Duration::from_secs(4);
+    let started_at = cell.world.now;
+    let first = cell.send_request("m0", Duration::from_secs(3));
+    let patient = cell.send_request("m1", Duration::from_secs(20));
+    cell.run(Duration::from_secs(6));
+    let (elapsed, refusal) = cell.outcome_of(first, started_at);
     let refusal = refusal.expect("a 4 s load cannot meet a deadline of 3 s");
     println!(
         "first request: {} after {} ms of 3000",
         refusal.code,
-        after.as_millis()
+        elapsed.as_millis()
     );
     assert_eq!(refusal.code, ResultCode::DeadlineUnreachable);
-    assert!(after <= Duration::from_secs(2), "held back for {after:?}");
+    assert!(
+        elapsed <= Duration::from_secs(2),
+        "refused after {elapsed:?}"
+    );
     assert!(refusal.retry_after.is_some());
-    let (after, refusal) = joined.end_of(patient, began_at);
-    assert_eq!(refusal, None, "served after {after:?}");
+    let (elapsed, refusal) = cell.outcome_of(patient, started_at);
+    assert_eq!(refusal, None, "served after {elapsed:?}");
 
-    // The store's pace is known by now: refused as soon as the controller has answered.
-    let asked_at = joined.world.now;
-    let second = joined.ask("m2", Duration::from_secs(3));
-    joined.run(Duration::from_secs(4));
-    let (after, refusal) = joined.end_of(second, asked_at);
-    println!("second request: {refusal:?} after {} ms", after.as_millis());
+    // The store's speed is known by now, so the request is refused as soon as the controller
+    // answers.
+    let sent_at = cell.world.now;
+    let second = cell.send_request("m2", Duration::from_secs(3));
+    cell.run(Duration::from_secs(4));
+    let (elapsed, refusal) = cell.outcome_of(second, sent_at);
+    println!(
+        "second request: {refusal:?} after {} ms",
+        elapsed.as_millis()
+    );
     assert_eq!(
         refusal.map(|r| r.code),
         Some(ResultCode::DeadlineUnreachable)
     );
     assert!(
-        after <= Duration::from_millis(200),
-        "held back for {after:?}"
+        elapsed <= Duration::from_millis(200),
+        "refused after {elapsed:?}"
     );
 }
 
 #[test]
-fn served_when_possible() {
-    let mut joined = Joined::new();
-    let asked_at = joined.world.now;
+fn served_when_deadline_reachable() {
+    let mut cell = ConnectedCell::new();
+    let sent_at = cell.world.now;
     let requests: Vec<RequestId> = (0..8)
-        .map(|number| joined.ask(&format!("m{number}"), Duration::from_secs(3)))
+        .map(|number| cell.send_request(&format!("m{number}"), Duration::from_secs(3)))
         .collect();
-    joined.run(Duration::from_secs(4));
+    cell.run(Duration::from_secs(4));
     for request in requests {
-        let (after, refusal) = joined.end_of(request, asked_at);
-        assert_eq!(refusal, None, "request {request} after {after:?}");
+        let (elapsed, refusal) = cell.outcome_of(request, sent_at);
+        assert_eq!(refusal, None, "request {request} after {elapsed:?}");
     }
 }
