--- a/crates/decide/src/cell.rs
+++ b/crates/decide/src/cell.rs
@@ -213,7 +213,7 @@
 #[derive(Debug)]
 enum Role {
     /// Another controller leads, or none does.
-    Standby { poll_at: Instant },
+    Standby { next_poll_at: Instant },
     /// The controller has asked for the lease.
     Acquiring,
     /// The controller has the lease and reads or writes the plan to begin its term.
@@ -251,7 +251,7 @@
         now: Instant,
     ) -> Self {
         let upstreams = Upstreams::new(&catalog, &cell);
-        let role = Role::Standby { poll_at: now };
+        let role = Role::Standby { next_poll_at: now };
         Self {
             cell,
             this_holder,
@@ -352,7 +352,7 @@
 
     fn tick(&mut self, now: Instant, actions: &mut Vec<Action>) {
         match &mut self.role {
-            Role::Standby { poll_at } if now >= *poll_at => {
+            Role::Standby { next_poll_at } if now >= *next_poll_at => {
                 self.role = Role::Acquiring;
                 actions.push(Action::AcquireLease);
             }
@@ -377,7 +377,7 @@
             }
             Role::TakingOver { lease_until, .. } => *lease_until = valid_until,
             Role::Active(term) => term.lease_renewed(valid_until),
-            Role::Standby { .. } => self.role = Role::Standby { poll_at: now },
+            Role::Standby { .. } => self.role = Role::Standby { next_poll_at: now },
             Role::Stopped => actions.push(Action::ReleaseLease),
         }
     }
@@ -386,7 +386,7 @@
         match &mut self.role {
             Role::Acquiring => {
                 self.role = Role::Standby {
-                    poll_at: now + self.standby_poll_delay(),
+                    next_poll_at: now + self.standby_poll_delay(),
                 }
             }
             Role::Active(term) => term.renewal_failed(),
@@ -408,7 +408,7 @@
         }
         if !matches!(self.role, Role::Stopped) {
             self.role = Role::Standby {
-                poll_at: now + self.standby_poll_delay(),
+                next_poll_at: now + self.standby_poll_delay(),
             };
         }
     }
@@ -483,7 +483,7 @@
     fn schedule_read(&mut self, now: Instant) {
         match &mut self.role {
             Role::TakingOver { next_read_at, .. } => *next_read_at = Some(now),
-            Role::Active(term) => term.write_unclear(now),
+            Role::Active(term) => term.write_outcome_unknown(now),
             _ => {}
         }
     }
--- a/crates/decide/src/cell/placing.rs
+++ b/crates/decide/src/cell/placing.rs
@@ -29,6 +29,7 @@
 const NO_CAPACITY_RETRY_AFTER: Duration = Duration::from_secs(2);
 /// Minimum expected time until a model serves.
 const MIN_READY_DELAY: Duration = Duration::from_millis(50);
+
 /// Places every demanded model that has no replica or too few.
 pub(super) fn place_demands(
     term: &mut Term,
@@ -118,8 +119,8 @@
     if is_eviction_in_progress(term, &model.name) {
         return None;
     }
-    let evicted = evict_replicas(term, context, &views, model, actions);
-    if evicted { None } else { Some(code) }
+    let is_evicting = evict_replicas(term, context, &views, model, actions);
+    if is_evicting { None } else { Some(code) }
 }
 
 /// Sort key for upstreams: those that have the base first, then by load time, then by reserved
--- a/crates/decide/src/cell/publish.rs
+++ b/crates/decide/src/cell/publish.rs
@@ -13,6 +13,7 @@
 const FIRST_REPORT_WINDOW: Duration = Duration::from_secs(1);
 /// Retry-after hint while the key-value service does not answer.
 const CONTROL_RETRY_AFTER: Duration = Duration::from_secs(2);
+
 impl Term {
     pub(super) fn answer_demands(
         &mut self,
--- a/crates/decide/src/cell/term.rs
+++ b/crates/decide/src/cell/term.rs
@@ -143,7 +143,7 @@
         }
     }
 
-    pub(super) fn write_unclear(&mut self, now: Instant) {
+    pub(super) fn write_outcome_unknown(&mut self, now: Instant) {
         self.next_read_at = Some(now);
     }
 
@@ -285,7 +285,7 @@
     pub(super) fn is_blocked(&self, now: Instant) -> bool {
         let is_write_overdue = self
             .write_started_at
-            .is_some_and(|began| now >= began + self.write_outage_after);
+            .is_some_and(|started_at| now >= started_at + self.write_outage_after);
         is_write_overdue || !self.has_lease(now)
     }
 
--- a/crates/decide/src/cell/upstreams.rs
+++ b/crates/decide/src/cell/upstreams.rs
@@ -106,9 +106,9 @@
         self.is_reachable && self.order.is_none() && self.retry_at.is_none_or(|at| now >= at)
     }
 
-    /// Whether no order of this process can arrive any more, except the one in flight.
-    pub fn is_settled(&self, now: Instant) -> bool {
-        self.unsettled_until.is_none_or(|until| now >= until)
+    /// Whether at time `at` no order of this process can arrive any more, except the one in flight.
+    pub fn is_settled(&self, at: Instant) -> bool {
+        self.unsettled_until.is_none_or(|until| at >= until)
     }
 
     /// Returns the model's entry in the last status report.
--- a/crates/decide/src/messages.rs
+++ b/crates/decide/src/messages.rs
@@ -128,7 +128,7 @@
     pub workspace: WorkspaceName,
     /// Number of waiting requests; 0 withdraws the demand.
     pub waiting: u32,
-    /// The earliest deadline of the waiting requests.
+    /// The earliest time at which one of the waiting requests gives up, at most its deadline.
     pub earliest_deadline_at: Instant,
     /// The priority of the request with the earliest deadline; a lower number is more urgent.
     pub priority: u32,
--- a/crates/decide/src/plan.rs
+++ b/crates/decide/src/plan.rs
@@ -297,7 +297,7 @@
 
     /// Removes a placement after the upstream has confirmed that the model is absent.
     ///
-    /// `fenced` states that the upstream rejects the orders of previous holders.
+    /// `is_fenced` states that the upstream rejects the orders of previous holders.
     ///
     /// # Errors
     /// [`PlanError::OrderMayArrive`] while an order of a previous holder could load the model
--- a/crates/decide/src/router.rs
+++ b/crates/decide/src/router.rs
@@ -42,7 +42,7 @@
 
 /// Time before a request's deadline that is reserved for the answer to reach the caller.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(50);
-/// Priority of a request if neither the caller nor a policy sets one.
+/// Priority used where the caller or the policy sets none.
 const DEFAULT_PRIORITY: u32 = 100;
 /// Retry-after hint when a queue is full or a cap is reached.
 const BUSY_RETRY_AFTER: Duration = Duration::from_secs(1);
@@ -60,7 +60,7 @@
     sent_demands: HashMap<ModelName, SentDemand>,
     models_in_use: HashSet<ModelName>,
     next_usage_report_at: Instant,
-    draining: bool,
+    is_draining: bool,
     /// The time until which the configuration counts as current; `None` means forever.
     config_current_until: Option<Instant>,
 }
@@ -80,7 +80,7 @@
             sent_demands: HashMap::new(),
             models_in_use: HashSet::new(),
             next_usage_report_at: now,
-            draining: false,
+            is_draining: false,
             config_current_until: None,
         }
     }
@@ -114,7 +114,7 @@
 
     /// Stops accepting new requests. Waiting and running requests continue.
     pub fn drain(&mut self) {
-        self.draining = true;
+        self.is_draining = true;
     }
 
     /// Sets the time until which the configuration counts as current.
--- a/crates/decide/src/router/admission.rs
+++ b/crates/decide/src/router/admission.rs
@@ -12,7 +12,7 @@
     /// The refusal for every new request, while the router drains or its configuration is out of
     /// date.
     pub fn check_serving(&self, now: Instant) -> Result<(), Refusal> {
-        if self.draining {
+        if self.is_draining {
             let refusal = Refusal::new(ResultCode::Draining, "this instance is leaving");
             return Err(refusal.retry_after(Duration::ZERO));
         }
--- a/crates/decide/src/router/forecast.rs
+++ b/crates/decide/src/router/forecast.rs
@@ -32,8 +32,9 @@
 impl Forecast {
     /// Adds the service time of a completed request to the moving average.
     pub(super) fn record_service_time(&mut self, duration: Duration) {
-        let previous_part = self.service_time / SERVICE_TIME_DIVISOR * (SERVICE_TIME_DIVISOR - 1);
-        self.service_time = previous_part + duration / SERVICE_TIME_DIVISOR;
+        let weighted_previous =
+            self.service_time / SERVICE_TIME_DIVISOR * (SERVICE_TIME_DIVISOR - 1);
+        self.service_time = weighted_previous + duration / SERVICE_TIME_DIVISOR;
     }
 
     /// Sets when the controller expects the model to be ready.
--- a/crates/decide/src/router/queue.rs
+++ b/crates/decide/src/router/queue.rs
@@ -137,7 +137,7 @@
             .collect()
     }
 
-    /// Removes and returns a request.
+    /// Removes and returns the request at a position.
     pub fn remove(&mut self, position: &QueuePosition) -> Option<WaitingRequest> {
         let workspace = self.workspaces.get_mut(&position.workspace)?;
         let waiting = workspace.remove(&position.key)?;
--- a/crates/decide/src/router/replicas.rs
+++ b/crates/decide/src/router/replicas.rs
@@ -96,7 +96,7 @@
         self.running.get(upstream).copied().unwrap_or(0)
     }
 
-    fn is_free(
+    fn can_take_request(
         &self,
         now: Instant,
         catalog: &Catalog,
@@ -121,7 +121,7 @@
         upstreams.is_some_and(|upstreams| {
             upstreams
                 .iter()
-                .any(|id| self.is_free(now, catalog, model, id))
+                .any(|id| self.can_take_request(now, catalog, model, id))
         })
     }
 
@@ -135,7 +135,7 @@
         let upstreams = self.routes.get(model)?;
         let free_upstreams: Vec<&UpstreamId> = upstreams
             .iter()
-            .filter(|upstream| self.is_free(now, catalog, model, upstream))
+            .filter(|upstream| self.can_take_request(now, catalog, model, upstream))
             .collect();
         if free_upstreams.is_empty() {
             return None;
@@ -160,12 +160,12 @@
         super::decrement(&mut self.running, upstream);
     }
 
-    /// Sends nothing to the upstream until `until`.
+    /// Blocks an upstream: no request is sent to it until `until`.
     pub(super) fn block_upstream(&mut self, upstream: &UpstreamId, until: Instant) {
         self.upstream_blocked_until.insert(upstream.clone(), until);
     }
 
-    /// Sends nothing to one replica until `until`.
+    /// Blocks one replica: no request is sent to it until `until`.
     pub(super) fn block_replica(
         &mut self,
         model: &ModelName,
--- a/crates/decide/src/router/waiters.rs
+++ b/crates/decide/src/router/waiters.rs
@@ -107,12 +107,12 @@
     /// start.
     pub(super) fn next_to_start(
         &self,
-        model_may_run: impl Fn(&ModelName) -> bool,
+        can_model_start: impl Fn(&ModelName) -> bool,
         is_allowed: impl Fn(&WaitingRequest) -> bool,
     ) -> Option<(ModelName, QueuePosition)> {
         let mut best: Option<(&ModelName, QueuePosition)> = None;
         for (model, queue) in &self.queues {
-            if !model_may_run(model) {
+            if !can_model_start(model) {
                 continue;
             }
             let Some(position) = queue.next_to_start(&self.shares, &is_allowed) else {
--- a/tests/all/cell_faults.rs
+++ b/tests/all/cell_faults.rs
@@ -174,7 +174,7 @@
         &stuck_seeds[..stuck_seeds.len().min(9)]
     );
     assert!(
-        loads > u32::try_from(runs.count).expect("few"),
+        loads > u32::try_from(runs.count).expect("a run count that fits into u32"),
         "too few loads happened for a meaningful test"
     );
 }
--- a/tests/all/cell_scenarios.rs
+++ b/tests/all/cell_scenarios.rs
@@ -34,7 +34,7 @@
         let mut world = None;
         file.run(|case| {
             let mut case = case.clone();
-            run_command(&mut world, &mut case).expect("script")
+            run_command(&mut world, &mut case).expect("a valid script")
         });
     });
 }
@@ -183,30 +183,32 @@
         .iter()
         .filter_map(|n| n.controller.as_ref()?.term());
     let leader_count = terms.count();
-    writeln!(out, "leader {leader}, {leader_count} believe to lead").expect("string");
+    writeln!(out, "leader {leader}, {leader_count} believe to lead").expect("a write to a string");
     match &world.store.plan {
-        None => writeln!(out, "no plan").expect("string"),
+        None => writeln!(out, "no plan").expect("a write to a string"),
         Some((_, plan)) => {
             let previous_epochs: Vec<Epoch> = plan
                 .previous_holders()
                 .iter()
                 .map(|previous| previous.epoch)
                 .collect();
-            writeln!(out, "epoch {}, former {previous_epochs:?}", plan.epoch).expect("string");
+            writeln!(out, "epoch {}, former {previous_epochs:?}", plan.epoch)
+                .expect("a write to a string");
             for p in plan.placements() {
                 writeln!(
                     out,
                     "  p{} {} on {}: {:?}",
                     p.id, p.model, p.upstream, p.state
                 )
-                .expect("string");
+                .expect("a write to a string");
             }
         }
     }
     for (number, engine) in world.engines.iter().enumerate() {
         let held: Vec<&str> = engine.loaded.keys().map(|model| &**model).collect();
         let loads: u32 = engine.load_counts.values().sum();
-        writeln!(out, "engine{number} holds {held:?} after {loads} loads").expect("string");
+        writeln!(out, "engine{number} holds {held:?} after {loads} loads")
+            .expect("a write to a string");
     }
     if let Some(node) = world
         .nodes
@@ -218,7 +220,7 @@
             .iter()
             .map(|(m, u)| format!("{m} on {u}"))
             .collect();
-        writeln!(out, "routed: {routed:?}").expect("string");
+        writeln!(out, "routed: {routed:?}").expect("a write to a string");
     }
     for node in &mut world.nodes {
         for (at, model, verdict) in node.verdicts.drain(..) {
@@ -228,11 +230,11 @@
                 }
                 DemandVerdict::Refused { code, .. } => code.to_string(),
             };
-            writeln!(out, "told: {model}: {text}").expect("string");
+            writeln!(out, "told: {model}: {text}").expect("a write to a string");
         }
     }
     for violation in world.violations.drain(..) {
-        writeln!(out, "BROKEN {violation}").expect("string");
+        writeln!(out, "BROKEN {violation}").expect("a write to a string");
     }
     out
 }
--- a/tests/all/cell_world.rs
+++ b/tests/all/cell_world.rs
@@ -96,7 +96,7 @@
 impl CellWorld {
     pub fn new(seed: u64, nodes: usize, document: &Document, fault_chances: FaultChances) -> Self {
         let now = Instant::now();
-        let catalog = Arc::new(Catalog::build(document, 1).expect("catalog"));
+        let catalog = Arc::new(Catalog::build(document, 1).expect("a valid catalog"));
         let engines = document.upstreams.iter().map(Engine::new);
         let mut world = Self {
             now,
@@ -175,7 +175,7 @@
         self.engines[number].set_removed(listing == ListingState::Removed);
         let upstream = engine_id(number);
         for node in 0..self.nodes.len() {
-            let delay = self.delay(Duration::from_secs(2));
+            let delay = self.random_delay(Duration::from_secs(2));
             let upstream = upstream.clone();
             self.schedule_event(
                 delay,
@@ -189,8 +189,9 @@
         self.rng.random_range(0..100) < percent
     }
 
-    fn delay(&mut self, max: Duration) -> Duration {
-        let max_ms = u64::try_from(max.as_millis()).expect("short");
+    fn random_delay(&mut self, max: Duration) -> Duration {
+        let max_ms =
+            u64::try_from(max.as_millis()).expect("a delay that fits into u64 milliseconds");
         Duration::from_millis(self.rng.random_range(1..=max_ms))
     }
 
@@ -255,7 +256,10 @@
             }
         }
         let now = self.now;
-        let controller = self.nodes[node].controller.as_mut().expect("awake");
+        let controller = self.nodes[node]
+            .controller
+            .as_mut()
+            .expect("a running node");
         for action in controller.handle(now, event) {
             self.perform(node, action);
         }
@@ -282,7 +286,7 @@
                     polled_at: self.now,
                     status,
                 };
-                let delay = self.delay(Duration::from_millis(300));
+                let delay = self.random_delay(Duration::from_millis(300));
                 self.schedule_event(delay, node, event);
             }
         }
--- a/tests/all/cell_world/calls.rs
+++ b/tests/all/cell_world/calls.rs
@@ -13,7 +13,7 @@
 impl CellWorld {
     /// Carries out an action of a node.
     pub(super) fn perform(&mut self, node: usize, action: Action) {
-        let short_delay = self.delay(Duration::from_millis(5));
+        let short_delay = self.random_delay(Duration::from_millis(5));
         match action {
             Action::AcquireLease => {
                 let event = self.store.acquire(self.now, self.nodes[node].incarnation);
@@ -63,11 +63,11 @@
     }
 
     fn write_plan(&mut self, node: usize, expected: Version, plan: Box<Plan>) {
-        let short_delay = self.delay(Duration::from_millis(5));
+        let short_delay = self.random_delay(Duration::from_millis(5));
         if self.store.is_down {
             self.schedule_event(CALL_TIMEOUT, node, Event::WriteOutcomeUnknown);
         } else if self.draw_fault(self.fault_chances.delay_write) {
-            let long_delay = self.delay(MAX_DELAY);
+            let long_delay = self.random_delay(MAX_DELAY);
             self.schedule(long_delay, Message::Write { expected, plan });
             self.schedule_event(CALL_TIMEOUT, node, Event::WriteOutcomeUnknown);
         } else {
@@ -98,7 +98,7 @@
         } else if self.draw_fault(self.fault_chances.hold_order) {
             // The order has passed the check of `not_after`; the process now pauses for longer than
             // its lease.
-            let pause = LEASE_TTL + self.delay(LEASE_TTL * 3);
+            let pause = LEASE_TTL + self.random_delay(LEASE_TTL * 3);
             self.pause(node, pause);
             self.schedule(
                 pause,
@@ -130,7 +130,7 @@
         }
         let (upstream, fence) = (order.upstream.clone(), order.fence);
         let answer = if self.draw_fault(self.fault_chances.delay_order) {
-            let long_delay = self.delay(MAX_DELAY);
+            let long_delay = self.random_delay(MAX_DELAY);
             self.schedule(long_delay, Message::Order { engine, order });
             self.schedule_event(
                 CALL_TIMEOUT,
@@ -151,7 +151,7 @@
         } else {
             answer
         };
-        let short_delay = self.delay(Duration::from_millis(20));
+        let short_delay = self.random_delay(Duration::from_millis(20));
         self.schedule_event(
             short_delay,
             node,
@@ -178,7 +178,7 @@
     ) {
         let number: usize = previous_holder.instance["entry".len()..]
             .parse()
-            .expect("number");
+            .expect("a node number");
         if !self.is_running(number) {
             return;
         }
--- a/tests/all/cell_world/engine.rs
+++ b/tests/all/cell_world/engine.rs
@@ -111,5 +111,5 @@
 }
 
 pub fn engine_number(id: &str) -> usize {
-    id["engine".len()..].parse().expect("number")
+    id["engine".len()..].parse().expect("an engine number")
 }
--- a/tests/all/fair_share.rs
+++ b/tests/all/fair_share.rs
@@ -52,7 +52,7 @@
             ..Document::default()
         };
         let now = Instant::now();
-        let catalog = Catalog::build(&document, 1).expect("catalog");
+        let catalog = Catalog::build(&document, 1).expect("a valid catalog");
         let mut core = RouterCore::new(1, Arc::new(catalog), now);
         let route = ("m@1".into(), "engine0".into());
         let change = RouteChange {
--- a/tests/all/retry_budget.rs
+++ b/tests/all/retry_budget.rs
@@ -35,7 +35,7 @@
         upstreams: upstreams.collect(),
         ..Document::default()
     };
-    let catalog = Catalog::build(&document, 1).expect("catalog");
+    let catalog = Catalog::build(&document, 1).expect("a valid catalog");
     let mut core = RouterCore::new(3, Arc::new(catalog), now);
     let added = (0..UPSTREAMS).map(|number| ("m@1".into(), format!("engine{number}").into()));
     let change = RouteChange {
@@ -78,7 +78,9 @@
                 continue;
             };
             attempts += 1;
-            let number: usize = upstream["engine".len()..].parse().expect("number");
+            let number: usize = upstream["engine".len()..]
+                .parse()
+                .expect("an engine number");
             let is_failing = number.is_multiple_of(3);
             let ended = if is_failing {
                 failure
--- a/tests/all/router_faults.rs
+++ b/tests/all/router_faults.rs
@@ -79,7 +79,7 @@
         policies: vec![short_wait],
         ..Document::default()
     };
-    Catalog::build(&document, 1).expect("catalog")
+    Catalog::build(&document, 1).expect("a valid catalog")
 }
 
 impl RouterWorld {
@@ -172,7 +172,7 @@
     }
 
     fn start_attempt(&mut self, request: RequestId) {
-        let record = self.requests.get_mut(&request).expect("known");
+        let record = self.requests.get_mut(&request).expect("a known request");
         if record.final_answers > 0 {
             self.violations
                 .push(format!("request {request} was started after its end"));
@@ -189,7 +189,7 @@
                 self.random_duration_ms(10, 400),
             ),
         };
-        let record = self.requests.get_mut(&request).expect("known");
+        let record = self.requests.get_mut(&request).expect("a known request");
         record.may_have_run |= matches!(
             outcome,
             AttemptOutcome::Failed | AttemptOutcome::Abandoned | AttemptOutcome::Served { .. }
@@ -207,7 +207,7 @@
     }
 
     fn check_refusal(&mut self, request: RequestId, refusal: &Refusal) {
-        let record = self.requests.get_mut(&request).expect("known");
+        let record = self.requests.get_mut(&request).expect("a known request");
         record.final_answers += 1;
         let text = format!("request {request}, {}", refusal.code);
         if record.may_have_run && refusal.code.ran() == Ran::NotRun {
@@ -260,7 +260,7 @@
         ) {
             self.requests
                 .get_mut(&attempt.request)
-                .expect("known")
+                .expect("a known request")
                 .final_answers += 1;
         }
         let actions = self
--- a/tests/all/slow_store.rs
+++ b/tests/all/slow_store.rs
@@ -122,7 +122,7 @@
             .outcomes
             .iter()
             .find(|(number, _, _)| *number == request);
-        let (_, at, refusal) = outcome.expect("ended");
+        let (_, at, refusal) = outcome.expect("an ended request");
         (*at - sent_at, refusal.clone())
     }
 }
