--- a/crates/decide/src/cell.rs
+++ b/crates/decide/src/cell.rs
@@ -278,9 +278,7 @@
         let mut actions = Vec::new();
         match event {
             Event::Tick => self.tick(now, &mut actions),
-            Event::LeaseGranted { valid_until } => {
-                self.lease_granted(valid_until, now, &mut actions);
-            }
+            Event::LeaseGranted { valid_until } => self.apply_grant(valid_until, now, &mut actions),
             Event::LeaseDenied => self.step_down(now, &mut actions),
             Event::LeaseUnavailable => self.lease_unavailable(now),
             Event::PlanRead { version, plan } => {
@@ -299,13 +297,11 @@
                 fence,
                 answer,
             } => {
-                let answered_order =
+                let order =
                     self.upstreams
                         .record_answer(now, &upstream, fence, answer, &self.limits);
-                if let Some(answered_order) = answered_order {
-                    self.with_term(|term, upstreams| {
-                        term.apply_answer(now, upstreams, &answered_order, answer);
-                    });
+                if let Some(order) = order {
+                    self.with_term(|term, views| term.apply_answer(now, views, &order, answer));
                 }
             }
             Event::StatusPolled {
@@ -318,9 +314,7 @@
             }
             Event::Demand(demand) => self.with_term(|term, _| term.demands.set(demand)),
             Event::Usage(usage) => self.with_term(|term, _| term.record_usage(&usage)),
-            Event::RouterDisconnected(router) => {
-                self.with_term(|term, _| term.remove_router(router));
-            }
+            Event::RouterDisconnected(router) => self.with_term(|term, _| term.drop_router(router)),
             Event::PreviousHolderStopped(epoch) => {
                 let settled_at = now + self.limits.order_settle_time;
                 self.with_term(|term, _| term.mark_holder_stopped(epoch, settled_at));
@@ -365,7 +359,7 @@
         }
     }
 
-    fn lease_granted(&mut self, valid_until: Instant, now: Instant, actions: &mut Vec<Action>) {
+    fn apply_grant(&mut self, valid_until: Instant, now: Instant, actions: &mut Vec<Action>) {
         match &mut self.role {
             Role::Acquiring => {
                 self.role = Role::TakingOver {
--- a/crates/decide/src/cell/term.rs
+++ b/crates/decide/src/cell/term.rs
@@ -181,7 +181,7 @@
             .record(usage);
     }
 
-    pub(super) fn remove_router(&mut self, router: Incarnation) {
+    pub(super) fn drop_router(&mut self, router: Incarnation) {
         self.demands.remove_router(router);
         for usage in self.usage.values_mut() {
             usage.remove_router(router);
--- a/crates/decide/src/router.rs
+++ b/crates/decide/src/router.rs
@@ -6,8 +6,8 @@
 //!
 //! * [`events`]: the inputs and outputs of the router.
 //! * `admission`: whether a request is accepted.
-//! * `waiters`: one [`queue`] per model and the token counters for [`fair_share`] between
-//!   workspaces.
+//! * `waiters`: one [`queue`] per model and the [`token_counters`] for fair sharing
+//!   between workspaces.
 //! * `replicas`: the routes, and which upstreams have a free slot.
 //! * `attempts`: starting requests at upstreams and handling their outcomes. [`budget`] limits the
 //!   retries added to the traffic.
@@ -19,12 +19,12 @@
 mod attempts;
 pub mod budget;
 pub mod events;
-pub mod fair_share;
 mod forecast;
 pub mod queue;
 mod refusals;
 mod replicas;
 mod reports;
+pub mod token_counters;
 mod waiters;
 
 use crate::messages::{DemandVerdict, RouteChange};
--- a/crates/decide/src/router/queue.rs
+++ b/crates/decide/src/router/queue.rs
@@ -1,6 +1,6 @@
 //! The queue of requests that wait for one model.
 
-use super::fair_share::TokenCounters;
+use super::token_counters::TokenCounters;
 use passway_types::prelude::*;
 use std::collections::{BTreeMap, HashMap};
 
--- a/crates/decide/src/router/waiters.rs
+++ b/crates/decide/src/router/waiters.rs
@@ -1,7 +1,7 @@
 //! All requests that wait at one router, by model, and the token counters of their workspaces.
 
-use super::fair_share::TokenCounters;
 use super::queue::{ModelQueue, QueuePosition, WaitingRequest};
+use super::token_counters::TokenCounters;
 use passway_types::prelude::*;
 use std::collections::{BTreeMap, HashMap};
 
