--- /dev/null
+++ b/crates/instance/src/forward/send_permit.rs
@@ -0,0 +1,30 @@
+//! The last check before a request is sent: whether the upstream still admits it and it may go
+//! there.
+//!
+//! Since the choice, operators may have evacuated the hall or restricted the request to other
+//! regions, and the upstream may have sent new signals. Every request is sent with a
+//! [`SendPermit`], which only this check creates: first attempts, retries, resumed streams, runs
+//! granted by another instance, and requests that have waited for a connection.
+
+use super::{Forwarding, Target};
+use passway_types::clock;
+
+/// Permission to send one request to one upstream now.
+#[derive(Debug)]
+pub(super) struct SendPermit(());
+
+impl Forwarding<'_> {
+    /// Checks whether the request may be sent to the upstream; `None` if the upstream does not
+    /// admit it.
+    pub(super) fn acquire_send_permit(&self, target: &Target) -> Option<SendPermit> {
+        let now = clock::now();
+        let mut upstreams = self.shared.upstreams();
+        let has_limit_grant =
+            target.has_limit_grant || upstreams.limit_per_s(&target.id, now).is_none();
+        let is_allowed =
+            has_limit_grant && upstreams.admits(&target.id, &self.access.allowed_regions);
+        let is_admitted =
+            is_allowed && upstreams.let_through(&target.id, target.started_at_ms, now);
+        is_admitted.then_some(SendPermit(()))
+    }
+}
--- a/crates/instance/src/limits.rs
+++ b/crates/instance/src/limits.rs
@@ -1,7 +1,8 @@
-//! Keeping upstreams in need to what they say that they take, over all instances.
+//! Keeping limited upstreams within the rates that they advertise, over all instances.
 //!
-//! What upstreams say is told to all ([`crate::words`]). Whoever would send a request to a limited upstream asks the holder, which
-//! counts. Without an answer an instance has a small share, by what it knows of the fleet's size.
+//! The limits are published to all instances ([`crate::words`]). An instance that wants to send a
+//! request to a limited upstream asks the coordinator, which counts for all. Without an answer the
+//! instance uses a small local share, derived from the number of instances that it knows.
 
 use crate::keeper::{self, TermKeeper};
 use crate::shared::Shared;
@@ -12,27 +13,32 @@
 use std::net::SocketAddr;
 use std::sync::{Mutex, PoisonError};
 
-/// Whether a request may go to an upstream in need.
+/// Whether a request may go to a limited upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Turn {
-    /// Now.
-    Now,
-    /// Not before this time has passed.
-    After(Duration),
-    /// Nobody counts, and this instance's share is spent.
-    Unknown,
+pub enum LimitDecision {
+    /// The request may go now.
+    Granted,
+    /// The request may not go before this time has passed.
+    RetryAfter(Duration),
+    /// No coordinator answers, and this instance's local share is used up.
+    Undecided,
 }
 
-/// This instance's part in keeping upstreams to their limits.
+/// Grants for limited upstreams: this instance's requests and, as the coordinator, its decisions.
 #[derive(Debug, Default)]
 pub struct Limits {
-    counter: TermKeeper,
-    shares: Mutex<Shares>,
+    coordinator: TermKeeper,
+    local_shares: Mutex<Shares>,
 }
 
 impl Limits {
-    /// Whether a request may go to an upstream that takes so many a second.
-    pub fn ask(&self, shared: &Shared, upstream: &UpstreamId, per_s: f64) -> Turn {
+    /// Requests a grant for one request to an upstream that accepts `per_s` requests a second.
+    pub fn request_grant(
+        &self,
+        shared: &Shared,
+        upstream: &UpstreamId,
+        per_s: f64,
+    ) -> LimitDecision {
         let ask = UseAsk {
             id: rand::random(),
             upstream: upstream.to_string(),
@@ -40,43 +46,56 @@
             rate_per_s: per_s,
             ..UseAsk::default()
         };
-        match shared.keeper.ask(shared, &ask) {
-            Ok(told) if told.verdict() == UseVerdict::Granted => Turn::Now,
-            Ok(told) => Turn::After(Duration::from_millis(told.retry_after_ms)),
-            Err(_) => self.share(shared, upstream, per_s),
+        match shared.coordinator.ask(shared, &ask) {
+            Ok(answer) if answer.verdict() == UseVerdict::Granted => LimitDecision::Granted,
+            Ok(answer) => LimitDecision::RetryAfter(Duration::from_millis(answer.retry_after_ms)),
+            Err(_) => self.take_local_share(shared, upstream, per_s),
         }
     }
 
-    fn share(&self, shared: &Shared, upstream: &UpstreamId, per_s: f64) -> Turn {
-        let instances = shared.instances();
-        let mut kept = self.shares.lock().unwrap_or_else(PoisonError::into_inner);
-        if kept.take(upstream, per_s, instances, rand::random(), clock::now()) {
-            Turn::Now
+    fn take_local_share(
+        &self,
+        shared: &Shared,
+        upstream: &UpstreamId,
+        per_s: f64,
+    ) -> LimitDecision {
+        let instances = shared.instance_count();
+        let mut local_shares = self
+            .local_shares
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        if local_shares.take(upstream, per_s, instances, rand::random(), clock::now()) {
+            LimitDecision::Granted
         } else {
-            Turn::Unknown
+            LimitDecision::Undecided
         }
     }
 
-    /// Answers an instance's question, in a term of this instance.
-    pub fn rule(&self, shared: &Shared, fence: Fence, from: SocketAddr, ask: &UseAsk) -> UseTold {
+    /// Decides, as the coordinator in the term `fence`, on another instance's request.
+    pub fn decide(&self, shared: &Shared, fence: Fence, from: SocketAddr, ask: &UseAsk) -> UseTold {
         let upstream = UpstreamId::from(ask.upstream.as_str());
-        // A word that one of the two has not heard yet is the newer one; which, is not known here.
-        let known = shared.upstreams().limit_per_s(&upstream, clock::now());
-        let per_s = known.map_or(ask.rate_per_s, |known| known.min(ask.rate_per_s));
+        // If the two instances know different limits, one of them has not received the newer signal
+        // yet. Which one is unknown, so the lower limit applies.
+        let known_limit = shared.upstreams().limit_per_s(&upstream, clock::now());
+        let per_s = known_limit.map_or(ask.rate_per_s, |limit| limit.min(ask.rate_per_s));
         let allotment = limits::allotment(per_s);
-        let ruling = self.counter.of_term(fence, EXACT, |keeper| {
-            keeper.ask(&upstream, allotment, from, ask.cost, clock::now())
+        let decision = self.coordinator.of_term(fence, EXACT, |counter| {
+            counter.ask(&upstream, allotment, from, ask.cost, clock::now())
         });
-        keeper::told(ask, ruling)
+        keeper::told(ask, decision)
     }
 
-    /// Forgets what was counted for upstreams that name no limit any more.
+    /// Removes the counts of upstreams that advertise no limit any more.
     pub fn retain(&self, shared: &Shared) {
         let upstreams = shared.upstreams();
         let now = clock::now();
         let is_limited = |id: &str| upstreams.limit_per_s(id, now).is_some();
-        self.counter.of_any_term(|keeper| keeper.retain(is_limited));
-        let mut kept = self.shares.lock().unwrap_or_else(PoisonError::into_inner);
-        kept.retain(is_limited);
+        self.coordinator
+            .of_any_term(|counter| counter.retain(is_limited));
+        let mut local_shares = self
+            .local_shares
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        local_shares.retain(is_limited);
     }
 }
