--- a/crates/decide/src/cell.rs
+++ b/crates/decide/src/cell.rs
@@ -1,21 +1,22 @@
-//! The decisions for one cell: who leads, what is placed where, which orders go out.
+//! Decision logic of one cell: leadership, placements and orders to upstreams.
 //!
-//! A [`CellController`] is fed [`Event`]s and returns [`Action`]s. Every
-//! controller process has one for each cell; only the one whose term is written
-//! in the plan acts. Safety rests on the plan's compare-and-swap and on fencing
-//! numbers; the lease only decides who tries.
+//! A [`CellController`] takes [`Event`]s and returns [`Action`]s. Every controller process has one
+//! per cell, and only the one whose term is written in the plan acts. Safety depends on the
+//! compare-and-swap of the plan and on fencing numbers; the lease only decides which controller
+//! tries to lead.
 //!
 //! * [`write`]: the life cycle of a change of the plan.
-//! * [`term`]: what the holder of a term knows and does.
-//! * [`lease`], [`former`], [`progress`], [`usage`], [`demand`], [`upstreams`]: what it knows.
-//! * [`placing`], [`idle`], [`ordering`], [`publish`]: what it does.
+//! * [`term`]: the state and the actions of the holder during one term.
+//! * [`lease`], [`previous_holders`], [`progress`], [`usage`], [`demand`], [`upstreams`]: the parts
+//!   of that state.
+//! * [`placing`], [`idle`], [`orders`], [`publish`]: the parts of its actions.
 
 pub mod demand;
-mod former;
 mod idle;
 mod lease;
-mod ordering;
+mod orders;
 mod placing;
+mod previous_holders;
 mod progress;
 mod publish;
 pub mod term;
@@ -30,43 +31,44 @@
 use passway_config::Catalog;
 use passway_types::prelude::*;
 use term::Term;
-use upstreams::{Standing, Upstreams};
+use upstreams::{ListingState, Upstreams};
 use write::{Change, InFlight, Resolution};
 
-/// Longest time between two attempts of a standby to take the lease, as a power of two of the first.
-const MAX_STANDBY_BACKOFF: u32 = 10;
-/// Pause before a read of the key-value service is tried again.
-const READ_RETRY: Duration = Duration::from_millis(200);
+/// Limit of a standby's backoff: the exponent of 2 by which its poll interval grows.
+const MAX_STANDBY_BACKOFF_EXPONENT: u32 = 10;
+/// Delay before a failed read of the plan is retried.
+const READ_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Bounds that the program's settings give.
+/// Time limits from the program's settings.
 #[derive(Debug, Clone)]
 pub struct CellLimits {
-    /// Time between two looks of the first standby at the lease.
-    pub standby_poll: Duration,
+    /// Interval at which the first standby tries to take the lease.
+    pub standby_poll_interval: Duration,
     /// Time after which an unanswered order can no longer arrive.
-    pub order_settle: Duration,
-    /// A write that is open for longer counts as an outage of the key-value service.
-    pub write_patience: Duration,
+    pub order_settle_time: Duration,
+    /// A write without an outcome for longer than this counts as an outage of the key-value
+    /// service.
+    pub write_outage_after: Duration,
 }
 
-/// Something that happened.
+/// An input of a [`CellController`].
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// Time passed.
+    /// Time has passed.
     Tick,
-    /// The lease was taken or renewed; orders may leave until `until_at`, which
-    /// is counted from before the call was sent.
+    /// The lease was taken or renewed. Orders may be sent until `valid_until`, which is counted
+    /// from before the lease call was sent.
     LeaseGranted {
-        /// The last moment at which the lease can be relied on.
-        until_at: Instant,
+        /// The last time at which the lease can be relied on.
+        valid_until: Instant,
     },
-    /// Another controller has the lease, or ours lapsed.
+    /// Another controller has the lease, or this controller's lease expired.
     LeaseDenied,
-    /// The key-value service did not answer about the lease.
+    /// The key-value service did not answer a lease call.
     LeaseUnavailable,
     /// The plan was read.
     PlanRead {
-        /// Its version, 0 if there is none.
+        /// The version of the plan, 0 if there is none.
         version: Version,
         /// The plan, if there is one.
         plan: Option<Box<Plan>>,
@@ -75,194 +77,194 @@
     PlanUnavailable,
     /// A write took effect.
     WriteDone {
-        /// The change that was written; an answer to an earlier one is stale.
+        /// The id of the written change. An answer to an earlier change is ignored.
         change: ChangeId,
-        /// The version it made.
+        /// The version that the write created.
         version: Version,
     },
     /// The last write did not take effect, or its answer was lost.
-    WriteUnclear,
-    /// An order was answered.
-    Order {
-        /// The order's upstream.
+    WriteOutcomeUnknown,
+    /// An order was answered, or its sender gave up on it.
+    OrderAnswered {
+        /// The upstream that the order was for.
         upstream: UpstreamId,
         /// The order's fencing number.
         fence: Fence,
-        /// What became of it.
+        /// The answer to the order.
         answer: OrderAnswer,
     },
-    /// An upstream reported, or could not be asked.
-    Status {
-        /// Which upstream.
+    /// An upstream was polled for its status.
+    StatusPolled {
+        /// The upstream.
         upstream: UpstreamId,
-        /// When the question was sent.
-        asked_at: Instant,
-        /// The report; `None` if the upstream could not be reached.
+        /// When the poll was sent.
+        polled_at: Instant,
+        /// The status report; `None` if the upstream did not answer.
         status: Option<UpstreamStatus>,
     },
-    /// A router's demand.
+    /// A demand from a router.
     Demand(Demand),
-    /// A router's report of use.
+    /// A usage report from a router.
     Usage(Usage),
-    /// A router's connection ended.
-    RouterGone(Incarnation),
-    /// The holder of an earlier epoch can send no more.
-    FormerGone(Epoch),
-    /// What the platform's list says of an upstream has changed.
-    UpstreamStanding {
-        /// Which upstream.
+    /// The connection of a router was closed.
+    RouterDisconnected(Incarnation),
+    /// The holder of this earlier epoch can send no more orders.
+    PreviousHolderStopped(Epoch),
+    /// The state of an upstream in the platform's instance list has changed.
+    UpstreamListingChanged {
+        /// The upstream.
         upstream: UpstreamId,
-        /// What the list says now.
-        standing: Standing,
+        /// The new state.
+        listing: ListingState,
     },
-    /// A newer configuration is in force.
+    /// A newer configuration is in use.
     Catalog(Arc<Catalog>),
-    /// How many live controllers come before this one for the cell.
+    /// The number of running controllers that precede this one in the ranking for the cell.
     Rank(u32),
-    /// The process is to stop.
+    /// The process is about to stop.
     Shutdown,
 }
 
-/// Something to do.
+/// An output of a [`CellController`], to be carried out by the program.
 #[derive(Debug, Clone)]
 pub enum Action {
     /// Try to take the cell's lease.
     AcquireLease,
     /// Renew the lease.
     RenewLease,
-    /// Give the lease back.
+    /// Release the lease.
     ReleaseLease,
     /// Read the plan.
     ReadPlan,
     /// Write the plan if its version is still `expected`.
     WritePlan {
-        /// The version that must still stand.
+        /// The version that the stored plan must have.
         expected: Version,
         /// The new plan.
         plan: Box<Plan>,
     },
-    /// Send an order, unless its time has passed.
+    /// Send an order unless its `not_after` time has passed.
     SendOrder(Order),
     /// Answer a router's demand.
     AnswerDemand {
-        /// Which router.
+        /// The incarnation of the router.
         router: Incarnation,
-        /// The model.
+        /// The model that the demand is for.
         model: ModelName,
         /// The answer.
         verdict: DemandVerdict,
     },
-    /// Tell routers where requests may be sent.
-    Publish(RouteChange),
-    /// Find out whether a former holder can still send orders.
-    ProbeFormer {
-        /// Its epoch.
+    /// Send the change of the routing table to all routers.
+    PublishRoutes(RouteChange),
+    /// Find out whether a previous holder can still send orders.
+    ProbePreviousHolder {
+        /// The epoch of the previous holder.
         epoch: Epoch,
-        /// Who it is.
+        /// The previous holder.
         holder: Holder,
     },
-    /// Record a decision.
+    /// Record a decision in the audit trail.
     Audit(Decision),
 }
 
-/// A decision worth an entry in the audit trail.
+/// A decision that is recorded in the audit trail.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
     /// A term of leadership began.
     TookOver {
-        /// Its epoch.
+        /// The epoch of the term.
         epoch: Epoch,
     },
-    /// A term ended.
+    /// A term of leadership ended.
     StoodDown {
-        /// Its epoch.
+        /// The epoch of the term.
         epoch: Epoch,
     },
-    /// A placement was decided.
+    /// A placement was added to the plan.
     Placed {
         /// The placement.
         placement: PlacementId,
         /// The model.
         model: ModelName,
-        /// Where.
+        /// The upstream.
         upstream: UpstreamId,
-        /// Why.
+        /// Why the placement was made.
         reason: String,
     },
-    /// A placement is to leave.
+    /// A placement was marked as leaving.
     Unloading {
         /// The placement.
         placement: PlacementId,
         /// The model.
         model: ModelName,
-        /// Where.
+        /// The upstream.
         upstream: UpstreamId,
-        /// Why.
+        /// Why the model is unloaded.
         reason: &'static str,
     },
-    /// A placement's memory is free again.
+    /// A placement was removed and its memory is free.
     Freed {
         /// The placement.
         placement: PlacementId,
     },
 }
 
-/// How this controller stands towards the cell.
+/// The role of this controller in the cell.
 #[derive(Debug)]
 enum Role {
-    /// Another controller leads, or nobody yet.
-    Standby { poll_at: Instant },
-    /// The lease is asked for.
+    /// Another controller leads, or none does.
+    Standby { next_poll_at: Instant },
+    /// The controller has asked for the lease.
     Acquiring,
-    /// The lease is ours; the plan is read or written to begin the term.
+    /// The controller has the lease and reads or writes the plan to begin its term.
     TakingOver {
         lease_until: Instant,
-        read_at: Option<Instant>,
+        next_read_at: Option<Instant>,
         change: Option<Change<InFlight>>,
     },
-    /// The term is written in the plan.
+    /// The controller's term is written in the plan.
     Active(Box<Term>),
-    /// The process stops and takes no more terms.
+    /// The process is stopping and begins no more terms.
     Stopped,
 }
 
-/// Decides for one cell.
+/// The decision state of a controller for one cell.
 #[derive(Debug)]
 pub struct CellController {
     cell: CellName,
-    me: Holder,
+    this_holder: Holder,
     limits: CellLimits,
     catalog: Arc<Catalog>,
     role: Role,
     upstreams: Upstreams,
     rank: u32,
-    changes_made: u64,
+    change_count: u64,
 }
 
 impl CellController {
-    /// A standby for `cell`.
+    /// Returns a standby for `cell`.
     pub fn new(
         cell: CellName,
-        me: Holder,
+        this_holder: Holder,
         limits: CellLimits,
         catalog: Arc<Catalog>,
         now: Instant,
     ) -> Self {
         let upstreams = Upstreams::new(&catalog, &cell);
-        let role = Role::Standby { poll_at: now };
+        let role = Role::Standby { next_poll_at: now };
         Self {
             cell,
-            me,
+            this_holder,
             limits,
             catalog,
             role,
             upstreams,
             rank: 0,
-            changes_made: 0,
+            change_count: 0,
         }
     }
 
-    /// The term in progress, if this controller leads.
+    /// Returns the term in progress if this controller leads.
     pub fn term(&self) -> Option<&Term> {
         if let Role::Active(term) = &self.role {
             Some(term)
@@ -271,13 +273,13 @@
         }
     }
 
-    /// Takes one event and returns what to do, in order.
+    /// Handles an event and returns the actions to carry out, in order.
     pub fn handle(&mut self, now: Instant, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
             Event::Tick => self.tick(now, &mut actions),
-            Event::LeaseGranted { until_at } => self.lease_granted(until_at, now, &mut actions),
-            Event::LeaseDenied => self.stand_down(now, &mut actions),
+            Event::LeaseGranted { valid_until } => self.apply_grant(valid_until, now, &mut actions),
+            Event::LeaseDenied => self.step_down(now, &mut actions),
             Event::LeaseUnavailable => self.lease_unavailable(now),
             Event::PlanRead { version, plan } => {
                 self.plan_read(now, version, plan.map(|plan| *plan), &mut actions);
@@ -286,48 +288,48 @@
             Event::WriteDone { change, version } => {
                 self.write_done(now, change, version, &mut actions);
             }
-            Event::WriteUnclear => self.read_again(now),
+            Event::WriteOutcomeUnknown => self.schedule_read(now),
             Event::Catalog(catalog) => self.use_catalog(catalog),
             Event::Rank(rank) => self.rank = rank,
             Event::Shutdown => self.shutdown(now, &mut actions),
-            Event::Order {
+            Event::OrderAnswered {
                 upstream,
                 fence,
                 answer,
             } => {
-                let sent = self
-                    .upstreams
-                    .answered(now, &upstream, fence, answer, &self.limits);
-                if let Some(sent) = sent {
-                    self.with_term(|term, all| term.answered(now, all, &sent, answer));
+                let order =
+                    self.upstreams
+                        .record_answer(now, &upstream, fence, answer, &self.limits);
+                if let Some(order) = order {
+                    self.with_term(|term, views| term.apply_answer(now, views, &order, answer));
                 }
             }
-            Event::Status {
+            Event::StatusPolled {
                 upstream,
-                asked_at,
+                polled_at,
                 status,
             } => {
-                self.upstreams.reported(&upstream, asked_at, status);
-                self.with_term(|term, upstreams| term.observe(now, upstreams, &upstream));
+                self.upstreams.record_status(&upstream, polled_at, status);
+                self.with_term(|term, upstreams| term.apply_report(now, upstreams, &upstream));
             }
             Event::Demand(demand) => self.with_term(|term, _| term.demands.set(demand)),
             Event::Usage(usage) => self.with_term(|term, _| term.record_usage(&usage)),
-            Event::RouterGone(router) => self.with_term(|term, _| term.router_gone(router)),
-            Event::FormerGone(epoch) => {
-                let settled_at = now + self.limits.order_settle;
-                self.with_term(|term, _| term.former_gone(epoch, settled_at));
+            Event::RouterDisconnected(router) => self.with_term(|term, _| term.drop_router(router)),
+            Event::PreviousHolderStopped(epoch) => {
+                let settled_at = now + self.limits.order_settle_time;
+                self.with_term(|term, _| term.mark_holder_stopped(epoch, settled_at));
             }
-            Event::UpstreamStanding { upstream, standing } => {
-                self.upstreams.set_standing(&upstream, standing);
+            Event::UpstreamListingChanged { upstream, listing } => {
+                self.upstreams.set_listing(&upstream, listing);
             }
         }
         self.advance(now, &mut actions);
         actions
     }
 
-    fn with_term(&mut self, change: impl FnOnce(&mut Term, &Upstreams)) {
+    fn with_term(&mut self, update: impl FnOnce(&mut Term, &Upstreams)) {
         if let Role::Active(term) = &mut self.role {
-            change(term, &self.upstreams);
+            update(term, &self.upstreams);
         }
     }
 
@@ -344,12 +346,12 @@
 
     fn tick(&mut self, now: Instant, actions: &mut Vec<Action>) {
         match &mut self.role {
-            Role::Standby { poll_at } if now >= *poll_at => {
+            Role::Standby { next_poll_at } if now >= *next_poll_at => {
                 self.role = Role::Acquiring;
                 actions.push(Action::AcquireLease);
             }
-            Role::TakingOver { read_at, .. } if read_at.is_some_and(|at| now >= at) => {
-                *read_at = None;
+            Role::TakingOver { next_read_at, .. } if next_read_at.is_some_and(|at| now >= at) => {
+                *next_read_at = None;
                 actions.push(Action::ReadPlan);
             }
             Role::Active(term) => term.tick(now, actions),
@@ -357,19 +359,19 @@
         }
     }
 
-    fn lease_granted(&mut self, until_at: Instant, now: Instant, actions: &mut Vec<Action>) {
+    fn apply_grant(&mut self, valid_until: Instant, now: Instant, actions: &mut Vec<Action>) {
         match &mut self.role {
             Role::Acquiring => {
                 self.role = Role::TakingOver {
-                    lease_until: until_at,
-                    read_at: None,
+                    lease_until: valid_until,
+                    next_read_at: None,
                     change: None,
                 };
                 actions.push(Action::ReadPlan);
             }
-            Role::TakingOver { lease_until, .. } => *lease_until = until_at,
-            Role::Active(term) => term.lease_renewed(until_at),
-            Role::Standby { .. } => self.role = Role::Standby { poll_at: now },
+            Role::TakingOver { lease_until, .. } => *lease_until = valid_until,
+            Role::Active(term) => term.lease_renewed(valid_until),
+            Role::Standby { .. } => self.role = Role::Standby { next_poll_at: now },
             Role::Stopped => actions.push(Action::ReleaseLease),
         }
     }
@@ -378,7 +380,7 @@
         match &mut self.role {
             Role::Acquiring => {
                 self.role = Role::Standby {
-                    poll_at: now + self.standby_pause(),
+                    next_poll_at: now + self.standby_poll_delay(),
                 }
             }
             Role::Active(term) => term.renewal_failed(),
@@ -386,13 +388,13 @@
         }
     }
 
-    /// Standbys further back look more rarely, so that the sum of all looks is
-    /// bounded however many controllers there are.
-    fn standby_pause(&self) -> Duration {
-        self.limits.standby_poll * 2_u32.pow(self.rank.min(MAX_STANDBY_BACKOFF))
+    /// Returns the poll delay of this standby. It doubles with the rank, so that the total rate of
+    /// polls stays bounded for any number of controllers.
+    fn standby_poll_delay(&self) -> Duration {
+        self.limits.standby_poll_interval * 2_u32.pow(self.rank.min(MAX_STANDBY_BACKOFF_EXPONENT))
     }
 
-    fn stand_down(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    fn step_down(&mut self, now: Instant, actions: &mut Vec<Action>) {
         if let Role::Active(term) = &self.role {
             actions.push(Action::Audit(Decision::StoodDown {
                 epoch: term.epoch(),
@@ -400,14 +402,14 @@
         }
         if !matches!(self.role, Role::Stopped) {
             self.role = Role::Standby {
-                poll_at: now + self.standby_pause(),
+                next_poll_at: now + self.standby_poll_delay(),
             };
         }
     }
 
     fn shutdown(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let had_lease = matches!(self.role, Role::Active(_) | Role::TakingOver { .. });
-        self.stand_down(now, actions);
+        self.step_down(now, actions);
         self.role = Role::Stopped;
         if had_lease {
             actions.push(Action::ReleaseLease);
@@ -418,24 +420,24 @@
         &mut self,
         now: Instant,
         version: Version,
-        found: Option<Plan>,
+        stored: Option<Plan>,
         actions: &mut Vec<Action>,
     ) {
         match &mut self.role {
             Role::TakingOver { change, .. } => match change.take() {
-                None => self.begin_take_over(version, found, actions),
-                Some(change) => match change.resolve(version, found) {
+                None => self.begin_take_over(version, stored, actions),
+                Some(change) => match change.resolve(version, stored) {
                     Resolution::Committed(committed) => self.begin_term(now, committed, actions),
                     Resolution::NotApplied { version, plan } => {
                         self.begin_take_over(version, plan, actions);
                     }
-                    Resolution::Deposed => self.stand_down(now, actions),
+                    Resolution::Superseded => self.step_down(now, actions),
                 },
             },
             Role::Active(term) => {
-                let is_deposed = term.plan_read(now, version, found).is_err();
-                if is_deposed {
-                    self.stand_down(now, actions);
+                let is_superseded = term.plan_read(now, version, stored).is_err();
+                if is_superseded {
+                    self.step_down(now, actions);
                 }
             }
             _ => {}
@@ -445,37 +447,37 @@
     fn begin_take_over(
         &mut self,
         version: Version,
-        found: Option<Plan>,
+        stored: Option<Plan>,
         actions: &mut Vec<Action>,
     ) {
-        let mut plan = found.map_or_else(
-            || Plan::first(self.me.clone()),
+        let mut plan = stored.map_or_else(
+            || Plan::initial(self.this_holder.clone()),
             |mut plan| {
-                plan.take_over(self.me.clone());
+                plan.take_over(self.this_holder.clone());
                 plan
             },
         );
-        self.changes_made += 1;
-        plan.last_change = change_id(self.me.incarnation, self.changes_made);
-        let (sent, action) = Change::draft(plan).send(version);
+        self.change_count += 1;
+        plan.last_change = change_id(self.this_holder.incarnation, self.change_count);
+        let (in_flight, action) = Change::draft(plan).send(version);
         actions.push(action);
         if let Role::TakingOver { change, .. } = &mut self.role {
-            *change = Some(sent);
+            *change = Some(in_flight);
         }
     }
 
     fn plan_unavailable(&mut self, now: Instant) {
         match &mut self.role {
-            Role::TakingOver { read_at, .. } => *read_at = Some(now + READ_RETRY),
+            Role::TakingOver { next_read_at, .. } => *next_read_at = Some(now + READ_RETRY_DELAY),
             Role::Active(term) => term.read_failed(now),
             _ => {}
         }
     }
 
-    fn read_again(&mut self, now: Instant) {
+    fn schedule_read(&mut self, now: Instant) {
         match &mut self.role {
-            Role::TakingOver { read_at, .. } => *read_at = Some(now),
-            Role::Active(term) => term.write_unclear(now),
+            Role::TakingOver { next_read_at, .. } => *next_read_at = Some(now),
+            Role::Active(term) => term.write_outcome_unknown(now),
             _ => {}
         }
     }
@@ -514,15 +516,15 @@
             committed,
             *lease_until,
             &self.catalog,
-            self.changes_made,
-            self.limits.write_patience,
+            self.change_count,
+            self.limits.write_outage_after,
         );
-        term.adopt(now, &self.upstreams);
+        term.apply_all_reports(now, &self.upstreams);
         self.role = Role::Active(Box::new(term));
     }
 }
 
-/// The id of the `count`th change that a process makes; unlike any other process's.
+/// Returns the id of the `count`th change by a process. No other process uses the same id.
 fn change_id(incarnation: Incarnation, count: u64) -> ChangeId {
     (incarnation << 24) ^ count
 }
--- a/crates/decide/src/cell/progress.rs
+++ b/crates/decide/src/cell/progress.rs
@@ -1,4 +1,4 @@
-//! How far placements are on their upstreams, by reports and by answers to orders.
+//! Progress of placements on their upstreams, from status reports and answers to orders.
 
 use super::upstreams::{OrderInFlight, UpstreamView};
 use crate::estimate::LoadEstimator;
@@ -7,41 +7,41 @@
 use passway_types::prelude::*;
 use std::collections::HashMap;
 
-/// How far a placement is on its upstream, as far as the holder knows.
+/// The stage of a placement on its upstream, as known to the holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
     /// Nothing is known; an order is needed.
     Unknown,
-    /// The upstream loads it.
+    /// The upstream is loading the model.
     Loading,
-    /// It serves.
+    /// The model serves requests.
     Ready,
-    /// An unload order handed over at this time was answered with "absent".
+    /// The upstream answered "absent" to an unload order.
     Absent {
-        /// When the order was handed to the sender.
+        /// When that order was handed to the sender.
         ordered_at: Instant,
     },
 }
 
-/// A placement's stage and the times that go with it.
+/// The stage of a placement and when it changed.
 #[derive(Debug, Clone, Copy)]
 struct Progress {
     stage: Stage,
-    since: Instant,
-    /// When the routes to it were taken back.
-    withdrawn_at: Option<Instant>,
+    entered_at: Instant,
+    /// When the routes to the replica were withdrawn.
+    routes_withdrawn_at: Option<Instant>,
 }
 
-/// The progress of all placements of a term.
+/// The progress of all placements in a term.
 #[derive(Debug)]
-pub(super) struct ProgressBook {
+pub(super) struct ProgressTable {
     placements: HashMap<PlacementId, Progress>,
-    /// Follows the stages: a load begins, ends or is given up.
+    /// Load time estimates, updated whenever a load begins, ends or is given up.
     pub(super) estimator: LoadEstimator,
 }
 
-impl ProgressBook {
-    /// Nothing is known of any placement.
+impl ProgressTable {
+    /// Returns a table in which nothing is known of any placement.
     pub(super) fn new(estimator: LoadEstimator) -> Self {
         Self {
             placements: HashMap::new(),
@@ -49,66 +49,70 @@
         }
     }
 
-    /// How far a placement is.
+    /// Returns the stage of a placement.
     pub(super) fn stage(&self, id: PlacementId) -> Stage {
         let progress = self.placements.get(&id);
         progress.map_or(Stage::Unknown, |progress| progress.stage)
     }
 
-    /// Since when a placement is as far as it is; `None` if nothing is known of it.
-    pub(super) fn since(&self, id: PlacementId) -> Option<Instant> {
-        self.placements.get(&id).map(|progress| progress.since)
+    /// Returns when a placement entered its stage; `None` if nothing is known of it.
+    pub(super) fn entered_at(&self, id: PlacementId) -> Option<Instant> {
+        self.placements.get(&id).map(|progress| progress.entered_at)
     }
 
-    /// When the routes to a placement were taken back.
-    pub(super) fn withdrawn_at(&self, id: PlacementId) -> Option<Instant> {
-        self.placements.get(&id)?.withdrawn_at
+    /// Returns when the routes to a placement were withdrawn.
+    pub(super) fn routes_withdrawn_at(&self, id: PlacementId) -> Option<Instant> {
+        self.placements.get(&id)?.routes_withdrawn_at
     }
 
-    /// The routes to a placement are taken back, unless they were before.
-    pub(super) fn withdraw(&mut self, now: Instant, id: PlacementId) {
+    /// Records that the routes to a placement are withdrawn, unless they were withdrawn earlier.
+    pub(super) fn withdraw_routes(&mut self, now: Instant, id: PlacementId) {
         let progress = self.placements.entry(id).or_insert(Progress {
             stage: Stage::Unknown,
-            since: now,
-            withdrawn_at: None,
+            entered_at: now,
+            routes_withdrawn_at: None,
         });
-        progress.withdrawn_at.get_or_insert(now);
+        progress.routes_withdrawn_at.get_or_insert(now);
     }
 
-    /// Placements that upstreams load.
-    pub(super) fn loading(&self) -> usize {
+    /// Returns the number of placements that upstreams are loading.
+    pub(super) fn loading_count(&self) -> usize {
         let all = self.placements.values();
         all.filter(|p| p.stage == Stage::Loading).count()
     }
 
-    /// Forgets a placement.
+    /// Removes a placement.
     pub(super) fn forget(&mut self, id: PlacementId) {
         self.placements.remove(&id);
         self.estimator.abandon(id);
     }
 
-    /// Takes in an upstream's report about what the plan has there.
-    pub(super) fn observe(&mut self, now: Instant, plan: &Plan, view: &UpstreamView) {
-        let Some((asked_at, _)) = &view.status else {
+    /// Applies an upstream's status report to the held placements on it.
+    pub(super) fn apply_report(&mut self, now: Instant, plan: &Plan, view: &UpstreamView) {
+        let Some((polled_at, _)) = &view.status else {
             return;
         };
-        let held = plan.on_upstream(&view.entry.id);
-        for placement in held.filter(|p| p.state == PlacementState::Held) {
-            if let Some(stage) = self.reported(*asked_at, view, placement) {
+        let placements = plan.on_upstream(&view.entry.id);
+        for placement in placements.filter(|p| p.state == PlacementState::Held) {
+            if let Some(stage) = self.stage_from_report(*polled_at, view, placement) {
                 self.enter(now, stage, view, placement);
             }
         }
     }
 
-    /// The stage that a report takes a placement to; `None` if it changes nothing.
-    fn reported(
+    /// Returns the stage that a status report leads to; `None` if the report changes nothing.
+    fn stage_from_report(
         &self,
-        asked_at: Instant,
+        polled_at: Instant,
         view: &UpstreamView,
         placement: &Placement,
     ) -> Option<Stage> {
-        let state = view.reported(&placement.model).map(|loaded| loaded.state);
-        let is_newer = self.since(placement.id).is_none_or(|at| asked_at > at);
+        let state = view
+            .reported_model(&placement.model)
+            .map(|loaded| loaded.state);
+        let is_newer = self
+            .entered_at(placement.id)
+            .is_none_or(|at| polled_at > at);
         match (self.stage(placement.id), state) {
             (Stage::Unknown | Stage::Loading, Some(LoadedState::Ready)) => Some(Stage::Ready),
             (Stage::Unknown, Some(LoadedState::Loading)) => Some(Stage::Loading),
@@ -123,7 +127,7 @@
         match stage {
             Stage::Ready => self.estimator.finish(now, placement.id),
             Stage::Loading => {
-                let tier = view.tier(&placement.model);
+                let tier = view.checkpoint_tier(&placement.model);
                 self.estimator
                     .begin(now, placement.id, tier, placement.reserved_bytes);
             }
@@ -131,26 +135,27 @@
         }
         let progress = Progress {
             stage,
-            since: now,
-            withdrawn_at: None,
+            entered_at: now,
+            routes_withdrawn_at: None,
         };
         self.placements.insert(placement.id, progress);
     }
 
-    /// Takes in the answer to an order; `tier` is where the upstream has the model.
-    pub(super) fn answered(
+    /// Applies the answer to an order. `tier` is the storage tier of the checkpoint at the
+    /// upstream.
+    pub(super) fn apply_answer(
         &mut self,
         now: Instant,
-        sent: &OrderInFlight,
+        answered: &OrderInFlight,
         answer: OrderAnswer,
         tier: Tier,
     ) {
-        let order = &sent.order;
+        let order = &answered.order;
         let stage = match (order.kind, answer) {
             (OrderKind::Load, OrderAnswer::Loading) => Stage::Loading,
             (OrderKind::Load, OrderAnswer::Loaded) => Stage::Ready,
             (OrderKind::Unload, OrderAnswer::Absent) => Stage::Absent {
-                ordered_at: sent.handed_at,
+                ordered_at: answered.handed_at,
             },
             _ => return,
         };
@@ -160,8 +165,8 @@
         }
         let progress = Progress {
             stage,
-            since: now,
-            withdrawn_at: self.withdrawn_at(order.placement),
+            entered_at: now,
+            routes_withdrawn_at: self.routes_withdrawn_at(order.placement),
         };
         self.placements.insert(order.placement, progress);
     }
