--- a/crates/decide/src/router/attempts.rs
+++ b/crates/decide/src/router/attempts.rs
@@ -1,87 +1,89 @@
-//! Attempts of requests at upstreams: how they start and what follows their end.
+//! Attempts to run requests at upstreams: how they start and how their outcomes are handled.
 
-use super::queue::Waiting;
-use super::{ANSWER_MARGIN, BUSY_RETRY, Ended, RouterAction, RouterCore};
+use super::queue::WaitingRequest;
+use super::{AttemptOutcome, BUSY_RETRY_AFTER, DEADLINE_MARGIN, RouterAction, RouterCore};
 use passway_types::prelude::*;
 use std::collections::HashMap;
 
-/// Time for which an upstream that refused a connection gets nothing.
-const BLOCK_TIME: Duration = Duration::from_secs(1);
-/// Time for which an upstream that had no slot free gets nothing.
-const BUSY_TIME: Duration = Duration::from_millis(50);
-/// Tokens assumed for a request until its answer is counted.
+/// Backoff for an upstream that failed, or for a replica that the upstream does not have.
+const FAILURE_BACKOFF: Duration = Duration::from_secs(1);
+/// Backoff for an upstream that had no free slot.
+const BUSY_BACKOFF: Duration = Duration::from_millis(50);
+/// Tokens charged for a request until the tokens of its answer are known.
 const ASSUMED_TOKENS: u32 = 64;
 
-/// A request that an upstream works on.
+/// A request that is running at an upstream.
 #[derive(Debug)]
-struct Running {
-    waiting: Waiting,
+struct RunningAttempt {
+    queue_entry: WaitingRequest,
     model: ModelName,
     upstream: UpstreamId,
     started_at: Instant,
 }
 
-/// The requests that upstreams work on, counted by workspace and by model.
+/// The running requests, counted by workspace and by model.
 #[derive(Debug, Default)]
 pub(super) struct Attempts {
-    running: HashMap<RequestId, Running>,
+    running: HashMap<RequestId, RunningAttempt>,
     by_workspace: HashMap<WorkspaceName, u32>,
     by_model: HashMap<ModelName, u32>,
 }
 
 impl Attempts {
-    /// Requests that run.
+    /// Returns the number of running requests.
     pub(super) fn len(&self) -> usize {
         self.running.len()
     }
 
-    /// Requests that run on a model.
-    pub(super) fn of_model(&self, model: &str) -> u32 {
+    /// Returns the number of requests that run on a model.
+    pub(super) fn running_on_model(&self, model: &str) -> u32 {
         self.by_model.get(model).copied().unwrap_or(0)
     }
 
-    /// Models on which requests run.
+    /// Returns the models on which requests run.
     pub(super) fn models(&self) -> impl Iterator<Item = &ModelName> {
         self.by_model.keys()
     }
 
-    /// Whether the limit of its workspace lets a request run.
-    fn may_run(&self, waiting: &Waiting) -> bool {
+    /// Whether the workspace's limit on running requests allows this request to start.
+    fn is_within_limit(&self, waiting: &WaitingRequest) -> bool {
         let running = self.by_workspace.get(&waiting.workspace);
         let running = running.copied().unwrap_or(0);
-        waiting.max_running.is_none_or(|most| running < most)
+        waiting
+            .max_running
+            .is_none_or(|max_running| running < max_running)
     }
 
-    fn add(&mut self, running: Running) {
-        let workspace = running.waiting.workspace.clone();
+    fn add(&mut self, attempt: RunningAttempt) {
+        let workspace = attempt.queue_entry.workspace.clone();
         *self.by_workspace.entry(workspace).or_default() += 1;
-        *self.by_model.entry(running.model.clone()).or_default() += 1;
-        self.running.insert(running.waiting.request, running);
+        *self.by_model.entry(attempt.model.clone()).or_default() += 1;
+        self.running.insert(attempt.queue_entry.request, attempt);
     }
 
-    fn remove(&mut self, request: RequestId) -> Option<Running> {
-        let running = self.running.remove(&request)?;
-        super::decrement(&mut self.by_workspace, &running.waiting.workspace);
-        super::decrement(&mut self.by_model, &running.model);
-        Some(running)
+    fn remove(&mut self, request: RequestId) -> Option<RunningAttempt> {
+        let attempt = self.running.remove(&request)?;
+        super::decrement(&mut self.by_workspace, &attempt.queue_entry.workspace);
+        super::decrement(&mut self.by_model, &attempt.model);
+        Some(attempt)
     }
 }
 
 impl RouterCore {
-    /// Starts whatever has a free slot, in the order that policy and shares give.
+    /// Starts requests while upstreams have free slots, ordered by policy priority and fair share.
     pub(super) fn dispatch(&mut self, now: Instant, actions: &mut Vec<RouterAction>) {
         while let Some((model, waiting, upstream)) = self.take_next(now) {
             actions.push(self.start(now, model, waiting, upstream));
         }
     }
 
-    fn take_next(&mut self, now: Instant) -> Option<(ModelName, Waiting, UpstreamId)> {
-        let (model, place) = self.waiters.first(
+    fn take_next(&mut self, now: Instant) -> Option<(ModelName, WaitingRequest, UpstreamId)> {
+        let (model, position) = self.waiters.next_to_start(
             |model| self.replicas.has_free_slot(now, &self.catalog, model),
-            |waiting| self.attempts.may_run(waiting),
+            |waiting| self.attempts.is_within_limit(waiting),
         )?;
-        let upstream = self.replicas.choose(now, &self.catalog, &model)?;
-        let waiting = self.waiters.remove(&model, &place)?;
+        let upstream = self.replicas.choose_upstream(now, &self.catalog, &model)?;
+        let waiting = self.waiters.remove(&model, &position)?;
         Some((model, waiting, upstream))
     }
 
@@ -89,23 +91,23 @@
         &mut self,
         now: Instant,
         model: ModelName,
-        waiting: Waiting,
+        queue_entry: WaitingRequest,
         upstream: UpstreamId,
     ) -> RouterAction {
-        self.replicas.started(&upstream);
+        self.replicas.request_started(&upstream);
         self.waiters
-            .charge(&waiting.workspace, i64::from(ASSUMED_TOKENS));
-        self.budget.started();
-        self.used.insert(model.clone());
+            .charge(&queue_entry.workspace, i64::from(ASSUMED_TOKENS));
+        self.budget.earn();
+        self.models_in_use.insert(model.clone());
         let action = RouterAction::Start {
-            request: waiting.request,
+            request: queue_entry.request,
             upstream: upstream.clone(),
             model: model.clone(),
-            deadline_at: waiting.deadline_at,
-            priority: waiting.priority,
+            deadline_at: queue_entry.deadline_at,
+            priority: queue_entry.priority,
         };
-        self.attempts.add(Running {
-            waiting,
+        self.attempts.add(RunningAttempt {
+            queue_entry,
             model,
             upstream,
             started_at: now,
@@ -113,62 +115,72 @@
         action
     }
 
-    /// Records how an attempt ended; a failed one waits again if the budget allows.
-    pub fn ended(&mut self, now: Instant, request: RequestId, ended: Ended) -> Vec<RouterAction> {
+    /// Handles the outcome of an attempt. A failed request is queued again if the retry budget
+    /// allows it.
+    pub fn attempt_ended(
+        &mut self,
+        now: Instant,
+        request: RequestId,
+        outcome: AttemptOutcome,
+    ) -> Vec<RouterAction> {
         let mut actions = Vec::new();
-        let Some(running) = self.attempts.remove(request) else {
+        let Some(attempt) = self.attempts.remove(request) else {
             return actions;
         };
-        self.replicas.ended(&running.upstream);
-        self.used.insert(running.model.clone());
-        match ended {
-            Ended::Served { tokens } => {
-                let spent = i64::from(tokens) - i64::from(ASSUMED_TOKENS);
-                self.waiters.charge(&running.waiting.workspace, spent);
-                let took = now.saturating_duration_since(running.started_at);
-                self.forecast.served(took);
+        self.replicas.request_ended(&attempt.upstream);
+        self.models_in_use.insert(attempt.model.clone());
+        match outcome {
+            AttemptOutcome::Served { tokens } => {
+                let correction = i64::from(tokens) - i64::from(ASSUMED_TOKENS);
+                self.waiters
+                    .charge(&attempt.queue_entry.workspace, correction);
+                let duration = now.saturating_duration_since(attempt.started_at);
+                self.forecast.record_service_time(duration);
             }
-            Ended::Abandoned => {}
-            Ended::Unreachable | Ended::Failed => {
-                self.replicas.block(&running.upstream, now + BLOCK_TIME);
-                self.retry(now, running, ended, &mut actions);
+            AttemptOutcome::Abandoned => {}
+            AttemptOutcome::Unreachable | AttemptOutcome::Failed => {
+                self.replicas
+                    .block_upstream(&attempt.upstream, now + FAILURE_BACKOFF);
+                self.retry(now, attempt, outcome, &mut actions);
             }
-            Ended::NotLoaded => {
-                let until = now + BLOCK_TIME;
-                self.replicas.deny(&running.model, &running.upstream, until);
-                self.retry(now, running, ended, &mut actions);
+            AttemptOutcome::NotLoaded => {
+                let until = now + FAILURE_BACKOFF;
+                self.replicas
+                    .block_replica(&attempt.model, &attempt.upstream, until);
+                self.retry(now, attempt, outcome, &mut actions);
             }
-            Ended::Busy => {
-                self.replicas.block(&running.upstream, now + BUSY_TIME);
-                self.retry(now, running, ended, &mut actions);
+            AttemptOutcome::Busy => {
+                self.replicas
+                    .block_upstream(&attempt.upstream, now + BUSY_BACKOFF);
+                self.retry(now, attempt, outcome, &mut actions);
             }
         }
         self.dispatch(now, &mut actions);
-        self.tell_demands(now, &mut actions);
+        self.send_demands(now, &mut actions);
         actions
     }
 
     fn retry(
         &mut self,
         now: Instant,
-        mut running: Running,
-        ended: Ended,
+        mut attempt: RunningAttempt,
+        outcome: AttemptOutcome,
         actions: &mut Vec<RouterAction>,
     ) {
         self.waiters
-            .charge(&running.waiting.workspace, -i64::from(ASSUMED_TOKENS));
-        running.waiting.may_have_run |= ended == Ended::Failed;
-        let in_time = now + ANSWER_MARGIN < running.waiting.give_up_at;
-        if in_time && self.budget.take() {
-            self.enqueue(running.model, running.waiting);
+            .charge(&attempt.queue_entry.workspace, -i64::from(ASSUMED_TOKENS));
+        attempt.queue_entry.may_have_run |= outcome == AttemptOutcome::Failed;
+        let is_in_time = now + DEADLINE_MARGIN < attempt.queue_entry.give_up_at;
+        if is_in_time && self.budget.try_take() {
+            self.enqueue(attempt.model, attempt.queue_entry);
             return;
         }
-        let detail = format!("retries are spent; the last attempt ended as {ended:?}");
+        let detail = format!("retries are spent; the last attempt ended as {outcome:?}");
         let refusal = Refusal::new(ResultCode::NotStarted, detail);
-        let refusal = refusal.retry_after(BUSY_RETRY);
+        let refusal = refusal.retry_after(BUSY_RETRY_AFTER);
         actions.push(RouterAction::Refuse {
-            request: running.waiting.request,
-            refusal: running.waiting.final_answer(refusal),
+            request: attempt.queue_entry.request,
+            refusal: attempt.queue_entry.final_refusal(refusal),
         });
     }
 }
