--- a/crates/instance/src/dispatch.rs
+++ b/crates/instance/src/dispatch.rs
@@ -192,7 +192,7 @@
             model: model_ref.model.to_string(),
             adapter: model_ref.adapter.as_deref().unwrap_or_default().to_owned(),
             hall: shared.settings.hall.to_string(),
-            random: random,
+            random,
             due_in_ms: due_in_ms(query.due_at, now),
             is_urgent: query.is_urgent,
             tried_engines: tried.iter().map(ToString::to_string).collect(),
--- a/crates/instance/src/holder/publishing.rs
+++ b/crates/instance/src/holder/publishing.rs
@@ -205,7 +205,7 @@
     /// The message that the holder is alive, and up to when it knows the feeds.
     pub(super) fn heartbeat(&self, instances: usize, now: Instant) -> Updates {
         Updates {
-            instance_count: u32::try_from(instances).unwrap_or(u32::MAX),
+            instances: u32::try_from(instances).unwrap_or(u32::MAX),
             queued_at_ms: relay::millis_since(self.clock_origin, now).max(1),
             confirmed_at_ms: self.relay.store_answered_ms(self.clock_origin),
             unconfirmed: self
--- a/crates/instance/src/report.rs
+++ b/crates/instance/src/report.rs
@@ -267,9 +267,8 @@
                     relay.holder_disconnected();
                 }
                 DialEvent::Received(Body::Updates(message)) => {
-                    if let Some(instances) = usize::try_from(message.instance_count)
-                        .ok()
-                        .filter(|n| *n > 0)
+                    if let Some(instances) =
+                        usize::try_from(message.instances).ok().filter(|n| *n > 0)
                     {
                         shared.set_instance_count(instances);
                     }
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -339,7 +339,7 @@
     pub values: Vec<StoreValue>,
     /// Number of instances that the holder knows; 0 if not given.
     #[prost(uint32, tag = "5")]
-    pub instance_count: u32,
+    pub instances: u32,
     /// Time when the message was queued, in milliseconds since a reference time that only the
     /// holder knows; 0 if not given.
     #[prost(uint64, tag = "6")]
--- a/tests/all/config_memory.rs
+++ b/tests/all/config_memory.rs
@@ -73,12 +73,10 @@
         let Ok(Some(body)) = reader.receive() else {
             return (bytes, false);
         };
-        let Body::Updates(update) = body else {
-            continue;
-        };
-        bytes += update.encoded_len();
-        let has_key = |update: &Updates| update.values.iter().any(|value| value.key == key);
-        if has_key(&update) {
+        let Body::Updates(delta) = body else { continue };
+        bytes += delta.encoded_len();
+        let has_key = |delta: &Updates| delta.values.iter().any(|value| value.key == key);
+        if has_key(&delta) {
             return (bytes, true);
         }
     }
