--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -109,6 +109,7 @@
     Answer { deadline: Instant },
 }
 
+/// The phase and the limits of a connection.
 #[derive(Debug)]
 struct ConnectionState {
     phase: Mutex<Phase>,
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -104,10 +104,10 @@
             let _guard = guard;
             connection::serve(stream, &*handler, &limits, keep_alive);
         };
-        let spawned = std::thread::Builder::new()
+        let result = std::thread::Builder::new()
             .stack_size(STACK_BYTES)
             .spawn(run);
-        if let Err(error) = spawned {
+        if let Err(error) = result {
             log::warn!(error:% = error; "no thread for a connection");
         }
     }
--- a/crates/process/src/logging/json.rs
+++ b/crates/process/src/logging/json.rs
@@ -136,8 +136,8 @@
     while let Ok(first) = receiver.receive() {
         std::thread::sleep(BATCH_DELAY);
         batch.clear();
-        for encode_line in std::iter::once(first).chain(receiver.drain()) {
-            batch.push_str(&encode_line);
+        for line in std::iter::once(first).chain(receiver.drain()) {
+            batch.push_str(&line);
             batch.push('\n');
         }
         let [decisions, request_ends, others] =
--- a/crates/process/src/logging/rate_limit.rs
+++ b/crates/process/src/logging/rate_limit.rs
@@ -8,7 +8,8 @@
 const BURST_S: f64 = 2.0;
 /// Rate limit of lines about decisions, as a ratio of the rate limit of all other lines. The two
 /// limits are independent. With 256 engines, the holder sends 250 orders per second in normal
-/// operation, with about 200 bytes per line; all other instances log only a few decisions in total.
+/// operation and logs a line of about 200 bytes for each; any other instance logs only a few decisions
+/// in total.
 const DECISION_RATE_RATIO: f64 = 4.0;
 
 /// The subject of a line.
--- a/crates/wire/src/dispatch.rs
+++ b/crates/wire/src/dispatch.rs
@@ -115,7 +115,7 @@
     Go = 2,
 }
 
-/// The answer to an [`DispatchRequest`].
+/// The answer to a [`DispatchRequest`].
 #[derive(Clone, PartialEq, Message)]
 pub struct DispatchReply {
     /// The number of the attempt.
@@ -133,7 +133,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub enum RunOutcome {
-    /// The outcome says nothing about the engine.
+    /// The outcome gives no information about the engine.
     Unknown = 0,
     /// The engine answered successfully.
     Answered = 1,
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -10,11 +10,11 @@
 use std::time::Duration;
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
-/// Maximum size of a frame: a whole configuration (at most 1 MB in the users' store) and reserve.
+/// Maximum size of a frame: a whole configuration (1 MB in the users' store) plus reserve.
 pub const MAX_FRAME_BYTES: usize = 4 << 20;
 /// Maximum number of bytes per read.
 const READ_BYTES: usize = 16 << 10;
-/// The connection is closed if the peer accepts no bytes for this time.
+/// The connection is closed if a write to the peer blocks for this time.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 /// The connection is closed if sent bytes are not acknowledged within this time.
 ///
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -1,4 +1,9 @@
-//! The messages of one connection between two processes.
+//! The messages on connections between two processes.
+//!
+//! Routers and controllers exchange the messages about the configuration, routes, demand and usage;
+//! operators send queries to controllers. Instances exchange all other messages with the *holder*,
+//! the instance that holds the leadership, i.e. the right to send orders to engines. In the
+//! messages of controllers, each cell has its own holder.
 
 use prost::{Message, Oneof};
 
@@ -27,7 +32,7 @@
     /// A revision of the configuration.
     #[prost(message, tag = "3")]
     Config(Config),
-    /// Where requests may be sent.
+    /// A change of the replicas that requests may be sent to.
     #[prost(message, tag = "4")]
     Routes(Routes),
     /// A router's demand for a model.
@@ -69,7 +74,7 @@
     /// The addresses of the instances that are subscribed to the holder.
     #[prost(message, tag = "17")]
     Members(Members),
-    /// Announces a new holder of the leadership.
+    /// Announces a new holder.
     #[prost(message, tag = "18")]
     NewHolder(NewHolder),
     /// Requests a [`Promise`] from a candidate, while the store does not answer the holder.
@@ -147,7 +152,7 @@
     /// Upstreams that are leaving.
     #[prost(message, repeated, tag = "2")]
     pub leaving: Vec<LeavingUpstream>,
-    /// Upstreams that asked the sender to back off; sent to the holder of the leadership only.
+    /// Upstreams that asked the sender to back off; sent to the holder only.
     #[prost(message, repeated, tag = "3")]
     pub backing_off: Vec<BackingOffUpstream>,
 }
@@ -279,7 +284,7 @@
     pub address: String,
 }
 
-/// A list of instances, for example the holder of the leadership and all its subscribers.
+/// A list of instances, for example the holder and all its subscribers.
 #[derive(Clone, PartialEq, Message)]
 pub struct Members {
     /// The instances.
@@ -287,7 +292,7 @@
     pub members: Vec<Member>,
 }
 
-/// Announces the sender as the new holder of the leadership to an instance that may not know yet.
+/// Announces the sender as the new holder to an instance that may not know it yet.
 #[derive(Clone, PartialEq, Message)]
 pub struct NewHolder {
     /// The name of the instance.
@@ -388,13 +393,13 @@
     pub count: u32,
 }
 
-/// The report of an instance to the holder of the leadership.
+/// The report of an instance to the holder.
 #[derive(Clone, PartialEq, Message)]
 pub struct InstanceReport {
     /// The instance.
     #[prost(string, tag = "1")]
     pub instance: String,
-    /// Waiting requests, for models where the number has changed since the last report.
+    /// Waiting requests, for the models whose waiting requests have changed since the last report.
     #[prost(message, repeated, tag = "2")]
     pub waiting: Vec<ModelRequests>,
     /// Requests that were accepted since the last report.
@@ -430,7 +435,7 @@
     pub evicting: Vec<String>,
 }
 
-/// Placements that the holder of the leadership publishes to the instances.
+/// Placements that the holder publishes to the instances.
 #[derive(Clone, PartialEq, Message)]
 pub struct Placements {
     /// The engines whose placement has changed.
@@ -633,7 +638,7 @@
     /// The incarnation of the process that answers.
     #[prost(fixed64, tag = "1")]
     pub incarnation: u64,
-    /// Whether the process still has an order of that epoch that it may send.
+    /// Whether the process may still send an order of that epoch.
     #[prost(bool, tag = "2")]
     pub has_order_in_flight: bool,
 }
--- a/crates/wire/src/permits.rs
+++ b/crates/wire/src/permits.rs
@@ -50,7 +50,7 @@
     /// The upstream; empty if the permit is not for the limit of an upstream.
     #[prost(string, tag = "6")]
     pub upstream: String,
-    /// The digest of a suspect request, of which only one may run at a time over all instances;
+    /// The digest of a suspect request, of which only one may run at a time across all instances;
     /// empty if the permit is not for an exclusive run.
     #[prost(bytes = "vec", tag = "7")]
     pub digest: Vec<u8>,
