--- a/crates/instance/src/allotments.rs
+++ b/crates/instance/src/allotments.rs
@@ -7,7 +7,7 @@
 use crate::right::Right;
 use crate::shared::Shared;
 use crossbeam::channel::{Receiver, Sender, bounded};
-use passway_serving::allotment::{Parts, QuotaBounds};
+use passway_serving::allotment::{FallbackQuotas, QuotaBounds};
 use passway_serving::ports::{ConditionalWrite, SharedStore, StoreRevision, WriteAnswer};
 use passway_serving::routes::RouteTable;
 use passway_serving::workspaces::{Allotment, Workspace};
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub struct Allotments {
     keeper: TermKeeper,
-    parts: Mutex<Parts>,
+    parts: Mutex<FallbackQuotas>,
     kept: Mutex<Kept>,
     /// Wakes the thread that keeps them in the store.
     wake: Sender<()>,
@@ -94,7 +94,7 @@
         let window = shared.bounds.load().quota.window;
         let mut parts = lock(&self.parts);
         let Ok(told) = told else {
-            let fits = parts.take(&workspace.name, cost, rand::random(), now);
+            let fits = parts.try_take(&workspace.name, cost, rand::random(), now);
             return if fits {
                 Decision::Granted
             } else {
@@ -102,7 +102,7 @@
             };
         };
         if told.verdict() == UseVerdict::Granted {
-            parts.told(&workspace.name, told.part_per_s, window, now);
+            parts.set_rate(&workspace.name, told.instance_rate_per_s, window, now);
             return Decision::Granted;
         }
         Decision::Refused(Duration::from_millis(told.retry_after_ms))
@@ -137,7 +137,7 @@
         let routes = shared.routes.load();
         let allotment = allotment_of(routes.as_deref(), &name).unwrap_or(asked);
         let ruling = self.keeper.of_term(fence, quota(shared), |keeper| {
-            keeper.ask(&name, allotment, from, ask.cost, clock::now())
+            keeper.decide(&name, allotment, from, ask.cost, clock::now())
         });
         keeper::told(ask, ruling)
     }
@@ -149,7 +149,7 @@
             return;
         };
         self.keeper.of_any_term(|keeper| {
-            keeper.give_back(&back.workspace, allotment, from, back.cost, clock::now());
+            keeper.release(&back.workspace, allotment, from, back.cost, clock::now());
         });
     }
 
@@ -224,7 +224,7 @@
                 let routes = shared.routes.load();
                 let allotment = |name: &str| allotment_of(routes.as_deref(), name);
                 self.keeper.of_term(fence, quota(shared), |keeper| {
-                    keeper.begin_half_full(left, allotment);
+                    keeper.start_half_full(left, allotment);
                 });
                 return;
             }
@@ -247,7 +247,7 @@
     pub fn retain(&self, table: &RouteTable) {
         let is_there = |name: &str| {
             let workspaces = table.workspaces.as_ref();
-            workspaces.is_some_and(|all| all.named(name).is_some())
+            workspaces.is_some_and(|all| all.find_by_name(name).is_some())
         };
         lock(&self.parts).retain(is_there);
         self.keeper.of_any_term(|keeper| keeper.retain(is_there));
@@ -260,5 +260,5 @@
 
 fn allotment_of(table: Option<&RouteTable>, workspace: &str) -> Option<Allotment> {
     let workspaces = table?.workspaces.as_ref()?;
-    workspaces.named(workspace)?.allotment
+    workspaces.find_by_name(workspace)?.allotment
 }
--- a/crates/instance/src/callers.rs
+++ b/crates/instance/src/callers.rs
@@ -206,7 +206,7 @@
             Err(HttpError::Malformed(_)) => return refuse(shared, caller, Refusal::Malformed),
             Err(HttpError::TooLarge) => return refuse(shared, caller, Refusal::BodyTooLarge),
             Err(HttpError::Ending) => {
-                let facts = shared.vocabulary.request(&head.headers);
+                let facts = shared.vocabulary.parse_request(&head.headers);
                 return refuse_unread(shared, caller, &facts.id);
             }
             Err(_) => return,
@@ -235,7 +235,7 @@
 
 /// Refuses a request for whose body the others in progress leave no room.
 fn refuse_for_room(shared: &Shared, caller: Connection, head: &RequestHead) {
-    let facts = shared.vocabulary.request(&head.headers);
+    let facts = shared.vocabulary.parse_request(&head.headers);
     refuse_not_run(shared, caller, &facts.id, "no room for its body");
 }
 
--- a/crates/instance/src/candidates.rs
+++ b/crates/instance/src/candidates.rs
@@ -5,7 +5,7 @@
 //! holder's work.
 
 use passway_serving::hash;
-use passway_serving::tenure::Candidate;
+use passway_serving::leadership::Candidate;
 use passway_types::prelude::*;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/instance/src/control.rs
+++ b/crates/instance/src/control.rs
@@ -5,16 +5,16 @@
 use crate::words::{self, Heard};
 use passway_serving::placement::PlannedOrder;
 use passway_serving::poison::UpstreamStart;
-use passway_serving::ports::{EngineOrder, EngineReport, Engines, OrderAnswer, Said};
+use passway_serving::ports::{EngineOrder, EngineReport, EngineResponse, Engines, OrderAnswer};
 use passway_types::clock;
 use passway_types::prelude::*;
 use std::net::SocketAddr;
 
 /// Takes in what an engine's answer to an instance says of the engine.
-fn hear<T>(shared: &Shared, start: &UpstreamStart, said: Said<T>, sent_at: Instant) -> T {
+fn hear<T>(shared: &Shared, start: &UpstreamStart, said: EngineResponse<T>, sent_at: Instant) -> T {
     let heard = Heard {
         start,
-        words: &said.words,
+        words: &said.signals,
         // Only answers to requests are vouched for.
         vouched: false,
         sent_at,
@@ -26,7 +26,7 @@
 /// Whether an engine wants nothing from this instance.
 pub fn rests(shared: &Shared, engine: &str) -> bool {
     let upstreams = shared.upstreams();
-    upstreams.closed_until(engine, clock::now()).is_some()
+    upstreams.backoff_until(engine, clock::now()).is_some()
 }
 
 /// Asks an engine for its state; `None` without an answer.
@@ -51,7 +51,7 @@
 ) -> OrderAnswer {
     let given = EngineOrder {
         action: order.action,
-        wish: order.wish.clone(),
+        model_ref: order.wish.clone(),
         expected_orders: order.expected_orders,
         upstream: order.engine.clone(),
         holder: shared.settings.instance.clone(),
--- a/crates/instance/src/dispatch.rs
+++ b/crates/instance/src/dispatch.rs
@@ -8,11 +8,11 @@
 use crate::questions::Questions;
 use crate::shared::Shared;
 use passway_serving::dispatch::{
-    Dispatchers, REFRESH_PAUSE, RunBook, RunId, RunKey, Waiter, WaitingLine, counted_load,
+    Dispatchers, REFRESH_INTERVAL, RunId, RunKey, RunTable, WaitQueue, Waiter, effective_load,
 };
 use passway_serving::halls::AllowedRegions;
-use passway_serving::tenure::Candidate;
-use passway_serving::upstreams::{Choice, ModelRef, Outcome, Wanted};
+use passway_serving::leadership::Candidate;
+use passway_serving::upstreams::{Choice, ModelRef, Outcome, RequestNeeds};
 use passway_types::clock;
 use passway_types::prelude::*;
 use passway_wire::dispatch::{
@@ -96,8 +96,8 @@
     /// `None` if the port is taken: the instance then goes by what it sees itself.
     socket: Option<UdpSocket>,
     dispatchers: Mutex<Dispatchers>,
-    book: Mutex<RunBook>,
-    line: Mutex<WaitingLine>,
+    book: Mutex<RunTable>,
+    line: Mutex<WaitQueue>,
     /// Attempts that wait for an answer.
     asking: Questions<Grant>,
     runs: Mutex<HashMap<RunId, OwnRun>>,
@@ -172,14 +172,14 @@
             drawn,
             ..
         } = question;
-        let wanted = Wanted {
+        let wanted = RequestNeeds {
             service,
             model_ref: Some(model_ref),
             hall: &shared.settings.hall,
             allowed: question.allowed,
-            drawn,
+            random: drawn,
         };
-        let mut engines = shared.upstreams().drawn_engines(wanted, now);
+        let mut engines = shared.upstreams().shuffled_engines(wanted, now);
         engines.retain(|id| !tried.contains(id));
         let ask = Ask {
             id: 0,
@@ -191,8 +191,12 @@
             due_in_ms: due_in_ms(question.due_at, now),
             is_urgent: question.is_urgent,
             tried: tried.iter().map(ToString::to_string).collect(),
-            regions: question.allowed.names().map(ToString::to_string).collect(),
-            is_bound: question.allowed.bind(),
+            regions: question
+                .allowed
+                .regions()
+                .map(ToString::to_string)
+                .collect(),
+            is_bound: question.allowed.is_restricted(),
         };
         let mut asked = Vec::new();
         let mut choice = Choice::Absent;
@@ -210,7 +214,7 @@
                 ..ask.clone()
             };
             let Some(grant) = self.question(shared, dispatcher, ask) else {
-                lock(&self.dispatchers).silent(dispatcher, clock::now());
+                lock(&self.dispatchers).mark_unresponsive(dispatcher, clock::now());
                 return None;
             };
             match grant.verdict() {
@@ -320,12 +324,12 @@
             AllowedRegions::ANY
         };
         let (service, hall) = (ask.service.as_str().into(), ask.hall.as_str().into());
-        let wanted = Wanted {
+        let wanted = RequestNeeds {
             service: &service,
             model_ref: Some(&model_ref),
             hall: &hall,
             allowed: &allowed,
-            drawn: ask.drawn,
+            random: ask.drawn,
         };
         let dispatchers = lock(&self.dispatchers);
         let is_open = |id: &UpstreamId| {
@@ -334,7 +338,7 @@
         };
         let runs = |id: &UpstreamId| {
             let slots = upstreams.slots_of(id);
-            counted_load(book.load(id), slots, ask.is_urgent)
+            effective_load(book.load(id), slots, ask.is_urgent)
         };
         let choice = upstreams.choose_by(wanted, is_open, Some(&runs), now);
         let mut line = lock(&self.line);
@@ -346,17 +350,17 @@
             Choice::Send { id, .. } => {
                 let free = upstreams.slots_of(&id).saturating_sub(runs(&id));
                 let could_use = |other: &ModelRef| upstreams.has(&id, other, now);
-                let before = line.before(key, &waiter, could_use, now);
+                let before = line.count_ahead(key, &waiter, could_use, now);
                 if before >= usize::try_from(free).unwrap_or(usize::MAX) {
-                    line.note(key, waiter, now);
+                    line.record(key, waiter, now);
                     return grant(Verdict::Full, "");
                 }
-                line.leave(key);
-                book.note(key, &id, now);
+                line.remove(key);
+                book.record(key, &id, now);
                 grant(Verdict::Go, &id)
             }
             Choice::Full => {
-                line.note(key, waiter, now);
+                line.record(key, waiter, now);
                 grant(Verdict::Full, "")
             }
             Choice::Absent => grant(Verdict::Absent, ""),
@@ -369,9 +373,11 @@
             instance: from,
             id: ended.id,
         };
-        let engine = lock(&self.book).end(key);
+        let engine = lock(&self.book).remove(key);
         if let (Some(engine), Some(outcome)) = (engine, decode(ended.outcome())) {
-            shared.upstreams().observed(&engine, outcome, clock::now());
+            shared
+                .upstreams()
+                .record_peer_outcome(&engine, outcome, clock::now());
         }
     }
 
@@ -393,7 +399,7 @@
                         instance: from,
                         id: run.id,
                     };
-                    book.note(key, &run.engine.as_str().into(), now);
+                    book.record(key, &run.engine.as_str().into(), now);
                 }
             }
             Body::VersionAsk(ask) => {
@@ -459,10 +465,10 @@
             // Without dispatchers nothing is due by time: a datagram tells when there are some.
             let pause = self.is_used().then(|| {
                 if now >= refresh_at {
-                    refresh_at = now + REFRESH_PAUSE;
+                    refresh_at = now + REFRESH_INTERVAL;
                     self.refresh(shared);
-                    lock(&self.book).expire(now);
-                    lock(&self.line).expire(now);
+                    lock(&self.book).remove_expired(now);
+                    lock(&self.line).remove_expired(now);
                 }
                 let left = refresh_at.saturating_duration_since(now);
                 left.max(Duration::from_millis(1))
--- a/crates/instance/src/feeds.rs
+++ b/crates/instance/src/feeds.rs
@@ -243,7 +243,7 @@
         let wait = self.longest_watch();
         let asked_at = clock::now();
         match self.store.watch(&self.prefix, after, wait)? {
-            WatchAnswer::HistoryGone => self.lists_next = true,
+            WatchAnswer::HistoryCompacted => self.lists_next = true,
             WatchAnswer::Changes { changes, revision } => {
                 // A large answer may have begun long ago; one without changes has just come.
                 let is_quiet = changes.is_empty();
--- a/crates/instance/src/feeds/configuration.rs
+++ b/crates/instance/src/feeds/configuration.rs
@@ -41,12 +41,12 @@
     /// Halls of which nobody is to be sent anything are closed from now on, and no others.
     fn use_emptied(&self) {
         let mut upstreams = self.shared.upstreams();
-        let before = upstreams.emptied().clone();
-        if !upstreams.set_emptied(self.emptied.clone(), clock::now()) {
+        let before = upstreams.evacuated().clone();
+        if !upstreams.set_evacuated(self.emptied.clone(), clock::now()) {
             return;
         }
         let unknown = self.emptied.difference(&before);
-        let unknown = unknown.filter(|hall| !upstreams.knows_hall(hall));
+        let unknown = unknown.filter(|hall| !upstreams.is_known_hall(hall));
         let unknown: Vec<DataHall> = unknown.cloned().collect();
         drop(upstreams);
         for hall in unknown {
@@ -58,7 +58,7 @@
     }
 
     fn take(&self, value: &StoredValue) {
-        match self.directory.configuration(value) {
+        match self.directory.decode_configuration(value) {
             Ok(Some(table)) => {
                 let known = self.shared.routes.load();
                 // A version never gives way to an older one.
@@ -72,9 +72,9 @@
                 let version = table.version;
                 self.shared.allotments.retain(&table);
                 let services = table.services.values();
-                let cold =
-                    services.filter_map(|service| Some((service.name.clone(), service.cold?)));
-                self.shared.upstreams().set_cold_bounds(cold.collect());
+                let cold = services
+                    .filter_map(|service| Some((service.name.clone(), service.cold_limit?)));
+                self.shared.upstreams().set_cold_limits(cold.collect());
                 self.shared.routes.store(Some(Arc::new(table)));
                 self.shared.configuration_age.set_in_force(version);
             }
@@ -97,13 +97,13 @@
             self.take(value);
         }
         let keys = listing.values.iter().map(|value| &value.key);
-        let halls = keys.filter_map(|key| self.directory.emptied_hall(key));
+        let halls = keys.filter_map(|key| self.directory.evacuated_hall(key));
         self.emptied = halls.map(Into::into).collect();
         self.use_emptied();
     }
 
     fn changed(&mut self, change: &StoreChange) -> bool {
-        if let Some(hall) = self.directory.emptied_hall(change.key()) {
+        if let Some(hall) = self.directory.evacuated_hall(change.key()) {
             match change {
                 StoreChange::Written(_) => self.emptied.insert(hall.into()),
                 StoreChange::Removed { .. } => self.emptied.remove(hall),
--- a/crates/instance/src/feeds/upstreams.rs
+++ b/crates/instance/src/feeds/upstreams.rs
@@ -63,7 +63,7 @@
     /// Forgets upstreams that are gone, here and at the holder.
     fn expire(&self) {
         let mut upstreams = self.shared.upstreams();
-        let gone = upstreams.expire(clock::now());
+        let gone = upstreams.remove_expired(clock::now());
         if gone.is_empty() {
             return;
         }
@@ -83,12 +83,12 @@
     /// What an upstream says of itself; `None` if the entry names none that can be used. It
     /// may have been written by something else.
     fn decode(&mut self, value: &StoredValue) -> Option<UpstreamEntry> {
-        let entry = self.directory.upstream(value, clock::now());
+        let entry = self.directory.decode_upstream(value, clock::now());
         match entry.and_then(|entry| self.of_its_service(entry)) {
             Ok(mut entry) => {
                 self.unusable.remove(&value.key);
                 let upstreams = self.shared.upstreams();
-                entry.draining |= upstreams.leaves(&entry.id, entry.started_at_ms);
+                entry.draining |= upstreams.is_leaving(&entry.id, entry.started_at_ms);
                 drop(upstreams);
                 Some(entry)
             }
@@ -136,7 +136,7 @@
     /// An upstream is not listed any more.
     fn miss(&self, id: &str) {
         let gone_at = self.shared.store_health.gone_at(clock::now());
-        self.shared.upstreams().miss(id, gone_at);
+        self.shared.upstreams().mark_missing(id, gone_at);
         self.expire();
     }
 }
@@ -156,7 +156,7 @@
         }
         let now = clock::now();
         let gone_at = self.shared.store_health.gone_at(now);
-        self.shared.upstreams().replace(entries, gone_at, now);
+        self.shared.upstreams().replace_all(entries, gone_at, now);
         self.forget_restarted();
         self.expire();
         self.shared.set_upstreams_listed();
--- a/crates/instance/src/forward.rs
+++ b/crates/instance/src/forward.rs
@@ -32,8 +32,8 @@
 use limits::HeldBack;
 use passway_process::logging::json::REQUEST_TARGET;
 use passway_serving::dispatch::RunId;
-use passway_serving::poison::{RequestDigest, Standing};
-use passway_serving::ports::RequestFacts;
+use passway_serving::poison::{RequestDigest, RunPermission};
+use passway_serving::ports::RequestMetadata;
 use passway_serving::routes::Route;
 use passway_serving::upstreams::{ModelRef, Outcome};
 use passway_types::clock;
@@ -62,7 +62,7 @@
     caller: &'a mut Connection,
     head: &'a RequestHead,
     body: &'a [u8],
-    facts: RequestFacts,
+    facts: RequestMetadata,
     route: Arc<Route>,
     service: ServiceName,
     is_engine: bool,
@@ -88,7 +88,7 @@
     /// Where the request goes on, chosen before an upstream that is silent was left.
     next: Option<Target>,
     /// Whether it may run while upstreams that broke off under it may have ended.
-    standing: Standing,
+    standing: RunPermission,
     /// Its turn to run alone among those like it, once it has asked for one.
     trial: Option<Trial>,
     /// When its model can be there at the earliest, in milliseconds, if that is too late for it.
@@ -136,8 +136,9 @@
     body: &[u8],
     arrived_at: Instant,
 ) -> After {
-    let facts = shared.vocabulary.request(&head.headers);
-    let close_after = shared.is_stopping() || !head.is_1_1 || head.headers.connection_says("close");
+    let facts = shared.vocabulary.parse_request(&head.headers);
+    let close_after =
+        shared.is_stopping() || !head.is_1_1 || head.headers.connection_contains("close");
     let destination = match find_destination(shared, caller, head, &facts, arrived_at) {
         Ok(destination) => destination,
         Err(Denied { refusal, end }) => {
@@ -152,7 +153,9 @@
     };
     let caller_ms = facts.deadline_ms.unwrap_or(u64::MAX);
     let timeout_ms = caller_ms.min(destination.route.timeout_ms);
-    shared.retries().requested(&destination.service, arrived_at);
+    shared
+        .retries()
+        .record_request(&destination.service, arrived_at);
     Forwarding {
         shared,
         caller,
@@ -172,7 +175,7 @@
         tried: Vec::new(),
         held_back: Vec::new(),
         turn_ms: None,
-        standing: Standing::default(),
+        standing: RunPermission::default(),
         trial: None,
         runs: 0,
         question: shared.dispatch.next_run(),
@@ -195,7 +198,7 @@
 
 impl Forwarding<'_> {
     fn wish(&self) -> Option<&ModelRef> {
-        self.facts.wish.as_ref().filter(|_| self.is_engine)
+        self.facts.model_ref.as_ref().filter(|_| self.is_engine)
     }
 
     /// Serves the request and says how it ended.
@@ -218,7 +221,7 @@
         }
         let table = self.shared.routes.load();
         let version = table.as_ref().map_or(0, |table| table.version);
-        let wish = self.facts.wish.as_ref();
+        let wish = self.facts.model_ref.as_ref();
         log::info!(target: REQUEST_TARGET, request = self.facts.id, route:% = self.route.name,
             service:% = self.service, model:% = wish.map_or("", |wish| &wish.model),
             workspace:% = self.access.workspace.as_ref().map_or("", |workspace| &workspace.name),
@@ -322,7 +325,7 @@
     }
 
     fn may_run_again(&self) -> bool {
-        self.route.kind.may_run_again() && self.runs < self.route.attempts
+        self.route.kind.can_run_again() && self.runs < self.route.attempts
     }
 
     fn may_repeat(&self) -> bool {
@@ -349,7 +352,7 @@
         self.attempt_at = now;
         self.shared
             .upstreams()
-            .started(&target.id, wish.as_ref(), now);
+            .record_start(&target.id, wish.as_ref(), now);
         let attempt = self.exchange(target);
         let outcome = match &attempt {
             Attempt::Answered(_) => Outcome::Answered,
@@ -362,7 +365,7 @@
         };
         let now = clock::now();
         let mut upstreams = self.shared.upstreams();
-        upstreams.ended(&target.id, wish.as_ref(), outcome, now);
+        upstreams.record_end(&target.id, wish.as_ref(), outcome, now);
         drop(upstreams);
         self.shared.upstreams_changed();
         (attempt, outcome)
--- a/crates/instance/src/forward/access.rs
+++ b/crates/instance/src/forward/access.rs
@@ -6,7 +6,7 @@
 use crate::relay::millis;
 use crate::reply::Refusal;
 use passway_serving::halls::AllowedRegions;
-use passway_serving::ports::{RequestFacts, WorkspaceMark};
+use passway_serving::ports::{RequestMetadata, WorkspaceHeader};
 use passway_serving::routes::{Route, RouteTable};
 use passway_serving::workspaces::Workspace;
 use passway_types::clock;
@@ -48,7 +48,7 @@
     /// The workspace that holds its key.
     pub workspace: Option<Arc<Workspace>>,
     /// What upstreams are told.
-    pub mark: WorkspaceMark,
+    pub mark: WorkspaceHeader,
     /// The regions in which it may be served, by its route and its workspace.
     pub allowed: AllowedRegions,
     /// Whether it may go only with a key that holds.
@@ -57,17 +57,17 @@
 
 impl Access {
     /// Looks a request's key up; `None` if its route is closed to it.
-    pub fn of(table: &RouteTable, route: &Route, facts: &RequestFacts) -> Option<Self> {
+    pub fn of(table: &RouteTable, route: &Route, facts: &RequestMetadata) -> Option<Self> {
         let Some(workspaces) = &table.workspaces else {
             return Some(Self {
                 workspace: None,
-                mark: WorkspaceMark::Untouched,
+                mark: WorkspaceHeader::Untouched,
                 allowed: route.allowed.clone(),
                 is_closed: false,
             });
         };
         let key = facts.key.as_ref();
-        let workspace = key.and_then(|key| workspaces.of_key(key)).cloned();
+        let workspace = key.and_then(|key| workspaces.find_by_key(key)).cloned();
         let is_closed = !route.is_public;
         if is_closed && workspace.is_none() {
             return None;
@@ -75,9 +75,11 @@
         let name = workspace.as_ref().map(|workspace| workspace.name.clone());
         let own = workspace.as_ref().map(|workspace| &workspace.allowed);
         Some(Self {
-            allowed: own.map_or(route.allowed.clone(), |own| own.and(&route.allowed)),
+            allowed: own.map_or(route.allowed.clone(), |own| {
+                own.intersection(&route.allowed)
+            }),
             workspace,
-            mark: WorkspaceMark::Set(name),
+            mark: WorkspaceHeader::Set(name),
             is_closed,
         })
     }
--- a/crates/instance/src/forward/destination.rs
+++ b/crates/instance/src/forward/destination.rs
@@ -6,7 +6,7 @@
 use crate::reply::Refusal;
 use crate::shared::Shared;
 use passway_serving::hash::fnv1a;
-use passway_serving::ports::RequestFacts;
+use passway_serving::ports::RequestMetadata;
 use passway_serving::routes::{Route, RouteTable};
 use passway_types::clock;
 use passway_types::prelude::*;
@@ -50,7 +50,7 @@
     shared: &Shared,
     caller: &mut Connection,
     head: &RequestHead,
-    facts: &RequestFacts,
+    facts: &RequestMetadata,
     arrived_at: Instant,
 ) -> Result<Destination, Denied> {
     let unrouted = |refusal| Denied {
@@ -79,7 +79,7 @@
 fn known_routes(
     shared: &Shared,
     caller: &mut Connection,
-    facts: &RequestFacts,
+    facts: &RequestMetadata,
     arrived_at: Instant,
 ) -> Option<Arc<RouteTable>> {
     let time = facts
--- a/crates/instance/src/forward/door.rs
+++ b/crates/instance/src/forward/door.rs
@@ -18,7 +18,7 @@
         let mut upstreams = self.shared.upstreams();
         let has_turn = target.has_turn || upstreams.limit_per_s(&target.id, now).is_none();
         let may_go = has_turn && upstreams.admits(&target.id, &self.access.allowed);
-        let wants = may_go && upstreams.let_through(&target.id, target.started_at_ms, now);
+        let wants = may_go && upstreams.try_admit(&target.id, target.started_at_ms, now);
         wants.then_some(Permit(()))
     }
 }
--- a/crates/instance/src/forward/exchange.rs
+++ b/crates/instance/src/forward/exchange.rs
@@ -15,7 +15,7 @@
 use crate::shared::Held;
 use crate::words::{self, Heard};
 use passway_serving::headers::Headers;
-use passway_serving::ports::{AnswerFacts, Stamp};
+use passway_serving::ports::{AnswerMetadata, ForwardingMetadata};
 use passway_serving::routes::RequestKind;
 use passway_serving::upstreams::Outcome;
 use passway_types::clock;
@@ -49,7 +49,7 @@
 impl Forwarding<'_> {
     /// Sends the request over a rested or a new connection.
     pub(super) fn exchange(&mut self, target: &Target) -> Attempt {
-        let longest = if self.route.kind.may_run_again() {
+        let longest = if self.route.kind.can_run_again() {
             ANY_REST
         } else {
             FRESH_REST
@@ -79,7 +79,7 @@
         if !may_move {
             return self.deadline_at;
         }
-        let step = Duration::from_millis(self.route.gap_goal_ms * SILENT_GAPS);
+        let step = Duration::from_millis(self.route.gap_target_ms * SILENT_GAPS);
         self.deadline_at.min(clock::now() + step.max(MIN_SILENCE))
     }
 
@@ -89,7 +89,7 @@
         let now = clock::now();
         if !self.shared.upstreams().is_silent(&target.id, now)
             || now < self.usual_until()
-            || !self.shared.retries().has_spare(&self.service, now)
+            || !self.shared.retries().can_spend(&self.service, now)
         {
             return false;
         }
@@ -104,26 +104,29 @@
         if self.delivered.head_sent {
             return self.attempt_at;
         }
-        let goal = Duration::from_millis(self.route.goal_ms);
-        let usual = self.shared.usual_times().longest(&self.route.name, goal);
+        let goal = Duration::from_millis(self.route.latency_target_ms);
+        let usual = self.shared.usual_times().usual_max(&self.route.name, goal);
         self.attempt_at + usual
     }
 
     fn heard(&self, target: &Target) {
         let now = clock::now();
-        self.shared.upstreams().heard(&target.id, now);
+        self.shared.upstreams().record_activity(&target.id, now);
     }
 
     fn request_bytes(&self, target: &Target) -> Vec<u8> {
         let left = self.deadline_at.saturating_duration_since(clock::now());
-        let stamp = Stamp {
+        let stamp = ForwardingMetadata {
             upstream: target.id.clone(),
             deadline_ms: relay::millis(left),
             workspace: self.access.mark.clone(),
             urgency: self.is_engine.then_some(self.priority().min(9)),
-            last_event: self.delivered.cutter.last_id().map(str::to_owned),
+            last_event_id: self.delivered.cutter.last_id().map(str::to_owned),
         };
-        let mut headers = self.shared.vocabulary.forwarded(&self.head.headers, &stamp);
+        let mut headers = self
+            .shared
+            .vocabulary
+            .forwarded_headers(&self.head.headers, &stamp);
         let has_body =
             self.head.headers.has("content-length") || self.head.headers.has("transfer-encoding");
         if has_body {
@@ -182,12 +185,12 @@
         &mut self,
         target: &Target,
         upstream: &mut Connection,
-    ) -> Result<(AnswerHead, AnswerFacts), Attempt> {
+    ) -> Result<(AnswerHead, AnswerMetadata), Attempt> {
         for _ in 0..=MAX_SURPLUS_ANSWERS {
             let head = self.read_head(target, upstream)?;
             self.heard(target);
             let vocabulary = &self.shared.vocabulary;
-            let facts = vocabulary.answer(head.status, &head.headers, &target.id);
+            let facts = vocabulary.parse_answer(head.status, &head.headers, &target.id);
             if facts.id.as_deref().is_none_or(|id| id == self.facts.id) {
                 self.hear_words(target, &facts);
                 if self.route.kind.is_stream() && !facts.not_run {
@@ -205,14 +208,14 @@
 
     /// Takes in what an answer to this request says of its upstream. One that names no request may be
     /// anybody's, and one of another incarnation says nothing of the upstream that was asked.
-    fn hear_words(&self, target: &Target, facts: &AnswerFacts) {
-        if facts.other_incarnation || facts.id.is_none() {
+    fn hear_words(&self, target: &Target, facts: &AnswerMetadata) {
+        if facts.is_other_incarnation || facts.id.is_none() {
             return;
         }
         let heard = Heard {
             start: &target.start(),
-            words: &facts.words,
-            vouched: facts.vouched,
+            words: &facts.signals,
+            vouched: facts.is_sealed,
             sent_at: self.attempt_at,
         };
         words::hear(self.shared, heard);
@@ -259,7 +262,7 @@
         target: &Target,
         mut upstream: Connection,
         head: &AnswerHead,
-        facts: &AnswerFacts,
+        facts: &AnswerMetadata,
         request_whole: bool,
     ) -> Attempt {
         let Ok(mut body) = BodyReader::of_answer(head, &self.head.method) else {
@@ -268,7 +271,7 @@
         body.reusable &= request_whole;
         let is_success = (200..300).contains(&head.status);
         let encoded = head.headers.has("content-encoding");
-        if is_success && (!facts.vouched || encoded || facts.id.is_none()) {
+        if is_success && (!facts.is_sealed || encoded || facts.id.is_none()) {
             return Attempt::Broken;
         }
         if is_success && self.route.kind.is_stream() {
@@ -296,7 +299,7 @@
         if is_success {
             return Attempt::Answered(self.pass_whole(head, &bytes));
         }
-        if !facts.vouched {
+        if !facts.is_sealed {
             return Attempt::Broken;
         }
         Attempt::Failed(Box::new(FailedAnswer {
@@ -320,8 +323,8 @@
     }
 
     /// The upstream has not run the request; what that tells of the upstream.
-    fn refused(&self, target: &Target, head: &AnswerHead, facts: &AnswerFacts) -> Attempt {
-        if facts.other_incarnation {
+    fn refused(&self, target: &Target, head: &AnswerHead, facts: &AnswerMetadata) -> Attempt {
+        if facts.is_other_incarnation {
             self.shared.pool.forget(&target.id);
             return Attempt::NotRun(Outcome::Unreachable);
         }
@@ -329,13 +332,15 @@
             && let Some(wish) = self.wish()
         {
             let now = clock::now();
-            self.shared.upstreams().absent(&target.id, wish, now);
+            self.shared
+                .upstreams()
+                .mark_model_absent(&target.id, wish, now);
             return Attempt::NotRun(Outcome::Unknown);
         }
         if self
             .shared
             .upstreams()
-            .closed_until(&target.id, clock::now())
+            .backoff_until(&target.id, clock::now())
             .is_some()
         {
             // It has asked for rest, which is no failure, and is not asked again before.
--- a/crates/instance/src/forward/limits.rs
+++ b/crates/instance/src/forward/limits.rs
@@ -70,7 +70,7 @@
     /// this instance for rest.
     fn held_back(&self, now: Instant) -> Vec<HeldBack> {
         let upstreams = self.shared.upstreams();
-        let closed = upstreams.closed_to(self.wanted(), now);
+        let closed = upstreams.backing_off_for(self.wanted(), now);
         drop(upstreams);
         let resting = closed.into_iter().map(|(upstream, until)| HeldBack {
             upstream,
@@ -117,6 +117,11 @@
         let comes_at = self.load_time().map(|load| now + load);
         let upstreams = self.shared.upstreams();
         comes_at.is_some_and(|at| at <= wait_until)
-            || upstreams.lies_elsewhere(&self.service, &model_ref.model, &self.access.allowed, now)
+            || upstreams.is_cached_on_available_engine(
+                &self.service,
+                &model_ref.model,
+                &self.access.allowed,
+                now,
+            )
     }
 }
--- a/crates/instance/src/forward/refusing.rs
+++ b/crates/instance/src/forward/refusing.rs
@@ -6,7 +6,7 @@
 use crate::poison::Trial;
 use crate::relay::millis;
 use crate::reply::{self, Refusal};
-use passway_serving::poison::Standing;
+use passway_serving::poison::RunPermission;
 use passway_types::clock;
 
 /// When a caller may come back whose request may crash upstreams: what broke off under it has started
@@ -33,7 +33,7 @@
         }
         let refused_for = self.refused_for();
         let has_turn = self.trial.as_ref().is_some_and(Trial::is_granted);
-        let is_held = self.standing != Standing::Free && !has_turn;
+        let is_held = self.standing != RunPermission::Free && !has_turn;
         let refusal = if self.runs == 0 {
             // What crashes engines is not run before it is forgotten.
             let model_ms = self.comes_ms.or(self.turn_ms).unwrap_or(RETRY_AFTER_MS);
--- a/crates/instance/src/forward/suspect.rs
+++ b/crates/instance/src/forward/suspect.rs
@@ -6,7 +6,7 @@
 use crate::pool;
 use crate::relay::millis_since;
 use passway_process::logging::json::REQUEST_TARGET;
-use passway_serving::poison::{RequestDigest, Standing, UpstreamStart};
+use passway_serving::poison::{RequestDigest, RunPermission, UpstreamStart};
 use passway_types::clock;
 use passway_types::prelude::*;
 use std::io::ErrorKind;
@@ -70,14 +70,14 @@
     pub(super) fn may_run_beside_doubt(&mut self) -> bool {
         let poison = &self.shared.poison;
         self.standing = if poison.is_empty() {
-            Standing::Free
+            RunPermission::Free
         } else {
             poison.standing(self.digest())
         };
         match self.standing {
-            Standing::Free => true,
-            Standing::Held => false,
-            Standing::Alone => self.may_run_alone(),
+            RunPermission::Free => true,
+            RunPermission::Held => false,
+            RunPermission::Alone => self.may_run_alone(),
         }
     }
 
--- a/crates/instance/src/forward/waiting.rs
+++ b/crates/instance/src/forward/waiting.rs
@@ -4,7 +4,7 @@
 use crate::dispatch::Question;
 use crate::relay::{millis, millis_since};
 use crate::shared::{Need, Shared};
-use passway_serving::upstreams::{Choice, ModelRef, Wanted};
+use passway_serving::upstreams::{Choice, ModelRef, RequestNeeds};
 use passway_types::clock;
 use passway_types::prelude::*;
 
@@ -21,7 +21,7 @@
     /// Until when the request may wait for an upstream if its time ends at a moment.
     pub(super) fn wait_until(&self, ends_at: Instant) -> Instant {
         let whole = ends_at.saturating_duration_since(self.arrived_at);
-        let patience = Duration::from_millis(self.route.patience_ms());
+        let patience = Duration::from_millis(self.route.max_silence_ms());
         self.arrived_at + whole.min(patience).mul_f64(WAIT_PART)
     }
 
@@ -131,7 +131,7 @@
         let comes_at = now + load_time;
         let upstreams = self.shared.upstreams();
         if comes_at <= wait_until
-            || !upstreams.lies_nowhere(&self.service, &model_ref.model, &self.access.allowed)
+            || !upstreams.is_cached_nowhere(&self.service, &model_ref.model, &self.access.allowed)
         {
             return None;
         }
@@ -161,13 +161,13 @@
     }
 
     /// What the request needs of an upstream.
-    pub(super) fn wanted(&self) -> Wanted<'_> {
-        Wanted {
+    pub(super) fn wanted(&self) -> RequestNeeds<'_> {
+        RequestNeeds {
             service: &self.service,
             model_ref: self.wish(),
             hall: &self.shared.settings.hall,
             allowed: &self.access.allowed,
-            drawn: draw(&self.facts.id),
+            random: draw(&self.facts.id),
         }
     }
 
@@ -202,8 +202,8 @@
             };
         }
         let upstreams = self.shared.upstreams();
-        let wanted = Wanted {
-            drawn,
+        let wanted = RequestNeeds {
+            random: drawn,
             ..self.wanted()
         };
         let is_open = |id: &UpstreamId| !closed.contains(id);
@@ -222,7 +222,7 @@
     /// When the request must begin to be in time. What is most urgent is due when half of its
     /// goal is over, so that it goes before what has a like goal.
     fn due_at(&self) -> Instant {
-        let goal = Duration::from_millis(self.route.goal_ms);
+        let goal = Duration::from_millis(self.route.latency_target_ms);
         let part = if self.priority() == 0 {
             URGENT_PART
         } else {
--- a/crates/instance/src/freshness.rs
+++ b/crates/instance/src/freshness.rs
@@ -56,23 +56,23 @@
 
     /// A version is in force: it was put into effect before this is called.
     pub fn set_in_force(&self, version: Revision) {
-        self.update(|freshness| freshness.set_in_force(version));
+        self.update(|freshness| freshness.set_active_version(version));
     }
 
     /// The store, asked at a moment, has told all that it has; that is in force.
-    pub fn store_answered(&self, version: Revision, asked_at: Instant) {
-        self.update(|freshness| freshness.confirm(Confirmation { version, asked_at }));
+    pub fn store_answered(&self, version: Revision, sent_at: Instant) {
+        self.update(|freshness| freshness.confirm(Confirmation { version, sent_at }));
     }
 
     /// Age of the proof; `None` before the first.
     pub fn age(&self) -> Option<Duration> {
         let proof = self.state().proof()?;
-        Some(clock::since(proof.asked_at))
+        Some(clock::since(proof.sent_at))
     }
 
     /// Whether keys may be acted on now.
     pub fn permits(&self, bound: Duration) -> bool {
-        let until = self.state().permits_until(bound);
+        let until = self.state().keys_valid_until(bound);
         until.is_some_and(|until| clock::now() < until)
     }
 
@@ -110,7 +110,7 @@
         VersionTold {
             id: ask.id,
             version: proof.map_or(0, |proof| proof.version),
-            age_ms: proof.map_or(0, |proof| millis_since(proof.asked_at, clock::now()) + 1),
+            age_ms: proof.map_or(0, |proof| millis_since(proof.sent_at, clock::now()) + 1),
         }
     }
 
@@ -122,7 +122,7 @@
     /// Asks an instance; whether it could prove anything.
     fn ask(&self, shared: &Shared, address: SocketAddr) -> bool {
         let id = rand::random();
-        let asked_at = clock::now();
+        let sent_at = clock::now();
         let ask = Body::VersionAsk(VersionAsk { id });
         let told = self
             .asked
@@ -131,13 +131,13 @@
             return false;
         };
         let age = Duration::from_millis(told.age_ms);
-        let Some(asked_at) = asked_at.checked_sub(age) else {
+        let Some(sent_at) = sent_at.checked_sub(age) else {
             return false;
         };
         self.update(|freshness| {
             freshness.confirm(Confirmation {
                 version: told.version,
-                asked_at,
+                sent_at,
             });
         });
         true
--- a/crates/instance/src/health.rs
+++ b/crates/instance/src/health.rs
@@ -1,7 +1,7 @@
 //! Whether the store answers, shared by all that ask it, so that few calls go to one
 //! that does not.
 
-use passway_serving::absence::Outages;
+use passway_serving::store_outages::StoreOutages;
 use passway_types::clock;
 use passway_types::prelude::*;
 use rand::RngExt;
@@ -25,19 +25,19 @@
 #[derive(Debug, Default)]
 pub struct StoreHealth {
     failing: AtomicBool,
-    outages: Mutex<Outages>,
+    outages: Mutex<StoreOutages>,
     /// Instances that ask the store, as far as is known.
     instances: AtomicU32,
 }
 
 impl StoreHealth {
-    fn outages(&self) -> MutexGuard<'_, Outages> {
+    fn outages(&self) -> MutexGuard<'_, StoreOutages> {
         self.outages.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// A call was answered.
     pub fn answered(&self) {
-        self.outages().answered(clock::now());
+        self.outages().record_answer(clock::now());
         self.failing.store(false, Ordering::Release);
     }
 
@@ -45,18 +45,18 @@
     /// gone: an instance that is cut off itself calls the store no more while it listens, and
     /// would take its own cut for an outage in which entries lapse until it called again.
     pub fn relayed(&self) {
-        self.outages().answered(clock::now());
+        self.outages().record_answer(clock::now());
     }
 
     /// A call was not answered, or refused.
     pub fn failed(&self) {
-        self.outages().failed(clock::now());
+        self.outages().record_failure(clock::now());
         self.failing.store(true, Ordering::Release);
     }
 
     /// When an entry that is missing now means that its upstream is gone.
     pub fn gone_at(&self, now: Instant) -> Instant {
-        self.outages().gone_at(now)
+        self.outages().removal_at(now)
     }
 
     /// Whether the last call failed.
--- a/crates/instance/src/holder.rs
+++ b/crates/instance/src/holder.rs
@@ -22,11 +22,11 @@
 use order_names::name_of;
 use passway_process::logging::json::DECISION_TARGET;
 use passway_process::outbox::Outbox;
+use passway_serving::leadership::Candidate;
 use passway_serving::placement::{Action, ModelRuns, Planner, Waiters};
 use passway_serving::poison::UpstreamStart;
 use passway_serving::ports::{Engines, OrderAnswer};
 use passway_serving::retry::InstanceCount;
-use passway_serving::tenure::Candidate;
 use passway_serving::upstreams::ModelRef;
 use passway_types::clock;
 use passway_types::prelude::*;
@@ -94,7 +94,7 @@
         dispatchers: Vec::new(),
         roster: Roster::default(),
         begun_at: clock::now(),
-        instances: InstanceCount::begin(clock::now()),
+        instances: InstanceCount::start_term(clock::now()),
         announcement: None,
         heard_of: KeptAnnouncement::default(),
         heartbeat_at: clock::now(),
@@ -341,7 +341,7 @@
         if now >= self.heartbeat_at {
             self.heartbeat_at = now + HEARTBEAT_PAUSE;
             let instances = self.listeners.count() + 1;
-            let instances = self.instances.shared_by(instances, now);
+            let instances = self.instances.sharing_instances(instances, now);
             if let Some(instances) = instances {
                 self.shared.use_instances(instances);
             }
@@ -406,7 +406,7 @@
             }
         }
         let upstreams = self.shared.upstreams();
-        let emptied = upstreams.emptied();
+        let emptied = upstreams.evacuated();
         let emptied = (emptied != self.planner.emptied()).then(|| emptied.clone());
         drop(upstreams);
         if let Some(emptied) = emptied {
@@ -442,7 +442,7 @@
         self.announce(now);
         if self.right.fence() == Some(fence) && now >= self.plan_at {
             let upstreams = self.shared.upstreams();
-            let resting = upstreams.resting(now);
+            let resting = upstreams.backing_off(now);
             let resting = resting.map(|(id, until)| (id.clone(), until)).collect();
             drop(upstreams);
             self.planner.set_resting(resting);
@@ -472,21 +472,21 @@
     /// A term begins, and the instances come to it one after the other.
     fn count_instances_anew(&mut self, now: Instant) {
         if self.right.succeeds_itself() {
-            self.instances.resume(now);
+            self.instances.continue_term(now);
         } else {
-            self.instances = InstanceCount::begin(now);
+            self.instances = InstanceCount::start_term(now);
         }
     }
 
     /// The planner begins with what this instance knew as a listener.
     fn begin_term(&mut self) {
         let mut upstreams = self.shared.upstreams();
-        upstreams.forget_closing();
+        upstreams.clear_closing();
         self.shared.poison.look();
         let entries = upstreams.entries().cloned();
         let doubtful = self.shared.doubtful_engines();
         self.planner.begin_term(entries, &doubtful, clock::now());
-        for (id, _, word) in upstreams.limit_words() {
+        for (id, _, word) in upstreams.observed_limits() {
             self.planner.set_limit(id, word.per_s);
         }
     }
--- a/crates/instance/src/holder/telling.rs
+++ b/crates/instance/src/holder/telling.rs
@@ -102,7 +102,7 @@
         // Many instances see one upstream break off, and all are told once.
         self.told_breaks.retain(|_, until| now < *until);
         breaks.retain(|(start, _)| !self.told_breaks.contains_key(start));
-        let until = now + poison::OPEN_TIME;
+        let until = now + poison::UNCONFIRMED_TIMEOUT;
         let told_now = breaks.iter().map(|(start, _)| (start.clone(), until));
         self.told_breaks.extend(told_now);
         let breaks = poison::encode_breaks(&breaks);
@@ -142,7 +142,7 @@
     /// Takes in how much an upstream takes. Returns whether that is to be told.
     fn take_limit(&mut self, id: &UpstreamId) -> bool {
         let before = self.told_limits.get(id).copied();
-        let now = self.shared.upstreams().named_limit_per_s(id);
+        let now = self.shared.upstreams().advertised_limit_per_s(id);
         self.planner.set_limit(id, now);
         let is_news = match (before, now) {
             (Some(before), Some(now)) => (now - before).abs() > TOLD_CHANGE_PART * before,
@@ -174,7 +174,7 @@
         let Some(instances) = instances else {
             return;
         };
-        let wanted = dispatch::dispatchers_wanted(instances, self.planner.engines());
+        let wanted = dispatch::required_dispatchers(instances, self.planner.engines());
         let me = &self.shared.settings.instance;
         let chosen = self.candidates.dispatchers(&self.dispatchers, wanted, me);
         if chosen != self.dispatchers {
--- a/crates/instance/src/http1/body.rs
+++ b/crates/instance/src/http1/body.rs
@@ -117,7 +117,7 @@
             (false, Some(length)) => Framing::Length(length),
             (false, None) => Framing::Connection,
         };
-        let says_close = head.headers.connection_says("close");
+        let says_close = head.headers.connection_contains("close");
         Ok(Self {
             framing,
             trailer_bytes: 0,
--- a/crates/instance/src/keeper.rs
+++ b/crates/instance/src/keeper.rs
@@ -6,8 +6,8 @@
 use crate::questions::Questions;
 use crate::relay::millis;
 use crate::shared::Shared;
-use passway_serving::allotment::{Keeper, QuotaBounds, Ruling};
-use passway_serving::tenure::Holder;
+use passway_serving::allotment::{QuotaBounds, QuotaCoordinator, QuotaDecision};
+use passway_serving::leadership::Holder;
 use passway_types::clock;
 use passway_types::prelude::*;
 use passway_wire::dispatch::Dispatch as Body;
@@ -147,17 +147,19 @@
 }
 
 /// The answer that a ruling makes to a question.
-pub fn told(ask: &UseAsk, ruling: Ruling) -> UseTold {
+pub fn told(ask: &UseAsk, ruling: QuotaDecision) -> UseTold {
     let mut told = UseTold {
         id: ask.id,
         ..UseTold::default()
     };
     match ruling {
-        Ruling::Granted { part_per_s } => {
+        QuotaDecision::Granted {
+            instance_rate_per_s,
+        } => {
             told.set_verdict(UseVerdict::Granted);
-            told.part_per_s = part_per_s;
+            told.instance_rate_per_s = instance_rate_per_s;
         }
-        Ruling::Refused { retry_after } => {
+        QuotaDecision::Refused { retry_after } => {
             told.set_verdict(UseVerdict::Refused);
             told.retry_after_ms = millis(retry_after);
         }
@@ -168,7 +170,7 @@
 #[derive(Debug)]
 struct Keeping {
     fence: Fence,
-    keeper: Keeper,
+    keeper: QuotaCoordinator,
 }
 
 /// What is counted in the newest term of this instance.
@@ -181,19 +183,19 @@
         &self,
         fence: Fence,
         bounds: QuotaBounds,
-        act: impl FnOnce(&mut Keeper) -> T,
+        act: impl FnOnce(&mut QuotaCoordinator) -> T,
     ) -> T {
         let mut keeping = lock(&self.0);
         keeping.take_if(|one| one.fence != fence);
         let new = || Keeping {
             fence,
-            keeper: Keeper::new(bounds, clock::now()),
+            keeper: QuotaCoordinator::new(bounds, clock::now()),
         };
         act(&mut keeping.get_or_insert_with(new).keeper)
     }
 
     /// Acts on the keeper of the newest term, if there was one.
-    pub fn of_any_term(&self, act: impl FnOnce(&mut Keeper)) {
+    pub fn of_any_term(&self, act: impl FnOnce(&mut QuotaCoordinator)) {
         if let Some(keeping) = lock(&self.0).as_mut() {
             act(&mut keeping.keeper);
         }
--- a/crates/instance/src/lifecycle.rs
+++ b/crates/instance/src/lifecycle.rs
@@ -12,8 +12,8 @@
 use crate::{callers, holder, ready, report};
 use anyhow::{Context, Result};
 use crossbeam::channel;
-use passway_serving::ports::{Directory, Engines, InstanceSettings, SharedStore, Vocabulary};
-use passway_serving::tenure::Holder;
+use passway_serving::leadership::Holder;
+use passway_serving::ports::{Directory, Engines, HeaderProtocol, InstanceSettings, SharedStore};
 use passway_types::clock;
 use passway_types::prelude::*;
 use std::net::SocketAddr;
@@ -39,7 +39,7 @@
     /// What lies in the store.
     pub directory: Arc<dyn Directory>,
     /// Callers' and upstreams' words.
-    pub vocabulary: Box<dyn Vocabulary>,
+    pub vocabulary: Box<dyn HeaderProtocol>,
     /// The control side of engines.
     pub engines: Arc<dyn Engines>,
 }
@@ -169,7 +169,7 @@
     /// just started must first come to its part of the fleet's allowance.
     pub fn may_repeat(&self, service: &str) -> bool {
         let now = clock::now();
-        self.shared.retries().has_spare(&service.into(), now)
+        self.shared.retries().can_spend(&service.into(), now)
     }
 
     /// How many other instances it knows.
--- a/crates/instance/src/limits.rs
+++ b/crates/instance/src/limits.rs
@@ -5,7 +5,7 @@
 
 use crate::keeper::{self, TermKeeper};
 use crate::shared::Shared;
-use passway_serving::limits::{self, EXACT, Shares};
+use passway_serving::limits::{self, FallbackLimits, NO_OVERAGE};
 use passway_types::clock;
 use passway_types::prelude::*;
 use passway_wire::permits::{UseAsk, UseTold, UseVerdict};
@@ -27,7 +27,7 @@
 #[derive(Debug, Default)]
 pub struct Limits {
     counter: TermKeeper,
-    shares: Mutex<Shares>,
+    shares: Mutex<FallbackLimits>,
 }
 
 impl Limits {
@@ -50,7 +50,7 @@
     fn share(&self, shared: &Shared, upstream: &UpstreamId, per_s: f64) -> Turn {
         let instances = shared.instances();
         let mut kept = self.shares.lock().unwrap_or_else(PoisonError::into_inner);
-        if kept.take(upstream, per_s, instances, rand::random(), clock::now()) {
+        if kept.try_take(upstream, per_s, instances, rand::random(), clock::now()) {
             Turn::Now
         } else {
             Turn::Unknown
@@ -64,8 +64,8 @@
         let known = shared.upstreams().limit_per_s(&upstream, clock::now());
         let per_s = known.map_or(ask.rate_per_s, |known| known.min(ask.rate_per_s));
         let allotment = limits::allotment(per_s);
-        let ruling = self.counter.of_term(fence, EXACT, |keeper| {
-            keeper.ask(&upstream, allotment, from, ask.cost, clock::now())
+        let ruling = self.counter.of_term(fence, NO_OVERAGE, |keeper| {
+            keeper.decide(&upstream, allotment, from, ask.cost, clock::now())
         });
         keeper::told(ask, ruling)
     }
--- a/crates/instance/src/members.rs
+++ b/crates/instance/src/members.rs
@@ -11,7 +11,7 @@
 use crate::shared::Shared;
 use passway_process::dial::{Dialed, Dialer};
 use passway_process::outbox::Outbox;
-use passway_serving::tenure::Holder;
+use passway_serving::leadership::Holder;
 use passway_types::prelude::*;
 use passway_wire::Body;
 use passway_wire::message::{Member, Members, Successor};
--- a/crates/instance/src/poison.rs
+++ b/crates/instance/src/poison.rs
@@ -14,9 +14,9 @@
 pub use alone::{Asked, Trial};
 use crossbeam::channel::{Receiver, Sender, TrySendError, bounded};
 use passway_process::logging::json::DECISION_TARGET;
-pub use passway_serving::poison::OPEN_TIME;
+pub use passway_serving::poison::UNCONFIRMED_TIMEOUT;
 use passway_serving::poison::{
-    Blame, PoisonList, RequestDigest, RunSpan, Standing, Suspect, UpstreamStart,
+    CrashStatus, PoisonList, RequestDigest, RunPermission, RunSpan, Suspect, UpstreamStart,
 };
 use passway_serving::ports::{ConditionalWrite, SharedStore, StoreRevision, WriteAnswer};
 use passway_types::clock;
@@ -110,7 +110,7 @@
 
     /// For how long a request is refused yet; `None` if it may be run.
     pub fn refused_for(&self, digest: RequestDigest) -> Option<Duration> {
-        lock(&self.list).refused_for(digest, clock::now())
+        lock(&self.list).remaining_refusal(digest, clock::now())
     }
 
     /// An upstream has crashed under a request that was sent at a moment. Returns what others are to be told.
@@ -120,14 +120,14 @@
         crash: UpstreamStart,
         sent_at: Instant,
     ) -> Option<Suspect> {
-        let news = lock(&self.list).crashed_run(digest, crash, sent_at, clock::now());
+        let news = lock(&self.list).record_run_crash(digest, crash, sent_at, clock::now());
         self.changed();
         news
     }
 
     /// Whether a request may run while it is not known which upstreams have ended that broke off under it.
-    pub fn standing(&self, digest: RequestDigest) -> Standing {
-        lock(&self.list).standing(digest, clock::now())
+    pub fn standing(&self, digest: RequestDigest) -> RunPermission {
+        lock(&self.list).run_permission(digest, clock::now())
     }
 
     /// An engine broke off under a request, and nothing tells yet whether it has ended.
@@ -140,9 +140,9 @@
     ) {
         Self::doubt(shared, digest, start, sent_at, address);
         let now = clock::now();
-        if lock(&shared.poison.list).note_break(start, now, now) {
+        if lock(&shared.poison.list).record_disconnect(start, now, now) {
             shared.tell(Need::Broke(start.clone(), now));
-            shared.upstreams().doubt(&start.upstream, now);
+            shared.upstreams().mark_unreachable(&start.upstream, now);
         }
     }
 
@@ -156,7 +156,7 @@
     ) {
         let poison = &shared.poison;
         let now = clock::now();
-        let news = lock(&poison.list).broke_off(digest, start.clone(), sent_at, now);
+        let news = lock(&poison.list).record_run_disconnect(digest, start.clone(), sent_at, now);
         poison.changed();
         if let Some(news) = news {
             Self::tell(shared, news);
@@ -166,7 +166,7 @@
 
     /// An upstream that broke off under a request runs on. Returns what others are to be told.
     fn lives(&self, digest: RequestDigest, start: UpstreamStart) -> Option<Suspect> {
-        let news = lock(&self.list).lives(digest, start, clock::now());
+        let news = lock(&self.list).record_alive(digest, start, clock::now());
         self.changed();
         news
     }
@@ -177,14 +177,14 @@
         if self.is_empty() {
             return Vec::new();
         }
-        let news = lock(&self.list).ended(upstream, before_ms, clock::now());
+        let news = lock(&self.list).record_terminated(upstream, before_ms, clock::now());
         self.changed();
         news
     }
 
     /// A request has had an answer. Returns what others are to be told.
     pub fn answered(&self, digest: RequestDigest) -> Option<Suspect> {
-        let news = lock(&self.list).answered(digest);
+        let news = lock(&self.list).record_answer(digest);
         if news.is_some() {
             self.changed();
         }
@@ -205,7 +205,7 @@
         });
         let breaks: Vec<_> = breaks.collect();
         for (start, at) in &breaks {
-            list.note_break(start, *at, now);
+            list.record_disconnect(start, *at, now);
         }
         breaks
     }
@@ -243,7 +243,7 @@
         }
         let digests: Vec<RequestDigest> = told.iter().map(|suspect| suspect.digest).collect();
         let mut list = lock(&self.list);
-        list.join(told, clock::now());
+        list.merge(told, clock::now());
         let known = digests.iter().filter_map(|digest| list.get(*digest));
         let known = known.cloned().collect();
         drop(list);
@@ -275,7 +275,7 @@
     /// what others are to be told.
     pub fn removed_from_store(&self) -> Vec<Suspect> {
         *lock(&self.kept) = Kept::default();
-        let cleared = lock(&self.list).clear_kept();
+        let cleared = lock(&self.list).clear_persisted();
         log::info!(target: DECISION_TARGET, cleared = cleared.len(); "requests that crash upstreams were cleared");
         self.changed();
         cleared
@@ -292,7 +292,7 @@
 
     fn changed(&self) {
         let list = lock(&self.list);
-        let refused = list.refused();
+        let refused = list.refused_count();
         self.is_empty.store(list.is_empty(), Ordering::Release);
         drop(list);
         if self.refused.swap(refused, Ordering::AcqRel) != refused {
@@ -304,7 +304,7 @@
     /// The write that makes the store hold what is to be known when all have gone; `None` if it
     /// does.
     fn write(&self) -> Option<ConditionalWrite> {
-        let mut kept = lock(&self.list).kept_suspects();
+        let mut kept = lock(&self.list).persisted_suspects();
         // Times that passed would make it another value at each look.
         for suspect in &mut kept {
             suspect.runs.clear();
@@ -370,13 +370,13 @@
             upstream: crash.upstream.to_string(),
             started_at_ms: crash.started_at_ms,
             blame: match blame {
-                Blame::Full => 0,
-                Blame::Explained => 1,
-                Blame::Cleared => 2,
-                Blame::Open => 3,
+                CrashStatus::Counted => 0,
+                CrashStatus::Explained => 1,
+                CrashStatus::Cleared => 2,
+                CrashStatus::Unconfirmed => 3,
             },
             sent_ms_ago: run.map(|run| millis_since(run.sent_at, now)),
-            broke_ms_ago: run.map(|run| millis_since(run.broke_at, now)),
+            broke_ms_ago: run.map(|run| millis_since(run.disconnected_at, now)),
         }
     });
     message::Suspect {
@@ -398,15 +398,15 @@
             started_at_ms: crash.started_at_ms,
         };
         let blame = match crash.blame {
-            0 => Blame::Full,
-            1 => Blame::Explained,
-            3 => Blame::Open,
-            _ => Blame::Cleared,
+            0 => CrashStatus::Counted,
+            1 => CrashStatus::Explained,
+            3 => CrashStatus::Unconfirmed,
+            _ => CrashStatus::Cleared,
         };
         if let Some((sent_ms, broke_ms)) = times {
             let run = RunSpan {
                 sent_at: ago(sent_ms),
-                broke_at: ago(broke_ms.saturating_add(MOST_TELLING_MS)),
+                disconnected_at: ago(broke_ms.saturating_add(MOST_TELLING_MS)),
             };
             runs.insert(start.clone(), run);
         }
--- a/crates/instance/src/poison/alone.rs
+++ b/crates/instance/src/poison/alone.rs
@@ -9,7 +9,7 @@
 use crate::relay::millis;
 use crate::shared::Shared;
 use passway_process::logging::json::REQUEST_TARGET;
-use passway_serving::poison::{RequestDigest, RunTurns};
+use passway_serving::poison::{ExclusiveRuns, RequestDigest};
 use passway_types::clock;
 use passway_types::prelude::*;
 use passway_wire::dispatch::Dispatch as Body;
@@ -24,7 +24,7 @@
     /// Those of this instance.
     here: Mutex<HashSet<RequestDigest>>,
     /// Those of all instances, while this one counts for all.
-    turns: Mutex<RunTurns>,
+    turns: Mutex<ExclusiveRuns>,
 }
 
 /// What a request hears that asks to run alone.
@@ -165,7 +165,7 @@
             return told;
         };
         let (run, time) = ((from, ask.id), Duration::from_millis(ask.run_ms));
-        match lock(&self.alone.turns).ask(fence, digest, run, time, clock::now()) {
+        match lock(&self.alone.turns).try_acquire(fence, digest, run, time, clock::now()) {
             Ok(()) => told.set_verdict(UseVerdict::Granted),
             Err(pause) => {
                 told.set_verdict(UseVerdict::Refused);
@@ -178,7 +178,7 @@
     /// A run that was alone is over and has ended nothing.
     pub fn take_back(&self, from: SocketAddr, back: &UseBack) {
         if let Some(digest) = digest_of(&back.digest) {
-            lock(&self.alone.turns).give_back(digest, (from, back.id));
+            lock(&self.alone.turns).release(digest, (from, back.id));
         }
     }
 }
--- a/crates/instance/src/poison/watch.rs
+++ b/crates/instance/src/poison/watch.rs
@@ -8,7 +8,7 @@
 use crate::poison::Poison;
 use crate::shared::Shared;
 use passway_process::logging::json::DECISION_TARGET;
-use passway_serving::poison::{OPEN_TIME, RequestDigest, UpstreamStart};
+use passway_serving::poison::{RequestDigest, UNCONFIRMED_TIMEOUT, UpstreamStart};
 use passway_serving::ports::Engines;
 use passway_types::clock;
 use passway_types::prelude::*;
@@ -114,7 +114,7 @@
     let broke_at = clock::now();
     let mut pause = FIRST_PAUSE;
     let mut found = None;
-    while found.is_none() && clock::since(broke_at) < OPEN_TIME {
+    while found.is_none() && clock::since(broke_at) < UNCONFIRMED_TIMEOUT {
         std::thread::sleep(pause);
         pause = ASK_PAUSE;
         if control::rests(shared, &start.upstream) {
@@ -126,7 +126,9 @@
             verdict(start, report.started_at_ms, since_break)
         } else {
             // Whatever is sent there would break off too.
-            shared.upstreams().doubt(&start.upstream, clock::now());
+            shared
+                .upstreams()
+                .mark_unreachable(&start.upstream, clock::now());
             has_gone(shared, start, address).then_some(Verdict::Ended {
                 before_ms: start.started_at_ms + 1,
             })
@@ -136,7 +138,9 @@
     let digests = shared.poison.watched.take(start);
     match found {
         Some(Verdict::Lives) => {
-            shared.upstreams().trust(&start.upstream, clock::now());
+            shared
+                .upstreams()
+                .mark_reachable(&start.upstream, clock::now());
             for digest in digests {
                 if let Some(news) = shared.poison.lives(digest, start.clone()) {
                     Poison::tell(shared, news);
--- a/crates/instance/src/ready.rs
+++ b/crates/instance/src/ready.rs
@@ -51,8 +51,9 @@
 fn standing(shared: &Shared, right: &Right) -> Standing {
     let routes = shared.routes.load();
     let upstreams = shared.upstreams();
-    let (limited_upstreams, leaving_upstreams) = (upstreams.limited(), upstreams.leaving().count());
-    let resting_upstreams = upstreams.resting(clock::now()).count();
+    let (limited_upstreams, leaving_upstreams) =
+        (upstreams.limited_count(), upstreams.leaving().count());
+    let resting_upstreams = upstreams.backing_off(clock::now()).count();
     drop(upstreams);
     Standing {
         holds_right: right.fence().is_some(),
@@ -75,7 +76,7 @@
         let Some(head) = head else {
             return Ok(());
         };
-        let close = head.headers.connection_says("close") || !head.is_1_1;
+        let close = head.headers.connection_contains("close") || !head.is_1_1;
         let body = if head.target == METRICS_PATH {
             shared.metrics.text(&standing(shared, right))
         } else {
--- a/crates/instance/src/reply.rs
+++ b/crates/instance/src/reply.rs
@@ -2,7 +2,7 @@
 
 use crate::http1::{self, Connection, HttpError, encode_head};
 use passway_serving::headers::Headers;
-use passway_serving::ports::Vocabulary;
+use passway_serving::ports::HeaderProtocol;
 use passway_types::clock;
 use passway_types::prelude::*;
 
@@ -65,7 +65,7 @@
 /// If the caller is gone or does not take it.
 pub fn refuse(
     caller: &mut Connection,
-    vocabulary: &dyn Vocabulary,
+    vocabulary: &dyn HeaderProtocol,
     id: &str,
     refusal: Refusal,
     close: bool,
@@ -73,9 +73,9 @@
     let (status, reason) = refusal.status();
     let mut headers = Headers::default();
     headers.push("Content-Length", "0");
-    vocabulary.label(&mut headers, id);
+    vocabulary.label_answer(&mut headers, id);
     if refusal == Refusal::NoKey {
-        headers.push("WWW-Authenticate", vocabulary.challenge());
+        headers.push("WWW-Authenticate", vocabulary.auth_challenge());
     }
     if let Refusal::NotRun { retry_after_ms } | Refusal::OverAllotment { retry_after_ms } = refusal
     {
--- a/crates/instance/src/report.rs
+++ b/crates/instance/src/report.rs
@@ -9,8 +9,8 @@
 use crossbeam::channel::{Receiver, RecvTimeoutError};
 use passway_process::dial::{Dialed, Dialer};
 use passway_process::outbox::Outbox;
+use passway_serving::leadership::{Candidate, Holder};
 use passway_serving::poison::{Suspect, UpstreamStart};
-use passway_serving::tenure::{Candidate, Holder};
 use passway_serving::upstreams::{ModelRef, ResidentModel};
 use passway_types::clock;
 use passway_types::prelude::*;
@@ -289,7 +289,7 @@
                 Dialed::Received(Body::Suspects(told)) => {
                     drop(link);
                     for (start, at) in shared.poison.join_breaks(&told.breaks) {
-                        shared.upstreams().doubt(&start.upstream, at);
+                        shared.upstreams().mark_unreachable(&start.upstream, at);
                     }
                     // Only a word on requests says that what the fleet knows of them was told.
                     if !told.suspects.is_empty() || told.breaks.is_empty() {
@@ -398,11 +398,13 @@
             .map(|(key, count)| wish(key, *count, Duration::ZERO));
         let taken: Vec<Wish> = taken.collect();
         let upstreams = self.shared.upstreams();
-        let running = upstreams.running().map(|(engine, model, count)| Running {
-            engine: engine.to_string(),
-            model: model.to_string(),
-            count,
-        });
+        let running = upstreams
+            .in_flight_by_model()
+            .map(|(engine, model, count)| Running {
+                engine: engine.to_string(),
+                model: model.to_string(),
+                count,
+            });
         let mut running: Vec<Running> = running.collect();
         running.sort_by(|one, other| (&one.engine, &one.model).cmp(&(&other.engine, &other.model)));
         if waiting.is_empty() && taken.is_empty() && running == self.last_running {
--- a/crates/instance/src/right.rs
+++ b/crates/instance/src/right.rs
@@ -1,6 +1,6 @@
 //! The right to give orders: one key under a lease, held by one instance at a time.
 //!
-//! [`Tenure`] decides; here are the thread that makes its calls to the store and the
+//! [`Leadership`] decides; here are the thread that makes its calls to the store and the
 //! feed that tells it what stands there.
 
 use crate::allotments;
@@ -11,12 +11,12 @@
 use crate::shared::{Need, Shared};
 use crossbeam::channel::Sender;
 use passway_process::logging::json::DECISION_TARGET;
+use passway_serving::leadership::{
+    Candidate, Holder, Leadership, LeadershipSettings, PromiseRefusal, RecentHolders, Step,
+};
 use passway_serving::ports::{
     ConditionalWrite, LeaseId, Listing, SharedStore, StoreChange, StoreError, StoredValue,
 };
-use passway_serving::tenure::{
-    Candidate, Holder, NoPromise, RecentHolders, Step, Tenure, TenureLimits,
-};
 use passway_types::clock;
 use passway_types::prelude::*;
 use rand::RngExt;
@@ -40,12 +40,12 @@
 /// The right to order, as this instance knows it.
 #[derive(Debug)]
 pub struct Right {
-    tenure: Mutex<Tenure>,
+    leadership: Mutex<Leadership>,
     changed: Condvar,
     /// When a holder asked last for a promise.
     asked_at: Mutex<Option<Instant>>,
     /// What it was answered, so that each change is told.
-    answered: Mutex<Option<Result<(), NoPromise>>>,
+    answered: Mutex<Option<Result<(), PromiseRefusal>>>,
     is_weak: bool,
 }
 
@@ -103,14 +103,18 @@
     pub fn new(shared: &Shared) -> Self {
         let settings = &shared.settings;
         let bounds = shared.bounds.load();
-        let is_weak = settings.processor_part < WEAK_PART;
-        let limits = TenureLimits {
-            lease: LEASE_TIME.max(bounds.shortest_lease),
-            gap: bounds.holder_gap,
-            is_weak,
+        let is_weak = settings.cpu_core_fraction < WEAK_PART;
+        let limits = LeadershipSettings {
+            min_lease_ttl: LEASE_TIME.max(bounds.shortest_lease),
+            holder_gap: bounds.holder_gap,
+            has_low_cpu: is_weak,
         };
         Self {
-            tenure: Mutex::new(Tenure::new(settings.instance.clone(), limits, clock::now())),
+            leadership: Mutex::new(Leadership::new(
+                settings.instance.clone(),
+                limits,
+                clock::now(),
+            )),
             changed: Condvar::new(),
             asked_at: Mutex::default(),
             answered: Mutex::default(),
@@ -141,52 +145,52 @@
         std::thread::spawn(move || keeping.keep(&shared, &*store, &holder));
     }
 
-    fn tenure(&self) -> MutexGuard<'_, Tenure> {
-        lock(&self.tenure)
+    fn leadership(&self) -> MutexGuard<'_, Leadership> {
+        lock(&self.leadership)
     }
 
     /// Changes what is known, and lets the thread that keeps the right look at it.
-    fn update(&self, change: impl FnOnce(&mut Tenure)) {
-        change(&mut self.tenure());
+    fn update(&self, change: impl FnOnce(&mut Leadership)) {
+        change(&mut self.leadership());
         self.changed.notify_all();
     }
 
     /// Who holds the right.
     pub fn holder(&self) -> Option<Holder> {
-        self.tenure().holder().cloned()
+        self.leadership().holder().cloned()
     }
 
     /// Another instance says that it holds the right; whether that is news.
     pub fn told(&self, holder: Holder) -> bool {
-        let is_news = self.tenure().told(holder);
+        let is_news = self.leadership().learn_holder(holder);
         self.changed.notify_all();
         is_news
     }
 
     /// My fencing number, if I may give an order now.
     pub fn fence(&self) -> Option<Fence> {
-        self.tenure().fence(clock::now())
+        self.leadership().fence(clock::now())
     }
 
     /// My fencing number for as long as my term lasts, also while I may not order.
     pub fn term(&self) -> Option<Fence> {
-        self.tenure().term(clock::now())
+        self.leadership().term_fence(clock::now())
     }
 
     /// My fencing number, if the candidates are to promise that they do not take the right:
     /// the store did not answer the last renewal.
     pub fn asks_promises(&self) -> Option<Fence> {
-        self.tenure().asks_promises(clock::now())
+        self.leadership().promise_request_fence(clock::now())
     }
 
     /// Whether this instance promises a holder not to take the right for a while.
     ///
     /// # Errors
     /// Why it does not.
-    pub fn promise(&self, asker: &InstanceId, store_answers: bool) -> Result<(), NoPromise> {
+    pub fn promise(&self, asker: &InstanceId, store_answers: bool) -> Result<(), PromiseRefusal> {
         let now = clock::now();
         let before = lock(&self.asked_at).replace(now);
-        let answer = self.tenure().promise(asker, store_answers, now);
+        let answer = self.leadership().try_promise(asker, store_answers, now);
         let is_first = before.is_none_or(|at| now > at + ASKED_TIME);
         let told = Some(answer);
         if lock(&self.answered).replace(answer) != told || is_first {
@@ -197,7 +201,7 @@
 
     /// The candidates of my term without whose word it does not go on beyond its lease.
     pub fn without_promise(&self) -> Vec<InstanceId> {
-        self.tenure().without_promise(clock::now())
+        self.leadership().candidates_without_promise(clock::now())
     }
 
     /// Whether a holder has asked for a promise lately, so that this instance had better
@@ -208,38 +212,39 @@
 
     /// A candidate promises, asked at a moment.
     pub fn promised(&self, from: &InstanceId, fence: Fence, asked_at: Instant) {
-        self.update(|tenure| tenure.promised(from, fence, asked_at));
+        self.update(|leadership| leadership.record_promise(from, fence, asked_at));
     }
 
     /// A candidate's process ends.
     pub fn left(&self, from: &InstanceId, fence: Fence) {
-        self.update(|tenure| tenure.left(from, fence));
+        self.update(|leadership| leadership.record_departure(from, fence));
     }
 
     /// The candidates that a term of mine should have.
     pub fn want_candidates(&self, wanted: Vec<Candidate>) {
-        self.update(|tenure| tenure.want_candidates(wanted));
+        self.update(|leadership| leadership.set_desired_candidates(wanted));
     }
 
     /// Whether nobody else had the right between this instance's last two terms.
     pub fn succeeds_itself(&self) -> bool {
-        self.tenure().succeeds_itself()
+        self.leadership().was_previous_holder()
     }
 
     /// Candidates that the store named before my term: they may carry another holder.
     pub fn former_candidates(&self) -> Vec<Candidate> {
-        self.tenure().former_candidates().to_vec()
+        self.leadership().previous_candidates().to_vec()
     }
 
     /// Gives the right back, so that another instance can take it at once.
     pub fn release(&self) {
-        self.update(Tenure::release);
+        self.update(Leadership::release);
     }
 
     /// Takes in how long the store took to answer a call that was made at a moment.
     fn note_answer<T>(&self, answer: &Result<T, StoreError>, asked_at: Instant) {
         if answer.is_ok() {
-            self.tenure().answered_within(clock::since(asked_at));
+            self.leadership()
+                .record_store_latency(clock::since(asked_at));
         }
     }
 
@@ -247,36 +252,36 @@
     fn keep(&self, shared: &Shared, store: &dyn SharedStore, holder: &Sender<Input>) {
         let mut held = None;
         loop {
-            let mut tenure = self.tenure();
-            tenure.set_gap(shared.bounds.load().holder_gap);
+            let mut leadership = self.leadership();
+            leadership.set_holder_gap(shared.bounds.load().holder_gap);
             let drawn = rand::rng().random_range(0.0..1.0);
             let answers = !shared.store_health.is_failing();
             let now = clock::now();
-            let step = tenure.step(drawn, answers, now);
-            if matches!(step, Step::End(_))
+            let step = leadership.step(drawn, answers, now);
+            if matches!(step, Step::EndLease(_))
                 && let Some(fence) = held.take()
             {
-                log_end(fence, &tenure, now);
+                log_end(fence, &leadership, now);
             }
             match step {
                 Step::Wait(until) => {
                     // It is looked again in any case.
                     let left = until.saturating_duration_since(now);
-                    drop(self.changed.wait_timeout(tenure, left));
+                    drop(self.changed.wait_timeout(leadership, left));
                 }
-                Step::Grant => {
-                    let time = tenure.lease_time();
-                    drop(tenure);
+                Step::GrantLease => {
+                    let time = leadership.lease_ttl();
+                    drop(leadership);
                     let answer = store.grant_lease(time);
                     self.note_answer(&answer, now);
-                    self.tenure().granted(answer, now);
+                    self.leadership().handle_grant(answer, now);
                 }
-                Step::Take(lease) => {
-                    let recent = tenure.recent_with_me();
-                    drop(tenure);
+                Step::TakeKey(lease) => {
+                    let recent = leadership.recent_holders_with_me();
+                    drop(leadership);
                     let answer = store.write(&taking(shared, lease, &recent));
                     self.note_answer(&answer, now);
-                    held = self.tenure().taken(&answer, clock::now());
+                    held = self.leadership().handle_take(&answer, clock::now());
                     if let Some(fence) = held {
                         log::info!(target: DECISION_TARGET, fence = fence; "holds the right to order");
                         shared.allotments.term_begun();
@@ -284,27 +289,28 @@
                         let _ = holder.send(Input::TermBegun);
                     }
                 }
-                Step::Renew(lease) => {
-                    let longest = tenure.renewal_time();
-                    drop(tenure);
-                    let answer = store.renew_lease_within(lease, longest);
+                Step::RenewLease(lease) => {
+                    let longest = leadership.renewal_timeout();
+                    drop(leadership);
+                    let answer = store.renew_lease_with_timeout(lease, longest);
                     self.note_answer(&answer, now);
                     if answer == Ok(true) {
                         shared.store_health.answered();
                     }
-                    self.tenure().renewed(answer, now, clock::now());
+                    self.leadership().handle_renewal(answer, now, clock::now());
                 }
-                Step::List => {
-                    let recent = tenure.recent_with_candidates();
-                    drop(tenure);
+                Step::WriteCandidates => {
+                    let recent = leadership.recent_holders_with_candidates();
+                    drop(leadership);
                     let answer = store.write(&[listing(&recent)]);
                     log::info!(target: DECISION_TARGET, candidates = recent.candidates.len(), answer:? = answer; "list of candidates");
-                    self.tenure().listed(&answer, recent, clock::now());
+                    self.leadership()
+                        .handle_list_write(&answer, recent, clock::now());
                 }
-                Step::End(lease) => {
-                    drop(tenure);
+                Step::EndLease(lease) => {
+                    drop(leadership);
                     end(store, lease);
-                    self.tenure().ended(clock::now());
+                    self.leadership().handle_lease_end(clock::now());
                 }
                 Step::Stop => return,
             }
@@ -312,12 +318,12 @@
     }
 }
 
-fn log_end(fence: Fence, tenure: &Tenure, now: Instant) {
-    let without_promise = tenure.without_promise(now);
-    let end = tenure.last_end();
-    let overdue_ms = end.map_or(0, |end| millis(end.overdue));
+fn log_end(fence: Fence, leadership: &Leadership, now: Instant) {
+    let without_promise = leadership.candidates_without_promise(now);
+    let end = leadership.last_term_end();
+    let overdue_ms = end.map_or(0, |end| millis(end.renewal_overdue));
     log::info!(target: DECISION_TARGET, fence = fence, cause:? = end.map(|end| end.cause),
-        unanswered = end.map_or(0, |end| end.unanswered), overdue_ms = overdue_ms,
+        unanswered = end.map_or(0, |end| end.unanswered_renewals), overdue_ms = overdue_ms,
         without_promise:? = without_promise;
         "lost the right to order");
 }
@@ -373,20 +379,22 @@
         let half_full = find(allotments::KEY).map(|value| (value.revision, &*value.value));
         let (revision, value) = half_full.unwrap_or_default();
         self.shared.allotments.seen_in_store(revision, value);
-        self.right.update(|tenure| {
-            tenure.seen_recent(recent);
-            tenure.seen(holder);
+        self.right.update(|leadership| {
+            leadership.observe_recent(recent);
+            leadership.observe_holder(holder);
         });
     }
 
     fn changed(&mut self, change: &StoreChange) -> bool {
         match change {
             StoreChange::Written(value) if value.key == HOLDER_KEY => {
-                self.right.update(|tenure| tenure.seen(decode(value)));
+                self.right
+                    .update(|leadership| leadership.observe_holder(decode(value)));
             }
             StoreChange::Written(value) if value.key == RECENT_KEY => {
                 let recent = decode_recent(value);
-                self.right.update(|tenure| tenure.seen_recent(recent));
+                self.right
+                    .update(|leadership| leadership.observe_recent(recent));
             }
             StoreChange::Written(value) if value.key == poison::KEY => {
                 let poison = &self.shared.poison;
@@ -405,7 +413,8 @@
                 }
             }
             StoreChange::Removed { key, .. } if key == HOLDER_KEY => {
-                self.right.update(|tenure| tenure.seen(None));
+                self.right
+                    .update(|leadership| leadership.observe_holder(None));
             }
             _ => {}
         }
--- a/crates/instance/src/shared.rs
+++ b/crates/instance/src/shared.rs
@@ -13,12 +13,12 @@
 use crate::right::Right;
 use arc_swap::{ArcSwap, ArcSwapOption};
 use crossbeam::channel::Sender;
+use passway_serving::first_byte_times::FirstByteTimes;
 use passway_serving::poison::{Suspect, UpstreamStart};
-use passway_serving::ports::{Engines, InstanceBounds, InstanceSettings, Vocabulary};
+use passway_serving::ports::{Engines, HeaderProtocol, InstanceBounds, InstanceSettings};
 use passway_serving::retry::RetryBudget;
 use passway_serving::routes::RouteTable;
 use passway_serving::upstreams::{ModelRef, UpstreamTable};
-use passway_serving::usual_time::UsualTimes;
 use passway_serving::workspaces::Workspaces;
 use passway_types::clock;
 use passway_types::prelude::*;
@@ -109,14 +109,14 @@
     /// Requests that crash upstreams.
     pub poison: Poison,
     /// The words of callers and upstreams.
-    pub vocabulary: Box<dyn Vocabulary>,
+    pub vocabulary: Box<dyn HeaderProtocol>,
     needs: Sender<Need>,
     upstreams: Mutex<UpstreamTable>,
     upstreams_changed: Condvar,
     /// Changes of upstreams so far.
     upstream_changes: AtomicU64,
     retries: Mutex<RetryBudget>,
-    usual_times: Mutex<UsualTimes>,
+    usual_times: Mutex<FirstByteTimes>,
     doubtful_engines: Mutex<BTreeSet<UpstreamId>>,
     members: Mutex<Addresses>,
     right: OnceLock<Arc<Right>>,
@@ -152,7 +152,7 @@
     /// Nothing known and nothing in progress.
     pub fn new(
         settings: InstanceSettings,
-        vocabulary: Box<dyn Vocabulary>,
+        vocabulary: Box<dyn HeaderProtocol>,
         needs: Sender<Need>,
     ) -> Self {
         let upstreams =
@@ -243,7 +243,7 @@
     }
 
     /// How long upstreams usually take to the first byte.
-    pub fn usual_times(&self) -> MutexGuard<'_, UsualTimes> {
+    pub fn usual_times(&self) -> MutexGuard<'_, FirstByteTimes> {
         lock(&self.usual_times)
     }
 
--- a/crates/instance/src/words.rs
+++ b/crates/instance/src/words.rs
@@ -6,9 +6,9 @@
 use crate::relay::{millis, millis_since};
 use crate::shared::{Need, Shared};
 use passway_process::logging::json::DECISION_TARGET;
-use passway_serving::limits::{LimitWord, NamedLimit};
+use passway_serving::limits::{LimitSignal, ObservedLimit};
 use passway_serving::poison::UpstreamStart;
-use passway_serving::words::{NamedLeaving, NamedRest, UpstreamWords};
+use passway_serving::signals::{BackoffSignal, LeavingSignal, UpstreamSignals};
 use passway_types::clock;
 use passway_types::prelude::*;
 use passway_wire::message::{LeavingUpstream, RestingUpstream, UpstreamLimit, Words};
@@ -28,7 +28,7 @@
     /// The start of the upstream that was asked.
     pub start: &'a UpstreamStart,
     /// What the answer says of it.
-    pub words: &'a UpstreamWords,
+    pub words: &'a UpstreamSignals,
     /// Whether the upstream vouches for the answer.
     pub vouched: bool,
     /// When the question was sent.
@@ -38,32 +38,32 @@
 /// Takes in what an answer says of its upstream.
 pub fn hear(shared: &Shared, heard: Heard<'_>) {
     let Heard { start, words, .. } = heard;
-    for word in words.unusable() {
+    for word in words.unusable_names() {
         shared.metrics.unusable_word(word);
     }
     hear_limit(shared, heard);
-    if words.leaving == NamedLeaving::Leaves && leaves(shared, start) {
+    if words.leaving == LeavingSignal::Leaving && leaves(shared, start) {
         shared.tell(Need::Word(start.upstream.clone()));
     }
-    match words.rest {
-        NamedRest::For(rest) if !rest.is_zero() => rests(shared, start, rest),
+    match words.backoff {
+        BackoffSignal::For(rest) if !rest.is_zero() => rests(shared, start, rest),
         _ => shared
             .upstreams()
-            .note_no_rest(&start.upstream, heard.sent_at),
+            .record_no_backoff(&start.upstream, heard.sent_at),
     }
 }
 
 fn hear_limit(shared: &Shared, heard: Heard<'_>) {
     let per_s = match heard.words.limit {
-        NamedLimit::PerSecond(per_s) => Some(per_s),
+        LimitSignal::PerSecond(per_s) => Some(per_s),
         // Only an answer that the upstream vouches for is its word that it is in no need.
-        NamedLimit::Absent if heard.vouched => None,
-        NamedLimit::Absent | NamedLimit::Unusable => return,
+        LimitSignal::Absent if heard.vouched => None,
+        LimitSignal::Absent | LimitSignal::Unusable => return,
     };
-    let word = LimitWord {
+    let word = ObservedLimit {
         per_s,
         sent_at: heard.sent_at,
-        heard_at: clock::now(),
+        received_at: clock::now(),
     };
     if note_limit(shared, heard.start, word) {
         shared.tell(Need::Word(heard.start.upstream.clone()));
@@ -74,7 +74,7 @@
 fn leaves(shared: &Shared, start: &UpstreamStart) -> bool {
     let now = clock::now();
     let mut upstreams = shared.upstreams();
-    let is_news = upstreams.note_leaving(&start.upstream, start.started_at_ms, now);
+    let is_news = upstreams.record_leaving(&start.upstream, start.started_at_ms, now);
     drop(upstreams);
     if is_news {
         log::info!(target: DECISION_TARGET, upstream:% = start.upstream; "an upstream says that it leaves");
@@ -95,7 +95,7 @@
     if upstreams.started_at_ms(&start.upstream) != start.started_at_ms {
         return;
     }
-    upstreams.note_rest(&start.upstream, until);
+    upstreams.record_backoff(&start.upstream, until);
     drop(upstreams);
     shared.upstreams_changed();
     shared.tell(Need::Word(start.upstream.clone()));
@@ -105,11 +105,11 @@
 
 /// A start of an upstream has said how much it takes, here or at another instance. Returns whether that is
 /// another limit than before.
-pub fn note_limit(shared: &Shared, start: &UpstreamStart, word: LimitWord) -> bool {
+pub fn note_limit(shared: &Shared, start: &UpstreamStart, word: ObservedLimit) -> bool {
     let mut upstreams = shared.upstreams();
     // What was said by another start of it says nothing of this one.
     let is_of_this = upstreams.started_at_ms(&start.upstream) == start.started_at_ms;
-    let has_changed = is_of_this && upstreams.note_limit(&start.upstream, word);
+    let has_changed = is_of_this && upstreams.record_limit(&start.upstream, word);
     drop(upstreams);
     if has_changed {
         log::info!(target: DECISION_TARGET, upstream:% = start.upstream, per_s:? = word.per_s; "an upstream says what it takes");
@@ -129,13 +129,13 @@
     let now = clock::now();
     let upstreams = shared.upstreams();
     let is_named = |id: &UpstreamId| named.is_none_or(|named| named.contains(id));
-    let limits = upstreams.limit_words().filter(|(id, ..)| is_named(id));
+    let limits = upstreams.observed_limits().filter(|(id, ..)| is_named(id));
     let limits = limits.map(|(id, started_at_ms, word)| UpstreamLimit {
         upstream: id.to_string(),
         started_at_ms,
         per_s: word.per_s,
         sent_ms_ago: millis_since(word.sent_at, now),
-        heard_ms_ago: millis_since(word.heard_at, now),
+        heard_ms_ago: millis_since(word.received_at, now),
     });
     let leaving = upstreams.leaving().filter(|(id, _)| is_named(id));
     let leaving = leaving.map(|(id, started_at_ms)| LeavingUpstream {
@@ -156,7 +156,7 @@
     let mut words = encode(shared, named);
     let upstreams = shared.upstreams();
     let is_named = |id: &UpstreamId| named.is_none_or(|named| named.contains(id));
-    let resting = upstreams.resting(now).filter(|(id, _)| is_named(id));
+    let resting = upstreams.backing_off(now).filter(|(id, _)| is_named(id));
     let resting = resting.map(|(id, until)| RestingUpstream {
         upstream: id.to_string(),
         started_at_ms: upstreams.started_at_ms(id),
@@ -179,12 +179,12 @@
         if shared.upstreams().started_at_ms(&start.upstream) != start.started_at_ms {
             continue;
         }
-        let word = LimitWord {
+        let word = ObservedLimit {
             per_s: told
                 .per_s
                 .filter(|per_s| per_s.is_finite() && *per_s >= 0.0),
             sent_at: ago(told.sent_ms_ago),
-            heard_at: ago(told.heard_ms_ago),
+            received_at: ago(told.heard_ms_ago),
         };
         note_limit(shared, &start, word);
         named.push(start.upstream);
--- a/crates/serving/src/allotment.rs
+++ b/crates/serving/src/allotment.rs
@@ -2,14 +2,14 @@
 //!
 //! What a workspace may use beyond its allotment in a window is little: a tenth and some twenty
 //! requests, so instances cannot each have a bucket of their own. One instance, the *keeper*, has
-//! one [`Keeper`] with the bucket of each workspace and is asked for each request, a round trip of
+//! one [`QuotaCoordinator`] with the bucket of each workspace and is asked for each request, a round trip of
 //! some milliseconds. The holder of the right to order is the keeper: there is never more than one,
 //! by its lease, and everybody knows it.
 //!
 //! A keeper that goes takes its buckets with it, and its successor begins with nearly empty ones: what
 //! was used before counts in the same window. For that it is known which buckets were at least half
-//! full ([`Keeper::half_full`]): those begin half full, once. Until there is a successor, each instance goes on with
-//! [`Parts`]: a part of the workspace's rate as large as its part of the workspace's use was, for a
+//! full ([`QuotaCoordinator::half_full`]): those begin half full, once. Until there is a successor, each instance goes on with
+//! [`FallbackQuotas`]: a part of the workspace's rate as large as its part of the workspace's use was, for a
 //! short time. The parts of all instances together are the rate.
 //!
 //! There is no I/O and no clock here.
@@ -58,11 +58,11 @@
 
 /// What the keeper decides on a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Ruling {
+pub enum QuotaDecision {
     /// It may go.
     Granted {
         /// The asking instance's part of the rate, in units a second.
-        part_per_s: f64,
+        instance_rate_per_s: f64,
     },
     /// The workspace has used what it may.
     Refused {
@@ -146,7 +146,7 @@
     }
 
     /// An instance uses so many units; its part of all use.
-    fn note_use(&mut self, instance: SocketAddr, cost: f64, now: Instant) -> f64 {
+    fn record_use(&mut self, instance: SocketAddr, cost: f64, now: Instant) -> f64 {
         let none = Faded {
             count: 0.0,
             at: now,
@@ -163,7 +163,7 @@
     }
 
     /// When a request that finds no room may come back.
-    fn turn(&mut self, cost: f64, rate_per_s: f64, now: Instant) -> Duration {
+    fn retry_after(&mut self, cost: f64, rate_per_s: f64, now: Instant) -> Duration {
         if rate_per_s <= 0.0 {
             return LONGEST_RETRY;
         }
@@ -181,7 +181,7 @@
 
 /// The buckets of all workspaces, at the instance that is asked.
 #[derive(Debug)]
-pub struct Keeper {
+pub struct QuotaCoordinator {
     bounds: QuotaBounds,
     /// Since then nothing was used that is not counted here.
     begun_at: Instant,
@@ -190,7 +190,7 @@
     buckets: HashMap<WorkspaceName, Bucket>,
 }
 
-impl Keeper {
+impl QuotaCoordinator {
     /// A keeper from now on, that knows nothing of what was used before.
     pub fn new(bounds: QuotaBounds, now: Instant) -> Self {
         Self {
@@ -203,7 +203,7 @@
 
     /// These workspaces' buckets were at least half full when the keeper before told so last, and
     /// nobody else was told that: what they may use at once is there again.
-    pub fn begin_half_full(
+    pub fn start_half_full(
         &mut self,
         names: impl IntoIterator<Item = WorkspaceName>,
         allotment: impl Fn(&str) -> Option<Allotment>,
@@ -242,14 +242,14 @@
     }
 
     /// Whether a request that counts so much may go, which an instance asks.
-    pub fn ask(
+    pub fn decide(
         &mut self,
         workspace: &WorkspaceName,
         allotment: Allotment,
         instance: SocketAddr,
         cost: f64,
         now: Instant,
-    ) -> Ruling {
+    ) -> QuotaDecision {
         let extra = self.extra(allotment);
         let level = if self.begin_half_full.remove(workspace) {
             allotment.burst * HALF
@@ -262,18 +262,18 @@
         let bucket = bucket.or_insert_with(|| Bucket::new(level, start, self.begun_at));
         bucket.refill(allotment, extra, now);
         if !bucket.take(cost) {
-            return Ruling::Refused {
-                retry_after: bucket.turn(cost, allotment.rate_per_s, now),
+            return QuotaDecision::Refused {
+                retry_after: bucket.retry_after(cost, allotment.rate_per_s, now),
             };
         }
-        let part = bucket.note_use(instance, cost, now);
-        Ruling::Granted {
-            part_per_s: part * allotment.rate_per_s,
+        let part = bucket.record_use(instance, cost, now);
+        QuotaDecision::Granted {
+            instance_rate_per_s: part * allotment.rate_per_s,
         }
     }
 
     /// A request that was granted did not run and never will.
-    pub fn give_back(
+    pub fn release(
         &mut self,
         workspace: &str,
         allotment: Allotment,
@@ -283,7 +283,7 @@
     ) {
         if let Some(bucket) = self.buckets.get_mut(workspace) {
             bucket.level = (bucket.level + cost).min(allotment.burst);
-            bucket.note_use(instance, -cost, now);
+            bucket.record_use(instance, -cost, now);
         }
     }
 
@@ -310,13 +310,13 @@
 
 /// What an instance may use while it does not hear the keeper.
 #[derive(Debug, Default)]
-pub struct Parts {
+pub struct FallbackQuotas {
     by_workspace: HashMap<WorkspaceName, Part>,
 }
 
-impl Parts {
+impl FallbackQuotas {
     /// The keeper tells this instance's part of a workspace's rate.
-    pub fn told(
+    pub fn set_rate(
         &mut self,
         workspace: &WorkspaceName,
         rate_per_s: f64,
@@ -342,7 +342,7 @@
     /// A part of one three-hundredth of a rate seldom holds a request. So one that does not fit goes
     /// with the chance that the part is of it, by a number drawn from 0 to 1, and takes the part in
     /// either case: all instances together use what their parts are, up to a request or two.
-    pub fn take(&mut self, workspace: &str, cost: f64, drawn: f64, now: Instant) -> bool {
+    pub fn try_take(&mut self, workspace: &str, cost: f64, drawn: f64, now: Instant) -> bool {
         let Some(part) = self.by_workspace.get_mut(workspace) else {
             return false;
         };
--- a/crates/serving/src/dispatch.rs
+++ b/crates/serving/src/dispatch.rs
@@ -9,14 +9,14 @@
 //!
 //! [`Dispatchers`] says who dispatches for an engine: by rendezvous hashing over a list that the
 //! holder of the right to order tells, without agreement. Two that dispatch for one engine for
-//! a moment send it too much at worst. [`RunBook`] is what a dispatcher knows: runs that it has
+//! a moment send it too much at worst. [`RunTable`] is what a dispatcher knows: runs that it has
 //! granted, and those that instances say they have, each for a short time unless said again. A
 //! dispatcher that takes over knows all of them within one such time.
 //!
 //! There is no I/O and no clock here.
 
 use crate::hash;
-use crate::tenure::Candidate;
+use crate::leadership::Candidate;
 use crate::upstreams::ModelRef;
 use passway_types::prelude::*;
 use std::collections::HashMap;
@@ -32,7 +32,7 @@
 /// A dispatcher that did not answer is not asked for this long.
 const SILENT_TIME: Duration = Duration::from_millis(500);
 /// Pause between two words of an instance on what it runs.
-pub const REFRESH_PAUSE: Duration = Duration::from_millis(500);
+pub const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 /// A run that nobody has spoken of for so long is over: two words may be lost.
 const RUN_TIME: Duration = Duration::from_millis(1_300);
 
@@ -46,7 +46,7 @@
 const URGENT_QUEUE_PART: u32 = 3;
 
 /// The load that counts for a request on an engine with some slots.
-pub fn counted_load(load: u32, slots: u32, is_urgent: bool) -> u32 {
+pub fn effective_load(load: u32, slots: u32, is_urgent: bool) -> u32 {
     if is_urgent {
         load.saturating_sub(slots / URGENT_QUEUE_PART)
     } else {
@@ -58,7 +58,7 @@
 pub type RunId = u64;
 
 /// How many dispatchers a fleet needs; none if it is small.
-pub fn dispatchers_wanted(instances: usize, engines: usize) -> usize {
+pub fn required_dispatchers(instances: usize, engines: usize) -> usize {
     if instances < FEWEST_INSTANCES {
         return 0;
     }
@@ -101,7 +101,7 @@
     }
 
     /// A dispatcher has not answered.
-    pub fn silent(&mut self, address: SocketAddr, now: Instant) {
+    pub fn mark_unresponsive(&mut self, address: SocketAddr, now: Instant) {
         self.silent_until.insert(address, now + SILENT_TIME);
     }
 }
@@ -133,7 +133,7 @@
 impl Waiter {
     /// Whether this one goes before another: one that can be in time before one that cannot,
     /// then the one that is due first.
-    fn goes_before(&self, other: &Self, now: Instant) -> bool {
+    fn precedes(&self, other: &Self, now: Instant) -> bool {
         let rank = |waiter: &Self| (waiter.due_at < now, waiter.due_at);
         rank(self) < rank(other)
     }
@@ -145,28 +145,28 @@
 /// that is free is left to those that go first and could use it, so that it stands idle for one
 /// such pause at most, and nobody who asks often goes before one who is due.
 #[derive(Debug, Default)]
-pub struct WaitingLine {
+pub struct WaitQueue {
     waiters: HashMap<RunKey, (Waiter, Instant)>,
 }
 
-impl WaitingLine {
+impl WaitQueue {
     /// A request finds no slot.
-    pub fn note(&mut self, key: RunKey, waiter: Waiter, now: Instant) {
+    pub fn record(&mut self, key: RunKey, waiter: Waiter, now: Instant) {
         self.waiters.insert(key, (waiter, now + ASKED_TIME));
     }
 
     /// A request waits no more.
-    pub fn leave(&mut self, key: RunKey) {
+    pub fn remove(&mut self, key: RunKey) {
         self.waiters.remove(&key);
     }
 
     /// Drops requests that have not asked again.
-    pub fn expire(&mut self, now: Instant) {
+    pub fn remove_expired(&mut self, now: Instant) {
         self.waiters.retain(|_, (_, until)| now < *until);
     }
 
     /// Requests that go before one and could use an engine that has some models or adapters.
-    pub fn before(
+    pub fn count_ahead(
         &self,
         key: RunKey,
         waiter: &Waiter,
@@ -175,7 +175,7 @@
     ) -> usize {
         let others = self.waiters.iter().filter(|(other, _)| **other != key);
         let first = others.filter(|(_, (other, until))| {
-            now < *until && other.goes_before(waiter, now) && could_use(&other.model_ref)
+            now < *until && other.precedes(waiter, now) && could_use(&other.model_ref)
         });
         first.count()
     }
@@ -183,13 +183,13 @@
 
 /// The runs on the engines of one dispatcher.
 #[derive(Debug, Default)]
-pub struct RunBook {
+pub struct RunTable {
     runs: HashMap<RunKey, Run>,
     counts: HashMap<UpstreamId, u32>,
     expire_at: Option<Instant>,
 }
 
-impl RunBook {
+impl RunTable {
     /// Runs on an engine.
     pub fn load(&self, engine: &str) -> u32 {
         self.counts.get(engine).copied().unwrap_or(0)
@@ -211,7 +211,7 @@
     }
 
     /// A run goes to an engine, or is said to be there.
-    pub fn note(&mut self, key: RunKey, engine: &UpstreamId, now: Instant) {
+    pub fn record(&mut self, key: RunKey, engine: &UpstreamId, now: Instant) {
         let until = now + RUN_TIME;
         if let Some(run) = self.runs.get_mut(&key)
             && run.engine == *engine
@@ -219,14 +219,14 @@
             run.until = until;
             return;
         }
-        self.end(key);
+        self.remove(key);
         *self.counts.entry(engine.clone()).or_default() += 1;
         let engine = engine.clone();
         self.runs.insert(key, Run { engine, until });
     }
 
     /// A run is over; the engine where it was.
-    pub fn end(&mut self, key: RunKey) -> Option<UpstreamId> {
+    pub fn remove(&mut self, key: RunKey) -> Option<UpstreamId> {
         let run = self.runs.remove(&key)?;
         discount(&mut self.counts, &run.engine);
         Some(run.engine)
@@ -234,11 +234,11 @@
 
     /// Drops runs that nobody speaks of any more: their instance is gone, or the word of their
     /// end was lost.
-    pub fn expire(&mut self, now: Instant) {
+    pub fn remove_expired(&mut self, now: Instant) {
         if self.expire_at.is_some_and(|at| now < at) {
             return;
         }
-        self.expire_at = Some(now + REFRESH_PAUSE / 2);
+        self.expire_at = Some(now + REFRESH_INTERVAL / 2);
         let counts = &mut self.counts;
         self.runs.retain(|_, run| {
             let lasts = now < run.until;
--- a/crates/serving/src/usual_time.rs
+++ b/crates/serving/src/first_byte_times.rs
@@ -29,11 +29,11 @@
 
 /// Times to the first byte, by route.
 #[derive(Debug, Default)]
-pub struct UsualTimes {
+pub struct FirstByteTimes {
     routes: HashMap<Arc<str>, Estimate>,
 }
 
-impl UsualTimes {
+impl FirstByteTimes {
     /// An answer to a request of a route began after some time.
     pub fn observe(&mut self, route: &Arc<str>, after: Duration) {
         if self.routes.len() >= MOST_ROUTES && !self.routes.contains_key(route) {
@@ -53,7 +53,7 @@
     }
 
     /// The longest usual time to the first byte on a route with a goal.
-    pub fn longest(&self, route: &str, goal: Duration) -> Duration {
+    pub fn usual_max(&self, route: &str, goal: Duration) -> Duration {
         let known = self.routes.get(route).filter(|e| e.count >= FEWEST);
         match known {
             Some(estimate) => {
--- a/crates/serving/src/freshness.rs
+++ b/crates/serving/src/freshness.rs
@@ -22,7 +22,7 @@
     /// The version.
     pub version: Revision,
     /// When the question left, by the clock of whoever keeps this.
-    pub asked_at: Instant,
+    pub sent_at: Instant,
 }
 
 /// What an instance can prove of the configuration that it has in force.
@@ -37,41 +37,41 @@
 
 impl Freshness {
     /// A version is in force from now on.
-    pub fn set_in_force(&mut self, version: Revision) {
+    pub fn set_active_version(&mut self, version: Revision) {
         self.in_force = self.in_force.max(version);
         if let Some(awaited) = self.awaited.take_if(|awaited| awaited.version <= version) {
-            self.prove(awaited.asked_at);
+            self.prove(awaited.sent_at);
         }
     }
 
     /// An answer names the newest version.
     pub fn confirm(&mut self, confirmation: Confirmation) {
         if confirmation.version <= self.in_force {
-            self.prove(confirmation.asked_at);
+            self.prove(confirmation.sent_at);
             return;
         }
-        let younger = |awaited: &Confirmation| awaited.asked_at >= confirmation.asked_at;
+        let younger = |awaited: &Confirmation| awaited.sent_at >= confirmation.sent_at;
         if !self.awaited.as_ref().is_some_and(younger) {
             self.awaited = Some(confirmation);
         }
     }
 
-    fn prove(&mut self, asked_at: Instant) {
-        self.proved_at = self.proved_at.max(Some(asked_at));
+    fn prove(&mut self, sent_at: Instant) {
+        self.proved_at = self.proved_at.max(Some(sent_at));
     }
 
     /// The version in force and the moment at which it was the newest for sure.
     pub fn proof(&self) -> Option<Confirmation> {
-        let asked_at = self.proved_at?;
+        let sent_at = self.proved_at?;
         Some(Confirmation {
             version: self.in_force,
-            asked_at,
+            sent_at,
         })
     }
 
     /// Until when keys may be acted on if none may be so much later than it was taken away;
     /// `None` before the first proof.
-    pub fn permits_until(&self, bound: Duration) -> Option<Instant> {
+    pub fn keys_valid_until(&self, bound: Duration) -> Option<Instant> {
         Some(self.proved_at? + bound.mul_f64(1.0 - CLOCK_DRIFT))
     }
 }
--- a/crates/serving/src/halls.rs
+++ b/crates/serving/src/halls.rs
@@ -1,5 +1,5 @@
 //! Where requests may go: the regions that bind a route or a workspace, and the data halls that operators have
-//! emptied.
+//! evacuated.
 //!
 //! There is no I/O and no clock here.
 
@@ -24,7 +24,7 @@
 
     /// The regions that both allow.
     #[must_use]
-    pub fn and(&self, other: &Self) -> Self {
+    pub fn intersection(&self, other: &Self) -> Self {
         match (&self.0, &other.0) {
             (None, _) => other.clone(),
             (_, None) => self.clone(),
@@ -33,12 +33,12 @@
     }
 
     /// Whether they bind at all.
-    pub fn bind(&self) -> bool {
+    pub fn is_restricted(&self) -> bool {
         self.0.is_some()
     }
 
     /// The names of the regions, if they bind.
-    pub fn names(&self) -> impl Iterator<Item = &Region> {
+    pub fn regions(&self) -> impl Iterator<Item = &Region> {
         self.0.iter().flat_map(|regions| regions.iter())
     }
 
@@ -55,41 +55,41 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Halls {
     regions: HallRegions,
-    emptied: BTreeSet<DataHall>,
+    evacuated: BTreeSet<DataHall>,
 }
 
 impl Halls {
-    /// Halls with their regions, none of them emptied.
+    /// Halls with their regions, none of them evacuated.
     pub fn new(regions: HallRegions) -> Self {
         Self {
             regions,
-            emptied: BTreeSet::new(),
+            evacuated: BTreeSet::new(),
         }
     }
 
     /// Whether a hall is one of the fleet's; any is while none is known.
-    pub fn knows(&self, hall: &DataHall) -> bool {
+    pub fn is_known(&self, hall: &DataHall) -> bool {
         self.regions.is_empty() || self.regions.contains_key(hall)
     }
 
     /// The halls to which nothing may be sent.
-    pub fn emptied(&self) -> &BTreeSet<DataHall> {
-        &self.emptied
+    pub fn evacuated(&self) -> &BTreeSet<DataHall> {
+        &self.evacuated
     }
 
-    /// Operators have emptied these halls and no others. Returns those that were given back.
-    pub fn set_emptied(&mut self, emptied: BTreeSet<DataHall>) -> BTreeSet<DataHall> {
-        let before = std::mem::replace(&mut self.emptied, emptied);
-        before.difference(&self.emptied).cloned().collect()
+    /// Operators have evacuated these halls and no others. Returns those that were given back.
+    pub fn set_evacuated(&mut self, evacuated: BTreeSet<DataHall>) -> BTreeSet<DataHall> {
+        let before = std::mem::replace(&mut self.evacuated, evacuated);
+        before.difference(&self.evacuated).cloned().collect()
     }
 
     /// Whether a request with some allowed regions may be sent to a hall now.
-    pub fn admit(&self, hall: &DataHall, allowed: &AllowedRegions) -> bool {
-        !self.emptied.contains(hall) && allowed.allow(self.regions.get(hall))
+    pub fn admits(&self, hall: &DataHall, allowed: &AllowedRegions) -> bool {
+        !self.evacuated.contains(hall) && allowed.allow(self.regions.get(hall))
     }
 
     /// Whether some hall is closed to a request with some allowed regions.
-    pub fn are_bound(&self, allowed: &AllowedRegions) -> bool {
-        allowed.bind() || !self.emptied.is_empty()
+    pub fn has_restrictions(&self, allowed: &AllowedRegions) -> bool {
+        allowed.is_restricted() || !self.evacuated.is_empty()
     }
 }
--- a/crates/serving/src/headers.rs
+++ b/crates/serving/src/headers.rs
@@ -56,7 +56,7 @@
     }
 
     /// Whether the `Connection` header names a word, such as `close`.
-    pub fn connection_says(&self, word: &str) -> bool {
+    pub fn connection_contains(&self, word: &str) -> bool {
         self.all("connection").any(|value| {
             let value = String::from_utf8_lossy(value);
             value
@@ -73,7 +73,9 @@
             let listed = CONNECTION_HEADERS
                 .iter()
                 .any(|known| name.eq_ignore_ascii_case(known));
-            !listed && !name.eq_ignore_ascii_case("content-length") && !self.connection_says(name)
+            !listed
+                && !name.eq_ignore_ascii_case("content-length")
+                && !self.connection_contains(name)
         })
     }
 }
--- a/crates/serving/src/tenure.rs
+++ b/crates/serving/src/leadership.rs
@@ -12,20 +12,20 @@
 //! While the store is away a holder goes on by the word of all who could succeed it: see
 //! [`promises`].
 //!
-//! [`Tenure::step`] says what to ask of the store, and its answer goes to the method
+//! [`Leadership::step`] says what to ask of the store, and its answer goes to the method
 //! named after the call. There is no I/O and no clock here.
 
-mod answer_time;
 mod candidates;
 mod promises;
 mod records;
+mod store_latency;
 
 use crate::ports::{LeaseId, StoreError, WriteAnswer};
-use answer_time::AnswerTime;
 use passway_types::prelude::*;
 use promises::Promises;
-pub use promises::{NoPromise, PROMISE_TIME};
-pub use records::{Candidate, EndCause, Holder, RecentHolders, Step, TenureLimits, TermEnd};
+pub use promises::{PROMISE_DURATION, PromiseRefusal};
+pub use records::{Candidate, EndCause, Holder, LeadershipSettings, RecentHolders, Step, TermEnd};
+use store_latency::StoreLatency;
 
 /// A lease is renewed when this part of it has passed.
 const RENEW_PART: f64 = 0.25;
@@ -114,11 +114,11 @@
 
 /// What one instance knows and does about the right to order.
 #[derive(Debug)]
-pub struct Tenure {
+pub struct Leadership {
     me: InstanceId,
-    limits: TenureLimits,
+    limits: LeadershipSettings,
     /// How long the store takes to answer this instance.
-    answer_time: AnswerTime,
+    answer_time: StoreLatency,
     /// Time-to-live of the lease that was asked for last.
     lease_time: Duration,
     stage: Stage,
@@ -150,14 +150,14 @@
     wanted: Vec<Candidate>,
 }
 
-impl Tenure {
+impl Leadership {
     /// An instance that knows nothing yet.
-    pub fn new(me: InstanceId, limits: TenureLimits, now: Instant) -> Self {
+    pub fn new(me: InstanceId, limits: LeadershipSettings, now: Instant) -> Self {
         Self {
             me,
             limits,
-            answer_time: AnswerTime::default(),
-            lease_time: limits.lease,
+            answer_time: StoreLatency::default(),
+            lease_time: limits.min_lease_ttl,
             stage: Stage::Watching,
             is_known: false,
             holder: None,
@@ -167,7 +167,7 @@
             quiet_since: now,
             is_released: false,
             promised_until: now,
-            unknown_until: now + PROMISE_TIME,
+            unknown_until: now + PROMISE_DURATION,
             promises: Promises::default(),
             last_end: None,
             former_holder: None,
@@ -177,22 +177,22 @@
     }
 
     /// Uses another pause between two holders.
-    pub fn set_gap(&mut self, gap: Duration) {
-        self.limits.gap = gap;
+    pub fn set_holder_gap(&mut self, gap: Duration) {
+        self.limits.holder_gap = gap;
     }
 
     /// Time-to-live of the lease to ask for: longer than the shortest one where the store takes long to answer.
-    pub fn lease_time(&self) -> Duration {
+    pub fn lease_ttl(&self) -> Duration {
         self.lease_time
     }
 
     /// Longest time for the answer to a renewal.
-    pub fn renewal_time(&self) -> Duration {
+    pub fn renewal_timeout(&self) -> Duration {
         self.lease_time.mul_f64(RENEWAL_PART)
     }
 
     /// The store has answered a call about the right within some time.
-    pub fn answered_within(&mut self, took: Duration) {
+    pub fn record_store_latency(&mut self, took: Duration) {
         self.answer_time.observe(took);
     }
 
@@ -212,16 +212,16 @@
 
     /// My fencing number for as long as my term lasts, also while I may not order: before
     /// its begin, and while candidates are asked to carry it.
-    pub fn term(&self, now: Instant) -> Option<Fence> {
+    pub fn term_fence(&self, now: Instant) -> Option<Fence> {
         let Stage::Holding(term) = self.stage else {
             return None;
         };
-        let lasts = now < self.lasting_until(&term);
+        let lasts = now < self.ends_at(&term);
         (lasts && !self.is_released && !self.is_succeeded(term.fence)).then_some(term.fence)
     }
 
     /// Whether nobody else had the right between this instance's last two terms.
-    pub fn succeeds_itself(&self) -> bool {
+    pub fn was_previous_holder(&self) -> bool {
         self.former_holder.as_ref() == Some(&self.me)
     }
 
@@ -232,7 +232,7 @@
     }
 
     /// The key was read, or has changed.
-    pub fn seen(&mut self, holder: Option<Holder>) {
+    pub fn observe_holder(&mut self, holder: Option<Holder>) {
         self.is_known = true;
         let fence = holder.as_ref().map_or(0, |holder| holder.fence);
         self.highest = self.highest.max(fence);
@@ -242,7 +242,7 @@
     /// Another instance says that it holds the right, while the store does not answer;
     /// whether that is news. It only tells whom to follow: this instance takes the right by
     /// the store's word alone.
-    pub fn told(&mut self, holder: Holder) -> bool {
+    pub fn learn_holder(&mut self, holder: Holder) -> bool {
         if holder.fence <= self.highest || holder.instance == self.me {
             return false;
         }
@@ -252,12 +252,12 @@
     }
 
     /// The list of who has held the right lately was read, or has changed.
-    pub fn seen_recent(&mut self, recent: RecentHolders) {
+    pub fn observe_recent(&mut self, recent: RecentHolders) {
         // A list that was read may be older than a change that was heard.
         if recent.revision >= self.recent.revision {
             self.held_last &= recent.names.last() == Some(&self.me);
             if recent.revision > self.recent.revision {
-                self.listed_are(&recent);
+                self.set_listed_candidates(&recent);
             }
             self.recent = recent;
         }
@@ -265,7 +265,7 @@
 
     /// The list to write beside the key when this instance takes it, and the revision
     /// that it replaces.
-    pub fn recent_with_me(&self) -> RecentHolders {
+    pub fn recent_holders_with_me(&self) -> RecentHolders {
         let others = self.recent.names.iter().filter(|name| **name != self.me);
         let mut names: Vec<InstanceId> = others.cloned().collect();
         names.push(self.me.clone());
@@ -313,17 +313,17 @@
             Stage::Turn(_) if now < self.promised_until => Step::Wait(self.promised_until),
             Stage::Turn(_) if !store_answers => self.pause(now),
             Stage::Turn(_) => {
-                self.lease_time = self.answer_time.lease(self.limits.lease);
-                Step::Grant
+                self.lease_time = self.answer_time.lease(self.limits.min_lease_ttl);
+                Step::GrantLease
             }
             // It may have promised while the lease was asked for.
             Stage::Granted(granted) if now < self.promised_until => {
                 self.stage = Stage::Ending(granted.lease);
-                Step::End(granted.lease)
+                Step::EndLease(granted.lease)
             }
             Stage::Granted(granted) => self.take(granted, now),
             Stage::Holding(term) => self.hold(term, now),
-            Stage::Ending(lease) => Step::End(lease),
+            Stage::Ending(lease) => Step::EndLease(lease),
             Stage::Stopped => Step::Stop,
         }
     }
@@ -333,7 +333,7 @@
             return Step::Wait(now + IDLE_STEP);
         }
         let mut pause = TURN.mul_f64(drawn);
-        if self.limits.is_weak {
+        if self.limits.has_low_cpu {
             pause += WEAK_PAUSE;
         }
         if self.must_pause(now) {
@@ -358,14 +358,14 @@
             // this one left for good.
             ANNOUNCE_TIME
         } else {
-            self.limits.gap
+            self.limits.holder_gap
         };
         self.stage = Stage::Granted(Granted {
             pauses: self.must_pause(now),
             announcing,
             ..granted
         });
-        Step::Take(granted.lease)
+        Step::TakeKey(granted.lease)
     }
 
     fn pause(&mut self, now: Instant) -> Step {
@@ -378,14 +378,14 @@
         if self.is_succeeded(term.fence) {
             return self.lose(&term, EndCause::Succeeded, now);
         }
-        if now >= self.lasting_until(&term) {
+        if now >= self.ends_at(&term) {
             return self.lose(&term, EndCause::Lapsed, now);
         }
         self.held_last |= now >= term.begin_at;
         if now >= term.renew_at {
-            return Step::Renew(term.lease);
+            return Step::RenewLease(term.lease);
         }
-        if term.unanswered > 0 || !self.lacks_list() {
+        if term.unanswered > 0 || !self.should_write_candidates() {
             return Step::Wait(term.renew_at);
         }
         if now < term.list_at {
@@ -393,22 +393,22 @@
         }
         let names = self.wanted.iter().map(|one| one.instance.clone());
         self.promises.writing(names);
-        Step::List
+        Step::WriteCandidates
     }
 
     fn lose(&mut self, term: &Term, cause: EndCause, now: Instant) -> Step {
         self.quiet_since = now;
         self.last_end = Some(TermEnd {
             cause,
-            unanswered: term.unanswered,
-            overdue: now.saturating_duration_since(term.renew_at),
+            unanswered_renewals: term.unanswered,
+            renewal_overdue: now.saturating_duration_since(term.renew_at),
         });
         self.stage = Stage::Ending(term.lease);
-        Step::End(term.lease)
+        Step::EndLease(term.lease)
     }
 
     /// How the last term ended that was not given back.
-    pub fn last_end(&self) -> Option<TermEnd> {
+    pub fn last_term_end(&self) -> Option<TermEnd> {
         self.last_end
     }
 
@@ -423,11 +423,11 @@
             }
         };
         self.stage = Stage::Ending(lease);
-        Step::End(lease)
+        Step::EndLease(lease)
     }
 
     /// The answer to [`Step::Grant`], asked for at `asked_at`.
-    pub fn granted(&mut self, answer: Result<LeaseId, StoreError>, asked_at: Instant) {
+    pub fn handle_grant(&mut self, answer: Result<LeaseId, StoreError>, asked_at: Instant) {
         // A lease whose grant had no answer holds no key, and runs out.
         self.stage = match answer {
             Ok(lease) => Stage::Granted(Granted::new(lease, asked_at)),
@@ -436,7 +436,7 @@
     }
 
     /// The answer to [`Step::Take`]; the fencing number if a term begins.
-    pub fn taken(
+    pub fn handle_take(
         &mut self,
         answer: &Result<WriteAnswer, StoreError>,
         now: Instant,
@@ -457,7 +457,7 @@
         // A pause is counted from the last order of a holder that candidates carry.
         let mut begin_at = now + granted.announcing;
         if granted.pauses {
-            begin_at += self.limits.gap;
+            begin_at += self.limits.holder_gap;
         }
         if !self.former_candidates.is_empty() {
             begin_at = begin_at.max(self.unknown_until);
@@ -477,7 +477,12 @@
     }
 
     /// The answer to [`Step::Renew`], asked for at `asked_at`.
-    pub fn renewed(&mut self, answer: Result<bool, StoreError>, asked_at: Instant, now: Instant) {
+    pub fn handle_renewal(
+        &mut self,
+        answer: Result<bool, StoreError>,
+        asked_at: Instant,
+        now: Instant,
+    ) {
         let Stage::Holding(mut term) = self.stage else {
             return;
         };
@@ -501,7 +506,7 @@
     }
 
     /// The lease was ended, or runs out by itself.
-    pub fn ended(&mut self, now: Instant) {
+    pub fn handle_lease_end(&mut self, now: Instant) {
         self.stage = if self.is_released {
             Stage::Stopped
         } else {
--- a/crates/serving/src/tenure/candidates.rs
+++ b/crates/serving/src/leadership/candidates.rs
@@ -1,7 +1,9 @@
 //! The candidates of a term: who they are, what they promise, and how long they carry it.
 
-use super::promises::PROMISE_TIME;
-use super::{Candidate, LIST_PAUSE, NoPromise, RecentHolders, SAFETY, Stage, Tenure, Term};
+use super::promises::PROMISE_DURATION;
+use super::{
+    Candidate, LIST_PAUSE, Leadership, PromiseRefusal, RecentHolders, SAFETY, Stage, Term,
+};
 use crate::ports::{StoreError, WriteAnswer};
 use passway_types::prelude::*;
 
@@ -9,26 +11,26 @@
 /// again within this: a candidate learns that the store is silent only by a call's time-out.
 const RESUME_TIME: Duration = Duration::from_secs(3);
 
-impl Tenure {
+impl Leadership {
     /// My fencing number, if the candidates of my term are to promise.
-    pub fn asks_promises(&self, now: Instant) -> Option<Fence> {
+    pub fn promise_request_fence(&self, now: Instant) -> Option<Fence> {
         let Stage::Holding(term) = self.stage else {
             return None;
         };
         let asks = term.unanswered > 0 && self.promises.has_candidates(&self.me);
-        self.term(now).filter(|_| asks)
+        self.term_fence(now).filter(|_| asks)
     }
 
     /// A candidate promises, asked at a moment, not to take the key.
-    pub fn promised(&mut self, from: &InstanceId, fence: Fence, asked_at: Instant) {
+    pub fn record_promise(&mut self, from: &InstanceId, fence: Fence, asked_at: Instant) {
         if self.holds(fence) {
-            let until = asked_at + PROMISE_TIME.saturating_sub(SAFETY);
+            let until = asked_at + PROMISE_DURATION.saturating_sub(SAFETY);
             self.promises.promised(from, until);
         }
     }
 
     /// A candidate's process ends, and does not take the key any more.
-    pub fn left(&mut self, from: &InstanceId, fence: Fence) {
+    pub fn record_departure(&mut self, from: &InstanceId, fence: Fence) {
         if self.holds(fence) {
             self.promises.left(from);
         }
@@ -38,35 +40,35 @@
         matches!(self.stage, Stage::Holding(term) if term.fence == fence)
     }
 
-    /// Promises the holder that asks not to take the key for [`PROMISE_TIME`].
+    /// Promises the holder that asks not to take the key for [`PROMISE_DURATION`].
     ///
     /// # Errors
     /// Why this instance does not.
-    pub fn promise(
+    pub fn try_promise(
         &mut self,
         asker: &InstanceId,
         store_answers: bool,
         now: Instant,
-    ) -> Result<(), NoPromise> {
+    ) -> Result<(), PromiseRefusal> {
         let takes = matches!(self.stage, Stage::Granted(_) | Stage::Holding(_));
         let holder = self.holder.as_ref();
         let is_last = holder.is_some_and(|h| h.instance == *asker && h.fence >= self.highest)
             && self.recent.names.last() == Some(asker);
         if takes {
-            return Err(NoPromise::TakesItself);
+            return Err(PromiseRefusal::TakesItself);
         }
         if store_answers {
-            return Err(NoPromise::StoreAnswers);
+            return Err(PromiseRefusal::StoreAnswers);
         }
         if !is_last {
-            return Err(NoPromise::KnowsAnother);
+            return Err(PromiseRefusal::KnowsAnother);
         }
-        self.promised_until = self.promised_until.max(now + PROMISE_TIME);
+        self.promised_until = self.promised_until.max(now + PROMISE_DURATION);
         Ok(())
     }
 
     /// The candidates of my term without whose word it does not go on beyond its lease.
-    pub fn without_promise(&self, now: Instant) -> Vec<InstanceId> {
+    pub fn candidates_without_promise(&self, now: Instant) -> Vec<InstanceId> {
         self.promises.lacking(&self.me, now)
     }
 
@@ -78,7 +80,7 @@
     }
 
     /// When a term is given up.
-    pub(super) fn lasting_until(&self, term: &Term) -> Instant {
+    pub(super) fn ends_at(&self, term: &Term) -> Instant {
         let until = self.ordering_until(term);
         if self.promises.has_candidates(&self.me) {
             until + RESUME_TIME
@@ -88,12 +90,12 @@
     }
 
     /// The candidates that my term should have, if I hold the right.
-    pub fn want_candidates(&mut self, wanted: Vec<Candidate>) {
+    pub fn set_desired_candidates(&mut self, wanted: Vec<Candidate>) {
         self.wanted = wanted;
     }
 
     /// Candidates that the store named when this instance took the key last.
-    pub fn former_candidates(&self) -> &[Candidate] {
+    pub fn previous_candidates(&self) -> &[Candidate] {
         &self.former_candidates
     }
 
@@ -104,7 +106,7 @@
     }
 
     /// The store has these candidates, which are mine if I took the key last.
-    pub(super) fn listed_are(&mut self, recent: &RecentHolders) {
+    pub(super) fn set_listed_candidates(&mut self, recent: &RecentHolders) {
         let is_mine = recent.names.last() == Some(&self.me);
         let names = recent.candidates.iter().map(|one| one.instance.clone());
         let is_listed = is_mine && recent.candidates.iter().any(|c| c.instance == self.me);
@@ -113,13 +115,13 @@
 
     /// Whether the store has other candidates than it should have. It is told of the taking
     /// by the same value, which must be known before it is replaced.
-    pub(super) fn lacks_list(&self) -> bool {
+    pub(super) fn should_write_candidates(&self) -> bool {
         let is_mine = self.recent.names.last() == Some(&self.me);
         is_mine && self.wanted.len() > 1 && self.wanted != self.recent.candidates
     }
 
     /// The list to write for [`Step::List`], and the revision that it replaces.
-    pub fn recent_with_candidates(&self) -> RecentHolders {
+    pub fn recent_holders_with_candidates(&self) -> RecentHolders {
         RecentHolders {
             candidates: self.wanted.clone(),
             ..self.recent.clone()
@@ -127,7 +129,7 @@
     }
 
     /// The answer to [`Step::List`], whose list was `written`.
-    pub fn listed(
+    pub fn handle_list_write(
         &mut self,
         answer: &Result<WriteAnswer, StoreError>,
         written: RecentHolders,
@@ -140,7 +142,7 @@
         // Without an answer it may take effect yet, and after a conflict it is not known
         // what stands: what the store tells next shows it.
         if let Ok(WriteAnswer::Written(revision)) = *answer {
-            self.seen_recent(RecentHolders {
+            self.observe_recent(RecentHolders {
                 revision,
                 ..written
             });
--- a/crates/serving/src/tenure/promises.rs
+++ b/crates/serving/src/leadership/promises.rs
@@ -18,11 +18,11 @@
 
 /// Time for which a promise not to take the key holds: three heartbeats of the holder, so
 /// that one that is lost does not end its term.
-pub const PROMISE_TIME: Duration = Duration::from_millis(900);
+pub const PROMISE_DURATION: Duration = Duration::from_millis(900);
 
 /// Why an instance does not promise a holder to leave the key alone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NoPromise {
+pub enum PromiseRefusal {
     /// It takes the key itself, or has it.
     TakesItself,
     /// The store answers it.
--- a/crates/serving/src/tenure/records.rs
+++ b/crates/serving/src/leadership/records.rs
@@ -35,15 +35,15 @@
     pub revision: StoreRevision,
 }
 
-/// What is fixed about an instance's tenure.
+/// What is fixed about an instance's leadership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TenureLimits {
+pub struct LeadershipSettings {
     /// Shortest time-to-live of the lease.
-    pub lease: Duration,
+    pub min_lease_ttl: Duration,
     /// Time in which two holders must not both order at one engine.
-    pub gap: Duration,
+    pub holder_gap: Duration,
     /// Whether others had better hold the right, since this instance has little processor.
-    pub is_weak: bool,
+    pub has_low_cpu: bool,
 }
 
 /// What to do next about the right.
@@ -52,15 +52,15 @@
     /// Nothing before this moment, unless something is heard.
     Wait(Instant),
     /// Ask for a lease.
-    Grant,
+    GrantLease,
     /// Write the holder's key under the lease, if it is not there.
-    Take(LeaseId),
+    TakeKey(LeaseId),
     /// Renew the lease.
-    Renew(LeaseId),
+    RenewLease(LeaseId),
     /// Write the list of holders with the candidates of this term.
-    List,
+    WriteCandidates,
     /// End the lease.
-    End(LeaseId),
+    EndLease(LeaseId),
     /// Nothing any more.
     Stop,
 }
@@ -82,7 +82,7 @@
     /// Why.
     pub cause: EndCause,
     /// Renewals that the store left without a good answer, the last ones in a row.
-    pub unanswered: u32,
+    pub unanswered_renewals: u32,
     /// Time since the next renewal was due: much, if the process came late to it.
-    pub overdue: Duration,
+    pub renewal_overdue: Duration,
 }
--- a/crates/serving/src/tenure/answer_time.rs
+++ b/crates/serving/src/leadership/store_latency.rs
@@ -15,9 +15,9 @@
 
 /// The mean time of the store's answers to one instance.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct AnswerTime(Option<Duration>);
+pub(super) struct StoreLatency(Option<Duration>);
 
-impl AnswerTime {
+impl StoreLatency {
     /// The store has answered a call within some time.
     pub(super) fn observe(&mut self, took: Duration) {
         let mean = self.0.unwrap_or(took);
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -7,7 +7,7 @@
 //! * [`upstreams`]: what upstreams say of themselves, what this instance has seen of
 //!   them, and which one a request goes to.
 //! * [`absence`]: whether an upstream whose entry is missing is gone.
-//! * [`tenure`]: who holds the right to order, and when an instance takes it.
+//! * [`leadership`]: who holds the right to order, and when an instance takes it.
 //! * [`retry`]: the part of the fleet's retry allowance that this instance may spend.
 //! * [`workspaces`]: who may use closed routes, and how much; [`freshness`]: until when the
 //!   configuration that says so may be acted on; [`allotment`]: what they have used.
@@ -20,21 +20,21 @@
 //! Events and the current time go in, answers come out; `passway-instance` is the
 //! shell with threads and sockets.
 
-pub mod absence;
 pub mod allotment;
 pub mod dispatch;
+pub mod first_byte_times;
 pub mod freshness;
 pub mod halls;
 pub mod hash;
 pub mod headers;
+pub mod leadership;
 pub mod limits;
 pub mod placement;
 pub mod poison;
 pub mod ports;
 pub mod retry;
 pub mod routes;
-pub mod tenure;
+pub mod signals;
+pub mod store_outages;
 pub mod upstreams;
-pub mod usual_time;
-pub mod words;
 pub mod workspaces;
--- a/crates/serving/src/limits.rs
+++ b/crates/serving/src/limits.rs
@@ -2,7 +2,7 @@
 //!
 //! An upstream in need names in its answers how many requests a second it takes from all instances
 //! together, for as long as it says so. Answers overtake each other, and many instances hear them, so
-//! words have an order of their own ([`LimitWord::replaces`]). They live and die with the start of
+//! words have an order of their own ([`ObservedLimit::replaces`]). They live and die with the start of
 //! the upstream that said them.
 //!
 //! There is no I/O and no clock here.
@@ -14,7 +14,7 @@
 
 /// What the head of an answer says about how much its upstream takes.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum NamedLimit {
+pub enum LimitSignal {
     /// Nothing: the upstream is in no need.
     Absent,
     /// So many requests a second, from all instances together; finite and not below 0.
@@ -25,25 +25,25 @@
 
 /// A limit that an upstream named, or that it names none, and when.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct LimitWord {
+pub struct ObservedLimit {
     /// Requests a second; `None` if the upstream is in no need.
     pub per_s: Option<f64>,
     /// When the request was sent whose answer says so: the upstream said it after that.
     pub sent_at: Instant,
     /// When the answer's head was there: the upstream said it before that.
-    pub heard_at: Instant,
+    pub received_at: Instant,
 }
 
-impl LimitWord {
+impl ObservedLimit {
     /// Whether this is what holds now, with another word known.
     ///
     /// A word whose request was sent after the other was heard is the newer one for certain. Of two
     /// that may have overtaken each other the one that allows less counts, until the next.
     pub fn replaces(&self, known: &Self) -> bool {
-        if self.sent_at >= known.heard_at {
+        if self.sent_at >= known.received_at {
             return true;
         }
-        if known.sent_at >= self.heard_at {
+        if known.sent_at >= self.received_at {
             return false;
         }
         let allowed = |word: &Self| word.per_s.unwrap_or(f64::INFINITY);
@@ -75,7 +75,7 @@
 
 /// Nothing may be sent beyond the limit: the margin that upstreams have is for what is on its way
 /// and for changes of the counter.
-pub const EXACT: QuotaBounds = QuotaBounds {
+pub const NO_OVERAGE: QuotaBounds = QuotaBounds {
     window: Duration::from_secs(4),
     overage: 0.0,
     slack: 0.0,
@@ -89,15 +89,15 @@
 
 /// What one instance sends to limited upstreams while it cannot ask the counter.
 #[derive(Debug, Default)]
-pub struct Shares(HashMap<UpstreamId, Share>);
+pub struct FallbackLimits(HashMap<UpstreamId, Share>);
 
-impl Shares {
+impl FallbackLimits {
     /// Whether a request may go without being counted, in a fleet of so many instances.
     ///
     /// A share of one three-hundredth of a request a second never holds a request. So a request goes
     /// with the chance that the share is of one, by a number drawn from 0 to 1, and takes the share in either
     /// case: all instances together send what their shares are, up to a request or two.
-    pub fn take(
+    pub fn try_take(
         &mut self,
         upstream: &UpstreamId,
         per_s: f64,
--- a/crates/serving/src/placement/engine.rs
+++ b/crates/serving/src/placement/engine.rs
@@ -59,7 +59,7 @@
     /// What its entries have shown of its models.
     shown: ShownModels,
     /// Adapters that were on their way by the last report, whoever ordered them.
-    adapters_coming: Vec<ModelRef>,
+    adapters_loading: Vec<ModelRef>,
     /// Orders whose answers were lost lately.
     unresolved: Vec<Unresolved>,
     inherited: Inherited,
@@ -109,7 +109,7 @@
             models: entry.models.clone(),
             entry,
             shown: ShownModels::default(),
-            adapters_coming: Vec::new(),
+            adapters_loading: Vec::new(),
             unresolved: Vec::new(),
             inherited: Inherited::Nothing,
             least_orders: 0,
@@ -164,7 +164,7 @@
         self.shown.clear();
         self.inherited = match doubtful {
             false => Inherited::Nothing,
-            true if self.entry.beat <= RECENT_BEATS => Inherited::AtAnyCount,
+            true if self.entry.heartbeat <= RECENT_BEATS => Inherited::AtAnyCount,
             true => Inherited::AtThisCount,
         };
         self.closing.clear();
@@ -286,7 +286,7 @@
         }
         self.entry.service == *service
             && (self.adapters_wanted.contains(model_ref)
-                || self.adapters_coming.contains(model_ref)
+                || self.adapters_loading.contains(model_ref)
                 || (self.resident(&model_ref.model).is_none()
                     && self.will_load(service, &model_ref.model)))
     }
--- a/crates/serving/src/placement/engine/reports.rs
+++ b/crates/serving/src/placement/engine/reports.rs
@@ -30,7 +30,7 @@
             // It was said before the engine started again.
             return;
         }
-        if entry.beat < self.entry.beat {
+        if entry.heartbeat < self.entry.heartbeat {
             // An older check-in that came late; only leaving is final.
             if entry.draining {
                 self.leaves();
@@ -89,7 +89,7 @@
         if report.started_at_ms > self.entry.started_at_ms {
             let entry = UpstreamEntry {
                 models: report.models.clone(),
-                beat: 0,
+                heartbeat: 0,
                 started_at_ms: report.started_at_ms,
                 ..self.entry.clone()
             };
@@ -123,8 +123,8 @@
             }
         }
         self.models = report.models;
-        self.adapters_coming = report.adapters_coming;
-        if !self.adapters_coming.is_empty() {
+        self.adapters_loading = report.adapters_loading;
+        if !self.adapters_loading.is_empty() {
             self.ask_at = Some(now + ASK_PAUSE);
         }
         self.entry.in_memory = report.in_memory;
--- a/crates/serving/src/placement/engine/room.rs
+++ b/crates/serving/src/placement/engine/room.rs
@@ -22,7 +22,7 @@
         let coming: BTreeSet<&ModelRef> = coming
             .filter(|order| order.action == OrderAction::Load)
             .map(|order| &order.wish)
-            .chain(&self.adapters_coming)
+            .chain(&self.adapters_loading)
             .filter(|wish| Some(*wish) != ordered && !self.stands(wish))
             .collect();
         let coming = coming.into_iter().map(|wish| Self::wish_mb(pool, wish));
@@ -84,7 +84,7 @@
         let pending = self.pending_orders();
         let pending = pending.filter(|order| order.action == OrderAction::Load);
         let pending = pending.map(|order| &order.wish);
-        let coming = self.adapters_coming.iter().chain(pending);
+        let coming = self.adapters_loading.iter().chain(pending);
         let coming: BTreeSet<&ModelRef> = coming
             .filter(|wish| wish.adapter.is_some() && *wish != ordered && !self.stands(wish))
             .collect();
--- a/crates/serving/src/poison.rs
+++ b/crates/serving/src/poison.rs
@@ -5,11 +5,12 @@
 //! ([`RequestDigest`]), over all instances, and it is refused after [`MAX_CRASHES`].
 
 mod digest;
+mod exclusive_runs;
 mod list;
-mod turns;
 
 pub use digest::RequestDigest;
+pub use exclusive_runs::{ExclusiveRunId, ExclusiveRuns};
 pub use list::{
-    Blame, MAX_CRASHES, OPEN_TIME, PoisonList, RunSpan, Standing, Suspect, UpstreamStart,
+    CrashStatus, MAX_CRASHES, PoisonList, RunPermission, RunSpan, Suspect, UNCONFIRMED_TIMEOUT,
+    UpstreamStart,
 };
-pub use turns::{RunTurns, TurnId};
--- a/crates/serving/src/poison/turns.rs
+++ b/crates/serving/src/poison/exclusive_runs.rs
@@ -16,31 +16,31 @@
 const MAX_TURNS: usize = 4_096;
 
 /// A run that asks for a turn: its instance, and its number there.
-pub type TurnId = (SocketAddr, u64);
+pub type ExclusiveRunId = (SocketAddr, u64);
 
 #[derive(Debug)]
 struct Turn {
-    of: TurnId,
+    of: ExclusiveRunId,
     until: Instant,
 }
 
 /// The turns of one term of the counter.
 #[derive(Debug, Default)]
-pub struct RunTurns {
+pub struct ExclusiveRuns {
     fence: Fence,
     turns: HashMap<RequestDigest, Turn>,
 }
 
-impl RunTurns {
+impl ExclusiveRuns {
     /// Gives a run its turn for so long at most, or tells when it may ask again.
     ///
     /// # Errors
     /// The time after which it may ask again.
-    pub fn ask(
+    pub fn try_acquire(
         &mut self,
         fence: Fence,
         digest: RequestDigest,
-        run: TurnId,
+        run: ExclusiveRunId,
         time: Duration,
         now: Instant,
     ) -> Result<(), Duration> {
@@ -62,7 +62,7 @@
     }
 
     /// A run is over that ended nothing.
-    pub fn give_back(&mut self, digest: RequestDigest, run: TurnId) {
+    pub fn release(&mut self, digest: RequestDigest, run: ExclusiveRunId) {
         if self.turns.get(&digest).is_some_and(|turn| turn.of == run) {
             self.turns.remove(&digest);
         }
--- a/crates/serving/src/poison/list.rs
+++ b/crates/serving/src/poison/list.rs
@@ -16,7 +16,7 @@
 const SUSPECTED_TIME: Duration = Duration::from_mins(10);
 /// An upstream of which nothing tells for so long whether it has ended counts as living. Its entry goes
 /// after three check-ins of silence, some four seconds.
-pub const OPEN_TIME: Duration = Duration::from_secs(8);
+pub const UNCONFIRMED_TIMEOUT: Duration = Duration::from_secs(8);
 /// Time for what other instances saw of a crash to arrive, before it is held to be explained.
 const SETTLING_TIME: Duration = Duration::from_secs(1);
 /// Suspects that are kept, some 300 bytes each. A rack of 20 engines leaves 240.
@@ -37,23 +37,23 @@
 
 /// What a crash tells about a request that was being run. The later ones replace the earlier.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Blame {
+pub enum CrashStatus {
     /// The upstream broke off, and it is not known yet whether it has ended.
-    Open,
+    Unconfirmed,
     /// The request may have been the cause.
-    Full,
+    Counted,
     /// Another request that is refused was being run as well, and crashed more upstreams.
     Explained,
     /// The request has been answered since, so it does not crash what runs it.
     Cleared,
 }
 
-impl Blame {
+impl CrashStatus {
     fn weight(self) -> u32 {
         match self {
-            Self::Full => FULL_WEIGHT,
+            Self::Counted => FULL_WEIGHT,
             Self::Explained => FULL_WEIGHT / 2,
-            Self::Open | Self::Cleared => 0,
+            Self::Unconfirmed | Self::Cleared => 0,
         }
     }
 }
@@ -65,15 +65,15 @@
     /// When it was sent.
     pub sent_at: Instant,
     /// When the upstream broke off.
-    pub broke_at: Instant,
+    pub disconnected_at: Instant,
 }
 
 impl RunSpan {
     /// What two instances know of runs that were alike: the first of each moment.
-    fn join(self, other: Self) -> Self {
+    fn merge(self, other: Self) -> Self {
         Self {
             sent_at: self.sent_at.min(other.sent_at),
-            broke_at: self.broke_at.min(other.broke_at),
+            disconnected_at: self.disconnected_at.min(other.disconnected_at),
         }
     }
 }
@@ -83,7 +83,7 @@
 
 /// Whether a request may run while upstreams that broke off under it may have ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Standing {
+pub enum RunPermission {
     /// It may.
     #[default]
     Free,
@@ -101,7 +101,7 @@
     /// The request.
     pub digest: RequestDigest,
     /// The crashes.
-    pub crashes: BTreeMap<UpstreamStart, Blame>,
+    pub crashes: BTreeMap<UpstreamStart, CrashStatus>,
     /// The runs that broke off, where that is known.
     pub runs: BTreeMap<UpstreamStart, RunSpan>,
 }
@@ -110,17 +110,17 @@
     /// Whether all crashes that count fell into one moment, before which the request was already being run on
     /// each of the upstreams. Whatever took them together, a rack's loss, explains that without the request,
     /// which goes to its next upstream after the last one broke off.
-    fn is_of_one_moment(&self) -> bool {
+    fn is_single_incident(&self) -> bool {
         let counted = self.crashes.iter();
-        let counted = counted.filter(|(_, blame)| **blame != Blame::Cleared);
+        let counted = counted.filter(|(_, blame)| **blame != CrashStatus::Cleared);
         let spans = counted.map(|(start, _)| self.runs.get(start));
         let Some(spans) = spans.collect::<Option<Vec<_>>>() else {
             return false;
         };
-        let first = spans.iter().map(|span| span.broke_at).min();
+        let first = spans.iter().map(|span| span.disconnected_at).min();
         first.is_some_and(|first| {
             let is_of_it =
-                |span: &&RunSpan| span.sent_at <= first && span.broke_at <= first + MOMENT;
+                |span: &&RunSpan| span.sent_at <= first && span.disconnected_at <= first + MOMENT;
             spans.iter().all(is_of_it)
         })
     }
@@ -130,24 +130,27 @@
     }
 
     /// The weight that it has if all upstreams that broke off have ended.
-    fn open_weight(&self) -> u32 {
-        let open = self.crashes.values().filter(|blame| **blame == Blame::Open);
+    fn weight_if_confirmed(&self) -> u32 {
+        let open = self
+            .crashes
+            .values()
+            .filter(|blame| **blame == CrashStatus::Unconfirmed);
         self.weight() + open.map(|_| FULL_WEIGHT).sum::<u32>()
     }
 
     /// Whether the next crash is the last that is allowed.
-    fn is_kept(&self) -> bool {
+    fn should_persist(&self) -> bool {
         self.weight() >= (MAX_CRASHES - 1) * FULL_WEIGHT
     }
 
     fn is_refused(&self) -> bool {
-        self.weight() >= MAX_CRASHES * FULL_WEIGHT && !self.is_of_one_moment()
+        self.weight() >= MAX_CRASHES * FULL_WEIGHT && !self.is_single_incident()
     }
 
     /// What has crashed so far is not held against it any more.
     fn clear(&mut self) {
         let crashes = self.crashes.values_mut();
-        crashes.for_each(|blame| *blame = Blame::Cleared);
+        crashes.for_each(|blame| *blame = CrashStatus::Cleared);
     }
 
     /// Joins in when runs were sent and broke off, of crashes that are known.
@@ -155,13 +158,13 @@
         for (start, run) in told {
             if self.crashes.contains_key(&start) {
                 let known = self.runs.entry(start).or_insert(run);
-                *known = known.join(run);
+                *known = known.merge(run);
             }
         }
     }
 
     /// Joins in what is known of a crash; whether that is news.
-    fn join(&mut self, crash: UpstreamStart, blame: Blame) -> bool {
+    fn merge(&mut self, crash: UpstreamStart, blame: CrashStatus) -> bool {
         if let Some(known) = self.crashes.get_mut(&crash) {
             let is_news = blame > *known;
             *known = blame.max(*known);
@@ -189,16 +192,16 @@
 
 impl Known {
     /// Drops breaks of which nothing told in time whether the upstream has ended.
-    fn lapse(&mut self, now: Instant) {
+    fn drop_unconfirmed(&mut self, now: Instant) {
         if now >= self.open_until {
             let crashes = &mut self.suspect.crashes;
-            crashes.retain(|_, blame| *blame != Blame::Open);
+            crashes.retain(|_, blame| *blame != CrashStatus::Unconfirmed);
             let runs = &mut self.suspect.runs;
             runs.retain(|start, _| crashes.contains_key(start));
         }
     }
 
-    fn is_over(&self, now: Instant) -> bool {
+    fn is_expired(&self, now: Instant) -> bool {
         self.until() <= now
     }
 
@@ -228,7 +231,7 @@
     }
 
     /// How many requests are refused.
-    pub fn refused(&self) -> usize {
+    pub fn refused_count(&self) -> usize {
         let all = self.known.values();
         all.filter(|known| known.suspect.is_refused()).count()
     }
@@ -239,49 +242,49 @@
     }
 
     /// For how long a request is refused yet; `None` if it may be run.
-    pub fn refused_for(&self, digest: RequestDigest, now: Instant) -> Option<Duration> {
+    pub fn remaining_refusal(&self, digest: RequestDigest, now: Instant) -> Option<Duration> {
         let known = self.known.get(&digest)?;
-        let is_refused = known.suspect.is_refused() && !known.is_over(now);
+        let is_refused = known.suspect.is_refused() && !known.is_expired(now);
         is_refused.then(|| known.until().saturating_duration_since(now))
     }
 
     /// Whether a request may run while it is not known which upstreams have ended that broke off under it.
-    pub fn standing(&self, digest: RequestDigest, now: Instant) -> Standing {
+    pub fn run_permission(&self, digest: RequestDigest, now: Instant) -> RunPermission {
         let Some(known) = self.known.get(&digest) else {
-            return Standing::Free;
+            return RunPermission::Free;
         };
         let suspect = &known.suspect;
         let certain = suspect.weight();
         let weight = if now < known.open_until {
-            suspect.open_weight()
+            suspect.weight_if_confirmed()
         } else {
             certain
         };
         if suspect.is_refused() || weight < (MAX_CRASHES - 1) * FULL_WEIGHT {
-            Standing::Free
+            RunPermission::Free
         } else if weight >= MAX_CRASHES * FULL_WEIGHT
             && weight > certain
-            && !suspect.is_of_one_moment()
+            && !suspect.is_single_incident()
         {
-            Standing::Held
+            RunPermission::Held
         } else {
-            Standing::Alone
+            RunPermission::Alone
         }
     }
 
     /// An upstream has crashed while it ran a request, or while that waited there. Returns what
     /// others are to be told.
-    pub fn crashed(
+    pub fn record_crash(
         &mut self,
         digest: RequestDigest,
         crash: UpstreamStart,
         now: Instant,
     ) -> Option<Suspect> {
-        self.note(digest, crash, Blame::Full, None, now)
+        self.note(digest, crash, CrashStatus::Counted, None, now)
     }
 
     /// The same, of a run that was sent at a moment.
-    pub fn crashed_run(
+    pub fn record_run_crash(
         &mut self,
         digest: RequestDigest,
         crash: UpstreamStart,
@@ -290,14 +293,15 @@
     ) -> Option<Suspect> {
         let run = RunSpan {
             sent_at,
-            broke_at: now,
+            disconnected_at: now,
         };
-        self.note(digest, crash, Blame::Full, Some(run), now)
+        self.note(digest, crash, CrashStatus::Counted, Some(run), now)
     }
 
     /// A start of an upstream broke off at a moment and may have ended. Returns whether that is news.
-    pub fn note_break(&mut self, start: &UpstreamStart, at: Instant, now: Instant) -> bool {
-        self.breaks.retain(|_, first| now < *first + OPEN_TIME);
+    pub fn record_disconnect(&mut self, start: &UpstreamStart, at: Instant, now: Instant) -> bool {
+        self.breaks
+            .retain(|_, first| now < *first + UNCONFIRMED_TIMEOUT);
         let is_news = !self.breaks.contains_key(start);
         let first = self.breaks.entry(start.clone()).or_insert(at);
         *first = at.min(*first);
@@ -307,7 +311,7 @@
     /// An upstream broke off under a request, which was sent at a moment, and may have ended. Whatever is
     /// sent to one that has ended breaks off too and tells nothing of the request. Returns what others are to
     /// be told.
-    pub fn broke_off(
+    pub fn record_run_disconnect(
         &mut self,
         digest: RequestDigest,
         start: UpstreamStart,
@@ -318,14 +322,14 @@
         let may_be_cause = broke_at.is_none_or(|broke_at| sent_at <= *broke_at);
         let run = RunSpan {
             sent_at,
-            broke_at: now,
+            disconnected_at: now,
         };
-        may_be_cause.then(|| self.note(digest, start, Blame::Open, Some(run), now))?
+        may_be_cause.then(|| self.note(digest, start, CrashStatus::Unconfirmed, Some(run), now))?
     }
 
     /// An upstream that broke off under a request runs on as the start that it was. Returns what others
     /// are to be told.
-    pub fn lives(
+    pub fn record_alive(
         &mut self,
         digest: RequestDigest,
         start: UpstreamStart,
@@ -333,17 +337,22 @@
     ) -> Option<Suspect> {
         let known = self.known.get(&digest)?;
         self.breaks.remove(&start);
-        let is_open = known.suspect.crashes.get(&start) == Some(&Blame::Open);
-        is_open.then(|| self.note(digest, start, Blame::Cleared, None, now))?
+        let is_open = known.suspect.crashes.get(&start) == Some(&CrashStatus::Unconfirmed);
+        is_open.then(|| self.note(digest, start, CrashStatus::Cleared, None, now))?
     }
 
     /// Starts of an upstream before a moment in Unix milliseconds, by its own clock, have ended: what they
     /// broke off under then is known. Returns what others are to be told.
-    pub fn ended(&mut self, upstream: &str, before_ms: u64, now: Instant) -> Vec<Suspect> {
+    pub fn record_terminated(
+        &mut self,
+        upstream: &str,
+        before_ms: u64,
+        now: Instant,
+    ) -> Vec<Suspect> {
         let mut crashes = Vec::new();
         for (digest, known) in &self.known {
             let ended = known.suspect.crashes.iter().filter(|(start, blame)| {
-                **blame == Blame::Open
+                **blame == CrashStatus::Unconfirmed
                     && *start.upstream == *upstream
                     && start.started_at_ms < before_ms
             });
@@ -351,7 +360,7 @@
         }
         let news = crashes
             .into_iter()
-            .filter_map(|(digest, start)| self.crashed(digest, start, now));
+            .filter_map(|(digest, start)| self.record_crash(digest, start, now));
         news.collect()
     }
 
@@ -359,7 +368,7 @@
         &mut self,
         digest: RequestDigest,
         start: UpstreamStart,
-        blame: Blame,
+        blame: CrashStatus,
         run: Option<RunSpan>,
         now: Instant,
     ) -> Option<Suspect> {
@@ -369,14 +378,14 @@
             crashes: BTreeMap::from([(start, blame)]),
             runs: runs.into_iter().collect(),
         };
-        let news = self.join([told], now);
+        let news = self.merge([told], now);
         news.into_iter().next()
     }
 
     /// A request has had an answer. Returns what others are to be told.
-    pub fn answered(&mut self, digest: RequestDigest) -> Option<Suspect> {
+    pub fn record_answer(&mut self, digest: RequestDigest) -> Option<Suspect> {
         let suspect = &mut self.known.get_mut(&digest)?.suspect;
-        if suspect.open_weight() == 0 {
+        if suspect.weight_if_confirmed() == 0 {
             return None;
         }
         suspect.clear();
@@ -385,9 +394,9 @@
 
     /// An operator has it that the requests that were kept may run. Returns what others are
     /// to be told.
-    pub fn clear_kept(&mut self) -> Vec<Suspect> {
+    pub fn clear_persisted(&mut self) -> Vec<Suspect> {
         let all = self.known.values_mut().map(|known| &mut known.suspect);
-        let kept = all.filter(|suspect| suspect.is_kept());
+        let kept = all.filter(|suspect| suspect.should_persist());
         let cleared = kept.map(|suspect| {
             suspect.clear();
             suspect.clone()
@@ -396,7 +405,7 @@
     }
 
     /// Joins in what others know. Returns what is news, whole.
-    pub fn join(&mut self, told: impl IntoIterator<Item = Suspect>, now: Instant) -> Vec<Suspect> {
+    pub fn merge(&mut self, told: impl IntoIterator<Item = Suspect>, now: Instant) -> Vec<Suspect> {
         self.settle(now);
         let mut news = Vec::new();
         for told in told {
@@ -409,15 +418,15 @@
                 },
                 at: now,
                 settles_at: None,
-                open_until: now + OPEN_TIME,
+                open_until: now + UNCONFIRMED_TIMEOUT,
             });
-            known.lapse(now);
+            known.drop_unconfirmed(now);
             let was_refused = known.suspect.is_refused();
             let mut is_news = false;
             for (crash, blame) in told.crashes {
-                let joined = known.suspect.join(crash, blame);
-                if joined && blame == Blame::Open {
-                    known.open_until = now + OPEN_TIME;
+                let joined = known.suspect.merge(crash, blame);
+                if joined && blame == CrashStatus::Unconfirmed {
+                    known.open_until = now + UNCONFIRMED_TIMEOUT;
                 }
                 is_news |= joined;
             }
@@ -444,9 +453,9 @@
     }
 
     /// The requests that are to be known when all instances have gone.
-    pub fn kept_suspects(&self) -> Vec<Suspect> {
+    pub fn persisted_suspects(&self) -> Vec<Suspect> {
         let mut all = self.suspects(1);
-        all.retain(Suspect::is_kept);
+        all.retain(Suspect::should_persist);
         all
     }
 
@@ -469,7 +478,7 @@
             }
             for crash in &explained {
                 if let Some(blame) = known.suspect.crashes.get_mut(crash) {
-                    *blame = Blame::Explained.max(*blame);
+                    *blame = CrashStatus::Explained.max(*blame);
                 }
             }
         }
@@ -478,8 +487,8 @@
     /// Forgets what is old, and of too many those that crashed the fewest upstreams, the oldest first.
     fn bound(&mut self, now: Instant) {
         self.known.retain(|_, known| {
-            known.lapse(now);
-            !known.is_over(now) && !known.suspect.crashes.is_empty()
+            known.drop_unconfirmed(now);
+            !known.is_expired(now) && !known.suspect.crashes.is_empty()
         });
         if self.known.len() <= MAX_SUSPECTS {
             return;
--- a/crates/serving/src/ports.rs
+++ b/crates/serving/src/ports.rs
@@ -7,8 +7,8 @@
 use crate::headers::Headers;
 use crate::placement::policy::PolicyName;
 use crate::routes::RouteTable;
+use crate::signals::UpstreamSignals;
 use crate::upstreams::{ModelRef, ResidentModel, UpstreamEntry};
-use crate::words::UpstreamWords;
 use crate::workspaces::KeyDigest;
 use bytes::Bytes;
 use passway_types::prelude::*;
@@ -82,7 +82,7 @@
         revision: StoreRevision,
     },
     /// The history since then is gone: list anew.
-    HistoryGone,
+    HistoryCompacted,
 }
 
 /// Why the store gave no answer.
@@ -157,14 +157,18 @@
     /// # Errors
     /// If the store does not answer or refuses.
     fn renew_lease(&self, lease: LeaseId) -> Result<bool, StoreError> {
-        self.renew_lease_within(lease, RENEWAL_TIME)
+        self.renew_lease_with_timeout(lease, RENEWAL_TIME)
     }
 
     /// The same, with the longest time for the answer.
     ///
     /// # Errors
     /// As [`SharedStore::renew_lease`].
-    fn renew_lease_within(&self, lease: LeaseId, longest: Duration) -> Result<bool, StoreError>;
+    fn renew_lease_with_timeout(
+        &self,
+        lease: LeaseId,
+        longest: Duration,
+    ) -> Result<bool, StoreError>;
 
     /// Ends a lease and the keys under it.
     ///
@@ -180,13 +184,13 @@
 
     /// The data hall that a key of the configuration's prefix names as emptied, for as long as the key is there;
     /// `None` if it holds something else.
-    fn emptied_hall<'a>(&self, key: &'a str) -> Option<&'a str>;
+    fn evacuated_hall<'a>(&self, key: &'a str) -> Option<&'a str>;
 
     /// Decodes a configuration; `None` if the key holds something else.
     ///
     /// # Errors
     /// What is wrong with it.
-    fn configuration(&self, value: &StoredValue) -> anyhow::Result<Option<RouteTable>>;
+    fn decode_configuration(&self, value: &StoredValue) -> anyhow::Result<Option<RouteTable>>;
 
     /// The prefix under which upstreams keep themselves.
     fn upstream_prefix(&self) -> &str;
@@ -198,20 +202,20 @@
     ///
     /// # Errors
     /// What is wrong with it.
-    fn upstream(&self, value: &StoredValue, now: Instant) -> anyhow::Result<UpstreamEntry>;
+    fn decode_upstream(&self, value: &StoredValue, now: Instant) -> anyhow::Result<UpstreamEntry>;
 }
 
 /// What a request's headers say.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RequestFacts {
+pub struct RequestMetadata {
     /// The attempt's id.
     pub id: String,
     /// How long the caller waits, in milliseconds.
     pub deadline_ms: Option<u64>,
     /// The model and adapter, where one is asked for.
-    pub wish: Option<ModelRef>,
+    pub model_ref: Option<ModelRef>,
     /// The last event that the caller has of a stream.
-    pub last_event: Option<String>,
+    pub last_event_id: Option<String>,
     /// What is kept of its key; `None` without a key, or with more than one.
     pub key: Option<KeyDigest>,
     /// Its tokens, in and out at most, where it names them.
@@ -220,7 +224,7 @@
 
 /// What an upstream is told of a request's workspace.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum WorkspaceMark {
+pub enum WorkspaceHeader {
     /// The configuration has no workspaces: headers pass as they are.
     Untouched,
     /// The workspace's name, if the request has one; a key and a name that the caller sent are
@@ -230,50 +234,50 @@
 
 /// What an instance adds to a request for an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Stamp {
+pub struct ForwardingMetadata {
     /// The incarnation that may run it.
     pub upstream: UpstreamId,
     /// What is left until the deadline, in milliseconds.
     pub deadline_ms: u64,
     /// Its workspace.
-    pub workspace: WorkspaceMark,
+    pub workspace: WorkspaceHeader,
     /// Its rank among waiting requests; 0 goes first.
     pub urgency: Option<u8>,
     /// The event after which a stream goes on.
-    pub last_event: Option<String>,
+    pub last_event_id: Option<String>,
 }
 
 /// What an upstream's answer says of itself.
 #[derive(Debug, Clone, PartialEq)]
-pub struct AnswerFacts {
+pub struct AnswerMetadata {
     /// The attempt that it answers.
     pub id: Option<String>,
     /// Whether an upstream vouches for it.
-    pub vouched: bool,
+    pub is_sealed: bool,
     /// Whether the request has not run and never will.
     pub not_run: bool,
     /// Whether another incarnation than the expected one answered.
-    pub other_incarnation: bool,
+    pub is_other_incarnation: bool,
     /// What it says of its upstream.
-    pub words: UpstreamWords,
+    pub signals: UpstreamSignals,
 }
 
 /// The words in which callers and upstreams speak.
-pub trait Vocabulary: Send + Sync {
+pub trait HeaderProtocol: Send + Sync {
     /// Reads a request's headers.
-    fn request(&self, headers: &Headers) -> RequestFacts;
+    fn parse_request(&self, headers: &Headers) -> RequestMetadata;
 
     /// The headers that go to an upstream, without framing.
-    fn forwarded(&self, headers: &Headers, stamp: &Stamp) -> Headers;
+    fn forwarded_headers(&self, headers: &Headers, stamp: &ForwardingMetadata) -> Headers;
 
     /// Reads an answer's head.
-    fn answer(&self, status: u16, headers: &Headers, expected: &str) -> AnswerFacts;
+    fn parse_answer(&self, status: u16, headers: &Headers, expected: &str) -> AnswerMetadata;
 
     /// How a caller is told which kind of key is missing.
-    fn challenge(&self) -> &'static str;
+    fn auth_challenge(&self) -> &'static str;
 
     /// Labels an answer of this instance with the attempt that it belongs to.
-    fn label(&self, headers: &mut Headers, id: &str);
+    fn label_answer(&self, headers: &mut Headers, id: &str);
 }
 
 /// An order to an engine.
@@ -282,7 +286,7 @@
     /// Load or unload.
     pub action: OrderAction,
     /// What.
-    pub wish: ModelRef,
+    pub model_ref: ModelRef,
     /// The orders that the engine must have taken for this one to count.
     pub expected_orders: u64,
     /// The incarnation that it is for.
@@ -335,27 +339,31 @@
     /// Checkpoints on its disk.
     pub on_disk: Vec<ModelName>,
     /// Adapters on their way to it: they take room and do not serve yet.
-    pub adapters_coming: Vec<ModelRef>,
+    pub adapters_loading: Vec<ModelRef>,
     /// When it started, in Unix milliseconds by its own clock; 0 if it does not tell.
     pub started_at_ms: u64,
 }
 
 /// An engine's answer, and what it says of the engine.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Said<T> {
+pub struct EngineResponse<T> {
     /// What it answers.
     pub answer: T,
     /// What the answer's head says of the engine; nothing without an answer of this engine's.
-    pub words: UpstreamWords,
+    pub signals: UpstreamSignals,
 }
 
 /// The control side of engines.
 pub trait Engines: Send + Sync {
     /// Gives an order.
-    fn order(&self, address: SocketAddr, order: &EngineOrder) -> Said<OrderAnswer>;
+    fn order(&self, address: SocketAddr, order: &EngineOrder) -> EngineResponse<OrderAnswer>;
 
     /// Asks an engine for its state; `None` without an answer.
-    fn report(&self, engine: &UpstreamId, address: SocketAddr) -> Said<Option<EngineReport>>;
+    fn report(
+        &self,
+        engine: &UpstreamId,
+        address: SocketAddr,
+    ) -> EngineResponse<Option<EngineReport>>;
 }
 
 /// The settings of one instance.
@@ -376,7 +384,7 @@
     /// The store.
     pub store_address: SocketAddr,
     /// Processor that it has, as a part of a usual core.
-    pub processor_part: f64,
+    pub cpu_core_fraction: f64,
     /// What is worth bringing to engines, while this instance has the right to order.
     pub placement: PolicyName,
     /// Bounds that may change while the process runs.
--- a/crates/serving/src/retry.rs
+++ b/crates/serving/src/retry.rs
@@ -63,7 +63,7 @@
 
 impl InstanceCount {
     /// A term begins.
-    pub fn begin(now: Instant) -> Self {
+    pub fn start_term(now: Instant) -> Self {
         let known_from = now + COMING_TIME;
         Self {
             known_from,
@@ -73,13 +73,13 @@
     }
 
     /// The holder's next term begins, and nobody else had one in between: who was there comes again.
-    pub fn resume(&mut self, now: Instant) {
+    pub fn continue_term(&mut self, now: Instant) {
         self.coming_until = now + COMING_TIME;
     }
 
     /// The number to share among, where so many are there now; `None` while others may be on
     /// their way.
-    pub fn shared_by(&mut self, instances: usize, now: Instant) -> Option<usize> {
+    pub fn sharing_instances(&mut self, instances: usize, now: Instant) -> Option<usize> {
         let is_settled = now >= self.coming_until;
         self.most = if is_settled {
             instances
@@ -189,7 +189,7 @@
     }
 
     /// A request for the service was taken.
-    pub fn requested(&mut self, service: &ServiceName, now: Instant) {
+    pub fn record_request(&mut self, service: &ServiceName, now: Instant) {
         let earned = self.allowance.ratio * RATIO_PART;
         let bucket = self.bucket(service, now);
         bucket.recent += 1.0;
@@ -197,13 +197,13 @@
     }
 
     /// Whether a repeat could be spent.
-    pub fn has_spare(&mut self, service: &ServiceName, now: Instant) -> bool {
+    pub fn can_spend(&mut self, service: &ServiceName, now: Instant) -> bool {
         self.bucket(service, now).left >= 1.0
     }
 
     /// Spends one repeat if there is one left.
     pub fn try_spend(&mut self, service: &ServiceName, now: Instant) -> bool {
-        let has_spare = self.has_spare(service, now);
+        let has_spare = self.can_spend(service, now);
         if has_spare {
             self.bucket(service, now).left -= 1.0;
         }
--- a/crates/serving/src/routes.rs
+++ b/crates/serving/src/routes.rs
@@ -1,7 +1,7 @@
 //! Routes and services as operators configure them.
 
 use crate::halls::AllowedRegions;
-use crate::upstreams::ColdBound;
+use crate::upstreams::ColdLimit;
 use crate::workspaces::Workspaces;
 use passway_types::prelude::*;
 use std::collections::HashMap;
@@ -22,7 +22,7 @@
 
 impl RequestKind {
     /// Whether a request may be sent again after it may have run.
-    pub fn may_run_again(self) -> bool {
+    pub fn can_run_again(self) -> bool {
         matches!(self, Self::Repeatable | Self::Stream { resumable: true })
     }
 
@@ -55,9 +55,9 @@
     /// Longest time that a request is held, in milliseconds.
     pub timeout_ms: u64,
     /// Time within which an answer, or a stream's first event, is worth most, in milliseconds.
-    pub goal_ms: u64,
+    pub latency_target_ms: u64,
     /// Longest pause between two events of a stream that is worth most, in milliseconds.
-    pub gap_goal_ms: u64,
+    pub gap_target_ms: u64,
     /// Whether it needs no key.
     pub is_public: bool,
     /// Rank among routes; 0 is the most urgent.
@@ -79,12 +79,12 @@
 
 impl Route {
     /// The gap after which a caller leaves a stream, before its first event too, in milliseconds.
-    pub fn patience_ms(&self) -> u64 {
+    pub fn max_silence_ms(&self) -> u64 {
         if !self.kind.is_stream() {
             return self.timeout_ms;
         }
-        let by_goal = self.goal_ms.saturating_mul(PATIENCE_GOALS);
-        let by_gap = self.gap_goal_ms.saturating_mul(PATIENCE_GAPS);
+        let by_goal = self.latency_target_ms.saturating_mul(PATIENCE_GOALS);
+        let by_gap = self.gap_target_ms.saturating_mul(PATIENCE_GAPS);
         by_goal.max(by_gap).max(MIN_PATIENCE_MS)
     }
 
@@ -192,7 +192,7 @@
     /// Connections that an upstream takes from all instances together.
     pub max_connections: u32,
     /// What a cold upstream bears; `None` without a bound.
-    pub cold: Option<ColdBound>,
+    pub cold_limit: Option<ColdLimit>,
     /// The engines' common traits; `None` for a plain service.
     pub pool: Option<EnginePool>,
 }
--- a/crates/serving/src/words.rs
+++ b/crates/serving/src/signals.rs
@@ -3,44 +3,44 @@
 //! An adapter reads them once, for answers to callers' requests as for those to questions and orders of
 //! an instance. Each word has one rule for what cannot be read; such words are counted and change nothing.
 
-use crate::limits::NamedLimit;
+use crate::limits::LimitSignal;
 use passway_types::prelude::*;
 
 /// All that the head of an answer says of its upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct UpstreamWords {
+pub struct UpstreamSignals {
     /// How many requests it takes.
-    pub limit: NamedLimit,
+    pub limit: LimitSignal,
     /// Whether it leaves.
-    pub leaving: NamedLeaving,
+    pub leaving: LeavingSignal,
     /// For how long it wants nothing from the instance that it answers.
-    pub rest: NamedRest,
+    pub backoff: BackoffSignal,
 }
 
-impl UpstreamWords {
+impl UpstreamSignals {
     /// An answer that says nothing.
     pub const NONE: Self = Self {
-        limit: NamedLimit::Absent,
-        leaving: NamedLeaving::Absent,
-        rest: NamedRest::Absent,
+        limit: LimitSignal::Absent,
+        leaving: LeavingSignal::Absent,
+        backoff: BackoffSignal::Absent,
     };
 
     /// The words that are there and cannot be read, by the names under which they are counted.
-    pub fn unusable(&self) -> impl Iterator<Item = &'static str> {
-        let limit = (self.limit == NamedLimit::Unusable).then_some("limit");
-        let leaving = (self.leaving == NamedLeaving::Unusable).then_some("leaving");
-        let rest = (self.rest == NamedRest::Unusable).then_some("rest");
+    pub fn unusable_names(&self) -> impl Iterator<Item = &'static str> {
+        let limit = (self.limit == LimitSignal::Unusable).then_some("limit");
+        let leaving = (self.leaving == LeavingSignal::Unusable).then_some("leaving");
+        let rest = (self.backoff == BackoffSignal::Unusable).then_some("rest");
         [limit, leaving, rest].into_iter().flatten()
     }
 }
 
 /// Whether an answer says that its upstream leaves. That is final for a start of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NamedLeaving {
+pub enum LeavingSignal {
     /// It does not say so. What was said before stands.
     Absent,
     /// It leaves.
-    Leaves,
+    Leaving,
     /// It says something else than that it leaves, and goes on being used: a word that is false would
     /// take the upstream away for the rest of its start.
     Unusable,
@@ -48,7 +48,7 @@
 
 /// For how long an upstream wants nothing from the instance that it has turned away.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NamedRest {
+pub enum BackoffSignal {
     /// It does not say.
     Absent,
     /// For this time, which may be zero. Of several times that an answer names, the longest.
--- a/crates/serving/src/absence.rs
+++ b/crates/serving/src/store_outages.rs
@@ -17,19 +17,19 @@
 
 /// When the store was away, as one instance has seen it.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Outages {
+pub struct StoreOutages {
     failing_since: Option<Instant>,
     returned_at: Option<Instant>,
 }
 
-impl Outages {
+impl StoreOutages {
     /// A call was not answered, or refused.
-    pub fn failed(&mut self, now: Instant) {
+    pub fn record_failure(&mut self, now: Instant) {
         self.failing_since.get_or_insert(now);
     }
 
     /// A call was answered.
-    pub fn answered(&mut self, now: Instant) {
+    pub fn record_answer(&mut self, now: Instant) {
         let Some(since) = self.failing_since.take() else {
             return;
         };
@@ -40,7 +40,7 @@
 
     /// When an entry that is missing now means that its upstream is gone: at once, or
     /// as soon as it has had the time to come back.
-    pub fn gone_at(&self, now: Instant) -> Instant {
+    pub fn removal_at(&self, now: Instant) -> Instant {
         let away = self
             .failing_since
             .is_some_and(|since| now >= since + SHORTEST_OUTAGE);
--- a/crates/serving/src/upstreams.rs
+++ b/crates/serving/src/upstreams.rs
@@ -1,15 +1,15 @@
 //! Upstreams: what they say of themselves, what this instance saw, and the choice.
 
+mod backoff;
 mod choice;
-mod departures;
-mod rest;
+mod leaving;
 mod upstream;
 
 use crate::halls::{AllowedRegions, HallRegions, Halls};
-use crate::limits::LimitWord;
+use crate::limits::ObservedLimit;
 use crate::placement::{PlacementDigest, digest};
-pub use choice::{Choice, Wanted};
-use departures::Departures;
+pub use choice::{Choice, RequestNeeds};
+use leaving::LeavingStarts;
 use passway_types::prelude::*;
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -48,7 +48,7 @@
     /// Checkpoints on its disk.
     pub on_disk: Vec<ModelName>,
     /// Number of this word of its; grows while it lives.
-    pub beat: u64,
+    pub heartbeat: u64,
     /// When it started, in Unix milliseconds by its own clock; 0 if it does not tell. It may
     /// start again under its id, and then holds and knows nothing of before.
     pub started_at_ms: u64,
@@ -65,11 +65,11 @@
 
 /// What a cold upstream of a service bears.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ColdBound {
+pub struct ColdLimit {
     /// Requests a second, from all instances together.
     pub per_s: f64,
     /// How long an upstream stays cold from its start.
-    pub time: Duration,
+    pub duration: Duration,
 }
 
 /// How an attempt at an upstream ended, as far as it tells about the upstream.
@@ -93,10 +93,10 @@
     hall: DataHall,
     halls: Halls,
     /// What cold upstreams bear, by service.
-    cold_bounds: HashMap<ServiceName, ColdBound>,
+    cold_bounds: HashMap<ServiceName, ColdLimit>,
     upstreams: HashMap<UpstreamId, Upstream>,
     restarted: Vec<UpstreamId>,
-    departures: Departures,
+    departures: LeavingStarts,
     /// Upstreams that have asked for rest, until an answer of theirs shows that it is over: few of many.
     resting: BTreeSet<UpstreamId>,
 }
@@ -110,7 +110,7 @@
             cold_bounds: HashMap::new(),
             upstreams: HashMap::new(),
             restarted: Vec::new(),
-            departures: Departures::default(),
+            departures: LeavingStarts::default(),
             resting: BTreeSet::new(),
         }
     }
@@ -132,43 +132,43 @@
     /// Operators have emptied these halls and no others; returns whether that is news.
     ///
     /// Upstreams of a hall that is given back may be cold without having said so yet.
-    pub fn set_emptied(&mut self, emptied: BTreeSet<DataHall>, now: Instant) -> bool {
-        if *self.halls.emptied() == emptied {
+    pub fn set_evacuated(&mut self, emptied: BTreeSet<DataHall>, now: Instant) -> bool {
+        if *self.halls.evacuated() == emptied {
             return false;
         }
-        let given_back = self.halls.set_emptied(emptied);
+        let given_back = self.halls.set_evacuated(emptied);
         for upstream in self.upstreams.values_mut() {
             let bound = self.cold_bounds.get(&upstream.entry.service);
             if given_back.contains(&upstream.entry.hall)
                 && let Some(bound) = bound
             {
-                upstream.may_be_cold_until = Some(now + bound.time);
+                upstream.may_be_cold_until = Some(now + bound.duration);
             }
         }
         true
     }
 
     /// The halls to which nothing may be sent.
-    pub fn emptied(&self) -> &BTreeSet<DataHall> {
-        self.halls.emptied()
+    pub fn evacuated(&self) -> &BTreeSet<DataHall> {
+        self.halls.evacuated()
     }
 
     /// Whether a hall is one of the fleet's; any is while none is known.
-    pub fn knows_hall(&self, hall: &DataHall) -> bool {
-        self.halls.knows(hall)
+    pub fn is_known_hall(&self, hall: &DataHall) -> bool {
+        self.halls.is_known(hall)
     }
 
     /// Whether a request with some allowed regions may be sent to an upstream where it stands. Where one stands
     /// that is not listed is not known.
     pub fn admits(&self, id: &str, allowed: &AllowedRegions) -> bool {
         let upstream = self.upstreams.get(id);
-        upstream.map_or(!self.halls.are_bound(allowed), |upstream| {
-            self.halls.admit(&upstream.entry.hall, allowed)
+        upstream.map_or(!self.halls.has_restrictions(allowed), |upstream| {
+            self.halls.admits(&upstream.entry.hall, allowed)
         })
     }
 
     /// Uses a configuration's bounds on cold upstreams.
-    pub fn set_cold_bounds(&mut self, bounds: HashMap<ServiceName, ColdBound>) {
+    pub fn set_cold_limits(&mut self, bounds: HashMap<ServiceName, ColdLimit>) {
         self.cold_bounds = bounds;
         for upstream in self.upstreams.values_mut() {
             let bound = self.cold_bounds.get(&upstream.entry.service);
@@ -185,10 +185,10 @@
     /// the models that stand on it.
     pub fn update(&mut self, mut entry: UpstreamEntry, now: Instant) -> bool {
         if entry.draining {
-            let _ = self.departures.note(&entry.id, entry.started_at_ms, now);
+            let _ = self.departures.record(&entry.id, entry.started_at_ms, now);
         }
         // Leaving is final for a start, whatever a word says that is older or does not know it yet.
-        entry.draining = self.leaves(&entry.id, entry.started_at_ms);
+        entry.draining = self.is_leaving(&entry.id, entry.started_at_ms);
         let cold_per_s = self
             .cold_bounds
             .get(&entry.service)
@@ -213,8 +213,8 @@
             *known = new(entry);
             return true;
         }
-        let returned = known.gone_at.take().is_some();
-        if entry.beat < known.entry.beat {
+        let returned = known.removed_at.take().is_some();
+        if entry.heartbeat < known.entry.heartbeat {
             // An older word, told late; only leaving is final.
             let leaves = entry.draining && !known.entry.draining;
             known.entry.draining |= entry.draining;
@@ -228,10 +228,10 @@
             || known.entry.address != entry.address
             || known.entry.slots != entry.slots
             || known.entry.draining != entry.draining
-            || known.is_colder_by(&entry);
+            || known.stays_cold_longer(&entry);
         known.cold_per_s = cold_per_s;
         known.entry = entry;
-        known.note_standing();
+        known.record_loaded();
         more
     }
 
@@ -260,18 +260,18 @@
 
     /// An upstream's entry is missing; it is gone at the moment given unless the entry
     /// comes back.
-    pub fn miss(&mut self, id: &str, gone_at: Instant) {
+    pub fn mark_missing(&mut self, id: &str, gone_at: Instant) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
-            upstream.gone_at.get_or_insert(gone_at);
+            upstream.removed_at.get_or_insert(gone_at);
         }
     }
 
     /// The whole list was read; what is not on it is gone at the moment given.
-    pub fn replace(&mut self, entries: Vec<UpstreamEntry>, gone_at: Instant, now: Instant) {
+    pub fn replace_all(&mut self, entries: Vec<UpstreamEntry>, gone_at: Instant, now: Instant) {
         let listed: HashSet<&str> = entries.iter().map(|entry| &*entry.id).collect();
         for (id, upstream) in &mut self.upstreams {
             if !listed.contains(&**id) {
-                upstream.gone_at.get_or_insert(gone_at);
+                upstream.removed_at.get_or_insert(gone_at);
             }
         }
         for entry in entries {
@@ -280,13 +280,14 @@
     }
 
     /// Forgets upstreams that are gone by now, and hands out their last entries.
-    pub fn expire(&mut self, now: Instant) -> Vec<UpstreamEntry> {
+    pub fn remove_expired(&mut self, now: Instant) -> Vec<UpstreamEntry> {
         let gone = self
             .upstreams
-            .extract_if(|_, upstream| upstream.is_gone(now));
+            .extract_if(|_, upstream| upstream.is_removed(now));
         let gone = gone.map(|(_, upstream)| upstream.entry).collect();
         let upstreams = &self.upstreams;
-        self.departures.expire(|id| upstreams.contains_key(id), now);
+        self.departures
+            .remove_expired(|id| upstreams.contains_key(id), now);
         self.resting.retain(|id| upstreams.contains_key(id));
         gone
     }
@@ -299,7 +300,7 @@
                 upstream.absent_until.clear();
             }
             upstream.entry.models = models;
-            upstream.note_standing();
+            upstream.record_loaded();
             upstream.closing = closing;
         }
     }
@@ -311,21 +312,21 @@
     }
 
     /// A term of this instance begins: what a holder before was about to evict stays.
-    pub fn forget_closing(&mut self) {
+    pub fn clear_closing(&mut self) {
         for upstream in self.upstreams.values_mut() {
             upstream.closing.clear();
         }
     }
 
     /// A request was sent to an upstream.
-    pub fn started(&mut self, id: &str, model_ref: Option<&ModelRef>, now: Instant) {
+    pub fn record_start(&mut self, id: &str, model_ref: Option<&ModelRef>, now: Instant) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
-            upstream.started(model_ref, now);
+            upstream.record_start(model_ref, now);
         }
     }
 
     /// Bytes have come from an upstream.
-    pub fn heard(&mut self, id: &str, now: Instant) {
+    pub fn record_activity(&mut self, id: &str, now: Instant) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
             upstream.record_activity(now);
         }
@@ -339,7 +340,7 @@
     }
 
     /// A request that was sent to an upstream has ended.
-    pub fn ended(
+    pub fn record_end(
         &mut self,
         id: &str,
         model_ref: Option<&ModelRef>,
@@ -347,21 +348,21 @@
         now: Instant,
     ) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
-            upstream.ended(model_ref, outcome, now);
+            upstream.record_end(model_ref, outcome, now);
         }
     }
 
     /// Another instance's request that was sent to an upstream has ended so.
-    pub fn observed(&mut self, id: &str, outcome: Outcome, now: Instant) {
+    pub fn record_peer_outcome(&mut self, id: &str, outcome: Outcome, now: Instant) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
-            upstream.judge(outcome, now);
+            upstream.record_outcome(outcome, now);
         }
     }
 
     /// A start of an upstream has said in an answer that it leaves. Returns whether that is news.
-    pub fn note_leaving(&mut self, id: &UpstreamId, started_at_ms: u64, now: Instant) -> bool {
-        let is_news = self.departures.note(id, started_at_ms, now);
-        let leaves = self.leaves(id, started_at_ms);
+    pub fn record_leaving(&mut self, id: &UpstreamId, started_at_ms: u64, now: Instant) -> bool {
+        let is_news = self.departures.record(id, started_at_ms, now);
+        let leaves = self.is_leaving(id, started_at_ms);
         if let Some(upstream) = self.upstreams.get_mut(id)
             && upstream.entry.started_at_ms == started_at_ms
         {
@@ -371,7 +372,7 @@
     }
 
     /// Whether a start of an upstream has said that it leaves, in an answer or in its entry.
-    pub fn leaves(&self, id: &str, started_at_ms: u64) -> bool {
+    pub fn is_leaving(&self, id: &str, started_at_ms: u64) -> bool {
         self.departures.leaves(id, started_at_ms)
     }
 
@@ -382,52 +383,56 @@
 
     /// Lets a request through to a start of an upstream, if that wants one from this instance as far as it has
     /// said. One that is not listed any more may serve on.
-    pub fn let_through(&mut self, id: &str, started_at_ms: u64, now: Instant) -> bool {
+    pub fn try_admit(&mut self, id: &str, started_at_ms: u64, now: Instant) -> bool {
         let rest = self
             .upstreams
             .get_mut(id)
-            .map(|upstream| &mut upstream.rest);
-        !self.departures.leaves(id, started_at_ms) && rest.is_none_or(|rest| rest.let_through(now))
+            .map(|upstream| &mut upstream.backoff);
+        !self.departures.leaves(id, started_at_ms) && rest.is_none_or(|rest| rest.try_admit(now))
     }
 
     /// An upstream has asked this instance for rest until a moment.
-    pub fn note_rest(&mut self, id: &UpstreamId, until: Instant) {
+    pub fn record_backoff(&mut self, id: &UpstreamId, until: Instant) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
-            upstream.rest.begin(until);
+            upstream.backoff.begin(until);
             self.resting.insert(id.clone());
         }
     }
 
     /// An upstream asks for no rest in its answer to what was sent at a moment.
-    pub fn note_no_rest(&mut self, id: &str, sent_at: Instant) {
+    pub fn record_no_backoff(&mut self, id: &str, sent_at: Instant) {
         if !self.resting.contains(id) {
             return;
         }
         let upstream = self.upstreams.get_mut(id);
-        if upstream.is_none_or(|upstream| upstream.rest.answered(sent_at)) {
+        if upstream.is_none_or(|upstream| upstream.backoff.record_no_backoff_answer(sent_at)) {
             self.resting.remove(id);
         }
     }
 
     /// Until when an upstream wants nothing from this instance; `None` if a request may go there.
-    pub fn closed_until(&self, id: &str, now: Instant) -> Option<Instant> {
-        self.upstreams.get(id)?.rest.closed_until(now)
+    pub fn backoff_until(&self, id: &str, now: Instant) -> Option<Instant> {
+        self.upstreams.get(id)?.backoff.blocked_until(now)
     }
 
     /// Upstreams that want nothing from this instance now, with when they do.
-    pub fn resting(&self, now: Instant) -> impl Iterator<Item = (&UpstreamId, Instant)> {
+    pub fn backing_off(&self, now: Instant) -> impl Iterator<Item = (&UpstreamId, Instant)> {
         self.resting.iter().filter_map(move |id| {
-            let rest = &self.upstreams.get(id)?.rest;
-            let until = rest.closed_until(now).filter(|_| rest.lasts(now))?;
+            let rest = &self.upstreams.get(id)?.backoff;
+            let until = rest.blocked_until(now).filter(|_| rest.is_active(now))?;
             Some((id, until))
         })
     }
 
     /// Those that could serve a request, if they wanted one from this instance now, with when they do.
-    pub fn closed_to(&self, wanted: Wanted<'_>, now: Instant) -> Vec<(UpstreamId, Instant)> {
+    pub fn backing_off_for(
+        &self,
+        wanted: RequestNeeds<'_>,
+        now: Instant,
+    ) -> Vec<(UpstreamId, Instant)> {
         let closed = self.resting.iter().filter_map(|id| {
             let upstream = self.upstreams.get(id)?;
-            let until = upstream.rest.closed_until(now)?;
+            let until = upstream.backoff.blocked_until(now)?;
             let is_usable = self.is_usable(upstream, wanted, now);
             is_usable.then(|| (id.clone(), until))
         });
@@ -435,9 +440,9 @@
     }
 
     /// An upstream has said how much it takes. Returns whether that is another limit than before.
-    pub fn note_limit(&mut self, id: &str, word: LimitWord) -> bool {
+    pub fn record_limit(&mut self, id: &str, word: ObservedLimit) -> bool {
         let upstream = self.upstreams.get_mut(id);
-        upstream.is_some_and(|upstream| upstream.note_limit(word))
+        upstream.is_some_and(|upstream| upstream.record_limit(word))
     }
 
     /// Requests a second that an upstream takes from all instances together, as it says or as a cold one bears;
@@ -447,13 +452,13 @@
     }
 
     /// Requests a second that an upstream says it takes from all instances together; `None` without a limit.
-    pub fn named_limit_per_s(&self, id: &str) -> Option<f64> {
-        self.upstreams.get(id)?.named_per_s()
+    pub fn advertised_limit_per_s(&self, id: &str) -> Option<f64> {
+        self.upstreams.get(id)?.advertised_per_s()
     }
 
     /// What upstreams said last of how much they take, those that ever named a limit, with their starts
     /// in Unix milliseconds by their own clocks.
-    pub fn limit_words(&self) -> impl Iterator<Item = (&UpstreamId, u64, LimitWord)> {
+    pub fn observed_limits(&self) -> impl Iterator<Item = (&UpstreamId, u64, ObservedLimit)> {
         self.upstreams.iter().filter_map(|(id, upstream)| {
             let word = upstream.limit_word()?;
             Some((id, upstream.entry.started_at_ms, word))
@@ -461,9 +466,9 @@
     }
 
     /// Upstreams that name a limit.
-    pub fn limited(&self) -> usize {
+    pub fn limited_count(&self) -> usize {
         let all = self.upstreams.values();
-        all.filter(|one| one.named_per_s().is_some()).count()
+        all.filter(|one| one.advertised_per_s().is_some()).count()
     }
 
     /// Whether an upstream has what a request needs, as far as is known.
@@ -474,41 +479,42 @@
 
     /// Whether none of a service's engines has a model or a copy of it, so that it can only come from
     /// the weight store. Unknown engines may have it: false if there is none.
-    pub fn lies_nowhere(
+    pub fn is_cached_nowhere(
         &self,
         service: &ServiceName,
         model: &ModelName,
         allowed: &AllowedRegions,
     ) -> bool {
-        let mut engines = self.admitted(service, allowed).peekable();
-        engines.peek().is_some() && !engines.any(|one| one.keeps(model))
+        let mut engines = self.admitted_upstreams(service, allowed).peekable();
+        engines.peek().is_some() && !engines.any(|one| one.has_cached(model))
     }
 
     /// Whether an engine that takes any requests has a model or a copy of it.
-    pub fn lies_elsewhere(
+    pub fn is_cached_on_available_engine(
         &self,
         service: &ServiceName,
         model: &ModelName,
         allowed: &AllowedRegions,
         now: Instant,
     ) -> bool {
-        let mut engines = self.admitted(service, allowed);
+        let mut engines = self.admitted_upstreams(service, allowed);
         engines.any(|one| {
-            let takes =
-                one.limit_per_s(now).is_none() && !one.rest.lasts(now) && !one.entry.draining;
-            takes && one.keeps(model)
+            let takes = one.limit_per_s(now).is_none()
+                && !one.backoff.is_active(now)
+                && !one.entry.draining;
+            takes && one.has_cached(model)
         })
     }
 
     /// Upstreams of a service where requests with some allowed regions may go.
-    fn admitted<'a>(
+    fn admitted_upstreams<'a>(
         &'a self,
         service: &ServiceName,
         allowed: &AllowedRegions,
     ) -> impl Iterator<Item = &'a Upstream> {
         let all = self.upstreams.values();
         let of_service = all.filter(move |one| one.entry.service == *service);
-        of_service.filter(move |one| self.halls.admit(&one.entry.hall, allowed))
+        of_service.filter(move |one| self.halls.admits(&one.entry.hall, allowed))
     }
 
     /// Requests that an upstream works on at one time.
@@ -525,28 +531,28 @@
     }
 
     /// An upstream broke off and may have ended: it gets nothing for a while if there is another.
-    pub fn doubt(&mut self, id: &str, now: Instant) {
+    pub fn mark_unreachable(&mut self, id: &str, now: Instant) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
-            upstream.doubt(now);
+            upstream.mark_unreachable(now);
         }
     }
 
     /// An upstream that broke off runs on.
-    pub fn trust(&mut self, id: &str, now: Instant) {
+    pub fn mark_reachable(&mut self, id: &str, now: Instant) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
             upstream.unreachable_until = now;
         }
     }
 
     /// An engine said that it does not have what a request needs.
-    pub fn absent(&mut self, id: &str, model_ref: &ModelRef, now: Instant) {
+    pub fn mark_model_absent(&mut self, id: &str, model_ref: &ModelRef, now: Instant) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
-            upstream.absent(model_ref, now);
+            upstream.mark_model_absent(model_ref, now);
         }
     }
 
     /// Requests of this instance that run, by engine and model.
-    pub fn running(&self) -> impl Iterator<Item = (&UpstreamId, &ModelName, u32)> {
+    pub fn in_flight_by_model(&self) -> impl Iterator<Item = (&UpstreamId, &ModelName, u32)> {
         self.upstreams.iter().flat_map(|(id, upstream)| {
             let models = upstream.in_flight_models.iter();
             models.map(move |(model, count)| (id, model, *count))
--- a/crates/serving/src/upstreams/rest.rs
+++ b/crates/serving/src/upstreams/backoff.rs
@@ -10,14 +10,14 @@
 
 /// An upstream's rest, as far as this instance has heard of one.
 #[derive(Debug, Default)]
-pub(super) struct Rest {
+pub(super) struct Backoff {
     /// The end of the rest that ends last; `None` without one, or once an answer has shown that it is over.
     until: Option<Instant>,
     /// When the last request went there after the rest.
     tried_at: Option<Instant>,
 }
 
-impl Rest {
+impl Backoff {
     /// It asks for rest until a moment. Of several rests the one that ends last counts.
     pub(super) fn begin(&mut self, until: Instant) {
         self.until = self.until.max(Some(until));
@@ -26,7 +26,7 @@
 
     /// An answer to what was sent at a moment asks for no rest. Returns whether the rest is over: what was
     /// sent before its end says nothing of it.
-    pub(super) fn answered(&mut self, sent_at: Instant) -> bool {
+    pub(super) fn record_no_backoff_answer(&mut self, sent_at: Instant) -> bool {
         let is_over = self.until.is_none_or(|until| sent_at >= until);
         if is_over {
             *self = Self::default();
@@ -35,7 +35,7 @@
     }
 
     /// Until when nothing may go there; `None` if a request may go now.
-    pub(super) fn closed_until(&self, now: Instant) -> Option<Instant> {
+    pub(super) fn blocked_until(&self, now: Instant) -> Option<Instant> {
         let until = self.until?;
         let opens_at = self
             .tried_at
@@ -44,13 +44,13 @@
     }
 
     /// Whether the time that it asked for is not over.
-    pub(super) fn lasts(&self, now: Instant) -> bool {
+    pub(super) fn is_active(&self, now: Instant) -> bool {
         self.until.is_some_and(|until| now < until)
     }
 
     /// Lets a request through if one may go now.
-    pub(super) fn let_through(&mut self, now: Instant) -> bool {
-        let is_open = self.closed_until(now).is_none();
+    pub(super) fn try_admit(&mut self, now: Instant) -> bool {
+        let is_open = self.blocked_until(now).is_none();
         if is_open && self.until.is_some() {
             self.tried_at = Some(now);
         }
