--- a/crates/serving/src/upstreams/choice.rs
+++ b/crates/serving/src/upstreams/choice.rs
@@ -77,7 +77,7 @@
         let entry = &self.entry;
         entry.service == *service
             && !entry.draining
-            && !self.is_gone(now)
+            && !self.is_removed(now)
             && model_ref.is_none_or(|model_ref| self.has(model_ref, now))
     }
 
@@ -111,7 +111,7 @@
 
 /// What a request needs of an upstream.
 #[derive(Debug, Clone, Copy)]
-pub struct Wanted<'a> {
+pub struct RequestNeeds<'a> {
     /// The service.
     pub service: &'a ServiceName,
     /// The model and adapter, on engines.
@@ -122,28 +122,28 @@
     pub allowed: &'a AllowedRegions,
     /// A number of the request's own, so that instances that all see little load do not all
     /// choose the same upstream.
-    pub drawn: u64,
+    pub random: u64,
 }
 
 impl UpstreamTable {
     /// The upstream for a request by what this instance has sent itself.
     ///
     /// `tried` are upstreams that the request has been at, which it does not go to again.
-    /// `drawn` is as in [`Wanted`].
+    /// `drawn` is as in [`RequestNeeds`].
     pub fn choose(
         &self,
         service: &ServiceName,
         model_ref: Option<&ModelRef>,
         tried: &[UpstreamId],
-        drawn: u64,
+        random: u64,
         now: Instant,
     ) -> Choice {
-        let wanted = Wanted {
+        let wanted = RequestNeeds {
             service,
             model_ref,
             hall: &self.hall,
             allowed: &AllowedRegions::ANY,
-            drawn,
+            random,
         };
         let is_open = |id: &UpstreamId| !tried.contains(id);
         self.choose_by(wanted, is_open, None, now)
@@ -153,7 +153,7 @@
     /// tells, or what this instance has sent itself.
     pub fn choose_by(
         &self,
-        wanted: Wanted<'_>,
+        wanted: RequestNeeds<'_>,
         is_open: impl Fn(&UpstreamId) -> bool,
         runs: Option<&dyn Fn(&UpstreamId) -> u32>,
         now: Instant,
@@ -169,7 +169,7 @@
                 full = true;
                 continue;
             }
-            let rank = upstream.rank(load, wanted.hall, wanted.drawn, now);
+            let rank = upstream.rank(load, wanted.hall, wanted.random, now);
             if best.as_ref().is_none_or(|(least, _)| rank < *least) {
                 best = Some((rank, upstream));
             }
@@ -187,7 +187,7 @@
     /// Upstreams that take new requests and have what is needed, as far as is known.
     fn usable<'a>(
         &'a self,
-        wanted: Wanted<'_>,
+        wanted: RequestNeeds<'_>,
         now: Instant,
     ) -> impl Iterator<Item = &'a Upstream> {
         let all = self.upstreams.values();
@@ -196,18 +196,23 @@
 
     /// Whether an upstream takes new requests, has what is needed and stands where the request may go, as far
     /// as is known.
-    pub(super) fn is_usable(&self, upstream: &Upstream, wanted: Wanted<'_>, now: Instant) -> bool {
+    pub(super) fn is_usable(
+        &self,
+        upstream: &Upstream,
+        wanted: RequestNeeds<'_>,
+        now: Instant,
+    ) -> bool {
         upstream.is_usable(wanted.service, wanted.model_ref, now)
-            && self.halls.admit(&upstream.entry.hall, wanted.allowed)
+            && self.halls.admits(&upstream.entry.hall, wanted.allowed)
     }
 
     /// Engines that could take a request, in an order drawn for it, those in need last.
-    pub fn drawn_engines(&self, wanted: Wanted<'_>, now: Instant) -> Vec<UpstreamId> {
+    pub fn shuffled_engines(&self, wanted: RequestNeeds<'_>, now: Instant) -> Vec<UpstreamId> {
         let usable = self.usable(wanted, now);
         let mut engines: Vec<&Upstream> = usable.collect();
         engines.sort_by_cached_key(|engine| {
-            let drawn = hash::mixed(wanted.drawn, &engine.entry.id);
-            (engine.goes_last(wanted.drawn, now), drawn)
+            let drawn = hash::mixed(wanted.random, &engine.entry.id);
+            (engine.goes_last(wanted.random, now), drawn)
         });
         let ids = engines.iter().map(|engine| engine.entry.id.clone());
         ids.collect()
--- a/crates/serving/src/upstreams/departures.rs
+++ b/crates/serving/src/upstreams/leaving.rs
@@ -17,11 +17,11 @@
 
 /// Starts of upstreams that leave.
 #[derive(Debug, Default)]
-pub(super) struct Departures(HashMap<UpstreamId, Departure>);
+pub(super) struct LeavingStarts(HashMap<UpstreamId, Departure>);
 
-impl Departures {
+impl LeavingStarts {
     /// A start says that it leaves. Returns whether that is news.
-    pub(super) fn note(&mut self, id: &UpstreamId, started_at_ms: u64, now: Instant) -> bool {
+    pub(super) fn record(&mut self, id: &UpstreamId, started_at_ms: u64, now: Instant) -> bool {
         let known = self.0.get(id).map(|known| known.started_at_ms);
         if known.is_some_and(|known| known >= started_at_ms) {
             return false;
@@ -46,7 +46,7 @@
     }
 
     /// Forgets those that have ended long ago.
-    pub(super) fn expire(&mut self, is_listed: impl Fn(&UpstreamId) -> bool, now: Instant) {
+    pub(super) fn remove_expired(&mut self, is_listed: impl Fn(&UpstreamId) -> bool, now: Instant) {
         self.0
             .retain(|id, known| now < known.heard_at + MEMORY || is_listed(id));
     }
--- a/crates/serving/src/upstreams/upstream.rs
+++ b/crates/serving/src/upstreams/upstream.rs
@@ -1,8 +1,8 @@
 //! One upstream: its own word, and what this instance saw of it.
 
-use super::rest::Rest;
+use super::backoff::Backoff;
 use super::{ModelRef, Outcome, UpstreamEntry};
-use crate::limits::LimitWord;
+use crate::limits::ObservedLimit;
 use passway_types::prelude::*;
 use std::collections::{HashMap, HashSet};
 
@@ -34,7 +34,7 @@
     silent_since: Option<Instant>,
     /// As it was at `judged_at`, between 0 and 1.
     failure_rate: f64,
-    judged_at: Instant,
+    outcome_at: Instant,
     /// Until when it gets nothing if there is another.
     pub(super) unreachable_until: Instant,
     /// Until when it counts as full.
@@ -44,17 +44,17 @@
     /// Models that the holder of the right to order is about to unload.
     pub(super) closing: Vec<ModelName>,
     /// Models that stood here since it is known, which it keeps a copy of.
-    stood: HashSet<ModelName>,
+    loaded_before: HashSet<ModelName>,
     /// When it is gone unless its entry comes back; `None` while the entry is there.
-    pub(super) gone_at: Option<Instant>,
+    pub(super) removed_at: Option<Instant>,
     /// What it said last of how much it takes; `None` if it never named a limit.
-    limit: Option<LimitWord>,
+    limit: Option<ObservedLimit>,
     /// Requests a second that it bears while it is cold; `None` if that is not bounded.
     pub(super) cold_per_s: Option<f64>,
     /// Until when it may be cold without having said so.
     pub(super) may_be_cold_until: Option<Instant>,
     /// What it asked this instance for.
-    pub(super) rest: Rest,
+    pub(super) backoff: Backoff,
 }
 
 impl Upstream {
@@ -66,17 +66,17 @@
             in_flight_models: HashMap::new(),
             silent_since: None,
             failure_rate: 0.0,
-            judged_at: now,
+            outcome_at: now,
             unreachable_until: now,
             full_until: now,
             absent_until: HashMap::new(),
             closing: Vec::new(),
-            stood: HashSet::new(),
-            gone_at: None,
+            loaded_before: HashSet::new(),
+            removed_at: None,
             limit: None,
             cold_per_s: None,
             may_be_cold_until: None,
-            rest: Rest::default(),
+            backoff: Backoff::default(),
         }
     }
 
@@ -84,12 +84,12 @@
     /// `None` without a limit.
     pub(super) fn limit_per_s(&self, now: Instant) -> Option<f64> {
         let cold = self.cold_per_s.filter(|_| self.is_cold(now));
-        let limits = self.named_per_s().into_iter().chain(cold);
+        let limits = self.advertised_per_s().into_iter().chain(cold);
         limits.reduce(f64::min)
     }
 
     /// Requests a second that it says it takes from all instances together; `None` without a limit.
-    pub(super) fn named_per_s(&self) -> Option<f64> {
+    pub(super) fn advertised_per_s(&self) -> Option<f64> {
         self.limit?.per_s
     }
 
@@ -100,7 +100,7 @@
     }
 
     /// Whether its next word says that it stays cold for longer than was known.
-    pub(super) fn is_colder_by(&self, entry: &UpstreamEntry) -> bool {
+    pub(super) fn stays_cold_longer(&self, entry: &UpstreamEntry) -> bool {
         let known = self.entry.cold_until;
         entry.cold_until.is_some_and(|until| {
             known.is_none_or(|known| until.saturating_duration_since(known) >= COLDER_TIME)
@@ -108,44 +108,44 @@
     }
 
     /// What it said last of how much it takes; `None` if it never named a limit.
-    pub(super) fn limit_word(&self) -> Option<LimitWord> {
+    pub(super) fn limit_word(&self) -> Option<ObservedLimit> {
         self.limit
     }
 
     /// It has said how much it takes. Returns whether that is another limit than before.
-    pub(super) fn note_limit(&mut self, word: LimitWord) -> bool {
+    pub(super) fn record_limit(&mut self, word: ObservedLimit) -> bool {
         let known = self.limit.as_ref();
         // One that never named a limit says in each answer that it is in no need.
         let is_news = known.map_or(word.per_s.is_some(), |known| word.replaces(known));
         if !is_news {
             return false;
         }
-        let before = self.named_per_s();
+        let before = self.advertised_per_s();
         self.limit = Some(word);
         word.per_s != before
     }
 
     /// Notes what stands here now.
-    pub(super) fn note_standing(&mut self) {
+    pub(super) fn record_loaded(&mut self) {
         for model in &self.entry.models {
-            if !self.stood.contains(&model.name) {
-                self.stood.insert(model.name.clone());
+            if !self.loaded_before.contains(&model.name) {
+                self.loaded_before.insert(model.name.clone());
             }
         }
     }
 
     /// Whether a model can come here from nearer than the weight store, as far as is known.
-    pub(super) fn keeps(&self, model: &ModelName) -> bool {
+    pub(super) fn has_cached(&self, model: &ModelName) -> bool {
         let entry = &self.entry;
-        self.stood.contains(model)
+        self.loaded_before.contains(model)
             || entry.models.iter().any(|standing| standing.name == *model)
             || entry.in_memory.contains(model)
             || entry.on_disk.contains(model)
     }
 
     /// Whether its entry is missing for too long.
-    pub(super) fn is_gone(&self, now: Instant) -> bool {
-        self.gone_at.is_some_and(|at| now >= at)
+    pub(super) fn is_removed(&self, now: Instant) -> bool {
+        self.removed_at.is_some_and(|at| now >= at)
     }
 
     /// Whether it has what a request needs, as far as is known.
@@ -169,7 +169,7 @@
 
     /// The part of its attempts that failed, faded by the time since the last one.
     pub(super) fn failure_rate(&self, now: Instant) -> f64 {
-        let quiet_s = now.saturating_duration_since(self.judged_at).as_secs_f64();
+        let quiet_s = now.saturating_duration_since(self.outcome_at).as_secs_f64();
         self.failure_rate * 0.5_f64.powf(quiet_s / FAILURE_HALF_LIFE_S)
     }
 
@@ -180,7 +180,7 @@
     }
 
     /// A request was sent to it.
-    pub(super) fn started(&mut self, model_ref: Option<&ModelRef>, now: Instant) {
+    pub(super) fn record_start(&mut self, model_ref: Option<&ModelRef>, now: Instant) {
         self.in_flight += 1;
         self.silent_since.get_or_insert(now);
         if let Some(model_ref) = model_ref {
@@ -195,7 +195,12 @@
     }
 
     /// A request that was sent to it has ended.
-    pub(super) fn ended(&mut self, model_ref: Option<&ModelRef>, outcome: Outcome, now: Instant) {
+    pub(super) fn record_end(
+        &mut self,
+        model_ref: Option<&ModelRef>,
+        outcome: Outcome,
+        now: Instant,
+    ) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if self.in_flight == 0 {
             self.silent_since = None;
@@ -208,11 +213,11 @@
                 self.in_flight_models.remove(&model_ref.model);
             }
         }
-        self.judge(outcome, now);
+        self.record_outcome(outcome, now);
     }
 
     /// Takes an outcome into the failure rate and the pauses.
-    pub(super) fn judge(&mut self, outcome: Outcome, now: Instant) {
+    pub(super) fn record_outcome(&mut self, outcome: Outcome, now: Instant) {
         let failed = match outcome {
             Outcome::Answered => 0.0,
             Outcome::Failed => 1.0,
@@ -228,16 +233,16 @@
         };
         let rate = self.failure_rate(now);
         self.failure_rate = rate + FAILURE_WEIGHT * (failed - rate);
-        self.judged_at = now;
+        self.outcome_at = now;
     }
 
     /// It may have ended: it gets nothing for a while if there is another.
-    pub(super) fn doubt(&mut self, now: Instant) {
+    pub(super) fn mark_unreachable(&mut self, now: Instant) {
         self.unreachable_until = now + UNREACHABLE_PAUSE;
     }
 
     /// It said that it does not have what a request needs.
-    pub(super) fn absent(&mut self, model_ref: &ModelRef, now: Instant) {
+    pub(super) fn mark_model_absent(&mut self, model_ref: &ModelRef, now: Instant) {
         self.absent_until
             .insert(model_ref.clone(), now + ABSENT_PAUSE);
     }
--- a/crates/serving/src/workspaces.rs
+++ b/crates/serving/src/workspaces.rs
@@ -45,7 +45,7 @@
     /// A request counts as its tokens, in and out at most.
     Tokens {
         /// What a request counts that names no tokens.
-        plain: f64,
+        default_tokens: f64,
     },
 }
 
@@ -70,9 +70,9 @@
         match self.unit {
             CostUnit::Requests => 1.0,
             // Beyond 32 bits it is more than any allotment; an exact count is not needed there.
-            CostUnit::Tokens { plain } => {
-                tokens.map_or(plain, |n| f64::from(u32::try_from(n).unwrap_or(u32::MAX)))
-            }
+            CostUnit::Tokens { default_tokens } => tokens.map_or(default_tokens, |n| {
+                f64::from(u32::try_from(n).unwrap_or(u32::MAX))
+            }),
         }
     }
 }
@@ -121,12 +121,12 @@
     }
 
     /// The workspace that holds a key.
-    pub fn of_key(&self, key: &KeyDigest) -> Option<&Arc<Workspace>> {
+    pub fn find_by_key(&self, key: &KeyDigest) -> Option<&Arc<Workspace>> {
         self.by_key.get(key)
     }
 
     /// The workspace of a name.
-    pub fn named(&self, name: &str) -> Option<&Arc<Workspace>> {
+    pub fn find_by_name(&self, name: &str) -> Option<&Arc<Workspace>> {
         self.by_name.get(name)
     }
 
@@ -142,7 +142,7 @@
     }
 
     /// Keys of all workspaces.
-    pub fn keys(&self) -> usize {
+    pub fn key_count(&self) -> usize {
         self.by_key.len()
     }
 }
--- a/crates/standins/src/allotment_model/limit_ways.rs
+++ b/crates/standins/src/allotment_model/limit_ways.rs
@@ -3,8 +3,8 @@
 use super::cases::State;
 use super::ways::{Decision, Way, address};
 use super::{Asking, Plan};
-use passway_serving::allotment::{Keeper, Ruling};
-use passway_serving::limits::{EXACT, Shares};
+use passway_serving::allotment::{QuotaCoordinator, QuotaDecision};
+use passway_serving::limits::{FallbackLimits, NO_OVERAGE};
 use passway_types::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -17,9 +17,9 @@
 /// shared by all. What the product does.
 #[derive(Debug)]
 pub struct AskedCounter {
-    keeper: Keeper,
+    keeper: QuotaCoordinator,
     term: u64,
-    shares: HashMap<(usize, u64), Shares>,
+    shares: HashMap<(usize, u64), FallbackLimits>,
     rng: ChaCha8Rng,
     messages: u64,
 }
@@ -28,7 +28,7 @@
     /// Before anything was asked.
     pub fn new(plan: &Plan) -> Self {
         Self {
-            keeper: Keeper::new(EXACT, passway_types::clock::now()),
+            keeper: QuotaCoordinator::new(NO_OVERAGE, passway_types::clock::now()),
             term: 0,
             shares: HashMap::new(),
             rng: ChaCha8Rng::seed_from_u64(plan.seed),
@@ -41,7 +41,7 @@
     fn pass_time(&mut self, state: &State, now: Instant) {
         if state.term != self.term {
             self.term = state.term;
-            self.keeper = Keeper::new(EXACT, now);
+            self.keeper = QuotaCoordinator::new(NO_OVERAGE, now);
         }
     }
 
@@ -58,7 +58,7 @@
             let shares = self.shares.entry((instance, life)).or_default();
             let per_s = asking.allotment.rate_per_s;
             let (all, drawn) = (state.instances(), self.rng.random());
-            return if shares.take(&asking.name, per_s, all, drawn, now) {
+            return if shares.try_take(&asking.name, per_s, all, drawn, now) {
                 Decision::Granted
             } else {
                 Decision::Unknown
@@ -68,10 +68,10 @@
         let from = address(instance);
         match self
             .keeper
-            .ask(&asking.name, asking.allotment, from, cost, now)
+            .decide(&asking.name, asking.allotment, from, cost, now)
         {
-            Ruling::Granted { .. } => Decision::Granted,
-            Ruling::Refused { retry_after } => Decision::Refused(retry_after),
+            QuotaDecision::Granted { .. } => Decision::Granted,
+            QuotaDecision::Refused { retry_after } => Decision::Refused(retry_after),
         }
     }
 
--- a/crates/standins/src/allotment_model/ways.rs
+++ b/crates/standins/src/allotment_model/ways.rs
@@ -2,7 +2,7 @@
 
 use super::cases::State;
 use super::{Asking, Plan};
-use passway_serving::allotment::{Keeper, Parts, QuotaBounds, Ruling};
+use passway_serving::allotment::{FallbackQuotas, QuotaBounds, QuotaCoordinator, QuotaDecision};
 use passway_serving::workspaces::Allotment;
 use passway_types::prelude::*;
 use rand::{RngExt, SeedableRng};
@@ -61,9 +61,9 @@
 #[derive(Debug)]
 pub struct AskedKeeper {
     bounds: QuotaBounds,
-    keeper: Keeper,
+    keeper: QuotaCoordinator,
     term: u64,
-    parts: HashMap<(usize, u64), Parts>,
+    parts: HashMap<(usize, u64), FallbackQuotas>,
     /// What a successor finds in the store, as it was told last.
     half_full: BTreeSet<WorkspaceName>,
     tell_at: Option<Instant>,
@@ -78,7 +78,7 @@
         let allotment = |asking: &Asking| (asking.name.clone(), asking.allotment);
         Self {
             bounds: plan.bounds,
-            keeper: Keeper::new(plan.bounds, passway_types::clock::now()),
+            keeper: QuotaCoordinator::new(plan.bounds, passway_types::clock::now()),
             term: 0,
             parts: HashMap::new(),
             half_full: BTreeSet::new(),
@@ -95,9 +95,9 @@
         let allotment = |name: &str| self.allotments.get(name).copied();
         if state.term != self.term {
             self.term = state.term;
-            self.keeper = Keeper::new(self.bounds, now);
+            self.keeper = QuotaCoordinator::new(self.bounds, now);
             let left = std::mem::take(&mut self.half_full);
-            self.keeper.begin_half_full(left, allotment);
+            self.keeper.start_half_full(left, allotment);
             self.tell_at = Some(now + KEPT_PAUSE);
         } else if self.tell_at.is_none_or(|at| now >= at) && !state.holder_lost {
             self.tell_at = Some(now + KEPT_PAUSE);
@@ -118,7 +118,7 @@
             .entry((instance, state.life(instance)))
             .or_default();
         if state.is_cut(instance) || state.holder_lost {
-            let fits = parts.take(&asking.name, cost, self.rng.random(), now);
+            let fits = parts.try_take(&asking.name, cost, self.rng.random(), now);
             return if fits {
                 Decision::Granted
             } else {
@@ -128,13 +128,15 @@
         self.messages += 4;
         match self
             .keeper
-            .ask(&asking.name, asking.allotment, address(instance), cost, now)
+            .decide(&asking.name, asking.allotment, address(instance), cost, now)
         {
-            Ruling::Granted { part_per_s } => {
-                parts.told(&asking.name, part_per_s, self.bounds.window, now);
+            QuotaDecision::Granted {
+                instance_rate_per_s,
+            } => {
+                parts.set_rate(&asking.name, instance_rate_per_s, self.bounds.window, now);
                 Decision::Granted
             }
-            Ruling::Refused { retry_after } => Decision::Refused(retry_after),
+            QuotaDecision::Refused { retry_after } => Decision::Refused(retry_after),
         }
     }
 
--- a/crates/standins/src/bin/passway-config-memory.rs
+++ b/crates/standins/src/bin/passway-config-memory.rs
@@ -144,7 +144,7 @@
 }
 
 fn decode(value: &StoredValue) -> Result<RouteTable> {
-    let table = PlatformDirectory.configuration(value)?;
+    let table = PlatformDirectory.decode_configuration(value)?;
     table.context("the key holds no configuration")
 }
 
@@ -205,7 +205,7 @@
             .into(),
         revision: 1,
     };
-    PlatformDirectory.upstream(&value, Instant::now())
+    PlatformDirectory.decode_upstream(&value, Instant::now())
 }
 
 /// A configuration with all models.
@@ -228,7 +228,7 @@
     let service = Service {
         name: ENGINES.into(),
         max_connections: 96,
-        cold: None,
+        cold_limit: None,
         pool: Some(pool),
     };
     let limits = CallerLimits {
--- a/crates/standins/src/fleet_model/engine.rs
+++ b/crates/standins/src/fleet_model/engine.rs
@@ -100,7 +100,7 @@
             models: self.residents(),
             in_memory: self.memory.iter().cloned().collect(),
             on_disk: self.disk.iter().cloned().collect(),
-            beat: self.beat,
+            heartbeat: self.beat,
             started_at_ms: 0,
         }
     }
@@ -113,7 +113,7 @@
             orders_taken: self.orders_taken,
             in_memory: self.memory.iter().cloned().collect(),
             on_disk: self.disk.iter().cloned().collect(),
-            adapters_coming: Vec::new(),
+            adapters_loading: Vec::new(),
             started_at_ms: 0,
         }
     }
--- a/crates/standins/src/fleet_model/size.rs
+++ b/crates/standins/src/fleet_model/size.rs
@@ -121,7 +121,7 @@
         let service = Service {
             name: Self::service(),
             max_connections: u32::MAX,
-            cold: None,
+            cold_limit: None,
             pool: Some(self.pool()),
         };
         let limits = CallerLimits {
--- a/crates/wire/src/permits.rs
+++ b/crates/wire/src/permits.rs
@@ -83,7 +83,7 @@
     pub retry_after_ms: u64,
     /// The asking instance's part of the workspace's rate, in units a second.
     #[prost(double, tag = "4")]
-    pub part_per_s: f64,
+    pub instance_rate_per_s: f64,
 }
 
 /// A request that was granted did not run and never will.
--- a/tests/all/allotment_begin.rs
+++ b/tests/all/allotment_begin.rs
@@ -1,6 +1,6 @@
 //! What a keeper's buckets hold before anybody asks.
 
-use passway_serving::allotment::{Keeper, QuotaBounds, Ruling};
+use passway_serving::allotment::{QuotaBounds, QuotaCoordinator, QuotaDecision};
 use passway_serving::workspaces::Allotment;
 use passway_types::prelude::*;
 use std::net::SocketAddr;
@@ -16,12 +16,12 @@
 };
 
 /// Units that are granted at once, by requests of a hundred.
-fn granted(keeper: &mut Keeper, now: Instant) -> f64 {
+fn granted(keeper: &mut QuotaCoordinator, now: Instant) -> f64 {
     let asks = SocketAddr::from(([127, 0, 0, 1], 1));
     let name = "alpha".into();
-    let mut ask = || keeper.ask(&name, ALLOTMENT, asks, 100.0, now);
+    let mut ask = || keeper.decide(&name, ALLOTMENT, asks, 100.0, now);
     let mut sum = 0.0;
-    while matches!(ask(), Ruling::Granted { .. }) {
+    while matches!(ask(), QuotaDecision::Granted { .. }) {
         sum += 100.0;
     }
     sum
@@ -32,9 +32,9 @@
 #[test]
 fn fills_unasked() {
     let begun_at = Instant::now();
-    let mut at_once = Keeper::new(BOUNDS, begun_at);
+    let mut at_once = QuotaCoordinator::new(BOUNDS, begun_at);
     assert!(granted(&mut at_once, begun_at) < ALLOTMENT.burst);
-    let mut later = Keeper::new(BOUNDS, begun_at);
+    let mut later = QuotaCoordinator::new(BOUNDS, begun_at);
     let now = begun_at + Duration::from_secs(10);
     assert!(granted(&mut later, now) >= ALLOTMENT.burst);
 }
@@ -43,8 +43,8 @@
 #[test]
 fn half_full_once() {
     let begun_at = Instant::now();
-    let mut keeper = Keeper::new(BOUNDS, begun_at);
-    keeper.begin_half_full(["alpha".into()], |_| Some(ALLOTMENT));
+    let mut keeper = QuotaCoordinator::new(BOUNDS, begun_at);
+    keeper.start_half_full(["alpha".into()], |_| Some(ALLOTMENT));
     let first = granted(&mut keeper, begun_at);
     assert!((500.0..1_000.0).contains(&first), "{first}");
     assert!(granted(&mut keeper, begun_at) < 100.0);
--- a/tests/all/bounded_state.rs
+++ b/tests/all/bounded_state.rs
@@ -83,8 +83,8 @@
     upstreams.update(entry(), now);
     for number in 0..NAMES {
         let wish = plain(&format!("ended-{number}"));
-        upstreams.started("i-0", Some(&wish), now);
-        upstreams.ended("i-0", Some(&wish), Outcome::Answered, now);
+        upstreams.record_start("i-0", Some(&wish), now);
+        upstreams.record_end("i-0", Some(&wish), Outcome::Answered, now);
     }
     assert_eq!(kept(&upstreams, "ended-"), 0);
 }
@@ -104,7 +104,7 @@
     for number in 0..NAMES {
         // A new configuration renames the service.
         let service = format!("renamed-{number}").into();
-        budget.requested(&service, now);
+        budget.record_request(&service, now);
         assert!(budget.try_spend(&service, now));
         now += Duration::from_secs(10);
     }
--- a/tests/all/closed_halls.rs
+++ b/tests/all/closed_halls.rs
@@ -5,7 +5,7 @@
 use crate::site::{self, ask, request, settings, start_with, until};
 use passway_serving::halls::AllowedRegions;
 use passway_serving::ports::{Directory, StoredValue};
-use passway_serving::upstreams::{Choice, UpstreamEntry, UpstreamTable, Wanted};
+use passway_serving::upstreams::{Choice, RequestNeeds, UpstreamEntry, UpstreamTable};
 use passway_standins::platform::caller::HOST;
 use passway_standins::platform::documents::{
     configuration, plain_entry, with_workspaces, workspace,
@@ -109,13 +109,13 @@
 /// Where requests with some allowed regions go.
 fn chosen(table: &UpstreamTable, allowed: &AllowedRegions) -> BTreeSet<String> {
     let (service, hall) = ("plain".into(), "a0".into());
-    let chosen = (0..200).filter_map(|drawn| {
-        let wanted = Wanted {
+    let chosen = (0..200).filter_map(|random| {
+        let wanted = RequestNeeds {
             service: &service,
             model_ref: None,
             hall: &hall,
             allowed,
-            drawn,
+            random,
         };
         match table.choose_by(wanted, |_| true, None, Instant::now()) {
             Choice::Send { id, .. } => Some(id.to_string()),
@@ -144,16 +144,19 @@
     assert_eq!(chosen(&table, &only(&["a"])), set(&["i-a0", "i-a1"]));
     assert_eq!(chosen(&table, &only(&["b", "z"])), set(&["i-b0"]));
     // Both the route's and the workspace's bind; a region that no upstream has serves nobody.
-    let both = only(&["a", "b"]).and(&only(&["b"]));
+    let both = only(&["a", "b"]).intersection(&only(&["b"]));
     assert_eq!(chosen(&table, &both), set(&["i-b0"]));
-    assert_eq!(chosen(&table, &only(&["a"]).and(&only(&["b"]))), set(&[]));
+    assert_eq!(
+        chosen(&table, &only(&["a"]).intersection(&only(&["b"]))),
+        set(&[])
+    );
     assert_eq!(chosen(&table, &only(&["z"])), set(&[]));
     assert!(!table.admits("i-gone", &only(&["a"])));
     assert!(table.admits("i-gone", &any));
     // Beside an emptied hall.
     let now = Instant::now();
-    assert!(table.set_emptied(["a1".into()].into(), now));
-    assert!(!table.set_emptied(["a1".into()].into(), now));
+    assert!(table.set_evacuated(["a1".into()].into(), now));
+    assert!(!table.set_evacuated(["a1".into()].into(), now));
     assert_eq!(chosen(&table, &only(&["a"])), set(&["i-a0"]));
     assert!(!table.admits("i-gone", &any), "it may have stood there");
 }
@@ -175,7 +178,7 @@
     document["routes"][0]["allowed_regions"] = json!(["a", "b"]);
     document["routes"][1]["allowed_regions"] = json!([]);
     document["tenants"][0]["allowed_regions"] = json!(["b"]);
-    let table = PlatformDirectory.configuration(&value(&document));
+    let table = PlatformDirectory.decode_configuration(&value(&document));
     let table = table.expect("usable").expect("a configuration");
     let allowed = |path| &table.find(HOST, path).expect("a route").allowed;
     let only = |names: &[&str]| AllowedRegions::only(names.iter().map(|name| (*name).into()));
@@ -183,9 +186,12 @@
     assert_eq!(*allowed("/pay/"), AllowedRegions::ANY);
     assert_eq!(*allowed("/chat/"), AllowedRegions::ANY);
     let workspaces = table.workspaces.as_ref().expect("workspaces");
-    assert_eq!(workspaces.named("w").expect("w").allowed, only(&["b"]));
     assert_eq!(
-        workspaces.named("x").expect("x").allowed,
+        workspaces.find_by_name("w").expect("w").allowed,
+        only(&["b"])
+    );
+    assert_eq!(
+        workspaces.find_by_name("x").expect("x").allowed,
         AllowedRegions::ANY
     );
 }
--- a/tests/all/cold_upstreams.rs
+++ b/tests/all/cold_upstreams.rs
@@ -2,17 +2,17 @@
 
 use crate::saying::SayingServer;
 use crate::site::{self, ask, request, until};
-use passway_serving::upstreams::{ColdBound, UpstreamEntry, UpstreamTable};
+use passway_serving::upstreams::{ColdLimit, UpstreamEntry, UpstreamTable};
 use passway_standins::platform::documents::{configuration, plain_entry};
 use passway_types::prelude::*;
 use serde_json::json;
 
-const BOUND: ColdBound = ColdBound {
+const BOUND: ColdLimit = ColdLimit {
     per_s: 8.0,
-    time: Duration::from_secs(3),
+    duration: Duration::from_secs(3),
 };
 
-fn entry(beat: u64, cold_until: Option<Instant>) -> UpstreamEntry {
+fn entry(heartbeat: u64, cold_until: Option<Instant>) -> UpstreamEntry {
     UpstreamEntry {
         id: "i-0".into(),
         service: "plain".into(),
@@ -24,7 +24,7 @@
         models: Vec::new(),
         in_memory: Vec::new(),
         on_disk: Vec::new(),
-        beat,
+        heartbeat,
         started_at_ms: 0,
     }
 }
@@ -35,7 +35,7 @@
     let at = |ms| now + Duration::from_millis(ms);
     let mut table = UpstreamTable::new("hall0".into());
     table.update(entry(1, None), now);
-    table.set_cold_bounds([("plain".into(), BOUND)].into());
+    table.set_cold_limits([("plain".into(), BOUND)].into());
     assert_eq!(table.limit_per_s("i-0", now), None);
     // It may become cold at any moment, which others are told; each later word of the same is not.
     assert!(table.update(entry(2, Some(at(2_000))), now));
@@ -43,15 +43,15 @@
     assert_eq!(table.limit_per_s("i-0", at(2_000)), Some(BOUND.per_s));
     assert_eq!(table.limit_per_s("i-0", at(2_100)), None);
     // One of a hall that is given back may be cold without having said so.
-    table.set_emptied(["hall0".into()].into(), at(2_200));
+    table.set_evacuated(["hall0".into()].into(), at(2_200));
     assert_eq!(table.limit_per_s("i-0", at(2_200)), None);
-    table.set_emptied([].into(), at(2_300));
+    table.set_evacuated([].into(), at(2_300));
     table.update(entry(4, None), at(2_400));
     assert_eq!(table.limit_per_s("i-0", at(5_200)), Some(BOUND.per_s));
     assert_eq!(table.limit_per_s("i-0", at(5_300)), None);
     // A configuration without a bound.
     table.update(entry(5, Some(at(9_000))), at(6_000));
-    table.set_cold_bounds([].into());
+    table.set_cold_limits([].into());
     assert_eq!(table.limit_per_s("i-0", at(6_000)), None);
 }
 
--- a/tests/all/config_way.rs
+++ b/tests/all/config_way.rs
@@ -47,7 +47,7 @@
             Err(StoreError::NotDone)
         }
     };
-    let store = ToldStore::new(once, |_| Ok(WatchAnswer::HistoryGone));
+    let store = ToldStore::new(once, |_| Ok(WatchAnswer::HistoryCompacted));
     let seen = followed(store, tap, &shared());
     until("the list", || seen.have(10));
     until("the holder's word", || {
@@ -133,7 +133,7 @@
             revision,
         })
     };
-    let store = ToldStore::new(list, |_| Ok(WatchAnswer::HistoryGone));
+    let store = ToldStore::new(list, |_| Ok(WatchAnswer::HistoryCompacted));
     let seen = followed(store, tap, &shared());
     until("the list", || seen.have(10));
     relay.heard(word(25, 28));
--- a/tests/all/dispatch_load.rs
+++ b/tests/all/dispatch_load.rs
@@ -8,12 +8,12 @@
 //! eleven times the mean.
 
 use passway_serving::dispatch::{
-    Dispatchers, RunBook, RunKey, Waiter, WaitingLine, counted_load, dispatchers_wanted,
+    Dispatchers, RunKey, RunTable, WaitQueue, Waiter, effective_load, required_dispatchers,
 };
 use passway_serving::halls::AllowedRegions;
-use passway_serving::tenure::Candidate;
+use passway_serving::leadership::Candidate;
 use passway_serving::upstreams::{
-    Choice, ModelRef, ResidentModel, UpstreamEntry, UpstreamTable, Wanted,
+    Choice, ModelRef, RequestNeeds, ResidentModel, UpstreamEntry, UpstreamTable,
 };
 use passway_types::prelude::*;
 use rand::{RngExt, SeedableRng};
@@ -64,7 +64,7 @@
         models: models.iter().map(resident).collect(),
         in_memory: Vec::new(),
         on_disk: Vec::new(),
-        beat: 1,
+        heartbeat: 1,
         started_at_ms: 0,
     }
 }
@@ -104,7 +104,7 @@
     table: UpstreamTable,
     dispatchers: Dispatchers,
     /// Each dispatcher's book.
-    books: HashMap<SocketAddr, RunBook>,
+    books: HashMap<SocketAddr, RunTable>,
     /// True runs of each engine.
     runs: HashMap<UpstreamId, u32>,
     arrived: HashMap<UpstreamId, u32>,
@@ -133,7 +133,7 @@
 
     /// Draws who dispatches.
     fn dispatched(mut self) -> Self {
-        let wanted = dispatchers_wanted(INSTANCES, ENGINES);
+        let wanted = required_dispatchers(INSTANCES, ENGINES);
         self.dispatchers.set((0..wanted).map(candidate).collect());
         self
     }
@@ -145,17 +145,17 @@
             adapter: None,
         };
         let (service, hall) = ("engines".into(), "hall0".into());
-        let wanted = Wanted {
+        let wanted = RequestNeeds {
             service: &service,
             model_ref: Some(&model_ref),
             hall: &hall,
             allowed: &AllowedRegions::ANY,
-            drawn: self.rng.random(),
+            random: self.rng.random(),
         };
         if self.dispatchers.is_empty() {
             return (self.table.choose_by(wanted, |_| true, None, self.now), None);
         }
-        let engines = self.table.drawn_engines(wanted, self.now);
+        let engines = self.table.shuffled_engines(wanted, self.now);
         let asked = self.dispatchers.of_engine(&engines[0], self.now);
         let asked = asked.expect("a dispatcher");
         let book = self.books.entry(asked).or_default();
@@ -168,7 +168,7 @@
         };
         self.next_run += 1;
         if let Choice::Send { id, .. } = &choice {
-            book.note(key, id, self.now);
+            book.record(key, id, self.now);
         }
         (choice, Some((asked, key)))
     }
@@ -204,7 +204,7 @@
             && self.rng.random_bool(0.99)
             && let Some(book) = self.books.get_mut(&dispatcher)
         {
-            book.end(key);
+            book.remove(key);
         }
     }
 
@@ -225,12 +225,12 @@
                         && self.rng.random_bool(0.99)
                     {
                         let book = self.books.entry(dispatcher).or_default();
-                        book.note(key, &engine, self.now);
+                        book.record(key, &engine, self.now);
                     }
                 }
             }
             for book in self.books.values_mut() {
-                book.expire(self.now);
+                book.remove_expired(self.now);
             }
             self.arrive(step);
         }
@@ -279,7 +279,7 @@
         assert!((16..=56).contains(&size), "{size} engines of {ENGINES}");
     }
     let lost = before[0];
-    dispatchers.silent(lost, now);
+    dispatchers.mark_unresponsive(lost, now);
     for (id, before) in ids.iter().zip(&before) {
         let after = of(&dispatchers, id);
         assert_ne!(after, lost);
@@ -295,35 +295,35 @@
 #[test]
 fn books_follow_words() {
     let now = Instant::now();
-    let mut book = RunBook::default();
+    let mut book = RunTable::default();
     let engine: UpstreamId = "i-0".into();
     let key = |id| RunKey {
         instance: address(1),
         id,
     };
     for id in 0..3 {
-        book.note(key(id), &engine, now);
-        book.note(key(id), &engine, now);
+        book.record(key(id), &engine, now);
+        book.record(key(id), &engine, now);
     }
     assert_eq!((book.load(&engine), book.len()), (3, 3));
     assert_eq!(book.engine_of(key(1)), Some(&engine));
-    assert_eq!(book.end(key(0)), Some(engine.clone()));
-    assert_eq!(book.end(key(0)), None);
-    book.note(key(1), &engine, now + Duration::from_secs(1));
-    book.expire(now + Duration::from_millis(1_500));
+    assert_eq!(book.remove(key(0)), Some(engine.clone()));
+    assert_eq!(book.remove(key(0)), None);
+    book.record(key(1), &engine, now + Duration::from_secs(1));
+    book.remove_expired(now + Duration::from_millis(1_500));
     assert_eq!(book.load(&engine), 1);
     // A run that goes on elsewhere counts there alone.
     let other: UpstreamId = "i-1".into();
-    book.note(key(1), &other, now + Duration::from_secs(2));
+    book.record(key(1), &other, now + Duration::from_secs(2));
     assert_eq!((book.load(&engine), book.load(&other)), (0, 1));
 }
 
 #[test]
 fn small_fleets_have_none() {
-    assert_eq!(dispatchers_wanted(6, 9), 0);
-    assert_eq!(dispatchers_wanted(69, 90), 3);
-    assert_eq!(dispatchers_wanted(295, 256), 8);
-    assert_eq!(dispatchers_wanted(320, 600), 19);
+    assert_eq!(required_dispatchers(6, 9), 0);
+    assert_eq!(required_dispatchers(69, 90), 3);
+    assert_eq!(required_dispatchers(295, 256), 8);
+    assert_eq!(required_dispatchers(320, 600), 19);
 }
 
 /// Two requests for one slot: the one that can be in time goes before the one that cannot, then
@@ -332,7 +332,7 @@
 #[test]
 fn due_goes_first() {
     let now = Instant::now();
-    let mut line = WaitingLine::default();
+    let mut line = WaitQueue::default();
     let key = |id| RunKey {
         instance: address(1),
         id,
@@ -352,24 +352,25 @@
     );
     let elsewhere = waiter(1, now);
     for (id, waiter) in (0..).zip([&soon, &later, &past, &elsewhere]) {
-        line.note(key(id), waiter.clone(), now);
+        line.record(key(id), waiter.clone(), now);
     }
     let could_use = |model_ref: &ModelRef| model_ref.model == model_name(0);
-    let before = |line: &WaitingLine, id, waiter, now| line.before(key(id), waiter, could_use, now);
+    let before =
+        |line: &WaitQueue, id, waiter, now| line.count_ahead(key(id), waiter, could_use, now);
     assert_eq!(before(&line, 0, &soon, now), 0);
     assert_eq!(before(&line, 1, &later, now), 1);
     assert_eq!(before(&line, 2, &past, now), 2);
-    line.leave(key(0));
+    line.remove(key(0));
     assert_eq!(before(&line, 2, &past, now), 1);
     let after = now + Duration::from_millis(200);
     assert_eq!(before(&line, 2, &past, after), 0);
-    line.expire(after);
+    line.remove_expired(after);
     assert_eq!(before(&line, 2, &past, now), 0);
 }
 
 #[test]
 fn urgent_overfills() {
-    assert_eq!(counted_load(12, 12, false), 12);
-    assert_eq!(counted_load(12, 12, true), 8);
-    assert_eq!(counted_load(2, 12, true), 0);
+    assert_eq!(effective_load(12, 12, false), 12);
+    assert_eq!(effective_load(12, 12, true), 8);
+    assert_eq!(effective_load(2, 12, true), 0);
 }
--- a/tests/all/fleet_start.rs
+++ b/tests/all/fleet_start.rs
@@ -77,7 +77,9 @@
             .into(),
         revision: 1,
     };
-    let table = PlatformDirectory.configuration(&value).expect("decoded");
+    let table = PlatformDirectory
+        .decode_configuration(&value)
+        .expect("decoded");
     planner.set_table(&table.expect("a configuration"));
     planner
 }
@@ -97,7 +99,7 @@
     assert_eq!(planner.placements_unlike(&known(&table)), []);
     // One engine has changed meanwhile, and one is not known there at all.
     let changed = UpstreamEntry {
-        beat: 2,
+        heartbeat: 2,
         ..engine(7, &["m2", "m0"])
     };
     planner.heard(changed.clone(), now);
@@ -114,7 +116,7 @@
         "one that connects later lacks them as before"
     );
     let again = UpstreamEntry {
-        beat: 3,
+        heartbeat: 3,
         ..engine(7, &["m0", "m2"])
     };
     planner.heard(again, now);
@@ -132,7 +134,7 @@
     table.set_placement("i-0", vec![resident("m0")], vec!["m0".into()]);
     let known = table.placement_digests().collect();
     assert_eq!(planner.placements_unlike(&known).len(), 1);
-    table.forget_closing();
+    table.clear_closing();
     let known = table.placement_digests().collect();
     assert_eq!(planner.placements_unlike(&known), []);
 }
--- a/tests/all/followed.rs
+++ b/tests/all/followed.rs
@@ -64,7 +64,7 @@
         let answer = (self.watch)(self.watches.fetch_add(1, Ordering::Relaxed));
         let is_old = |answer: &WatchAnswer| match answer {
             WatchAnswer::Changes { revision, .. } => *revision <= after,
-            WatchAnswer::HistoryGone => false,
+            WatchAnswer::HistoryCompacted => false,
         };
         if answer.as_ref().is_ok_and(is_old) {
             std::thread::sleep(wait);
@@ -80,7 +80,7 @@
         Err(StoreError::NotDone)
     }
 
-    fn renew_lease_within(&self, _: LeaseId, _: Duration) -> Result<bool, StoreError> {
+    fn renew_lease_with_timeout(&self, _: LeaseId, _: Duration) -> Result<bool, StoreError> {
         Err(StoreError::NotDone)
     }
 
--- a/tests/all/foreign_entries.rs
+++ b/tests/all/foreign_entries.rs
@@ -23,7 +23,7 @@
         value: bytes.to_vec().into(),
         revision: 7,
     };
-    PlatformDirectory.upstream(&value, Instant::now())
+    PlatformDirectory.decode_upstream(&value, Instant::now())
 }
 
 /// Values of every type that JSON has, large and small ones.
--- a/tests/all/freshness_faults.rs
+++ b/tests/all/freshness_faults.rs
@@ -209,7 +209,7 @@
             Event::AtPeer(one, life, other, asked_ms) => {
                 let now = self.now(other);
                 if let Some(proof) = self.nodes[other].freshness.proof() {
-                    let age = now.saturating_duration_since(proof.asked_at);
+                    let age = now.saturating_duration_since(proof.sent_at);
                     let age_ms = u64::try_from(age.as_millis()).expect("short") + 1;
                     let answer = Event::PeerAnswers(one, life, proof.version, age_ms, asked_ms);
                     self.send(one, other, answer);
@@ -244,7 +244,7 @@
     fn put_in_force(&mut self, one: usize, version: Revision) {
         let node = &mut self.nodes[one];
         node.in_force = node.in_force.max(version);
-        node.freshness.set_in_force(node.in_force);
+        node.freshness.set_active_version(node.in_force);
     }
 
     fn confirm(&mut self, one: usize, version: Revision, asked_ms: u64, age_ms: u64) {
@@ -252,9 +252,9 @@
             Counts::FromQuestion => asked_ms,
             Counts::FromAnswer => self.now_ms,
         };
-        let asked_at = self.local(one, counted_ms);
-        if let Some(asked_at) = asked_at.checked_sub(Duration::from_millis(age_ms)) {
-            let confirmation = Confirmation { version, asked_at };
+        let sent_at = self.local(one, counted_ms);
+        if let Some(sent_at) = sent_at.checked_sub(Duration::from_millis(age_ms)) {
+            let confirmation = Confirmation { version, sent_at };
             self.nodes[one].freshness.confirm(confirmation);
         }
     }
@@ -263,7 +263,7 @@
     fn request(&mut self, one: usize) {
         let now = self.now(one);
         let node = &self.nodes[one];
-        let until = node.freshness.permits_until(BOUND);
+        let until = node.freshness.keys_valid_until(BOUND);
         let lets_in =
             until.is_some_and(|until| now < until) && (1..WITHOUT_KEY).contains(&node.in_force);
         if !lets_in {
--- a/tests/all/holder_heard.rs
+++ b/tests/all/holder_heard.rs
@@ -1,7 +1,7 @@
 //! An instance that is cut off from the store hears of a new holder from that holder.
 
 use crate::site::{self, until};
-use passway_serving::tenure::{Holder, Tenure, TenureLimits};
+use passway_serving::leadership::{Holder, Leadership, LeadershipSettings};
 use passway_standins::platform::store::Faults;
 use passway_types::prelude::*;
 use passway_wire::message::{Subscribe, Successor};
@@ -16,28 +16,34 @@
     }
 }
 
-fn tenure() -> Tenure {
-    let limits = TenureLimits {
-        lease: Duration::from_millis(1_200),
-        gap: Duration::from_secs(1),
-        is_weak: false,
+fn leadership() -> Leadership {
+    let limits = LeadershipSettings {
+        min_lease_ttl: Duration::from_millis(1_200),
+        holder_gap: Duration::from_secs(1),
+        has_low_cpu: false,
     };
-    Tenure::new("one".into(), limits, Instant::now())
+    Leadership::new("one".into(), limits, Instant::now())
 }
 
 #[test]
 fn only_newer_believed() {
-    let mut tenure = tenure();
-    tenure.seen(Some(holder("two", 5)));
-    assert!(!tenure.told(holder("three", 4)), "an older term");
-    assert!(!tenure.told(holder("two", 5)), "no news");
-    assert!(!tenure.told(holder("one", 9)), "nobody else speaks for me");
-    assert!(tenure.told(holder("three", 6)));
-    assert_eq!(tenure.holder().map(|h| h.fence), Some(6));
+    let mut leadership = leadership();
+    leadership.observe_holder(Some(holder("two", 5)));
+    assert!(
+        !leadership.learn_holder(holder("three", 4)),
+        "an older term"
+    );
+    assert!(!leadership.learn_holder(holder("two", 5)), "no news");
+    assert!(
+        !leadership.learn_holder(holder("one", 9)),
+        "nobody else speaks for me"
+    );
+    assert!(leadership.learn_holder(holder("three", 6)));
+    assert_eq!(leadership.holder().map(|h| h.fence), Some(6));
     // The store tells that it is gone; a word that comes late changes nothing.
-    tenure.seen(None);
-    assert!(!tenure.told(holder("three", 6)));
-    assert_eq!(tenure.holder(), None);
+    leadership.observe_holder(None);
+    assert!(!leadership.learn_holder(holder("three", 6)));
+    assert_eq!(leadership.holder(), None);
 }
 
 /// The right changes hands while one instance reaches the others and not the store.
--- a/tests/all/hopeless_waits.rs
+++ b/tests/all/hopeless_waits.rs
@@ -51,7 +51,7 @@
     let (service, m0) = ("engines".into(), "m0".into());
     let mut table = UpstreamTable::new("hall0".into());
     assert!(
-        !table.lies_nowhere(&service, &m0, &AllowedRegions::ANY),
+        !table.is_cached_nowhere(&service, &m0, &AllowedRegions::ANY),
         "nothing is known"
     );
     let entry = UpstreamEntry {
@@ -65,17 +65,17 @@
         models: Vec::new(),
         in_memory: Vec::new(),
         on_disk: vec!["m1".into()],
-        beat: 1,
+        heartbeat: 1,
         started_at_ms: 1,
     };
     table.update(entry, Instant::now());
-    assert!(table.lies_nowhere(&service, &m0, &AllowedRegions::ANY));
-    assert!(!table.lies_nowhere(&service, &"m1".into(), &AllowedRegions::ANY));
+    assert!(table.is_cached_nowhere(&service, &m0, &AllowedRegions::ANY));
+    assert!(!table.is_cached_nowhere(&service, &"m1".into(), &AllowedRegions::ANY));
     let standing = ResidentModel {
         name: m0.clone(),
         adapters: Vec::new(),
     };
     table.set_placement("i-0", vec![standing], Vec::new());
     table.set_placement("i-0", Vec::new(), Vec::new());
-    assert!(!table.lies_nowhere(&service, &m0, &AllowedRegions::ANY));
+    assert!(!table.is_cached_nowhere(&service, &m0, &AllowedRegions::ANY));
 }
--- a/tests/all/tenure_faults.rs
+++ b/tests/all/leadership_faults.rs
@@ -14,7 +14,7 @@
 
 use crate::support::FaultRuns;
 use carrying::Letter;
-use passway_serving::tenure::{Holder, RecentHolders, Step, Tenure, TenureLimits};
+use passway_serving::leadership::{Holder, Leadership, LeadershipSettings, RecentHolders, Step};
 use passway_types::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -29,16 +29,16 @@
 /// Faults are drawn until then; afterwards somebody must hold the right again.
 const FAULTS_MS: u64 = 30_000;
 const END_MS: u64 = 46_000;
-const LIMITS: TenureLimits = TenureLimits {
-    lease: Duration::from_millis(1_200),
-    gap: Duration::from_secs(3),
-    is_weak: false,
+const LIMITS: LeadershipSettings = LeadershipSettings {
+    min_lease_ttl: Duration::from_millis(1_200),
+    holder_gap: Duration::from_secs(3),
+    has_low_cpu: false,
 };
 /// Which faults are drawn.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Mix {
     Usual,
-    Outages,
+    StoreOutages,
     /// Outages in which words of holders take seconds, and no process is told to stop: the
     /// promises alone must keep holders apart.
     SlowWords,
@@ -54,7 +54,7 @@
 
 struct Instance {
     name: InstanceId,
-    tenure: Tenure,
+    leadership: Leadership,
     /// Grows with each start of the process.
     life: u32,
     asked_at: Instant,
@@ -109,7 +109,7 @@
         let instance = |number: usize| {
             let name = InstanceId::from(format!("n{number}").as_str());
             Instance {
-                tenure: Tenure::new(name.clone(), LIMITS, begun_at),
+                leadership: Leadership::new(name.clone(), LIMITS, begun_at),
                 name,
                 life: 0,
                 asked_at: begun_at,
@@ -130,7 +130,7 @@
             let starts_at = rng.random_range(2_000..FAULTS_MS);
             newcomer.starts_at = starts_at;
             let begun_at = begun_at + Duration::from_millis(starts_at);
-            newcomer.tenure = Tenure::new(newcomer.name.clone(), LIMITS, begun_at);
+            newcomer.leadership = Leadership::new(newcomer.name.clone(), LIMITS, begun_at);
         }
         Self {
             rng,
@@ -169,18 +169,18 @@
         let Some((_, answer)) = instance.answer.take_if(|(at, _)| *at <= now_ms) else {
             return;
         };
-        let (tenure, asked_at) = (&mut instance.tenure, instance.asked_at);
+        let (leadership, asked_at) = (&mut instance.leadership, instance.asked_at);
         match answer {
-            Answer::Granted(answer) => tenure.granted(answer, asked_at),
+            Answer::Granted(answer) => leadership.handle_grant(answer, asked_at),
             Answer::Taken(answer) => {
-                if let Some(fence) = tenure.taken(&answer, now) {
+                if let Some(fence) = leadership.handle_take(&answer, now) {
                     let holder = holder_of(&instance.name, fence);
                     self.tell_all(number, &holder);
                 }
             }
-            Answer::Renewed(answer) => tenure.renewed(answer, asked_at, now),
-            Answer::Listed(answer, written) => tenure.listed(&answer, written, now),
-            Answer::Ended => tenure.ended(now),
+            Answer::Renewed(answer) => leadership.handle_renewal(answer, asked_at, now),
+            Answer::Listed(answer, written) => leadership.handle_list_write(&answer, written, now),
+            Answer::Ended => leadership.handle_lease_end(now),
         }
     }
 
@@ -189,8 +189,8 @@
         let instance = &mut self.instances[number];
         while instance.news.front().is_some_and(|(at, _)| *at <= now_ms) {
             match instance.news.pop_front() {
-                Some((_, News::Holder(holder))) => instance.tenure.seen(holder),
-                Some((_, News::Recent(recent))) => instance.tenure.seen_recent(recent),
+                Some((_, News::Holder(holder))) => instance.leadership.observe_holder(holder),
+                Some((_, News::Recent(recent))) => instance.leadership.observe_recent(recent),
                 None => {}
             }
         }
@@ -200,7 +200,7 @@
     /// at times so long that the term is over by then.
     fn announce(&mut self) {
         let now = self.now();
-        let holds = |i: &Instance| Some((i.name.clone(), i.tenure.fence(now)?));
+        let holds = |i: &Instance| Some((i.name.clone(), i.leadership.fence(now)?));
         let holders: Vec<_> = self.instances.iter().filter_map(holds).collect();
         for (name, fence) in holders {
             if self.rng.random_bool(0.05) {
@@ -220,8 +220,8 @@
         let is_cut = now_ms < instance.cut_until.max(away_until);
         let due = instance.words.extract_if(.., |(at, _)| *at <= now_ms);
         for (_, holder) in due.collect::<Vec<_>>() {
-            if is_cut || instance.tenure.asks_promises(now).is_some() {
-                instance.tenure.told(holder);
+            if is_cut || instance.leadership.promise_request_fence(now).is_some() {
+                instance.leadership.learn_holder(holder);
             }
         }
     }
@@ -245,15 +245,19 @@
             return;
         }
         let drawn = self.rng.random_range(0.0..1.0);
-        let step = instance.tenure.step(drawn, true, now);
+        let step = instance.leadership.step(drawn, true, now);
         instance.asked_at = now;
         let request = match step {
             Step::Wait(_) | Step::Stop => return,
-            Step::Grant => Request::Grant,
-            Step::Take(lease) => Request::Take(lease, instance.tenure.recent_with_me()),
-            Step::Renew(lease) => Request::Renew(lease),
-            Step::List => Request::List(instance.tenure.recent_with_candidates()),
-            Step::End(lease) => Request::End(lease),
+            Step::GrantLease => Request::Grant,
+            Step::TakeKey(lease) => {
+                Request::Take(lease, instance.leadership.recent_holders_with_me())
+            }
+            Step::RenewLease(lease) => Request::Renew(lease),
+            Step::WriteCandidates => {
+                Request::List(instance.leadership.recent_holders_with_candidates())
+            }
+            Step::EndLease(lease) => Request::End(lease),
         };
         self.call(number, request);
     }
@@ -294,7 +298,7 @@
             4..8 => self.cut_all_but(which, length_ms + 1_000),
             8..11 => self.instances[which].frozen_until = now_ms + length_ms / 2,
             11..14 => self.kill(which),
-            14..17 if self.mix == Mix::Outages => self.stop(which, length_ms),
+            14..17 if self.mix == Mix::StoreOutages => self.stop(which, length_ms),
             17..20 => self.instances[which].cut_until = now_ms + length_ms,
             _ => {}
         }
@@ -313,7 +317,7 @@
     fn stop(&mut self, which: usize, length_ms: u64) {
         let is_followed = self.rng.random_bool(0.8);
         let instance = &mut self.instances[which];
-        instance.tenure.release();
+        instance.leadership.release();
         instance.is_released = true;
         instance.ends_at = is_followed.then_some(self.now_ms + length_ms);
     }
@@ -333,7 +337,7 @@
         let starts_at = self.now_ms + self.rng.random_range(100..1_500);
         let begun_at = self.begun_at + Duration::from_millis(starts_at);
         let instance = &mut self.instances[which];
-        instance.tenure = Tenure::new(instance.name.clone(), LIMITS, begun_at);
+        instance.leadership = Leadership::new(instance.name.clone(), LIMITS, begun_at);
         instance.life += 1;
         instance.answer = None;
         instance.words.clear();
@@ -357,7 +361,7 @@
                 if world.now_ms < FAULTS_MS {
                     match world.mix {
                         Mix::Usual => world.draw_faults(),
-                        Mix::Outages | Mix::SlowWords => world.draw_outages(),
+                        Mix::StoreOutages | Mix::SlowWords => world.draw_outages(),
                         Mix::None => {}
                     }
                 }
@@ -446,7 +450,7 @@
 
 #[test]
 fn one_holder_in_outages() {
-    run_all(Mix::Outages);
+    run_all(Mix::StoreOutages);
 }
 
 #[test]
--- a/tests/all/tenure_faults/carrying.rs
+++ b/tests/all/leadership_faults/carrying.rs
@@ -1,7 +1,7 @@
 //! Messages by which candidates carry a holder that the store does not answer.
 
 use super::{INSTANCES, Mix, World};
-use passway_serving::tenure::{Candidate, Holder};
+use passway_serving::leadership::{Candidate, Holder};
 use passway_types::prelude::*;
 use rand::RngExt;
 
@@ -70,7 +70,11 @@
         for from in 0..INSTANCES {
             let holder = &self.instances[from];
             let is_awake = now_ms >= holder.starts_at && now_ms >= holder.frozen_until;
-            let Some(fence) = holder.tenure.asks_promises(now).filter(|_| is_awake) else {
+            let Some(fence) = holder
+                .leadership
+                .promise_request_fence(now)
+                .filter(|_| is_awake)
+            else {
                 continue;
             };
             for to in (0..INSTANCES).filter(|to| *to != from) {
@@ -115,7 +119,11 @@
                             from: number,
                             fence,
                         }
-                    } else if instance.tenure.promise(&asker, answers, now).is_ok() {
+                    } else if instance
+                        .leadership
+                        .try_promise(&asker, answers, now)
+                        .is_ok()
+                    {
                         Letter::Promises {
                             from: number,
                             fence,
@@ -133,12 +141,14 @@
                 } => {
                     let asked_at = self.begun_at + Duration::from_millis(asked_ms);
                     let name = self.instances[from].name.clone();
-                    let tenure = &mut self.instances[number].tenure;
-                    tenure.promised(&name, fence, asked_at);
+                    let leadership = &mut self.instances[number].leadership;
+                    leadership.record_promise(&name, fence, asked_at);
                 }
                 Letter::Leaves { from, fence } => {
                     let name = self.instances[from].name.clone();
-                    self.instances[number].tenure.left(&name, fence);
+                    self.instances[number]
+                        .leadership
+                        .record_departure(&name, fence);
                 }
             }
         }
@@ -153,6 +163,8 @@
             address: ([127, 0, 0, 1], 9).into(),
         });
         let wanted = candidates.collect();
-        self.instances[number].tenure.want_candidates(wanted);
+        self.instances[number]
+            .leadership
+            .set_desired_candidates(wanted);
     }
 }
--- a/tests/all/tenure_faults/checks.rs
+++ b/tests/all/leadership_faults/checks.rs
@@ -1,7 +1,7 @@
 //! What must hold in each tick and at the end of a run.
 
 use super::{LIMITS, TICK_MS, World};
-use passway_serving::tenure::Step;
+use passway_serving::leadership::Step;
 use passway_types::prelude::*;
 
 impl World {
@@ -13,7 +13,7 @@
             .iter()
             .filter(|instance| now_ms >= instance.starts_at && now_ms >= instance.frozen_until);
         let holding: Vec<(InstanceId, Fence)> = awake
-            .filter_map(|i| Some((i.name.clone(), i.tenure.fence(now)?)))
+            .filter_map(|i| Some((i.name.clone(), i.leadership.fence(now)?)))
             .collect();
         if holding.len() > 1 {
             self.broken
@@ -38,7 +38,7 @@
             return;
         }
         let since = *self.away_since.get_or_insert(now_ms);
-        let lease_ms = u64::try_from(LIMITS.lease.as_millis()).expect("a short lease");
+        let lease_ms = u64::try_from(LIMITS.min_lease_ttl.as_millis()).expect("a short lease");
         if now_ms >= since + lease_ms {
             self.away_ms += TICK_MS;
             self.carried_ms += if is_held { TICK_MS } else { 0 };
@@ -55,7 +55,7 @@
                 "{now_ms} ms: {name} orders with {fence}, {last} did with {last_fence}"
             ));
         }
-        let gap_ms = u64::try_from(LIMITS.gap.as_millis()).expect("a short gap");
+        let gap_ms = u64::try_from(LIMITS.holder_gap.as_millis()).expect("a short gap");
         let since = self
             .ordered
             .get(last)
@@ -78,7 +78,7 @@
         let is_free = self
             .instances
             .iter()
-            .all(|i| i.tenure.fence(self.now()).is_none());
+            .all(|i| i.leadership.fence(self.now()).is_none());
         if !orders_now && !self.all_released() {
             self.broken
                 .push(format!("nobody orders at the end; right free: {is_free}"));
@@ -89,6 +89,6 @@
     fn all_released(&mut self) -> bool {
         let now = self.now();
         let mut instances = self.instances.iter_mut();
-        instances.all(|i| i.tenure.step(0.0, true, now) == Step::Stop)
+        instances.all(|i| i.leadership.step(0.0, true, now) == Step::Stop)
     }
 }
--- a/tests/all/tenure_faults/store.rs
+++ b/tests/all/leadership_faults/store.rs
@@ -1,8 +1,8 @@
 //! The store's side of the right to order, and how calls to it fare.
 
 use super::{FAULTS_MS, LIMITS, Mix, News, World, holder_of};
+use passway_serving::leadership::RecentHolders;
 use passway_serving::ports::{LeaseId, StoreError, StoreRevision, WriteAnswer};
-use passway_serving::tenure::RecentHolders;
 use passway_types::prelude::*;
 use rand::RngExt;
 use std::collections::BTreeMap;
@@ -111,7 +111,7 @@
 
     /// What the store does with a call.
     fn carry_out(&mut self, from: &InstanceId, request: &Request) -> Answer {
-        let lease_ms = u64::try_from(LIMITS.lease.as_millis()).expect("a short lease");
+        let lease_ms = u64::try_from(LIMITS.min_lease_ttl.as_millis()).expect("a short lease");
         let ends = self.now_ms + lease_ms;
         match request {
             Request::Grant => {
@@ -227,7 +227,7 @@
     fn draw_fate(&mut self, from: usize) -> Fate {
         let fares_well = match self.mix {
             Mix::Usual => false,
-            Mix::Outages | Mix::SlowWords => self.rng.random_bool(0.8),
+            Mix::StoreOutages | Mix::SlowWords => self.rng.random_bool(0.8),
             Mix::None => true,
         };
         let drawn = if fares_well || self.now_ms >= FAULTS_MS {
--- a/tests/all/limit_words.rs
+++ b/tests/all/limit_words.rs
@@ -3,28 +3,31 @@
 use crate::scrape::metrics;
 use crate::site::{self, ask, list_plain, request, until};
 use passway_serving::headers::Headers;
-use passway_serving::limits::{LimitWord, NamedLimit};
-use passway_serving::ports::Vocabulary;
+use passway_serving::limits::{LimitSignal, ObservedLimit};
+use passway_serving::ports::HeaderProtocol;
 use passway_standins::platform::raw::{RawServer, Step};
 use passway_types::prelude::*;
 use passway_users_platform::PlatformHeaders;
 
-fn read(values: &[&str]) -> NamedLimit {
+fn read(values: &[&str]) -> LimitSignal {
     let mut headers = Headers::default();
     for value in values {
         headers.push("server-limit", *value);
     }
-    PlatformHeaders.answer(200, &headers, "i-0").words.limit
+    PlatformHeaders
+        .parse_answer(200, &headers, "i-0")
+        .signals
+        .limit
 }
 
 #[test]
 fn read_values() {
-    assert_eq!(read(&[]), NamedLimit::Absent);
-    assert_eq!(read(&["1.1"]), NamedLimit::PerSecond(1.1));
-    assert_eq!(read(&[" 0 "]), NamedLimit::PerSecond(0.0));
-    assert_eq!(read(&["1000000000"]), NamedLimit::PerSecond(1e9));
+    assert_eq!(read(&[]), LimitSignal::Absent);
+    assert_eq!(read(&["1.1"]), LimitSignal::PerSecond(1.1));
+    assert_eq!(read(&[" 0 "]), LimitSignal::PerSecond(0.0));
+    assert_eq!(read(&["1000000000"]), LimitSignal::PerSecond(1e9));
     // Of several the least.
-    assert_eq!(read(&["4", "2.5", "3"]), NamedLimit::PerSecond(2.5));
+    assert_eq!(read(&["4", "2.5", "3"]), LimitSignal::PerSecond(2.5));
     for unusable in [
         "",
         "-1",
@@ -35,17 +38,17 @@
         "1.1 a second",
         "\u{661}",
     ] {
-        assert_eq!(read(&[unusable]), NamedLimit::Unusable, "{unusable:?}");
-        assert_eq!(read(&["2", unusable, "3"]), NamedLimit::Unusable);
+        assert_eq!(read(&[unusable]), LimitSignal::Unusable, "{unusable:?}");
+        assert_eq!(read(&["2", unusable, "3"]), LimitSignal::Unusable);
     }
 }
 
 /// A word whose request was sent after so many milliseconds, and whose answer came after so many.
-fn word(begun_at: Instant, per_s: Option<f64>, sent_ms: u64, heard_ms: u64) -> LimitWord {
-    LimitWord {
+fn word(begun_at: Instant, per_s: Option<f64>, sent_ms: u64, heard_ms: u64) -> ObservedLimit {
+    ObservedLimit {
         per_s,
         sent_at: begun_at + Duration::from_millis(sent_ms),
-        heard_at: begun_at + Duration::from_millis(heard_ms),
+        received_at: begun_at + Duration::from_millis(heard_ms),
     }
 }
 
--- a/tests/all/limited_engines.rs
+++ b/tests/all/limited_engines.rs
@@ -90,7 +90,7 @@
         orders_taken: 0,
         in_memory: Vec::new(),
         on_disk: Vec::new(),
-        adapters_coming: Vec::new(),
+        adapters_loading: Vec::new(),
         started_at_ms: 5,
     };
     let engine = UpstreamId::from("i-0");
--- a/tests/all/model_orders.rs
+++ b/tests/all/model_orders.rs
@@ -220,7 +220,7 @@
         orders_taken,
         in_memory: Vec::new(),
         on_disk: ["m0", "m1", "m2", "m3"].map(Into::into).to_vec(),
-        adapters_coming: Vec::new(),
+        adapters_loading: Vec::new(),
         started_at_ms: 0,
     };
     let engine: UpstreamId = "i-0".into();
@@ -333,7 +333,7 @@
         orders_taken: 0,
         in_memory: Vec::new(),
         on_disk: Vec::new(),
-        adapters_coming: Vec::new(),
+        adapters_loading: Vec::new(),
         started_at_ms: 0,
     };
     planned
--- a/tests/all/placement_faults/engine.rs
+++ b/tests/all/placement_faults/engine.rs
@@ -254,7 +254,7 @@
             models: self.state.models.clone(),
             in_memory: Vec::new(),
             on_disk: self.state.on_disk.iter().cloned().collect(),
-            beat: self.beat,
+            heartbeat: self.beat,
             started_at_ms: self.state.started_at_ms,
         };
         self.told.push(entry.clone());
@@ -270,7 +270,7 @@
             orders_taken: state.taken,
             in_memory: Vec::new(),
             on_disk: state.on_disk.iter().cloned().collect(),
-            adapters_coming: state.coming.iter().map(|(wish, _)| wish.clone()).collect(),
+            adapters_loading: state.coming.iter().map(|(wish, _)| wish.clone()).collect(),
             started_at_ms: state.started_at_ms,
         }
     }
--- a/tests/all/placement_faults/matter.rs
+++ b/tests/all/placement_faults/matter.rs
@@ -40,7 +40,9 @@
             value: file.to_string().into(),
             revision: 1,
         };
-        let table = PlatformDirectory.configuration(&value).expect("decoded");
+        let table = PlatformDirectory
+            .decode_configuration(&value)
+            .expect("decoded");
         table.expect("a configuration")
     }
 }
--- a/tests/all/planned.rs
+++ b/tests/all/planned.rs
@@ -33,7 +33,7 @@
 }
 
 /// What an engine with eight slots and nothing on its disk says of itself.
-pub fn entry(id: &str, beat: u64, models: &[&str]) -> UpstreamEntry {
+pub fn entry(id: &str, heartbeat: u64, models: &[&str]) -> UpstreamEntry {
     UpstreamEntry {
         id: id.into(),
         service: "engines".into(),
@@ -45,7 +45,7 @@
         models: models.iter().map(|name| resident(name)).collect(),
         in_memory: Vec::new(),
         on_disk: Vec::new(),
-        beat,
+        heartbeat,
         started_at_ms: 0,
     }
 }
@@ -60,7 +60,9 @@
                 .into(),
             revision: 1,
         };
-        let table = PlatformDirectory.configuration(&value).expect("decoded");
+        let table = PlatformDirectory
+            .decode_configuration(&value)
+            .expect("decoded");
         let mut planner = Planner::new(USUAL_LOAD_WINDOW, PolicyName::Balanced.policy());
         planner.set_table(&table.expect("a configuration"));
         let now = Instant::now();
@@ -73,15 +75,15 @@
     }
 
     /// The engine says what stands on it.
-    pub fn hear(&mut self, beat: u64, models: &[&str]) {
-        self.hear_of("i-0", beat, models, &["m0", "m1", "m2", "m3"]);
+    pub fn hear(&mut self, heartbeat: u64, models: &[&str]) {
+        self.hear_of("i-0", heartbeat, models, &["m0", "m1", "m2", "m3"]);
     }
 
     /// An engine says what stands on it and what lies on its disk.
-    pub fn hear_of(&mut self, id: &str, beat: u64, models: &[&str], on_disk: &[&str]) {
+    pub fn hear_of(&mut self, id: &str, heartbeat: u64, models: &[&str], on_disk: &[&str]) {
         let entry = UpstreamEntry {
             on_disk: on_disk.iter().map(|name| (*name).into()).collect(),
-            ..entry(id, beat, models)
+            ..entry(id, heartbeat, models)
         };
         self.planner.heard(entry, self.now);
     }
@@ -138,7 +140,7 @@
             orders_taken,
             in_memory: Vec::new(),
             on_disk: on_disk.iter().map(|name| (*name).into()).collect(),
-            adapters_coming: Vec::new(),
+            adapters_loading: Vec::new(),
             started_at_ms: 0,
         };
         self.planner.reported(&id.into(), Some(report), self.now);
--- a/tests/all/poison_innocents.rs
+++ b/tests/all/poison_innocents.rs
@@ -72,14 +72,14 @@
     };
     let runs = std::mem::take(&mut fleet[engine]);
     for run in &runs {
-        list.crashed(run.digest, start.clone(), now);
+        list.record_crash(run.digest, start.clone(), now);
     }
     for run in runs.into_iter().filter(|run| !run.is_poison) {
         outcome.broken += 1;
         if run.runs >= MAX_RUNS {
             continue;
         }
-        if list.refused_for(run.digest, now).is_some() {
+        if list.remaining_refusal(run.digest, now).is_some() {
             outcome.wrongly_refused += 1;
             continue;
         }
@@ -113,7 +113,7 @@
             engine.retain(|run| {
                 let ends = rng.random_bool(END_CHANCE);
                 if ends && !list.is_empty() {
-                    list.answered(run.digest);
+                    list.record_answer(run.digest);
                 }
                 !ends
             });
@@ -124,7 +124,7 @@
         }
         // Each coming is a try of two runs.
         let comes = plan.has_poison && step % POISON_STEPS < 2;
-        if comes && list.refused_for(poison, now).is_none() {
+        if comes && list.remaining_refusal(poison, now).is_none() {
             let engine = rng.random_range(0..plan.engines);
             fleet[engine].push(Run {
                 digest: poison,
--- a/tests/all/poison_rack.rs
+++ b/tests/all/poison_rack.rs
@@ -4,7 +4,7 @@
 //! Runs last 1.5 s in the mean, a request runs four times at most. A doubt is closed by the next start of the engine, or by
 //! its entry's end if it does not come back.
 
-use passway_serving::poison::{PoisonList, RequestDigest, Standing, UpstreamStart};
+use passway_serving::poison::{PoisonList, RequestDigest, RunPermission, UpstreamStart};
 use passway_types::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -133,7 +133,7 @@
                 if !self.rng.random_bool(END_CHANCE) {
                     self.runs[engine].push(run);
                 } else if !self.list.is_empty() {
-                    self.list.answered(run.digest);
+                    self.list.record_answer(run.digest);
                 }
             }
         }
@@ -142,8 +142,8 @@
     /// Lets a run go on if it may, or holds it, or gives it up.
     fn go(&mut self, run: Run, held: u64, step: u64) {
         let now = self.at(step);
-        let is_refused = self.list.refused_for(run.digest, now).is_some();
-        let is_held = self.list.standing(run.digest, now) == Standing::Held;
+        let is_refused = self.list.remaining_refusal(run.digest, now).is_some();
+        let is_held = self.list.run_permission(run.digest, now) == RunPermission::Held;
         if is_refused || (is_held && held >= LONGEST_WAIT_STEPS) {
             self.outcome.wrongly_refused += 1;
         } else if is_held {
@@ -167,11 +167,15 @@
         for engine in rack {
             let start = self.start_of(engine);
             for run in std::mem::take(&mut self.runs[engine]) {
-                self.list
-                    .broke_off(run.digest, start.clone(), self.at(run.sent_at), now);
+                self.list.record_run_disconnect(
+                    run.digest,
+                    start.clone(),
+                    self.at(run.sent_at),
+                    now,
+                );
                 broken.push(run);
             }
-            self.list.note_break(&start, now, now);
+            self.list.record_disconnect(&start, now, now);
             self.evidence.push((
                 step + self.plan.known_steps,
                 engine,
@@ -198,7 +202,7 @@
             self.evidence = open;
             let known: Vec<(u64, usize, u64)> = known;
             for (_, engine, start) in known {
-                self.list.ended(&engine.to_string(), start, now);
+                self.list.record_terminated(&engine.to_string(), start, now);
             }
             for (run, held) in std::mem::take(&mut self.waiting) {
                 self.go(run, held + 1, step);
--- a/tests/all/received_orders.rs
+++ b/tests/all/received_orders.rs
@@ -17,7 +17,7 @@
         orders_taken,
         in_memory: Vec::new(),
         on_disk: ["m0", "m1", "m2", "m3"].map(Into::into).to_vec(),
-        adapters_coming: Vec::new(),
+        adapters_loading: Vec::new(),
         started_at_ms,
     }
 }
@@ -46,7 +46,9 @@
         value: file.to_string().into(),
         revision: 1,
     };
-    let table = PlatformDirectory.configuration(&value).expect("decoded");
+    let table = PlatformDirectory
+        .decode_configuration(&value)
+        .expect("decoded");
     planned.planner.set_table(&table.expect("a configuration"));
     planned.orders(OrderAnswer::Taken);
     planned.report(false, 0, &["m0"]);
@@ -64,7 +66,7 @@
     planned.orders(OrderAnswer::Taken);
     let mut state = report(0, &["m0", "m1"], 0);
     state.models[0].adapters = vec!["a1".into()];
-    state.adapters_coming = vec![adapter("m1", "a2")];
+    state.adapters_loading = vec![adapter("m1", "a2")];
     planned
         .planner
         .reported(&"i-0".into(), Some(state), planned.now);
--- a/tests/all/resting_upstreams.rs
+++ b/tests/all/resting_upstreams.rs
@@ -144,22 +144,22 @@
     let begun_at = passway_types::clock::now();
     let at = |ms| begun_at + Duration::from_millis(ms);
     let mut table = table(begun_at);
-    let wants = |table: &mut UpstreamTable, ms| table.let_through("i-0", 0, at(ms));
-    table.note_rest(&"i-0".into(), at(3_000));
-    table.note_rest(&"i-0".into(), at(1_000));
-    table.note_no_rest("i-0", at(2_999));
+    let wants = |table: &mut UpstreamTable, ms| table.try_admit("i-0", 0, at(ms));
+    table.record_backoff(&"i-0".into(), at(3_000));
+    table.record_backoff(&"i-0".into(), at(1_000));
+    table.record_no_backoff("i-0", at(2_999));
     assert!(!wants(&mut table, 2_999));
     // Then one at a time, until an answer shows that it takes them again.
     assert!(wants(&mut table, 3_000));
     assert!(!wants(&mut table, 3_001));
     assert!(!wants(&mut table, 3_249));
     assert!(wants(&mut table, 3_250));
-    table.note_no_rest("i-0", at(3_250));
+    table.record_no_backoff("i-0", at(3_250));
     assert!(wants(&mut table, 3_251) && wants(&mut table, 3_251));
     // It belongs to a start.
-    table.note_rest(&"i-0".into(), at(9_000));
+    table.record_backoff(&"i-0".into(), at(9_000));
     table.update(plain("i-0", 5), at(3_300));
-    assert!(table.let_through("i-0", 5, at(3_300)));
+    assert!(table.try_admit("i-0", 5, at(3_300)));
 }
 
 fn plain(id: &str, started_at_ms: u64) -> UpstreamEntry {
--- a/tests/all/retry_share.rs
+++ b/tests/all/retry_share.rs
@@ -72,7 +72,7 @@
             let (mut taken, mut spent) = (0.0, 0.0);
             for budget in &mut budgets {
                 if rng.random_bool(chance) {
-                    budget.requested(&service(), now);
+                    budget.record_request(&service(), now);
                     taken += 1.0;
                 }
                 while budget.try_spend(&service(), now) {
@@ -93,7 +93,7 @@
     let mut budget = told_budget(ALLOWANCE, 8, now);
     for _ in 0..100 {
         now += Duration::from_millis(100);
-        budget.requested(&service(), now);
+        budget.record_request(&service(), now);
     }
     let spent = (0..100)
         .filter(|_| budget.try_spend(&service(), now))
@@ -120,22 +120,22 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut now = Instant::now();
         let mut budgets: Vec<_> = (0..300).map(|_| told_budget(FLEET, 375, now)).collect();
-        let mut term = (InstanceCount::begin(now), 0);
+        let mut term = (InstanceCount::start_term(now), 0);
         let (mut requests, mut repeats): (Vec<f64>, Vec<f64>) = (Vec::new(), Vec::new());
         for step in 0..5 * WINDOW {
             now += FLEET_STEP;
             if step % 150 == 149 {
                 budgets.fill_with(|| RetryBudget::new(FLEET));
-                term = (InstanceCount::begin(now), step);
+                term = (InstanceCount::start_term(now), step);
             } else if rng.random_bool(0.01) {
-                term = (InstanceCount::begin(now), step);
+                term = (InstanceCount::start_term(now), step);
             }
             if budgets.len() < 378 && rng.random_bool(0.2) {
                 budgets.push(RetryBudget::new(FLEET));
             }
             // The holder sees them come one after the other.
             let came = (step - term.1 + 1) * budgets.len() / COMING_STEPS;
-            if let Some(instances) = term.0.shared_by(came.min(budgets.len()), now) {
+            if let Some(instances) = term.0.sharing_instances(came.min(budgets.len()), now) {
                 let shared_by = instances + instances / 4 + 1;
                 for budget in &mut budgets {
                     budget.set_instances(shared_by, now);
@@ -144,7 +144,7 @@
             let (mut taken, mut spent) = (0.0, 0.0);
             for budget in &mut budgets {
                 if rng.random_bool(0.33) {
-                    budget.requested(&service(), now);
+                    budget.record_request(&service(), now);
                     taken += 1.0;
                 }
                 while budget.try_spend(&service(), now) {
--- a/tests/all/retry_terms.rs
+++ b/tests/all/retry_terms.rs
@@ -41,11 +41,11 @@
 fn most_count_until_back() {
     let now = Instant::now();
     let at = |ms| now + Duration::from_millis(ms);
-    let mut count = InstanceCount::begin(now);
-    assert_eq!(count.shared_by(5, at(1_500)), None);
-    count.resume(at(2_000));
-    assert_eq!(count.shared_by(1, at(2_500)), None);
-    assert_eq!(count.shared_by(1, at(3_500)), Some(5));
-    assert_eq!(count.shared_by(7, at(4_000)), Some(7));
-    assert_eq!(count.shared_by(4, at(5_500)), Some(4));
+    let mut count = InstanceCount::start_term(now);
+    assert_eq!(count.sharing_instances(5, at(1_500)), None);
+    count.continue_term(at(2_000));
+    assert_eq!(count.sharing_instances(1, at(2_500)), None);
+    assert_eq!(count.sharing_instances(1, at(3_500)), Some(5));
+    assert_eq!(count.sharing_instances(7, at(4_000)), Some(7));
+    assert_eq!(count.sharing_instances(4, at(5_500)), Some(4));
 }
--- a/tests/all/site.rs
+++ b/tests/all/site.rs
@@ -56,7 +56,7 @@
         ready_address: any,
         peer_address: any,
         store_address: store,
-        processor_part: 1.0,
+        cpu_core_fraction: 1.0,
         placement: PolicyName::default(),
         bounds: InstanceBounds {
             grace: Duration::from_secs(8),
--- a/tests/all/upstream_choice.rs
+++ b/tests/all/upstream_choice.rs
@@ -1,6 +1,6 @@
 //! Which upstream a request goes to.
 
-use passway_serving::absence::Outages;
+use passway_serving::store_outages::StoreOutages;
 use passway_serving::upstreams::{
     Choice, ModelRef, Outcome, ResidentModel, UpstreamEntry, UpstreamTable,
 };
@@ -9,7 +9,7 @@
 
 const COUNT: usize = 6;
 
-fn entry(number: usize, beat: u64) -> UpstreamEntry {
+fn entry(number: usize, heartbeat: u64) -> UpstreamEntry {
     UpstreamEntry {
         id: format!("i-{number}").into(),
         service: "engines".into(),
@@ -24,7 +24,7 @@
         }],
         in_memory: Vec::new(),
         on_disk: Vec::new(),
-        beat,
+        heartbeat,
         started_at_ms: 0,
     }
 }
@@ -73,8 +73,8 @@
     let now = Instant::now();
     let mut table = table(now);
     for _ in 0..4 {
-        table.started("i-0", Some(&wish()), now);
-        table.ended("i-0", Some(&wish()), Outcome::Failed, now);
+        table.record_start("i-0", Some(&wish()), now);
+        table.record_end("i-0", Some(&wish()), Outcome::Failed, now);
     }
     assert!(!spread(&table, now).contains_key("i-0"));
     // It is tried again with time.
@@ -86,11 +86,11 @@
 fn silent_is_avoided() {
     let now = Instant::now();
     let mut table = table(now);
-    table.started("i-0", Some(&wish()), now);
+    table.record_start("i-0", Some(&wish()), now);
     let later = now + Duration::from_secs(1);
     assert!(table.is_silent("i-0", later));
     assert!(!spread(&table, later).contains_key("i-0"));
-    table.heard("i-0", later);
+    table.record_activity("i-0", later);
     assert!(!table.is_silent("i-0", later));
 }
 
@@ -107,8 +107,8 @@
     assert!(!spread(&table, now).contains_key("i-0"));
     for number in 1..COUNT {
         for _ in 0..10 {
-            table.started(&format!("i-{number}"), Some(&wish()), now);
-            table.heard(&format!("i-{number}"), now);
+            table.record_start(&format!("i-{number}"), Some(&wish()), now);
+            table.record_activity(&format!("i-{number}"), now);
         }
     }
     assert!(spread(&table, now).contains_key("i-0"));
@@ -116,7 +116,7 @@
     for number in 1..COUNT {
         for _ in 0..10 {
             let id = format!("i-{number}");
-            table.ended(&id, Some(&wish()), Outcome::Answered, later);
+            table.record_end(&id, Some(&wish()), Outcome::Answered, later);
         }
     }
     let counts = spread(&table, later);
@@ -128,8 +128,8 @@
     let now = Instant::now();
     let mut table = UpstreamTable::new("hall0".into());
     table.update(entry(0, 1), now);
-    table.started("i-0", Some(&wish()), now);
-    table.ended("i-0", Some(&wish()), Outcome::Shed, now);
+    table.record_start("i-0", Some(&wish()), now);
+    table.record_end("i-0", Some(&wish()), Outcome::Shed, now);
     let choose = |table: &UpstreamTable, at| table.choose(&"engines".into(), None, &[], 1, at);
     assert_eq!(choose(&table, now), Choice::Full);
     let later = now + Duration::from_millis(100);
@@ -170,21 +170,21 @@
     let began_at = Instant::now();
     let second = |count| began_at + Duration::from_secs(count);
     let mut table = table(began_at);
-    let mut outages = Outages::default();
-    outages.failed(second(1));
-    outages.answered(second(9));
+    let mut outages = StoreOutages::default();
+    outages.record_failure(second(1));
+    outages.record_answer(second(9));
     // Two entries have lapsed meanwhile; one comes back.
     let listed = (2..COUNT).map(|number| entry(number, 6)).collect();
-    table.replace(listed, outages.gone_at(second(9)), second(9));
+    table.replace_all(listed, outages.removal_at(second(9)), second(9));
     assert!(is_chosen(&table, "i-0", second(10)));
     assert!(is_chosen(&table, "i-1", second(10)));
     // Others that heard of its end must hear that it is back.
     assert!(table.update(entry(1, 6), second(10)));
-    assert!(table.expire(second(10)).is_empty());
+    assert!(table.remove_expired(second(10)).is_empty());
     // The other one is gone when its time is over, whether anybody looked or not.
     assert!(!is_chosen(&table, "i-0", second(11)));
     assert!(is_chosen(&table, "i-1", second(30)));
-    assert_eq!(table.expire(second(11)), [entry(0, 5)]);
+    assert_eq!(table.remove_expired(second(11)), [entry(0, 5)]);
 }
 
 #[test]
@@ -192,22 +192,22 @@
     let began_at = Instant::now();
     let later = began_at + Duration::from_millis(600);
     let mut table = table(began_at);
-    let mut outages = Outages::default();
+    let mut outages = StoreOutages::default();
     // A call that failed by itself is no outage: no entry lapses in so short a time.
-    outages.failed(began_at);
-    outages.answered(later);
-    table.miss("i-0", outages.gone_at(later));
+    outages.record_failure(began_at);
+    outages.record_answer(later);
+    table.mark_missing("i-0", outages.removal_at(later));
     assert!(!is_chosen(&table, "i-0", later));
     // While the store is away, an entry's end is the lease's, not the upstream's.
-    outages.failed(later);
+    outages.record_failure(later);
     let away = later + Duration::from_secs(5);
-    table.miss("i-1", outages.gone_at(away));
+    table.mark_missing("i-1", outages.removal_at(away));
     assert!(is_chosen(&table, "i-1", away));
     // One that was leaving gets nothing new all the same.
     let mut leaving = entry(2, 6);
     leaving.draining = true;
     table.update(leaving, later);
-    table.miss("i-2", outages.gone_at(away));
+    table.mark_missing("i-2", outages.removal_at(away));
     assert!(!is_chosen(&table, "i-2", away));
 }
 
@@ -221,15 +221,15 @@
     let id = before.id.clone();
     table.update(before.clone(), now);
     for _ in 0..4 {
-        table.started(&id, None, now);
-        table.ended(&id, None, Outcome::Shed, now);
+        table.record_start(&id, None, now);
+        table.record_end(&id, None, Outcome::Shed, now);
     }
     let chosen = |table: &UpstreamTable| table.choose(&before.service, None, &[], 0, now);
     assert_eq!(chosen(&table), Choice::Full);
     let anew = UpstreamEntry {
         draining: false,
         models: Vec::new(),
-        beat: 1,
+        heartbeat: 1,
         started_at_ms: 500,
         ..before.clone()
     };
@@ -238,7 +238,7 @@
     assert!(matches!(chosen(&table), Choice::Send { .. }));
     let late = UpstreamEntry {
         draining: true,
-        beat: 41,
+        heartbeat: 41,
         ..before.clone()
     };
     assert!(!table.update(late, now), "said before its start");
--- a/tests/all/upstream_words.rs
+++ b/tests/all/upstream_words.rs
@@ -4,17 +4,19 @@
 use crate::scrape::metrics;
 use crate::site::{self, ask, list_plain, request, until};
 use passway_serving::headers::Headers;
-use passway_serving::ports::Vocabulary;
-use passway_serving::words::{NamedLeaving, NamedRest, UpstreamWords};
+use passway_serving::ports::HeaderProtocol;
+use passway_serving::signals::{BackoffSignal, LeavingSignal, UpstreamSignals};
 use passway_types::prelude::*;
 use passway_users_platform::PlatformHeaders;
 
-fn read(status: u16, lines: &[(&str, &str)]) -> UpstreamWords {
+fn read(status: u16, lines: &[(&str, &str)]) -> UpstreamSignals {
     let mut headers = Headers::default();
     for (name, value) in lines {
         headers.push(name, *value);
     }
-    PlatformHeaders.answer(status, &headers, "i-0").words
+    PlatformHeaders
+        .parse_answer(status, &headers, "i-0")
+        .signals
 }
 
 #[test]
@@ -23,12 +25,12 @@
         let lines: Vec<_> = values.iter().map(|v| ("server-leaving", *v)).collect();
         read(200, &lines).leaving
     };
-    assert_eq!(read(&[]), NamedLeaving::Absent);
-    assert_eq!(read(&["1"]), NamedLeaving::Leaves);
-    assert_eq!(read(&[" 1 "]), NamedLeaving::Leaves);
-    assert_eq!(read(&["x", "1"]), NamedLeaving::Leaves);
+    assert_eq!(read(&[]), LeavingSignal::Absent);
+    assert_eq!(read(&["1"]), LeavingSignal::Leaving);
+    assert_eq!(read(&[" 1 "]), LeavingSignal::Leaving);
+    assert_eq!(read(&["x", "1"]), LeavingSignal::Leaving);
     for unusable in ["", "0", "true", "11", "1.0", "1,1", "-1"] {
-        assert_eq!(read(&[unusable]), NamedLeaving::Unusable, "{unusable:?}");
+        assert_eq!(read(&[unusable]), LeavingSignal::Unusable, "{unusable:?}");
     }
 }
 
@@ -36,22 +38,26 @@
 fn read_rest() {
     let read = |status: u16, values: &[&str]| {
         let lines: Vec<_> = values.iter().map(|v| ("retry-after", *v)).collect();
-        read(status, &lines).rest
+        read(status, &lines).backoff
     };
-    let seconds = |s: f64| NamedRest::For(Duration::from_secs_f64(s));
-    assert_eq!(read(503, &[]), NamedRest::Absent);
+    let seconds = |s: f64| BackoffSignal::For(Duration::from_secs_f64(s));
+    assert_eq!(read(503, &[]), BackoffSignal::Absent);
     assert_eq!(read(503, &["3"]), seconds(3.0));
     assert_eq!(read(429, &["0.25"]), seconds(0.25));
     assert_eq!(read(503, &["0"]), seconds(0.0));
     // Of several the longest that can be read.
     assert_eq!(read(503, &["2", "x", "3.5", "1"]), seconds(3.5));
-    assert_eq!(read(503, &["1e300"]), NamedRest::For(Duration::MAX));
+    assert_eq!(read(503, &["1e300"]), BackoffSignal::For(Duration::MAX));
     for unusable in ["", "-1", "NaN", "inf", "3 s", "soon"] {
-        assert_eq!(read(503, &[unusable]), NamedRest::Unusable, "{unusable:?}");
+        assert_eq!(
+            read(503, &[unusable]),
+            BackoffSignal::Unusable,
+            "{unusable:?}"
+        );
     }
     // Only who turns a request away asks for rest.
     for status in [200, 202, 404, 421, 500, 504] {
-        assert_eq!(read(status, &["3"]), NamedRest::Absent, "{status}");
+        assert_eq!(read(status, &["3"]), BackoffSignal::Absent, "{status}");
     }
 }
 
@@ -60,11 +66,14 @@
 fn read_rest_as_date() {
     let until = ("Retry-After", "Sun, 06 Nov 1994 08:49:40 GMT");
     let at = |second: &str| format!("Sun, 06 Nov 1994 08:49:{second} GMT");
-    let rest = |date: &str| read(503, &[("Date", date), until]).rest;
-    assert_eq!(rest(&at("37")), NamedRest::For(Duration::from_secs(3)));
-    assert_eq!(rest(&at("41")), NamedRest::For(Duration::ZERO));
+    let rest = |date: &str| read(503, &[("Date", date), until]).backoff;
+    assert_eq!(rest(&at("37")), BackoffSignal::For(Duration::from_secs(3)));
+    assert_eq!(rest(&at("41")), BackoffSignal::For(Duration::ZERO));
     // It is long past by this machine's clock.
-    assert_eq!(read(503, &[until]).rest, NamedRest::For(Duration::ZERO));
+    assert_eq!(
+        read(503, &[until]).backoff,
+        BackoffSignal::For(Duration::ZERO)
+    );
 }
 
 /// An instance's metrics show what it has heard, from a refusal too, and what it could not read.
--- a/tests/all/workspace_headers.rs
+++ b/tests/all/workspace_headers.rs
@@ -1,7 +1,7 @@
 //! Whatever headers a caller sends, an upstream hears nothing of its key, and one workspace.
 
 use passway_serving::headers::{Header, Headers};
-use passway_serving::ports::{Stamp, Vocabulary, WorkspaceMark};
+use passway_serving::ports::{ForwardingMetadata, HeaderProtocol, WorkspaceHeader};
 use passway_serving::workspaces::KeyDigest;
 use passway_users_platform::PlatformHeaders;
 use proptest::prelude::*;
@@ -56,20 +56,20 @@
     })
 }
 
-fn stamp(workspace: Option<&str>) -> Stamp {
-    Stamp {
+fn stamp(workspace: Option<&str>) -> ForwardingMetadata {
+    ForwardingMetadata {
         upstream: "i-0".into(),
         deadline_ms: 1_000,
-        workspace: WorkspaceMark::Set(workspace.map(Into::into)),
+        workspace: WorkspaceHeader::Set(workspace.map(Into::into)),
         urgency: None,
-        last_event: None,
+        last_event_id: None,
     }
 }
 
 proptest! {
     #[test]
     fn nothing_of_the_key(headers in proptest::collection::vec(header(), 0..12)) {
-        let sent = PlatformHeaders.forwarded(&Headers(headers), &stamp(Some("beta")));
+        let sent = PlatformHeaders.forwarded_headers(&Headers(headers), &stamp(Some("beta")));
         for header in &sent.0 {
             let value = String::from_utf8_lossy(&header.value);
             prop_assert!(!value.contains(KEY), "{}: {value}", header.name);
@@ -81,7 +81,7 @@
 
     #[test]
     fn no_workspace_of_the_callers(headers in proptest::collection::vec(header(), 0..12)) {
-        let sent = PlatformHeaders.forwarded(&Headers(headers), &stamp(None));
+        let sent = PlatformHeaders.forwarded_headers(&Headers(headers), &stamp(None));
         prop_assert!(!sent.has("Tenant"));
     }
 
@@ -89,7 +89,7 @@
     fn one_key_at_most(headers in proptest::collection::vec(header(), 0..12)) {
         let headers = Headers(headers);
         let keys = headers.all("Authorization").count();
-        let key = PlatformHeaders.request(&headers).key;
+        let key = PlatformHeaders.parse_request(&headers).key;
         prop_assert!(key.is_none() || keys == 1);
         if key == Some(KeyDigest::of(KEY.as_bytes())) {
             let value = headers.text("Authorization").unwrap_or_default();
--- a/tests/all/workspace_secrets.rs
+++ b/tests/all/workspace_secrets.rs
@@ -87,7 +87,9 @@
         value: document.to_string().into_bytes().into(),
         revision: 1,
     };
-    let table = PlatformDirectory.configuration(&value).expect("usable");
+    let table = PlatformDirectory
+        .decode_configuration(&value)
+        .expect("usable");
     let table = table.expect("a table");
     let text = format!("{table:?} {:?}", KeyDigest::of(KEY.as_bytes()));
     assert!(!text.contains(KEY));
