--- a/crates/serving/src/leadership.rs
+++ b/crates/serving/src/leadership.rs
@@ -1,19 +1,19 @@
-//! The right to give orders, as one instance decides about it.
+//! The leadership, i.e. the right to send orders to engines, as one instance decides about it.
 //!
-//! One key under a lease says who holds the right. Whoever has written it may order until
-//! the lease ends by its own steady clock, counted from before the lease was asked for or
-//! renewed, so a holder that was paused or cut off stops before a successor can begin.
-//! The store's revision of the key is the fencing number: it only grows.
+//! A key under a lease in the store names the holder. The instance that has written the key may
+//! give orders until the lease expires by its own monotonic clock. The expiry counts from the time
+//! before the lease was requested or renewed, so a holder that was paused or cut off stops before
+//! a successor can begin. The store's revision of the key is the fencing number, which only grows.
 //!
-//! A second key, without a lease, names who has held the right lately. An instance that
-//! finds itself there lets some time pass before it orders again, so that two holders do
-//! not take turns at one engine; those that are not there go first.
+//! A second key, without a lease, lists the recent holders. An instance that finds itself on this
+//! list waits before it gives orders again, so that two holders do not alternate at one engine.
+//! Instances that are not on the list take the key first.
 //!
-//! While the store is away a holder goes on by the word of all who could succeed it: see
-//! [`promises`].
+//! While the store is unavailable, a holder extends its leadership with the promises of all
+//! instances that could succeed it: see [`promises`].
 //!
-//! [`Leadership::step`] says what to ask of the store, and its answer goes to the method
-//! named after the call. There is no I/O and no clock here.
+//! [`Leadership::step`] returns the next call to the store; the answer goes to the `handle_*`
+//! method for that call. This module uses no I/O and no clock.
 
 mod candidates;
 mod promises;
@@ -27,235 +27,239 @@
 pub use records::{Candidate, EndCause, Holder, LeadershipSettings, RecentHolders, Step, TermEnd};
 use store_latency::StoreLatency;
 
-/// A lease is renewed when this part of it has passed.
-const RENEW_PART: f64 = 0.25;
-/// A renewal whose answer takes longer than this part of the lease is made again.
-const RENEWAL_PART: f64 = 0.375;
-/// The holder stops this long before its lease ends.
-const SAFETY: Duration = Duration::from_millis(120);
-/// Pause after the store refused or did not answer.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// Time within which instances draw the moment at which they try to take the key.
-const TURN: Duration = Duration::from_millis(250);
-/// How much later an instance with little processor tries.
-const WEAK_PAUSE: Duration = Duration::from_millis(350);
-/// How much later an instance tries that could not order at once.
-const HELD_PAUSE: Duration = Duration::from_millis(300);
-/// Longest time without a look.
-const IDLE_STEP: Duration = Duration::from_secs(5);
-/// An instance that has not ordered for this long may order at once: far more than any
+/// A lease is renewed when this fraction of its time-to-live has passed.
+const RENEW_AT_RATIO: f64 = 0.25;
+/// A renewal is retried if its answer takes longer than this fraction of the lease.
+const RENEWAL_TIMEOUT_RATIO: f64 = 0.375;
+/// The holder stops this long before its lease expires.
+const EXPIRY_MARGIN: Duration = Duration::from_millis(120);
+/// Delay after the store refused a call or did not answer it.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Instances spread their attempts to take the key randomly over this time.
+const TAKE_SPREAD: Duration = Duration::from_millis(250);
+/// Extra delay before an instance with little CPU tries to take the key.
+const LOW_CPU_DELAY: Duration = Duration::from_millis(350);
+/// Extra delay before an instance tries that would have to wait before giving orders.
+const RECENT_HOLDER_DELAY: Duration = Duration::from_millis(300);
+/// Longest time between two steps.
+const MAX_WAIT: Duration = Duration::from_secs(5);
+/// An instance that has given no orders for this long may give orders at once: far longer than any
 /// order takes to be carried out.
-const FORGET_TIME: Duration = Duration::from_mins(1);
-/// Names of former holders that are kept.
-const KEPT_HOLDERS: usize = 12;
-/// Pause between two writes of the list of candidates.
-const LIST_PAUSE: Duration = Duration::from_secs(2);
-/// A term begins so long after the key was taken, if there were candidates: a holder that
-/// they carry without the store is told meanwhile. Instances say what they need in this time.
-const ANNOUNCE_TIME: Duration = Duration::from_millis(300);
-/// How much later an instance tries that is not a candidate.
-const NOT_LISTED_PAUSE: Duration = Duration::from_millis(1_500);
+const RECENT_HOLDER_WINDOW: Duration = Duration::from_mins(1);
+/// Recent holders that are listed in the store.
+const MAX_RECENT_HOLDERS: usize = 12;
+/// Minimum interval between two writes of the candidate list.
+const LIST_WRITE_INTERVAL: Duration = Duration::from_secs(2);
+/// Delay between taking the key and the begin of a term if there were candidates. In this time a
+/// holder whose leadership they extend without the store learns of the successor, and instances
+/// report their demand.
+const ANNOUNCE_DURATION: Duration = Duration::from_millis(300);
+/// Extra delay before an instance tries that is not a candidate.
+const NON_CANDIDATE_DELAY: Duration = Duration::from_millis(1_500);
 
 /// A term of this instance.
 #[derive(Debug, Clone, Copy)]
 struct Term {
     lease: LeaseId,
     fence: Fence,
-    /// First moment at which it may order.
+    /// The earliest time at which this instance may give orders.
     begin_at: Instant,
-    /// When the lease ends, less the safety.
-    until: Instant,
+    /// When the lease expires, less [`EXPIRY_MARGIN`].
+    expires_at: Instant,
     renew_at: Instant,
-    /// Renewals in a row that the store left without a good answer.
-    unanswered: u32,
-    /// When the list of candidates may be written again.
-    list_at: Instant,
+    /// Consecutive renewals that the store did not answer or refused.
+    unanswered_renewals: u32,
+    /// The earliest time for the next write of the candidate list.
+    next_list_write_at: Instant,
 }
 
-/// A lease under which the key is to be written.
+/// A lease under which the key is about to be written.
 #[derive(Debug, Clone, Copy)]
-struct Granted {
+struct GrantedLease {
     lease: LeaseId,
-    /// When it was asked for.
+    /// When the lease was requested.
     asked_at: Instant,
-    /// Whether a term must begin with a pause. Decided before the key is written: the
-    /// list of holders names this instance last from then on.
-    pauses: bool,
-    /// Time in which a holder that candidates carry hears of the term and stops.
-    announcing: Duration,
+    /// Whether the term must begin after the gap between two holders. Decided before the key is
+    /// written, because the write puts this instance last on the list of recent holders.
+    begins_after_gap: bool,
+    /// Time in which a previous holder that candidates extend learns of the new term and stops.
+    announce_for: Duration,
 }
 
-impl Granted {
+impl GrantedLease {
     fn new(lease: LeaseId, asked_at: Instant) -> Self {
         Self {
             lease,
             asked_at,
-            pauses: true,
-            announcing: Duration::ZERO,
+            begins_after_gap: true,
+            announce_for: Duration::ZERO,
         }
     }
 }
 
 #[derive(Debug, Clone, Copy)]
 enum Stage {
-    /// Another one holds the right, or nothing is known.
+    /// Another instance holds the leadership, or nothing is known yet.
     Watching,
-    /// Nothing is tried before this moment.
+    /// Waits until this time before it tries anything.
     Pausing(Instant),
-    /// Tries to take the key at this moment.
-    Turn(Instant),
-    /// Has a lease and not yet the key.
-    Granted(Granted),
+    /// Tries to take the key at this time.
+    ScheduledTake(Instant),
+    /// Has a lease but not yet the key.
+    Granted(GrantedLease),
     Holding(Term),
-    /// The lease is to be ended.
-    Ending(LeaseId),
+    /// The lease must be ended.
+    EndingLease(LeaseId),
     Stopped,
 }
 
-/// What one instance knows and does about the right to order.
+/// The state of the leadership as one instance knows it, and this instance's part in it.
 #[derive(Debug)]
 pub struct Leadership {
-    me: InstanceId,
-    limits: LeadershipSettings,
+    own_id: InstanceId,
+    settings: LeadershipSettings,
     /// How long the store takes to answer this instance.
-    answer_time: StoreLatency,
-    /// Time-to-live of the lease that was asked for last.
-    lease_time: Duration,
+    store_latency: StoreLatency,
+    /// Time-to-live of the lease that was requested last.
+    lease_ttl: Duration,
     stage: Stage,
-    /// Whether the key was read at all.
-    is_known: bool,
+    /// Whether the key has been read.
+    is_key_known: bool,
     holder: Option<Holder>,
-    /// The highest fencing number that was seen: an older holder is gone for good.
-    highest: Fence,
+    /// The highest fencing number seen so far. Holders with a lower one are superseded.
+    highest_fence: Fence,
     recent: RecentHolders,
-    /// Whether this process knows that nobody else ordered after its last term.
-    held_last: bool,
-    /// When this process began, or its last term ended.
-    quiet_since: Instant,
+    /// Whether this process knows that no other instance gave orders after its last term.
+    ordered_last: bool,
+    /// When this process started or its last term ended.
+    idle_since: Instant,
     is_released: bool,
     /// Until when this instance has promised not to take the key.
     promised_until: Instant,
-    /// Until when a promise of the process before this one may hold. A term that is taken
-    /// meanwhile begins then, so that a fleet that starts anew waits once for both.
-    unknown_until: Instant,
-    /// What the candidates of my term have promised.
+    /// Until when a promise of this instance's previous process may still hold. A term that is
+    /// taken before then begins at this time, so that a fleet that restarts waits only once for
+    /// both delays.
+    prior_promise_until: Instant,
+    /// What the candidates of this instance's term have promised.
     promises: Promises,
-    /// How the last term ended that was not given back.
-    last_end: Option<TermEnd>,
-    /// Who had the right before it was taken here.
-    former_holder: Option<InstanceId>,
-    /// Candidates that the store named when the key was taken.
-    former_candidates: Vec<Candidate>,
-    /// The candidates that the term should have.
-    wanted: Vec<Candidate>,
+    /// How the last term ended that was not released.
+    last_term_end: Option<TermEnd>,
+    /// The holder before this instance last took the key.
+    previous_holder: Option<InstanceId>,
+    /// The candidates in the store when this instance last took the key.
+    previous_candidates: Vec<Candidate>,
+    /// The candidates that this instance's term should have.
+    desired_candidates: Vec<Candidate>,
 }
 
 impl Leadership {
-    /// An instance that knows nothing yet.
-    pub fn new(me: InstanceId, limits: LeadershipSettings, now: Instant) -> Self {
+    /// Creates the state of an instance that knows nothing yet.
+    pub fn new(own_id: InstanceId, settings: LeadershipSettings, now: Instant) -> Self {
         Self {
-            me,
-            limits,
-            answer_time: StoreLatency::default(),
-            lease_time: limits.min_lease_ttl,
+            own_id,
+            settings,
+            store_latency: StoreLatency::default(),
+            lease_ttl: settings.min_lease_ttl,
             stage: Stage::Watching,
-            is_known: false,
+            is_key_known: false,
             holder: None,
-            highest: 0,
+            highest_fence: 0,
             recent: RecentHolders::default(),
-            held_last: false,
-            quiet_since: now,
+            ordered_last: false,
+            idle_since: now,
             is_released: false,
             promised_until: now,
-            unknown_until: now + PROMISE_DURATION,
+            prior_promise_until: now + PROMISE_DURATION,
             promises: Promises::default(),
-            last_end: None,
-            former_holder: None,
-            former_candidates: Vec::new(),
-            wanted: Vec::new(),
+            last_term_end: None,
+            previous_holder: None,
+            previous_candidates: Vec::new(),
+            desired_candidates: Vec::new(),
         }
     }
 
-    /// Uses another pause between two holders.
+    /// Sets the gap between the orders of two holders.
     pub fn set_holder_gap(&mut self, gap: Duration) {
-        self.limits.holder_gap = gap;
+        self.settings.holder_gap = gap;
     }
 
-    /// Time-to-live of the lease to ask for: longer than the shortest one where the store takes long to answer.
+    /// Time-to-live for the next lease request. It grows above the minimum if the store answers
+    /// slowly.
     pub fn lease_ttl(&self) -> Duration {
-        self.lease_time
+        self.lease_ttl
     }
 
-    /// Longest time for the answer to a renewal.
+    /// Maximum time to wait for the answer to a renewal.
     pub fn renewal_timeout(&self) -> Duration {
-        self.lease_time.mul_f64(RENEWAL_PART)
+        self.lease_ttl.mul_f64(RENEWAL_TIMEOUT_RATIO)
     }
 
-    /// The store has answered a call about the right within some time.
-    pub fn record_store_latency(&mut self, took: Duration) {
-        self.answer_time.observe(took);
+    /// Records how long the store took to answer a call about the leadership.
+    pub fn record_store_latency(&mut self, latency: Duration) {
+        self.store_latency.observe(latency);
     }
 
-    /// Who holds the right.
+    /// The current holder, if known.
     pub fn holder(&self) -> Option<&Holder> {
         self.holder.as_ref()
     }
 
-    /// My fencing number, if I may give an order now.
+    /// This instance's fencing number if it may give orders now.
     pub fn fence(&self, now: Instant) -> Option<Fence> {
         let Stage::Holding(term) = self.stage else {
             return None;
         };
-        let runs = now >= term.begin_at && now < self.ordering_until(&term);
-        (runs && !self.is_released && !self.is_succeeded(term.fence)).then_some(term.fence)
+        let can_order = now >= term.begin_at && now < self.orders_allowed_until(&term);
+        (can_order && !self.is_released && !self.is_succeeded(term.fence)).then_some(term.fence)
     }
 
-    /// My fencing number for as long as my term lasts, also while I may not order: before
-    /// its begin, and while candidates are asked to carry it.
+    /// This instance's fencing number while its term lasts, including the times when it may not
+    /// give orders: before the term begins, and while it waits for the candidates' promises.
     pub fn term_fence(&self, now: Instant) -> Option<Fence> {
         let Stage::Holding(term) = self.stage else {
             return None;
         };
-        let lasts = now < self.ends_at(&term);
-        (lasts && !self.is_released && !self.is_succeeded(term.fence)).then_some(term.fence)
+        let is_current = now < self.ends_at(&term);
+        (is_current && !self.is_released && !self.is_succeeded(term.fence)).then_some(term.fence)
     }
 
-    /// Whether nobody else had the right between this instance's last two terms.
+    /// Whether no other instance held the leadership between this instance's last two terms.
     pub fn was_previous_holder(&self) -> bool {
-        self.former_holder.as_ref() == Some(&self.me)
+        self.previous_holder.as_ref() == Some(&self.own_id)
     }
 
-    /// Whether somebody else took the right after a term of mine began.
+    /// Whether another instance took the leadership after this instance's term with this fencing
+    /// number began.
     fn is_succeeded(&self, fence: Fence) -> bool {
         let holder = self.holder.as_ref();
-        holder.is_some_and(|holder| holder.instance != self.me && holder.fence > fence)
+        holder.is_some_and(|holder| holder.instance != self.own_id && holder.fence > fence)
     }
 
-    /// The key was read, or has changed.
+    /// Records that the holder's key was read or has changed.
     pub fn observe_holder(&mut self, holder: Option<Holder>) {
-        self.is_known = true;
+        self.is_key_known = true;
         let fence = holder.as_ref().map_or(0, |holder| holder.fence);
-        self.highest = self.highest.max(fence);
+        self.highest_fence = self.highest_fence.max(fence);
         self.holder = holder;
     }
 
-    /// Another instance says that it holds the right, while the store does not answer;
-    /// whether that is news. It only tells whom to follow: this instance takes the right by
-    /// the store's word alone.
+    /// Records that another instance claims the leadership while the store does not answer.
+    /// Returns whether the holder is new. The claim only determines which holder this instance
+    /// follows; it takes the leadership itself only on the store's answer.
     pub fn learn_holder(&mut self, holder: Holder) -> bool {
-        if holder.fence <= self.highest || holder.instance == self.me {
+        if holder.fence <= self.highest_fence || holder.instance == self.own_id {
             return false;
         }
-        self.highest = holder.fence;
+        self.highest_fence = holder.fence;
         self.holder = Some(holder);
         true
     }
 
-    /// The list of who has held the right lately was read, or has changed.
+    /// Records that the list of recent holders was read or has changed.
     pub fn observe_recent(&mut self, recent: RecentHolders) {
-        // A list that was read may be older than a change that was heard.
+        // A list that was read may be older than a change that the watch already delivered.
         if recent.revision >= self.recent.revision {
-            self.held_last &= recent.names.last() == Some(&self.me);
+            self.ordered_last &= recent.names.last() == Some(&self.own_id);
             if recent.revision > self.recent.revision {
                 self.set_listed_candidates(&recent);
             }
@@ -263,179 +267,187 @@
         }
     }
 
-    /// The list to write beside the key when this instance takes it, and the revision
-    /// that it replaces.
+    /// The list to write together with the key when this instance takes it, with the revision that
+    /// it replaces.
     pub fn recent_holders_with_me(&self) -> RecentHolders {
-        let others = self.recent.names.iter().filter(|name| **name != self.me);
+        let others = self
+            .recent
+            .names
+            .iter()
+            .filter(|name| **name != self.own_id);
         let mut names: Vec<InstanceId> = others.cloned().collect();
-        names.push(self.me.clone());
-        let surplus = names.len().saturating_sub(KEPT_HOLDERS);
+        names.push(self.own_id.clone());
+        let surplus = names.len().saturating_sub(MAX_RECENT_HOLDERS);
         RecentHolders {
             names: names.split_off(surplus),
-            // They stay those that may take the key at once, whoever holds it.
+            // The same instances may take the key at once, whichever instance holds it.
             candidates: self.recent.candidates.clone(),
             revision: self.recent.revision,
         }
     }
 
-    /// Gives the right back, so that another instance can take it at once.
+    /// Releases the leadership, so that another instance can take it at once.
     pub fn release(&mut self) {
         self.is_released = true;
     }
 
-    /// Whether another one may have ordered since this instance did, not long ago. That
-    /// its name is the last one does not tell: it may have taken the key without hearing
-    /// so, and given no order.
-    fn must_pause(&self, now: Instant) -> bool {
+    /// Whether another instance may have given orders since this one last did, recently enough to
+    /// matter. That this instance is last on the list proves nothing: it may have taken the key
+    /// without receiving the answer and given no order.
+    fn must_wait_for_gap(&self, now: Instant) -> bool {
         let names = &self.recent.names;
-        let has_held = names.contains(&self.me) && names.len() > 1;
-        has_held && !self.held_last && now < self.quiet_since + FORGET_TIME
+        let held_recently = names.contains(&self.own_id) && names.len() > 1;
+        held_recently && !self.ordered_last && now < self.idle_since + RECENT_HOLDER_WINDOW
     }
 
-    /// What to do now. `drawn` between 0 and 1 spreads those who see at one moment that
-    /// nobody holds the key; `store_answers` says whether it is worth asking.
-    pub fn step(&mut self, drawn: f64, store_answers: bool, now: Instant) -> Step {
+    /// Returns what to do now. `random`, between 0 and 1, spreads the attempts of instances that
+    /// notice at the same time that the key is free. `store_answers` says whether the store
+    /// currently answers calls.
+    pub fn step(&mut self, random: f64, store_answers: bool, now: Instant) -> Step {
         if self.is_released {
-            return self.give_back();
+            return self.release_lease();
         }
         match self.stage {
-            Stage::Watching => self.watch(drawn, now),
+            Stage::Watching => self.watch_key(random, now),
             Stage::Pausing(until) if now < until => Step::Wait(until),
             Stage::Pausing(_) => {
                 self.stage = Stage::Watching;
-                self.watch(drawn, now)
+                self.watch_key(random, now)
             }
-            Stage::Turn(at) if now < at => Step::Wait(at),
-            Stage::Turn(_) if self.holder.is_some() => {
+            Stage::ScheduledTake(at) if now < at => Step::Wait(at),
+            Stage::ScheduledTake(_) if self.holder.is_some() => {
                 self.stage = Stage::Watching;
-                Step::Wait(now + IDLE_STEP)
+                Step::Wait(now + MAX_WAIT)
             }
-            Stage::Turn(_) if now < self.promised_until => Step::Wait(self.promised_until),
-            Stage::Turn(_) if !store_answers => self.pause(now),
-            Stage::Turn(_) => {
-                self.lease_time = self.answer_time.lease(self.limits.min_lease_ttl);
+            Stage::ScheduledTake(_) if now < self.promised_until => Step::Wait(self.promised_until),
+            Stage::ScheduledTake(_) if !store_answers => self.delay_retry(now),
+            Stage::ScheduledTake(_) => {
+                self.lease_ttl = self.store_latency.lease_ttl(self.settings.min_lease_ttl);
                 Step::GrantLease
             }
-            // It may have promised while the lease was asked for.
+            // This instance may have promised while it requested the lease.
             Stage::Granted(granted) if now < self.promised_until => {
-                self.stage = Stage::Ending(granted.lease);
+                self.stage = Stage::EndingLease(granted.lease);
                 Step::EndLease(granted.lease)
             }
-            Stage::Granted(granted) => self.take(granted, now),
-            Stage::Holding(term) => self.hold(term, now),
-            Stage::Ending(lease) => Step::EndLease(lease),
+            Stage::Granted(granted) => self.take_key(granted, now),
+            Stage::Holding(term) => self.hold_term(term, now),
+            Stage::EndingLease(lease) => Step::EndLease(lease),
             Stage::Stopped => Step::Stop,
         }
     }
 
-    fn watch(&mut self, drawn: f64, now: Instant) -> Step {
-        if !self.is_known || self.holder.is_some() {
-            return Step::Wait(now + IDLE_STEP);
+    fn watch_key(&mut self, random: f64, now: Instant) -> Step {
+        if !self.is_key_known || self.holder.is_some() {
+            return Step::Wait(now + MAX_WAIT);
         }
-        let mut pause = TURN.mul_f64(drawn);
-        if self.limits.has_low_cpu {
-            pause += WEAK_PAUSE;
+        let mut delay = TAKE_SPREAD.mul_f64(random);
+        if self.settings.has_low_cpu {
+            delay += LOW_CPU_DELAY;
         }
-        if self.must_pause(now) {
-            pause += HELD_PAUSE;
+        if self.must_wait_for_gap(now) {
+            delay += RECENT_HOLDER_DELAY;
         }
         if !self.is_candidate() {
-            pause += NOT_LISTED_PAUSE;
+            delay += NON_CANDIDATE_DELAY;
         }
-        self.stage = Stage::Turn(now + pause);
-        Step::Wait(now + pause)
+        self.stage = Stage::ScheduledTake(now + delay);
+        Step::Wait(now + delay)
     }
 
-    /// How the term would begin is told by the list that its taking replaces.
-    fn take(&mut self, granted: Granted, now: Instant) -> Step {
-        self.former_candidates.clone_from(&self.recent.candidates);
-        // The taking is conditional on this list, and whoever takes the key puts its own name last.
-        self.former_holder = self.recent.names.last().cloned();
-        let announcing = if self.recent.candidates.is_empty() {
+    /// Records the list that the write replaces, because it determines how the term begins.
+    fn take_key(&mut self, granted: GrantedLease, now: Instant) -> Step {
+        self.previous_candidates.clone_from(&self.recent.candidates);
+        // The write is conditional on this list, and each new holder appends its own name.
+        self.previous_holder = self.recent.names.last().cloned();
+        let announce_for = if self.recent.candidates.is_empty() {
             Duration::ZERO
         } else if self.is_candidate() {
-            // Others carry nobody without this one's promise, unless its process before
-            // this one left for good.
-            ANNOUNCE_TIME
+            // The candidates cannot extend another leadership without the promise of this
+            // instance, unless its previous process terminated for good.
+            ANNOUNCE_DURATION
         } else {
-            self.limits.holder_gap
+            self.settings.holder_gap
         };
-        self.stage = Stage::Granted(Granted {
-            pauses: self.must_pause(now),
-            announcing,
+        self.stage = Stage::Granted(GrantedLease {
+            begins_after_gap: self.must_wait_for_gap(now),
+            announce_for,
             ..granted
         });
         Step::TakeKey(granted.lease)
     }
 
-    fn pause(&mut self, now: Instant) -> Step {
-        let until = now + RETRY_PAUSE;
+    fn delay_retry(&mut self, now: Instant) -> Step {
+        let until = now + RETRY_DELAY;
         self.stage = Stage::Pausing(until);
         Step::Wait(until)
     }
 
-    fn hold(&mut self, term: Term, now: Instant) -> Step {
+    fn hold_term(&mut self, term: Term, now: Instant) -> Step {
         if self.is_succeeded(term.fence) {
-            return self.lose(&term, EndCause::Succeeded, now);
+            return self.end_term(&term, EndCause::Succeeded, now);
         }
         if now >= self.ends_at(&term) {
-            return self.lose(&term, EndCause::Lapsed, now);
+            return self.end_term(&term, EndCause::Lapsed, now);
         }
-        self.held_last |= now >= term.begin_at;
+        self.ordered_last |= now >= term.begin_at;
         if now >= term.renew_at {
             return Step::RenewLease(term.lease);
         }
-        if term.unanswered > 0 || !self.should_write_candidates() {
+        if term.unanswered_renewals > 0 || !self.should_write_candidates() {
             return Step::Wait(term.renew_at);
         }
-        if now < term.list_at {
-            return Step::Wait(term.renew_at.min(term.list_at));
+        if now < term.next_list_write_at {
+            return Step::Wait(term.renew_at.min(term.next_list_write_at));
         }
-        let names = self.wanted.iter().map(|one| one.instance.clone());
-        self.promises.writing(names);
+        let names = self
+            .desired_candidates
+            .iter()
+            .map(|candidate| candidate.instance.clone());
+        self.promises.record_pending_list(names);
         Step::WriteCandidates
     }
 
-    fn lose(&mut self, term: &Term, cause: EndCause, now: Instant) -> Step {
-        self.quiet_since = now;
-        self.last_end = Some(TermEnd {
+    fn end_term(&mut self, term: &Term, cause: EndCause, now: Instant) -> Step {
+        self.idle_since = now;
+        self.last_term_end = Some(TermEnd {
             cause,
-            unanswered_renewals: term.unanswered,
+            unanswered_renewals: term.unanswered_renewals,
             renewal_overdue: now.saturating_duration_since(term.renew_at),
         });
-        self.stage = Stage::Ending(term.lease);
+        self.stage = Stage::EndingLease(term.lease);
         Step::EndLease(term.lease)
     }
 
-    /// How the last term ended that was not given back.
+    /// How the last term ended that was not released.
     pub fn last_term_end(&self) -> Option<TermEnd> {
-        self.last_end
+        self.last_term_end
     }
 
-    fn give_back(&mut self) -> Step {
+    fn release_lease(&mut self) -> Step {
         let lease = match self.stage {
             Stage::Holding(term) => term.lease,
             Stage::Granted(granted) => granted.lease,
-            Stage::Ending(lease) => lease,
+            Stage::EndingLease(lease) => lease,
             _ => {
                 self.stage = Stage::Stopped;
                 return Step::Stop;
             }
         };
-        self.stage = Stage::Ending(lease);
+        self.stage = Stage::EndingLease(lease);
         Step::EndLease(lease)
     }
 
-    /// The answer to [`Step::Grant`], asked for at `asked_at`.
+    /// Handles the answer to [`Step::GrantLease`], which was sent at `asked_at`.
     pub fn handle_grant(&mut self, answer: Result<LeaseId, StoreError>, asked_at: Instant) {
-        // A lease whose grant had no answer holds no key, and runs out.
+        // If the grant had no answer, its lease holds no key and expires by itself.
         self.stage = match answer {
-            Ok(lease) => Stage::Granted(Granted::new(lease, asked_at)),
-            Err(_) => Stage::Pausing(asked_at + RETRY_PAUSE),
+            Ok(lease) => Stage::Granted(GrantedLease::new(lease, asked_at)),
+            Err(_) => Stage::Pausing(asked_at + RETRY_DELAY),
         };
     }
 
-    /// The answer to [`Step::Take`]; the fencing number if a term begins.
+    /// Handles the answer to [`Step::TakeKey`]. Returns the fencing number if a term begins.
     pub fn handle_take(
         &mut self,
         answer: &Result<WriteAnswer, StoreError>,
@@ -446,37 +458,36 @@
         };
         let lease = granted.lease;
         let Ok(WriteAnswer::Written(fence)) = *answer else {
-            // Without an answer it may take effect yet: ending the lease takes the key
-            // away with it.
-            self.held_last = false;
-            self.stage = Stage::Ending(lease);
+            // An unanswered write may still take effect; ending the lease then removes the key.
+            self.ordered_last = false;
+            self.stage = Stage::EndingLease(lease);
             return None;
         };
-        // Nothing was ordered yet, and a term may be over before its answer comes.
-        self.held_last = false;
-        // A pause is counted from the last order of a holder that candidates carry.
-        let mut begin_at = now + granted.announcing;
-        if granted.pauses {
-            begin_at += self.limits.holder_gap;
+        // This term has given no orders yet and may be over before the answer arrives.
+        self.ordered_last = false;
+        // The gap counts from the last possible order of a holder that candidates extend.
+        let mut begin_at = now + granted.announce_for;
+        if granted.begins_after_gap {
+            begin_at += self.settings.holder_gap;
         }
-        if !self.former_candidates.is_empty() {
-            begin_at = begin_at.max(self.unknown_until);
+        if !self.previous_candidates.is_empty() {
+            begin_at = begin_at.max(self.prior_promise_until);
         }
-        self.highest = self.highest.max(fence);
+        self.highest_fence = self.highest_fence.max(fence);
         self.promises = Promises::default();
         self.stage = Stage::Holding(Term {
             lease,
             fence,
             begin_at,
-            unanswered: 0,
-            list_at: now + LIST_PAUSE / 2,
-            until: granted.asked_at + self.lease_time.saturating_sub(SAFETY),
-            renew_at: now + self.lease_time.mul_f64(RENEW_PART),
+            unanswered_renewals: 0,
+            next_list_write_at: now + LIST_WRITE_INTERVAL / 2,
+            expires_at: granted.asked_at + self.lease_ttl.saturating_sub(EXPIRY_MARGIN),
+            renew_at: now + self.lease_ttl.mul_f64(RENEW_AT_RATIO),
         });
         Some(fence)
     }
 
-    /// The answer to [`Step::Renew`], asked for at `asked_at`.
+    /// Handles the answer to [`Step::RenewLease`], which was sent at `asked_at`.
     pub fn handle_renewal(
         &mut self,
         answer: Result<bool, StoreError>,
@@ -488,29 +499,29 @@
         };
         match answer {
             Ok(true) => {
-                term.until = asked_at + self.lease_time.saturating_sub(SAFETY);
-                term.renew_at = asked_at + self.lease_time.mul_f64(RENEW_PART);
-                term.unanswered = 0;
-                self.promises.store_answered();
+                term.expires_at = asked_at + self.lease_ttl.saturating_sub(EXPIRY_MARGIN);
+                term.renew_at = asked_at + self.lease_ttl.mul_f64(RENEW_AT_RATIO);
+                term.unanswered_renewals = 0;
+                self.promises.clear_departures();
             }
             Ok(false) => {
-                self.lose(&term, EndCause::LeaseGone, now);
+                self.end_term(&term, EndCause::LeaseGone, now);
                 return;
             }
             Err(_) => {
-                term.renew_at = now + RETRY_PAUSE;
-                term.unanswered += 1;
+                term.renew_at = now + RETRY_DELAY;
+                term.unanswered_renewals += 1;
             }
         }
         self.stage = Stage::Holding(term);
     }
 
-    /// The lease was ended, or runs out by itself.
+    /// Records that the lease was ended or expires by itself.
     pub fn handle_lease_end(&mut self, now: Instant) {
         self.stage = if self.is_released {
             Stage::Stopped
         } else {
-            Stage::Pausing(now + RETRY_PAUSE)
+            Stage::Pausing(now + RETRY_DELAY)
         };
     }
 }
--- a/crates/serving/src/leadership/candidates.rs
+++ b/crates/serving/src/leadership/candidates.rs
@@ -1,134 +1,150 @@
-//! The candidates of a term: who they are, what they promise, and how long they carry it.
+//! The candidates of a term: which instances they are, what they promise, and how long their
+//! promises extend the term.
 
 use super::promises::PROMISE_DURATION;
 use super::{
-    Candidate, LIST_PAUSE, Leadership, PromiseRefusal, RecentHolders, SAFETY, Stage, Term,
+    Candidate, EXPIRY_MARGIN, LIST_WRITE_INTERVAL, Leadership, PromiseRefusal, RecentHolders,
+    Stage, Term,
 };
 use crate::ports::{StoreError, WriteAnswer};
 use passway_types::prelude::*;
 
-/// A term whose lease has run out and that not all candidates carry may still be taken up
-/// again within this: a candidate learns that the store is silent only by a call's time-out.
-const RESUME_TIME: Duration = Duration::from_secs(3);
+/// A term whose lease has expired and that not all candidates extend may still be resumed within
+/// this time: a candidate learns only by a timed-out call that the store does not answer.
+const RESUME_WINDOW: Duration = Duration::from_secs(3);
 
 impl Leadership {
-    /// My fencing number, if the candidates of my term are to promise.
+    /// This instance's fencing number if the candidates of its term should be asked for promises.
     pub fn promise_request_fence(&self, now: Instant) -> Option<Fence> {
         let Stage::Holding(term) = self.stage else {
             return None;
         };
-        let asks = term.unanswered > 0 && self.promises.has_candidates(&self.me);
-        self.term_fence(now).filter(|_| asks)
+        let must_ask = term.unanswered_renewals > 0 && self.promises.has_candidates(&self.own_id);
+        self.term_fence(now).filter(|_| must_ask)
     }
 
-    /// A candidate promises, asked at a moment, not to take the key.
+    /// Records that a candidate promised not to take the key. The promise was requested at
+    /// `asked_at`.
     pub fn record_promise(&mut self, from: &InstanceId, fence: Fence, asked_at: Instant) {
-        if self.holds(fence) {
-            let until = asked_at + PROMISE_DURATION.saturating_sub(SAFETY);
-            self.promises.promised(from, until);
+        if self.is_holding(fence) {
+            let until = asked_at + PROMISE_DURATION.saturating_sub(EXPIRY_MARGIN);
+            self.promises.record_promise(from, until);
         }
     }
 
-    /// A candidate's process ends, and does not take the key any more.
+    /// Records that a candidate's process terminates and will not take the key any more.
     pub fn record_departure(&mut self, from: &InstanceId, fence: Fence) {
-        if self.holds(fence) {
-            self.promises.left(from);
+        if self.is_holding(fence) {
+            self.promises.record_departure(from);
         }
     }
 
-    fn holds(&self, fence: Fence) -> bool {
+    fn is_holding(&self, fence: Fence) -> bool {
         matches!(self.stage, Stage::Holding(term) if term.fence == fence)
     }
 
-    /// Promises the holder that asks not to take the key for [`PROMISE_DURATION`].
+    /// Promises the asking holder not to take the key for [`PROMISE_DURATION`].
     ///
     /// # Errors
-    /// Why this instance does not.
+    /// The reason why this instance does not promise.
     pub fn try_promise(
         &mut self,
         asker: &InstanceId,
         store_answers: bool,
         now: Instant,
     ) -> Result<(), PromiseRefusal> {
-        let takes = matches!(self.stage, Stage::Granted(_) | Stage::Holding(_));
+        let has_or_takes_key = matches!(self.stage, Stage::Granted(_) | Stage::Holding(_));
         let holder = self.holder.as_ref();
-        let is_last = holder.is_some_and(|h| h.instance == *asker && h.fence >= self.highest)
+        let is_asker_last_holder = holder
+            .is_some_and(|h| h.instance == *asker && h.fence >= self.highest_fence)
             && self.recent.names.last() == Some(asker);
-        if takes {
+        if has_or_takes_key {
             return Err(PromiseRefusal::TakesItself);
         }
         if store_answers {
             return Err(PromiseRefusal::StoreAnswers);
         }
-        if !is_last {
+        if !is_asker_last_holder {
             return Err(PromiseRefusal::KnowsAnother);
         }
         self.promised_until = self.promised_until.max(now + PROMISE_DURATION);
         Ok(())
     }
 
-    /// The candidates of my term without whose word it does not go on beyond its lease.
+    /// The candidates of this instance's term without whose promise it does not extend beyond its
+    /// lease.
     pub fn candidates_without_promise(&self, now: Instant) -> Vec<InstanceId> {
-        self.promises.lacking(&self.me, now)
+        self.promises.missing(&self.own_id, now)
     }
 
-    /// The last moment of a term at which an order may be given: by the lease, or by the
-    /// candidates' word.
-    pub(super) fn ordering_until(&self, term: &Term) -> Instant {
-        let carried = self.promises.hold_until(&self.me);
-        carried.map_or(term.until, |until| until.max(term.until))
+    /// The end of the time in which a term may give orders, by the lease or by the candidates'
+    /// promises.
+    pub(super) fn orders_allowed_until(&self, term: &Term) -> Instant {
+        let extended_until = self.promises.guaranteed_until(&self.own_id);
+        extended_until.map_or(term.expires_at, |until| until.max(term.expires_at))
     }
 
-    /// When a term is given up.
+    /// When a term ends.
     pub(super) fn ends_at(&self, term: &Term) -> Instant {
-        let until = self.ordering_until(term);
-        if self.promises.has_candidates(&self.me) {
-            until + RESUME_TIME
+        let until = self.orders_allowed_until(term);
+        if self.promises.has_candidates(&self.own_id) {
+            until + RESUME_WINDOW
         } else {
             until
         }
     }
 
-    /// The candidates that my term should have, if I hold the right.
-    pub fn set_desired_candidates(&mut self, wanted: Vec<Candidate>) {
-        self.wanted = wanted;
+    /// Sets the candidates that this instance's term should have, for the case that it holds the
+    /// leadership.
+    pub fn set_desired_candidates(&mut self, desired: Vec<Candidate>) {
+        self.desired_candidates = desired;
     }
 
-    /// Candidates that the store named when this instance took the key last.
+    /// The candidates in the store when this instance last took the key.
     pub fn previous_candidates(&self) -> &[Candidate] {
-        &self.former_candidates
+        &self.previous_candidates
     }
 
     /// Whether this instance may take the key at once.
     pub(super) fn is_candidate(&self) -> bool {
         let candidates = &self.recent.candidates;
-        candidates.is_empty() || candidates.iter().any(|one| one.instance == self.me)
+        candidates.is_empty()
+            || candidates
+                .iter()
+                .any(|candidate| candidate.instance == self.own_id)
     }
 
-    /// The store has these candidates, which are mine if I took the key last.
+    /// Records the candidates in the store. They belong to this instance's term if it took the key
+    /// last.
     pub(super) fn set_listed_candidates(&mut self, recent: &RecentHolders) {
-        let is_mine = recent.names.last() == Some(&self.me);
-        let names = recent.candidates.iter().map(|one| one.instance.clone());
-        let is_listed = is_mine && recent.candidates.iter().any(|c| c.instance == self.me);
+        let is_own_list = recent.names.last() == Some(&self.own_id);
+        let names = recent
+            .candidates
+            .iter()
+            .map(|candidate| candidate.instance.clone());
+        let is_listed = is_own_list && recent.candidates.iter().any(|c| c.instance == self.own_id);
         self.promises.set_listed(names.filter(|_| is_listed));
     }
 
-    /// Whether the store has other candidates than it should have. It is told of the taking
-    /// by the same value, which must be known before it is replaced.
+    /// Whether the candidates in the store differ from the desired ones. The same stored value
+    /// reports that this instance took the key, so that report must be known before the value is
+    /// replaced.
     pub(super) fn should_write_candidates(&self) -> bool {
-        let is_mine = self.recent.names.last() == Some(&self.me);
-        is_mine && self.wanted.len() > 1 && self.wanted != self.recent.candidates
+        let is_own_list = self.recent.names.last() == Some(&self.own_id);
+        is_own_list
+            && self.desired_candidates.len() > 1
+            && self.desired_candidates != self.recent.candidates
     }
 
-    /// The list to write for [`Step::List`], and the revision that it replaces.
+    /// The list to write for [`Step::WriteCandidates`], with the revision that it replaces.
     pub fn recent_holders_with_candidates(&self) -> RecentHolders {
         RecentHolders {
-            candidates: self.wanted.clone(),
+            candidates: self.desired_candidates.clone(),
             ..self.recent.clone()
         }
     }
 
-    /// The answer to [`Step::List`], whose list was `written`.
+    /// Handles the answer to [`Step::WriteCandidates`], whose list was `written`.
     pub fn handle_list_write(
         &mut self,
         answer: &Result<WriteAnswer, StoreError>,
@@ -138,9 +154,9 @@
         let Stage::Holding(term) = &mut self.stage else {
             return;
         };
-        term.list_at = now + LIST_PAUSE;
-        // Without an answer it may take effect yet, and after a conflict it is not known
-        // what stands: what the store tells next shows it.
+        term.next_list_write_at = now + LIST_WRITE_INTERVAL;
+        // A write without an answer may still take effect, and after a conflict the stored list is
+        // unknown. In both cases the next update from the store shows it.
         if let Ok(WriteAnswer::Written(revision)) = *answer {
             self.observe_recent(RecentHolders {
                 revision,
--- a/crates/serving/src/leadership/promises.rs
+++ b/crates/serving/src/leadership/promises.rs
@@ -1,33 +1,35 @@
-//! The right to order while the store is away: by the word of all who could take it.
+//! Extends the leadership while the store is unavailable, with promises of all instances that
+//! could take it.
 //!
-//! A holder whose lease cannot be renewed asks the instances that may take the key at once,
-//! its *candidates*, to promise for a short time that they will not. While it has the
-//! promise of each of them it goes on: nobody else can order in that time, though nobody
-//! can ask the store. One that reaches the store, or has heard of a later holder, refuses,
-//! and the holder stops within the time of a promise.
+//! A holder that cannot renew its lease asks its *candidates*, the instances that may take the key
+//! at once, to promise not to take it for a short time. While the holder has the promise of every
+//! candidate it continues: no other instance can give orders in that time, although the store
+//! cannot be asked. A candidate that reaches the store, or knows of a later holder, refuses, and
+//! the holder stops within the duration of a promise.
 //!
-//! The candidates stand in the store, beside the names of recent holders, and each taking of
-//! the key is conditional on that value: who is not among them waits out the gap between two
-//! holders and tells the candidates meanwhile that it has the key.
+//! The candidates are stored beside the names of recent holders, and each write of the key is
+//! conditional on that value. An instance that is not a candidate waits out the gap between two
+//! holders after it takes the key, and meanwhile notifies the candidates.
 //!
-//! Without this nobody orders in an outage, and requests for models that stand nowhere are
-//! refused for as long as it lasts.
+//! Without promises no instance could give orders during an outage of the store, and requests for
+//! models that are loaded nowhere would be refused until it ends.
 
 use passway_types::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Time for which a promise not to take the key holds: three heartbeats of the holder, so
-/// that one that is lost does not end its term.
+/// How long a promise not to take the key holds: three heartbeats of the holder, so that one lost
+/// heartbeat does not end its term.
 pub const PROMISE_DURATION: Duration = Duration::from_millis(900);
 
 /// Why an instance does not promise a holder to leave the key alone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PromiseRefusal {
-    /// It takes the key itself, or has it.
+    /// The instance is taking the key itself or has it.
     TakesItself,
-    /// The store answers it.
+    /// The store answers the instance.
     StoreAnswers,
-    /// It knows of a later holder, or does not know that the one that asks was the last.
+    /// The instance knows of a later holder, or does not know that the asking instance was the
+    /// last holder.
     KnowsAnother,
 }
 
@@ -35,83 +37,85 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Promise {
     Until(Instant),
-    /// Its process ends and never takes the key any more.
-    ForGood,
+    /// The candidate's process terminates and never takes the key again.
+    Permanent,
 }
 
-/// What the holder of a term knows of its candidates.
+/// What the holder of a term knows about its candidates.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Promises {
-    /// Candidates that the store names for this term; empty if it names none.
+    /// Candidates in the store for this term; empty if there are none.
     listed: BTreeSet<InstanceId>,
-    /// Those that it names if a write whose answer was lost took effect.
-    perhaps_listed: BTreeSet<InstanceId>,
-    given: BTreeMap<InstanceId, Promise>,
+    /// Candidates in the store if a write whose answer was lost took effect.
+    possibly_listed: BTreeSet<InstanceId>,
+    by_candidate: BTreeMap<InstanceId, Promise>,
 }
 
 impl Promises {
-    /// A list is about to be written.
-    pub(super) fn writing(&mut self, names: impl Iterator<Item = InstanceId>) {
-        self.perhaps_listed.extend(names);
+    /// Records that a list with these candidates is about to be written.
+    pub(super) fn record_pending_list(&mut self, names: impl Iterator<Item = InstanceId>) {
+        self.possibly_listed.extend(names);
     }
 
-    /// The store has exactly these candidates for this term.
+    /// Sets the candidates that the store has for this term.
     pub(super) fn set_listed(&mut self, names: impl Iterator<Item = InstanceId>) {
         self.listed = names.collect();
-        self.perhaps_listed.clear();
+        self.possibly_listed.clear();
     }
 
-    /// Whether there is anybody whose word could carry the term.
-    pub(super) fn has_candidates(&self, me: &InstanceId) -> bool {
-        self.listed.iter().any(|name| name != me)
+    /// Whether any other instance's promise could extend the term.
+    pub(super) fn has_candidates(&self, own_id: &InstanceId) -> bool {
+        self.listed.iter().any(|name| name != own_id)
     }
 
-    /// A candidate promises until a moment.
-    pub(super) fn promised(&mut self, name: &InstanceId, until: Instant) {
-        let given = self.given.entry(name.clone());
+    /// Records a candidate's promise until a time.
+    pub(super) fn record_promise(&mut self, name: &InstanceId, until: Instant) {
+        let given = self.by_candidate.entry(name.clone());
         let promise = given.or_insert(Promise::Until(until));
         if let Promise::Until(known) = promise {
             *known = (*known).max(until);
         }
     }
 
-    /// A candidate's process ends: it will not take the key any more.
-    pub(super) fn left(&mut self, name: &InstanceId) {
-        self.given.insert(name.clone(), Promise::ForGood);
+    /// Records that a candidate's process terminates and will not take the key any more.
+    pub(super) fn record_departure(&mut self, name: &InstanceId) {
+        self.by_candidate.insert(name.clone(), Promise::Permanent);
     }
 
-    /// The store answers again: whoever left may be back by now as another process.
-    pub(super) fn store_answered(&mut self) {
-        self.given.retain(|_, promise| *promise != Promise::ForGood);
+    /// Drops permanent promises once the store answers again, because a terminated candidate may
+    /// have restarted by then.
+    pub(super) fn clear_departures(&mut self) {
+        self.by_candidate
+            .retain(|_, promise| *promise != Promise::Permanent);
     }
 
-    /// Those whose promise is missing or over.
-    pub(super) fn lacking(&self, me: &InstanceId, now: Instant) -> Vec<InstanceId> {
-        let asked = self.listed.union(&self.perhaps_listed);
-        let is_bound = |name: &InstanceId| match self.given.get(name) {
-            Some(Promise::ForGood) => true,
+    /// The candidates whose promise is missing or expired.
+    pub(super) fn missing(&self, own_id: &InstanceId, now: Instant) -> Vec<InstanceId> {
+        let candidates = self.listed.union(&self.possibly_listed);
+        let has_promised = |name: &InstanceId| match self.by_candidate.get(name) {
+            Some(Promise::Permanent) => true,
             Some(Promise::Until(until)) => now < *until,
             None => false,
         };
-        let lacking = asked.filter(|name| *name != me && !is_bound(name));
-        lacking.cloned().collect()
+        let missing = candidates.filter(|name| *name != own_id && !has_promised(name));
+        missing.cloned().collect()
     }
 
-    /// Until when nobody else takes the key; `None` if somebody might at any moment.
-    pub(super) fn hold_until(&self, me: &InstanceId) -> Option<Instant> {
-        if !self.has_candidates(me) {
+    /// Until when no other instance takes the key; `None` if one might take it at any time.
+    pub(super) fn guaranteed_until(&self, own_id: &InstanceId) -> Option<Instant> {
+        if !self.has_candidates(own_id) {
             return None;
         }
-        let asked = self.listed.union(&self.perhaps_listed);
-        let mut least: Option<Instant> = None;
-        for name in asked.filter(|name| *name != me) {
-            match self.given.get(name)? {
-                Promise::ForGood => {}
+        let candidates = self.listed.union(&self.possibly_listed);
+        let mut earliest: Option<Instant> = None;
+        for name in candidates.filter(|name| *name != own_id) {
+            match self.by_candidate.get(name)? {
+                Promise::Permanent => {}
                 Promise::Until(until) => {
-                    least = Some(least.map_or(*until, |known| known.min(*until)));
+                    earliest = Some(earliest.map_or(*until, |known| known.min(*until)));
                 }
             }
         }
-        least
+        earliest
     }
 }
--- a/crates/serving/src/leadership/records.rs
+++ b/crates/serving/src/leadership/records.rs
@@ -1,88 +1,88 @@
-//! What the store says of the right to order, and what is asked of it.
+//! What the store holds about the leadership, and the calls that are made to it.
 
 use crate::ports::{LeaseId, StoreRevision};
 use passway_types::prelude::*;
 use std::net::SocketAddr;
 
-/// Who holds the right, as the store says.
+/// The holder of the leadership, as stored.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Holder {
-    /// The instance.
+    /// The holder's name.
     pub instance: InstanceId,
-    /// Where it listens for other instances.
+    /// Where the holder listens for other instances.
     pub address: SocketAddr,
-    /// The store's revision of the key.
+    /// The store's revision of the key, used as the fencing number.
     pub fence: Fence,
 }
 
 /// An instance that may take the key at once.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Candidate {
-    /// Its name.
+    /// The candidate's name.
     pub instance: InstanceId,
-    /// Where it listens for other instances.
+    /// Where the candidate listens for other instances.
     pub address: SocketAddr,
 }
 
-/// Who has held the right lately, as the store says.
+/// The recent holders and the current candidates, as stored.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RecentHolders {
-    /// The instances, the last one last.
+    /// The holders, the most recent one last.
     pub names: Vec<InstanceId>,
-    /// Who may take the key at once; anybody if it is empty.
+    /// The instances that may take the key at once; any instance if this is empty.
     pub candidates: Vec<Candidate>,
-    /// The store's revision of the key; 0 if it was never written.
+    /// The store's revision of this key; 0 if it was never written.
     pub revision: StoreRevision,
 }
 
-/// What is fixed about an instance's leadership.
+/// Settings of an instance's leadership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeadershipSettings {
-    /// Shortest time-to-live of the lease.
+    /// Minimum time-to-live of the lease.
     pub min_lease_ttl: Duration,
-    /// Time in which two holders must not both order at one engine.
+    /// Time in which two holders must not both give orders to one engine.
     pub holder_gap: Duration,
-    /// Whether others had better hold the right, since this instance has little processor.
+    /// Whether other instances should be preferred as holders because this one has little CPU.
     pub has_low_cpu: bool,
 }
 
-/// What to do next about the right.
+/// The next action for the leadership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing before this moment, unless something is heard.
+    /// Do nothing before this time unless an update arrives.
     Wait(Instant),
-    /// Ask for a lease.
+    /// Request a lease.
     GrantLease,
-    /// Write the holder's key under the lease, if it is not there.
+    /// Write the holder's key under the lease if the key is absent.
     TakeKey(LeaseId),
     /// Renew the lease.
     RenewLease(LeaseId),
-    /// Write the list of holders with the candidates of this term.
+    /// Write the list of recent holders with the candidates of this term.
     WriteCandidates,
     /// End the lease.
     EndLease(LeaseId),
-    /// Nothing any more.
+    /// Stop for good.
     Stop,
 }
 
-/// Why a term ended that was not given back.
+/// Why a term ended that was not released.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndCause {
-    /// The lease ran out by the holder's own clock.
+    /// The lease expired by the holder's own clock.
     Lapsed,
-    /// The store had let the lease run out.
+    /// The store had already expired the lease.
     LeaseGone,
-    /// Another instance has taken the right.
+    /// Another instance has taken the leadership.
     Succeeded,
 }
 
-/// How a term ended that was not given back.
+/// How a term ended that was not released.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TermEnd {
-    /// Why.
+    /// Why the term ended.
     pub cause: EndCause,
-    /// Renewals that the store left without a good answer, the last ones in a row.
+    /// Consecutive renewals at the end of the term that the store did not answer or refused.
     pub unanswered_renewals: u32,
-    /// Time since the next renewal was due: much, if the process came late to it.
+    /// Time since the next renewal was due. A large value means that the process renewed late.
     pub renewal_overdue: Duration,
 }
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -1,24 +1,29 @@
-//! What an instance knows and decides, without I/O, threads or clock.
+//! The state and the decisions of an instance, without I/O, threads or a clock.
 //!
-//! * [`ports`]: what it needs of the place it runs in, as traits; an adapter of a
-//!   platform implements them and decides nothing.
-//! * [`placement`]: which models stand on which engines, and the orders that load them.
-//! * [`routes`]: the operators' routes and services, and which route a request takes.
-//! * [`upstreams`]: what upstreams say of themselves, what this instance has seen of
-//!   them, and which one a request goes to.
-//! * [`absence`]: whether an upstream whose entry is missing is gone.
-//! * [`leadership`]: who holds the right to order, and when an instance takes it.
-//! * [`retry`]: the part of the fleet's retry allowance that this instance may spend.
-//! * [`workspaces`]: who may use closed routes, and how much; [`freshness`]: until when the
-//!   configuration that says so may be acted on; [`allotment`]: what they have used.
-//! * [`halls`]: where requests may go: regions that bind, data halls that were emptied.
-//! * [`limits`]: what upstreams in need say that they take.
-//! * [`words`]: what upstreams say of themselves in their answers.
-//! * [`headers`]: headers as they were received.
-//! * [`hash`]: a hash that is the same in each process.
+//! * [`ports`]: the interfaces to the platform, as traits. A platform adapter implements them and
+//!   makes no decisions.
+//! * [`placement`]: which models are loaded on which engines, and the orders that load them.
+//! * [`routes`]: the operators' routes and services, and the route of each request.
+//! * [`upstreams`]: what upstreams report, what this instance has observed of them, and which one
+//!   a request goes to.
+//! * [`store_outages`]: when an upstream whose entry is missing counts as removed.
+//! * [`leadership`]: which instance may send orders to engines, and when an instance takes this
+//!   right.
+//! * [`retry`]: this instance's share of the fleet's retry budget.
+//! * [`workspaces`]: which keys open routes that need one, and how much they may use;
+//!   [`freshness`]: until when the configuration with those keys may be applied; [`allotment`]:
+//!   what workspaces have used.
+//! * [`halls`]: where requests may go, by allowed regions and evacuated data halls.
+//! * [`limits`]: rate limits that upstreams advertise.
+//! * [`signals`]: what upstreams report about themselves in the headers of their answers.
+//! * [`dispatch`]: which engine a request goes to in a large fleet.
+//! * [`poison`]: requests that crash the upstreams that run them.
+//! * [`first_byte_times`]: how long upstreams usually take until the first byte of an answer.
+//! * [`headers`]: headers as received.
+//! * [`hash`]: a hash that is the same in every process.
 //!
-//! Events and the current time go in, answers come out; `passway-instance` is the
-//! shell with threads and sockets.
+//! Events and the current time are inputs, decisions are outputs. `passway-instance` adds the
+//! threads and sockets.
 
 pub mod allotment;
 pub mod dispatch;
--- a/crates/serving/src/store_outages.rs
+++ b/crates/serving/src/store_outages.rs
@@ -1,21 +1,21 @@
-//! Whether an upstream whose entry is missing is gone.
+//! Decides when an upstream whose entry is missing counts as removed.
 //!
-//! An upstream's entry lies under a lease. While the store is away the lease may run
-//! out although the upstream lives; it is back soon after the store's return, and only
-//! one that is still missing then is taken as gone. At all other times a missing entry
-//! means that its upstream has left.
+//! An upstream's entry is stored under a lease. While the store is unavailable the lease may
+//! expire although the upstream is alive. A living upstream restores its entry soon after the
+//! store returns, so only an entry that is still missing then counts as removed. At all other
+//! times a missing entry means that the upstream has left.
 
 use passway_types::prelude::*;
 
-/// Calls that fail for less than this are no outage that lets entries lapse: an entry
-/// lapses after three check-ins of silence, about 3.6 s (users' pages), of which a call
-/// that waits for an answer takes up to 1.3 s before it counts as failed. Counted from there,
-/// so that an outage of 2.3 s is one.
-const SHORTEST_OUTAGE: Duration = Duration::from_secs(1);
-/// Upstreams that live are back so soon after the store's return (users' pages).
-const RETURN_TIME: Duration = Duration::from_secs(2);
+/// Minimum time of failing calls that counts as an outage in which entries may expire. An entry
+/// expires after three missed check-ins, about 3.6 s, and a call that waits for an answer takes up
+/// to 1.3 s until it counts as failed. The time counts from that failure, so that an outage of 2.3
+/// s is recognized.
+const MIN_OUTAGE: Duration = Duration::from_secs(1);
+/// Living upstreams restore their entries within this time after the store returns.
+const RESTORE_DURATION: Duration = Duration::from_secs(2);
 
-/// When the store was away, as one instance has seen it.
+/// The store's outages as observed by one instance.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct StoreOutages {
     failing_since: Option<Instant>,
@@ -23,28 +23,32 @@
 }
 
 impl StoreOutages {
-    /// A call was not answered, or refused.
+    /// Records that a call was not answered or was refused.
     pub fn record_failure(&mut self, now: Instant) {
         self.failing_since.get_or_insert(now);
     }
 
-    /// A call was answered.
+    /// Records that a call was answered.
     pub fn record_answer(&mut self, now: Instant) {
         let Some(since) = self.failing_since.take() else {
             return;
         };
-        if now >= since + SHORTEST_OUTAGE {
+        if now >= since + MIN_OUTAGE {
             self.returned_at = Some(now);
         }
     }
 
-    /// When an entry that is missing now means that its upstream is gone: at once, or
-    /// as soon as it has had the time to come back.
+    /// When a missing entry means that its upstream is removed: now, or after the time that it
+    /// needs to restore the entry.
     pub fn removal_at(&self, now: Instant) -> Instant {
-        let away = self
+        let is_unavailable = self
             .failing_since
-            .is_some_and(|since| now >= since + SHORTEST_OUTAGE);
-        let returned_at = if away { Some(now) } else { self.returned_at };
-        returned_at.map_or(now, |at| now.max(at + RETURN_TIME))
+            .is_some_and(|since| now >= since + MIN_OUTAGE);
+        let returned_at = if is_unavailable {
+            Some(now)
+        } else {
+            self.returned_at
+        };
+        returned_at.map_or(now, |at| now.max(at + RESTORE_DURATION))
     }
 }
