--- a/crates/serving/src/poison.rs
+++ b/crates/serving/src/poison.rs
@@ -1,8 +1,8 @@
-//! Requests that crash the upstreams that run them.
+//! Poison requests: requests that crash the upstreams that run them.
 //!
-//! Such a request comes again, under another id and at another instance, and each run takes an engine
-//! and all that runs there. So crashes are counted by what a request asks for
-//! ([`RequestDigest`]), over all instances, and it is refused after [`MAX_CRASHES`].
+//! Such a request is retried under another id and at another instance, and each run takes down an
+//! engine with everything that runs on it. So crashes are counted over all instances by the
+//! request's content ([`RequestDigest`]), and the request is refused after [`MAX_CRASHES`].
 
 mod digest;
 mod exclusive_runs;
--- a/crates/serving/src/poison/digest.rs
+++ b/crates/serving/src/poison/digest.rs
@@ -1,16 +1,17 @@
-//! What a request asks for, whatever its id.
+//! A digest of a request's content that does not depend on its id.
 
 use passway_types::hash::{DIGEST_BYTES, stable_digest};
 use std::fmt;
 
-/// Tells a request that comes again, under another id or at another instance, from others.
+/// Identifies a request that is sent again, under another id or at another instance.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestDigest(pub [u8; DIGEST_BYTES]);
 
 impl RequestDigest {
-    /// The digest of what stays the same when a caller sends a request again. Ids, deadlines
-    /// and the event after which a stream goes on do not. Nor does the address it comes from:
-    /// callers behind a gateway share addresses, and one caller's requests leave from several.
+    /// The digest of the parts that stay the same when a caller sends a request again. Ids,
+    /// deadlines and the event after which a stream resumes do not stay the same. The caller's
+    /// address is left out too: callers behind a gateway share addresses, and one caller's
+    /// requests leave from several.
     pub fn of(method: &str, host: &str, target: &str, body: &[u8]) -> Self {
         let [method, host, target] = [method, host, target].map(str::as_bytes);
         Self(stable_digest(&[method, host, target, body]))
--- a/crates/serving/src/poison/exclusive_runs.rs
+++ b/crates/serving/src/poison/exclusive_runs.rs
@@ -1,70 +1,76 @@
-//! Runs of requests that go one at a time over all instances.
+//! Permits for suspect requests that run one at a time over all instances.
 //!
-//! The instance that counts for all gives a turn to one run of each such request. Worst case: a counter that has
-//! just begun knows of no turn, so one run more is under way for each change of the counter within a turn.
+//! The coordinator gives the permit of each such request to one run. A coordinator whose term has
+//! just begun knows of no earlier permits, so in the worst case one more run is in flight for each
+//! change of the coordinator while a permit lasts.
 
 use super::RequestDigest;
 use passway_types::prelude::*;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Longest turn. A run whose instance has gone gives none back.
-const LONGEST_TURN: Duration = Duration::from_secs(30);
-/// When a run without a turn may ask again.
-const ASK_PAUSE: Duration = Duration::from_millis(100);
-/// Turns that are kept; beyond them runs wait.
-const MAX_TURNS: usize = 4_096;
+/// Maximum duration of a permit. A run whose instance terminated never releases its permit.
+const MAX_PERMIT_DURATION: Duration = Duration::from_secs(30);
+/// When a run without a permit may ask again.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Maximum number of permits; further runs wait.
+const MAX_PERMITS: usize = 4_096;
 
-/// A run that asks for a turn: its instance, and its number there.
+/// A run that requests a permit: its instance's address and its number there.
 pub type ExclusiveRunId = (SocketAddr, u64);
 
 #[derive(Debug)]
-struct Turn {
-    of: ExclusiveRunId,
-    until: Instant,
+struct Permit {
+    run: ExclusiveRunId,
+    expires_at: Instant,
 }
 
-/// The turns of one term of the counter.
+/// The permits of one term of the coordinator.
 #[derive(Debug, Default)]
 pub struct ExclusiveRuns {
     fence: Fence,
-    turns: HashMap<RequestDigest, Turn>,
+    permits: HashMap<RequestDigest, Permit>,
 }
 
 impl ExclusiveRuns {
-    /// Gives a run its turn for so long at most, or tells when it may ask again.
+    /// Gives a run the permit for its request, for `duration` or [`MAX_PERMIT_DURATION`],
+    /// whichever is shorter.
     ///
     /// # Errors
-    /// The time after which it may ask again.
+    /// The time after which the run may ask again.
     pub fn try_acquire(
         &mut self,
         fence: Fence,
         digest: RequestDigest,
         run: ExclusiveRunId,
-        time: Duration,
+        duration: Duration,
         now: Instant,
     ) -> Result<(), Duration> {
         if fence != self.fence {
             self.fence = fence;
-            self.turns.clear();
+            self.permits.clear();
         }
-        self.turns.retain(|_, turn| now < turn.until);
-        let has_room = self.turns.len() < MAX_TURNS;
-        match self.turns.get(&digest) {
-            Some(turn) if turn.of == run => Ok(()),
-            None if has_room => {
-                let until = now + time.min(LONGEST_TURN);
-                self.turns.insert(digest, Turn { of: run, until });
+        self.permits.retain(|_, permit| now < permit.expires_at);
+        let has_capacity = self.permits.len() < MAX_PERMITS;
+        match self.permits.get(&digest) {
+            Some(permit) if permit.run == run => Ok(()),
+            None if has_capacity => {
+                let expires_at = now + duration.min(MAX_PERMIT_DURATION);
+                self.permits.insert(digest, Permit { run, expires_at });
                 Ok(())
             }
-            _ => Err(ASK_PAUSE),
+            _ => Err(RETRY_DELAY),
         }
     }
 
-    /// A run is over that ended nothing.
+    /// Releases the permit of a run that ended without a crash.
     pub fn release(&mut self, digest: RequestDigest, run: ExclusiveRunId) {
-        if self.turns.get(&digest).is_some_and(|turn| turn.of == run) {
-            self.turns.remove(&digest);
+        if self
+            .permits
+            .get(&digest)
+            .is_some_and(|permit| permit.run == run)
+        {
+            self.permits.remove(&digest);
         }
     }
 }
--- a/crates/serving/src/poison/list.rs
+++ b/crates/serving/src/poison/list.rs
@@ -1,75 +1,79 @@
-//! Which requests were being run when upstreams crashed, and which of them are refused.
+//! Records which requests ran when upstreams crashed, and decides which of them are refused.
 
 use super::RequestDigest;
 use passway_types::prelude::*;
 use std::collections::{BTreeMap, HashMap};
 
-/// Crashes under one request after which it is refused. Two would refuse many of those that ran
-/// beside it: they go on together at the next engine, and an engine runs a dozen.
+/// Crashes under one request after which it is refused. A limit of two would refuse many innocent
+/// requests that ran beside a poison request: they move together to the next engine, and an engine
+/// runs a dozen.
 pub const MAX_CRASHES: u32 = 3;
-/// What a crash counts that nothing else explains; so that half of it can be told.
-const FULL_WEIGHT: u32 = 2;
-/// A request is refused for so long after its last crash. A caller that keeps repeating it may
-/// then end three engines an hour; a request that was refused wrongly is served again.
-const REFUSED_TIME: Duration = Duration::from_hours(1);
-/// Fewer crashes are remembered for so long: callers' time budgets are seconds to minutes.
-const SUSPECTED_TIME: Duration = Duration::from_mins(10);
-/// An upstream of which nothing tells for so long whether it has ended counts as living. Its entry goes
-/// after three check-ins of silence, some four seconds.
+/// Weight of a crash that nothing else explains. An even number, so that half of it is an integer.
+const CRASH_WEIGHT: u32 = 2;
+/// How long a request is refused after its last crash. A caller that keeps repeating it can then
+/// crash at most three engines an hour, and a request that was refused wrongly is served again.
+const REFUSAL_DURATION: Duration = Duration::from_hours(1);
+/// How long a request with fewer crashes is remembered: callers' deadlines are seconds to minutes.
+const SUSPICION_DURATION: Duration = Duration::from_mins(10);
+/// An upstream whose termination is not confirmed within this time counts as alive. Its entry
+/// expires after three missed check-ins, some four seconds.
 pub const UNCONFIRMED_TIMEOUT: Duration = Duration::from_secs(8);
-/// Time for what other instances saw of a crash to arrive, before it is held to be explained.
-const SETTLING_TIME: Duration = Duration::from_secs(1);
-/// Suspects that are kept, some 300 bytes each. A rack of 20 engines leaves 240.
+/// Time for other instances' reports of a crash to arrive before the crash counts as explained.
+const SETTLE_DELAY: Duration = Duration::from_secs(1);
+/// Maximum number of suspects, at some 300 bytes each. A rack of 20 engines leaves 240.
 const MAX_SUSPECTS: usize = 4_096;
-/// As many are kept once there are more, so that the list is not sorted for each.
-const KEPT_SUSPECTS: usize = MAX_SUSPECTS * 3 / 4;
-/// Crashes that are kept of one request.
-const MAX_KEPT_CRASHES: usize = 8;
+/// Number of suspects retained when the maximum is exceeded, so that the list is not sorted for
+/// every new one.
+const RETAINED_SUSPECTS: usize = MAX_SUSPECTS * 3 / 4;
+/// Maximum number of crashes stored for one request.
+const MAX_CRASHES_PER_SUSPECT: usize = 8;
 
-/// One start of an upstream: an upstream may start again under its id.
+/// One start of an upstream. An upstream may start again under the same id.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UpstreamStart {
-    /// The upstream.
+    /// The upstream's id.
     pub upstream: UpstreamId,
-    /// When it started, in Unix milliseconds by its own clock; 0 if it does not tell.
+    /// When the upstream started, in Unix milliseconds by its own clock; 0 if not reported.
     pub started_at_ms: u64,
 }
 
-/// What a crash tells about a request that was being run. The later ones replace the earlier.
+/// What a crash says about a request that was running at the time. A later variant replaces an
+/// earlier one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CrashStatus {
-    /// The upstream broke off, and it is not known yet whether it has ended.
+    /// The upstream disconnected, and its termination is not confirmed yet.
     Unconfirmed,
-    /// The request may have been the cause.
+    /// The request may have caused the crash.
     Counted,
-    /// Another request that is refused was being run as well, and crashed more upstreams.
+    /// Another, refused request was running as well and has crashed more upstreams.
     Explained,
-    /// The request has been answered since, so it does not crash what runs it.
+    /// The request has been answered since, so it does not crash the upstreams that run it.
     Cleared,
 }
 
 impl CrashStatus {
     fn weight(self) -> u32 {
         match self {
-            Self::Counted => FULL_WEIGHT,
-            Self::Explained => FULL_WEIGHT / 2,
+            Self::Counted => CRASH_WEIGHT,
+            Self::Explained => CRASH_WEIGHT / 2,
             Self::Unconfirmed | Self::Cleared => 0,
         }
     }
 }
 
-/// When a run was sent to an upstream, and when the upstream broke off. Of another instance's run the first may be
-/// too late and the second too early, never the other way round.
+/// When a run was sent to an upstream and when the upstream disconnected. For another instance's
+/// run, `sent_at` may be later and `disconnected_at` earlier than in fact, never the other way
+/// round.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RunSpan {
-    /// When it was sent.
+    /// When the run was sent.
     pub sent_at: Instant,
-    /// When the upstream broke off.
+    /// When the upstream disconnected.
     pub disconnected_at: Instant,
 }
 
 impl RunSpan {
-    /// What two instances know of runs that were alike: the first of each moment.
+    /// Merges what two instances know of runs of the same request: the earlier time of each kind.
     fn merge(self, other: Self) -> Self {
         Self {
             sent_at: self.sent_at.min(other.sent_at),
@@ -78,84 +82,88 @@
     }
 }
 
-/// Upstreams that break off within this time may have ended of one cause.
-const MOMENT: Duration = Duration::from_secs(1);
+/// Upstreams that disconnect within this time may have terminated for one common cause.
+const INCIDENT_WINDOW: Duration = Duration::from_secs(1);
 
-/// Whether a request may run while upstreams that broke off under it may have ended.
+/// Whether a request may run while upstreams that disconnected under it may have terminated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum RunPermission {
-    /// It may.
+    /// The request may run.
     #[default]
     Free,
-    /// One of those like it at a time, over all instances: if it ends the next upstream too it is to be refused,
-    /// and an answer shows that something else ended the others.
+    /// One request with this content may run at a time, over all instances. If it crashes the next
+    /// upstream too, the request is refused; an answer shows that something else crashed the
+    /// others.
     Alone,
-    /// Not before it is known: if all have ended it is to be refused.
+    /// The request waits until the terminations are confirmed or ruled out: if all are confirmed
+    /// it is refused.
     Held,
 }
 
-/// A request and the crashes under it, as instances tell one another. Knowledge of several
-/// instances is joined, in any order and any number of times, with the same result.
+/// A request and the crashes under it, as instances exchange them. Merging what several instances
+/// know gives the same result in any order and any number of times.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Suspect {
-    /// The request.
+    /// The request's digest.
     pub digest: RequestDigest,
-    /// The crashes.
+    /// The crashes under the request.
     pub crashes: BTreeMap<UpstreamStart, CrashStatus>,
-    /// The runs that broke off, where that is known.
+    /// The runs that ended with a disconnect, where their times are known.
     pub runs: BTreeMap<UpstreamStart, RunSpan>,
 }
 
 impl Suspect {
-    /// Whether all crashes that count fell into one moment, before which the request was already being run on
-    /// each of the upstreams. Whatever took them together, a rack's loss, explains that without the request,
-    /// which goes to its next upstream after the last one broke off.
+    /// Whether all counted crashes belong to one incident that began after the request had been
+    /// sent to each of the upstreams. A common cause such as the loss of a rack explains them
+    /// without the request: a poison request reaches its next upstream only after the previous one
+    /// disconnected.
     fn is_single_incident(&self) -> bool {
         let counted = self.crashes.iter();
-        let counted = counted.filter(|(_, blame)| **blame != CrashStatus::Cleared);
+        let counted = counted.filter(|(_, status)| **status != CrashStatus::Cleared);
         let spans = counted.map(|(start, _)| self.runs.get(start));
         let Some(spans) = spans.collect::<Option<Vec<_>>>() else {
             return false;
         };
         let first = spans.iter().map(|span| span.disconnected_at).min();
         first.is_some_and(|first| {
-            let is_of_it =
-                |span: &&RunSpan| span.sent_at <= first && span.disconnected_at <= first + MOMENT;
-            spans.iter().all(is_of_it)
+            let is_in_incident = |span: &&RunSpan| {
+                span.sent_at <= first && span.disconnected_at <= first + INCIDENT_WINDOW
+            };
+            spans.iter().all(is_in_incident)
         })
     }
 
     fn weight(&self) -> u32 {
-        self.crashes.values().map(|blame| blame.weight()).sum()
+        self.crashes.values().map(|status| status.weight()).sum()
     }
 
-    /// The weight that it has if all upstreams that broke off have ended.
+    /// The request's weight if all unconfirmed crashes are confirmed.
     fn weight_if_confirmed(&self) -> u32 {
-        let open = self
+        let unconfirmed = self
             .crashes
             .values()
-            .filter(|blame| **blame == CrashStatus::Unconfirmed);
-        self.weight() + open.map(|_| FULL_WEIGHT).sum::<u32>()
+            .filter(|status| **status == CrashStatus::Unconfirmed);
+        self.weight() + unconfirmed.map(|_| CRASH_WEIGHT).sum::<u32>()
     }
 
-    /// Whether the next crash is the last that is allowed.
+    /// Whether the request is refused after the next crash, so that the suspect must be stored.
     fn should_persist(&self) -> bool {
-        self.weight() >= (MAX_CRASHES - 1) * FULL_WEIGHT
+        self.weight() >= (MAX_CRASHES - 1) * CRASH_WEIGHT
     }
 
     fn is_refused(&self) -> bool {
-        self.weight() >= MAX_CRASHES * FULL_WEIGHT && !self.is_single_incident()
+        self.weight() >= MAX_CRASHES * CRASH_WEIGHT && !self.is_single_incident()
     }
 
-    /// What has crashed so far is not held against it any more.
+    /// Clears the crashes recorded so far.
     fn clear(&mut self) {
         let crashes = self.crashes.values_mut();
-        crashes.for_each(|blame| *blame = CrashStatus::Cleared);
+        crashes.for_each(|status| *status = CrashStatus::Cleared);
     }
 
-    /// Joins in when runs were sent and broke off, of crashes that are known.
-    fn join_runs(&mut self, told: BTreeMap<UpstreamStart, RunSpan>) {
-        for (start, run) in told {
+    /// Merges times of runs whose crashes are known.
+    fn merge_runs(&mut self, received: BTreeMap<UpstreamStart, RunSpan>) {
+        for (start, run) in received {
             if self.crashes.contains_key(&start) {
                 let known = self.runs.entry(start).or_insert(run);
                 *known = known.merge(run);
@@ -163,107 +171,109 @@
         }
     }
 
-    /// Joins in what is known of a crash; whether that is news.
-    fn merge(&mut self, crash: UpstreamStart, blame: CrashStatus) -> bool {
+    /// Merges the status of a crash. Returns whether it is new.
+    fn merge(&mut self, crash: UpstreamStart, status: CrashStatus) -> bool {
         if let Some(known) = self.crashes.get_mut(&crash) {
-            let is_news = blame > *known;
-            *known = blame.max(*known);
-            return is_news;
+            let is_new = status > *known;
+            *known = status.max(*known);
+            return is_new;
         }
-        let has_room = self.crashes.len() < MAX_KEPT_CRASHES;
-        if has_room {
-            self.crashes.insert(crash, blame);
+        let has_capacity = self.crashes.len() < MAX_CRASHES_PER_SUSPECT;
+        if has_capacity {
+            self.crashes.insert(crash, status);
         }
-        has_room
+        has_capacity
     }
 }
 
-/// What is known of one request here.
+/// What this instance knows about one request.
 #[derive(Debug)]
-struct Known {
+struct SuspectRecord {
     suspect: Suspect,
     /// When the last crash became known.
-    at: Instant,
-    /// When others' crashes that it explains are to be weighed anew, if it is refused.
+    last_crash_at: Instant,
+    /// If the request is refused: when the crashes of other requests that it explains are
+    /// reassessed.
     settles_at: Option<Instant>,
-    /// Until when upstreams that broke off may prove to have ended.
-    open_until: Instant,
+    /// Until when the termination of disconnected upstreams may be confirmed.
+    unconfirmed_until: Instant,
 }
 
-impl Known {
-    /// Drops breaks of which nothing told in time whether the upstream has ended.
+impl SuspectRecord {
+    /// Drops crashes that were not confirmed in time.
     fn drop_unconfirmed(&mut self, now: Instant) {
-        if now >= self.open_until {
+        if now >= self.unconfirmed_until {
             let crashes = &mut self.suspect.crashes;
-            crashes.retain(|_, blame| *blame != CrashStatus::Unconfirmed);
+            crashes.retain(|_, status| *status != CrashStatus::Unconfirmed);
             let runs = &mut self.suspect.runs;
             runs.retain(|start, _| crashes.contains_key(start));
         }
     }
 
     fn is_expired(&self, now: Instant) -> bool {
-        self.until() <= now
+        self.expires_at() <= now
     }
 
-    fn until(&self) -> Instant {
+    fn expires_at(&self) -> Instant {
         let is_refused = self.suspect.is_refused();
-        self.at
+        self.last_crash_at
             + if is_refused {
-                REFUSED_TIME
+                REFUSAL_DURATION
             } else {
-                SUSPECTED_TIME
+                SUSPICION_DURATION
             }
     }
 }
 
-/// The requests under which upstreams have crashed lately.
+/// The requests under which upstreams have crashed recently.
 #[derive(Debug, Default)]
 pub struct PoisonList {
-    known: HashMap<RequestDigest, Known>,
-    /// Starts of upstreams that broke off lately, and when that was first.
-    breaks: HashMap<UpstreamStart, Instant>,
+    known: HashMap<RequestDigest, SuspectRecord>,
+    /// Starts of upstreams that disconnected recently, with the time of the first disconnect.
+    disconnects: HashMap<UpstreamStart, Instant>,
 }
 
 impl PoisonList {
-    /// Whether nothing is known of any request.
+    /// Whether no request is suspect.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
 
-    /// How many requests are refused.
+    /// The number of refused requests.
     pub fn refused_count(&self) -> usize {
         let all = self.known.values();
         all.filter(|known| known.suspect.is_refused()).count()
     }
 
-    /// What is known of a request.
+    /// The suspect with this digest, if any.
     pub fn get(&self, digest: RequestDigest) -> Option<&Suspect> {
         self.known.get(&digest).map(|known| &known.suspect)
     }
 
-    /// For how long a request is refused yet; `None` if it may be run.
+    /// How long a request is still refused; `None` if it may run.
     pub fn remaining_refusal(&self, digest: RequestDigest, now: Instant) -> Option<Duration> {
         let known = self.known.get(&digest)?;
         let is_refused = known.suspect.is_refused() && !known.is_expired(now);
-        is_refused.then(|| known.until().saturating_duration_since(now))
+        is_refused.then(|| known.expires_at().saturating_duration_since(now))
     }
 
-    /// Whether a request may run while it is not known which upstreams have ended that broke off under it.
+    /// Whether a request may run while the termination of upstreams that disconnected under it is
+    /// not confirmed.
     pub fn run_permission(&self, digest: RequestDigest, now: Instant) -> RunPermission {
         let Some(known) = self.known.get(&digest) else {
             return RunPermission::Free;
         };
         let suspect = &known.suspect;
-        let certain = suspect.weight();
-        let weight = if now < known.open_until {
+        let confirmed_weight = suspect.weight();
+        let weight = if now < known.unconfirmed_until {
             suspect.weight_if_confirmed()
         } else {
-            certain
+            confirmed_weight
         };
-        if suspect.is_refused() || weight < (MAX_CRASHES - 1) * FULL_WEIGHT {
+        if suspect.is_refused() || weight < (MAX_CRASHES - 1) * CRASH_WEIGHT {
             RunPermission::Free
-        } else if weight >= MAX_CRASHES * FULL_WEIGHT
-            && weight > certain
+        } else if weight >= MAX_CRASHES * CRASH_WEIGHT
+            && weight > confirmed_weight
             && !suspect.is_single_incident()
         {
             RunPermission::Held
@@ -272,18 +282,18 @@
         }
     }
 
-    /// An upstream has crashed while it ran a request, or while that waited there. Returns what
-    /// others are to be told.
+    /// Records that an upstream crashed while it ran a request or held it in its queue. Returns
+    /// the suspect to send to other instances.
     pub fn record_crash(
         &mut self,
         digest: RequestDigest,
         crash: UpstreamStart,
         now: Instant,
     ) -> Option<Suspect> {
-        self.note(digest, crash, CrashStatus::Counted, None, now)
+        self.record(digest, crash, CrashStatus::Counted, None, now)
     }
 
-    /// The same, of a run that was sent at a moment.
+    /// Like [`PoisonList::record_crash`], for a run that was sent at `sent_at`.
     pub fn record_run_crash(
         &mut self,
         digest: RequestDigest,
@@ -295,22 +305,23 @@
             sent_at,
             disconnected_at: now,
         };
-        self.note(digest, crash, CrashStatus::Counted, Some(run), now)
+        self.record(digest, crash, CrashStatus::Counted, Some(run), now)
     }
 
-    /// A start of an upstream broke off at a moment and may have ended. Returns whether that is news.
+    /// Records that a start of an upstream disconnected at a time and may have terminated. Returns
+    /// whether this disconnect is new.
     pub fn record_disconnect(&mut self, start: &UpstreamStart, at: Instant, now: Instant) -> bool {
-        self.breaks
+        self.disconnects
             .retain(|_, first| now < *first + UNCONFIRMED_TIMEOUT);
-        let is_news = !self.breaks.contains_key(start);
-        let first = self.breaks.entry(start.clone()).or_insert(at);
+        let is_new = !self.disconnects.contains_key(start);
+        let first = self.disconnects.entry(start.clone()).or_insert(at);
         *first = at.min(*first);
-        is_news
+        is_new
     }
 
-    /// An upstream broke off under a request, which was sent at a moment, and may have ended. Whatever is
-    /// sent to one that has ended breaks off too and tells nothing of the request. Returns what others are to
-    /// be told.
+    /// Records that an upstream disconnected under a request that was sent at `sent_at`, and may
+    /// have terminated. Requests sent to a terminated upstream fail too, so only those sent before
+    /// its first disconnect count. Returns the suspect to send to other instances.
     pub fn record_run_disconnect(
         &mut self,
         digest: RequestDigest,
@@ -318,17 +329,19 @@
         sent_at: Instant,
         now: Instant,
     ) -> Option<Suspect> {
-        let broke_at = self.breaks.get(&start);
-        let may_be_cause = broke_at.is_none_or(|broke_at| sent_at <= *broke_at);
+        let first_disconnect_at = self.disconnects.get(&start);
+        let may_be_cause =
+            first_disconnect_at.is_none_or(|first_disconnect_at| sent_at <= *first_disconnect_at);
         let run = RunSpan {
             sent_at,
             disconnected_at: now,
         };
-        may_be_cause.then(|| self.note(digest, start, CrashStatus::Unconfirmed, Some(run), now))?
+        may_be_cause
+            .then(|| self.record(digest, start, CrashStatus::Unconfirmed, Some(run), now))?
     }
 
-    /// An upstream that broke off under a request runs on as the start that it was. Returns what others
-    /// are to be told.
+    /// Records that an upstream that disconnected under a request still runs as the same start.
+    /// Returns the suspect to send to other instances.
     pub fn record_alive(
         &mut self,
         digest: RequestDigest,
@@ -336,13 +349,14 @@
         now: Instant,
     ) -> Option<Suspect> {
         let known = self.known.get(&digest)?;
-        self.breaks.remove(&start);
-        let is_open = known.suspect.crashes.get(&start) == Some(&CrashStatus::Unconfirmed);
-        is_open.then(|| self.note(digest, start, CrashStatus::Cleared, None, now))?
+        self.disconnects.remove(&start);
+        let is_unconfirmed = known.suspect.crashes.get(&start) == Some(&CrashStatus::Unconfirmed);
+        is_unconfirmed.then(|| self.record(digest, start, CrashStatus::Cleared, None, now))?
     }
 
-    /// Starts of an upstream before a moment in Unix milliseconds, by its own clock, have ended: what they
-    /// broke off under then is known. Returns what others are to be told.
+    /// Confirms that all starts of an upstream before `before_ms`, in Unix milliseconds by its own
+    /// clock, have terminated, and with them the unconfirmed crashes. Returns the suspects to send
+    /// to other instances.
     pub fn record_terminated(
         &mut self,
         upstream: &str,
@@ -351,38 +365,38 @@
     ) -> Vec<Suspect> {
         let mut crashes = Vec::new();
         for (digest, known) in &self.known {
-            let ended = known.suspect.crashes.iter().filter(|(start, blame)| {
-                **blame == CrashStatus::Unconfirmed
+            let confirmed = known.suspect.crashes.iter().filter(|(start, status)| {
+                **status == CrashStatus::Unconfirmed
                     && *start.upstream == *upstream
                     && start.started_at_ms < before_ms
             });
-            crashes.extend(ended.map(|(start, _)| (*digest, start.clone())));
+            crashes.extend(confirmed.map(|(start, _)| (*digest, start.clone())));
         }
-        let news = crashes
+        let updates = crashes
             .into_iter()
             .filter_map(|(digest, start)| self.record_crash(digest, start, now));
-        news.collect()
+        updates.collect()
     }
 
-    fn note(
+    fn record(
         &mut self,
         digest: RequestDigest,
         start: UpstreamStart,
-        blame: CrashStatus,
+        status: CrashStatus,
         run: Option<RunSpan>,
         now: Instant,
     ) -> Option<Suspect> {
         let runs = run.map(|run| (start.clone(), run));
-        let told = Suspect {
+        let received = Suspect {
             digest,
-            crashes: BTreeMap::from([(start, blame)]),
+            crashes: BTreeMap::from([(start, status)]),
             runs: runs.into_iter().collect(),
         };
-        let news = self.merge([told], now);
-        news.into_iter().next()
+        let updates = self.merge([received], now);
+        updates.into_iter().next()
     }
 
-    /// A request has had an answer. Returns what others are to be told.
+    /// Records that a request was answered. Returns the suspect to send to other instances.
     pub fn record_answer(&mut self, digest: RequestDigest) -> Option<Suspect> {
         let suspect = &mut self.known.get_mut(&digest)?.suspect;
         if suspect.weight_if_confirmed() == 0 {
@@ -392,8 +406,8 @@
         Some(suspect.clone())
     }
 
-    /// An operator has it that the requests that were kept may run. Returns what others are
-    /// to be told.
+    /// Clears the stored suspects on an operator's request, so that they may run. Returns the
+    /// suspects to send to other instances.
     pub fn clear_persisted(&mut self) -> Vec<Suspect> {
         let all = self.known.values_mut().map(|known| &mut known.suspect);
         let kept = all.filter(|suspect| suspect.should_persist());
@@ -404,63 +418,69 @@
         cleared.collect()
     }
 
-    /// Joins in what others know. Returns what is news, whole.
-    pub fn merge(&mut self, told: impl IntoIterator<Item = Suspect>, now: Instant) -> Vec<Suspect> {
+    /// Merges suspects received from other instances. Returns the complete suspects that have
+    /// changed.
+    pub fn merge(
+        &mut self,
+        received: impl IntoIterator<Item = Suspect>,
+        now: Instant,
+    ) -> Vec<Suspect> {
         self.settle(now);
-        let mut news = Vec::new();
-        for told in told {
-            let digest = told.digest;
-            let known = self.known.entry(digest).or_insert_with(|| Known {
+        let mut updates = Vec::new();
+        for received in received {
+            let digest = received.digest;
+            let known = self.known.entry(digest).or_insert_with(|| SuspectRecord {
                 suspect: Suspect {
                     digest,
                     crashes: BTreeMap::new(),
                     runs: BTreeMap::new(),
                 },
-                at: now,
+                last_crash_at: now,
                 settles_at: None,
-                open_until: now + UNCONFIRMED_TIMEOUT,
+                unconfirmed_until: now + UNCONFIRMED_TIMEOUT,
             });
             known.drop_unconfirmed(now);
             let was_refused = known.suspect.is_refused();
-            let mut is_news = false;
-            for (crash, blame) in told.crashes {
-                let joined = known.suspect.merge(crash, blame);
-                if joined && blame == CrashStatus::Unconfirmed {
-                    known.open_until = now + UNCONFIRMED_TIMEOUT;
+            let mut is_new = false;
+            for (crash, status) in received.crashes {
+                let has_changed = known.suspect.merge(crash, status);
+                if has_changed && status == CrashStatus::Unconfirmed {
+                    known.unconfirmed_until = now + UNCONFIRMED_TIMEOUT;
                 }
-                is_news |= joined;
+                is_new |= has_changed;
             }
-            known.suspect.join_runs(told.runs);
-            if !is_news {
+            known.suspect.merge_runs(received.runs);
+            if !is_new {
                 continue;
             }
-            known.at = now;
+            known.last_crash_at = now;
             if known.suspect.is_refused() && !was_refused {
-                known.settles_at = Some(now + SETTLING_TIME);
+                known.settles_at = Some(now + SETTLE_DELAY);
             }
-            news.push(known.suspect.clone());
+            updates.push(known.suspect.clone());
         }
-        self.bound(now);
-        news
+        self.evict(now);
+        updates
     }
 
-    /// What is known of requests that at least so many crashes tell of, the newest first.
+    /// Suspects with at least `min_crashes` crashes, the most recent first.
     pub fn suspects(&self, min_crashes: usize) -> Vec<Suspect> {
-        let mut all: Vec<&Known> = self.known.values().collect();
+        let mut all: Vec<&SuspectRecord> = self.known.values().collect();
         all.retain(|known| known.suspect.crashes.len() >= min_crashes);
-        all.sort_by_key(|known| std::cmp::Reverse((known.at, known.suspect.digest)));
+        all.sort_by_key(|known| std::cmp::Reverse((known.last_crash_at, known.suspect.digest)));
         all.into_iter().map(|k| k.suspect.clone()).collect()
     }
 
-    /// The requests that are to be known when all instances have gone.
+    /// The suspects to store, so that they survive when all instances have stopped.
     pub fn persisted_suspects(&self) -> Vec<Suspect> {
         let mut all = self.suspects(1);
         all.retain(Suspect::should_persist);
         all
     }
 
-    /// Crashes that requests refused for a while explain count less for all others. Those that
-    /// crashed as many upstreams beside them are refused by then, and stay so.
+    /// Reassesses crashes that are explained by requests that have been refused for a while: they
+    /// count less for all other requests. Requests that crashed as many upstreams are refused by
+    /// then and stay refused.
     fn settle(&mut self, now: Instant) {
         let mut explained = Vec::new();
         for known in self.known.values_mut() {
@@ -477,15 +497,16 @@
                 continue;
             }
             for crash in &explained {
-                if let Some(blame) = known.suspect.crashes.get_mut(crash) {
-                    *blame = CrashStatus::Explained.max(*blame);
+                if let Some(status) = known.suspect.crashes.get_mut(crash) {
+                    *status = CrashStatus::Explained.max(*status);
                 }
             }
         }
     }
 
-    /// Forgets what is old, and of too many those that crashed the fewest upstreams, the oldest first.
-    fn bound(&mut self, now: Instant) {
+    /// Removes expired suspects. If there are still too many, removes those with the lowest weight
+    /// first, and of these the oldest.
+    fn evict(&mut self, now: Instant) {
         self.known.retain(|_, known| {
             known.drop_unconfirmed(now);
             !known.is_expired(now) && !known.suspect.crashes.is_empty()
@@ -495,10 +516,16 @@
         }
         let all = self.known.values();
         let mut ranked: Vec<_> = all
-            .map(|known| (known.suspect.weight(), known.at, known.suspect.digest))
+            .map(|known| {
+                (
+                    known.suspect.weight(),
+                    known.last_crash_at,
+                    known.suspect.digest,
+                )
+            })
             .collect();
         ranked.sort_unstable();
-        for (_, _, digest) in &ranked[..ranked.len() - KEPT_SUSPECTS] {
+        for (_, _, digest) in &ranked[..ranked.len() - RETAINED_SUSPECTS] {
             self.known.remove(digest);
         }
     }
