--- a/crates/serving/src/allotment.rs
+++ b/crates/serving/src/allotment.rs
@@ -1,87 +1,90 @@
-//! What workspaces have used of their allotments, over all instances.
+//! Counts what workspaces have used of their allotments, over all instances.
 //!
-//! What a workspace may use beyond its allotment in a window is little: a tenth and some twenty
-//! requests, so instances cannot each have a bucket of their own. One instance, the *keeper*, has
-//! one [`QuotaCoordinator`] with the bucket of each workspace and is asked for each request, a round trip of
-//! some milliseconds. The holder of the right to order is the keeper: there is never more than one,
-//! by its lease, and everybody knows it.
+//! A workspace may use little beyond its allotment in a window, a tenth and some twenty requests,
+//! so instances cannot each have a bucket of their own. One instance, the *coordinator*, has a
+//! [`QuotaCoordinator`] with the bucket of each workspace. The others ask it about each request, a
+//! round trip of some milliseconds. The holder of the leadership is the coordinator: its lease
+//! ensures that there is at most one, and every instance knows it.
 //!
-//! A keeper that goes takes its buckets with it, and its successor begins with nearly empty ones: what
-//! was used before counts in the same window. For that it is known which buckets were at least half
-//! full ([`QuotaCoordinator::half_full`]): those begin half full, once. Until there is a successor, each instance goes on with
-//! [`FallbackQuotas`]: a part of the workspace's rate as large as its part of the workspace's use was, for a
-//! short time. The parts of all instances together are the rate.
+//! A coordinator that terminates loses its buckets, and its successor begins with nearly empty
+//! ones, because what was used before counts in the same window. The store lists which buckets
+//! were at least half full ([`QuotaCoordinator::half_full`]); those begin half full, once. Until
+//! there is a successor, each instance uses [`FallbackQuotas`] for a short time: a fraction of the
+//! workspace's rate equal to the instance's fraction of the workspace's use. The fractions of all
+//! instances add up to the rate.
 //!
-//! There is no I/O and no clock here.
+//! This module uses no I/O and no clock.
 
 use crate::workspaces::Allotment;
 use passway_types::prelude::*;
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 
-/// Part of the overage that the keeper grants beyond the allotment: callers' requests come a little
-/// closer together here than they were sent.
-const OVERAGE_PART: f64 = 0.1;
-/// Part of the slack that it grants at once beyond that, for the same reason.
-const SLACK_PART: f64 = 0.25;
-/// Part of the slack with which a keeper begins. Three keepers in one window may begin with as much,
-/// and a request of each workspace passes at once.
-const START_PART: f64 = 0.15;
-/// A keeper begins with what a workspace may use in this time: two that begin in a window of eight
-/// seconds, and the parts used before each, are less than the overage of a tenth.
-const START_TIME: Duration = Duration::from_millis(200);
-/// The part of a full bucket with which one begins that was at least so full: of all that a workspace may
-/// use in a window it is a twentieth, and the overage a tenth.
-const HALF: f64 = 0.5;
-/// An instance's use counts by the factor e less for each of these that have passed.
-const USE_TIME: Duration = Duration::from_secs(2);
-/// An instance that does not hear the keeper goes on with its part for so long. A third of the
-/// instances that are cut off use half a second's worth of the rate meanwhile, which the keeper
-/// gives to others; the overage of a window of eight seconds is nearly one second's.
-const PART_TIME: Duration = Duration::from_millis(1_500);
-/// What a part may save up, as time at its rate. It is there again after a window.
-const SAVED_TIME: Duration = Duration::from_millis(200);
-/// Longest time after which a refused caller is told to come back.
-const LONGEST_RETRY: Duration = Duration::from_secs(5);
+/// Fraction of the overage that the coordinator grants beyond the allotment: callers' requests
+/// arrive a little closer together than they were sent.
+const OVERAGE_FRACTION: f64 = 0.1;
+/// Fraction of the slack that the coordinator grants at once beyond that, for the same reason.
+const SLACK_FRACTION: f64 = 0.25;
+/// Fraction of the slack with which a coordinator begins. Three coordinators may begin with it in
+/// one window without exceeding the slack, and the first request of each workspace passes at once.
+const START_SLACK_FRACTION: f64 = 0.15;
+/// A coordinator begins with what a workspace may use in this time. Two that begin in a window of
+/// eight seconds, plus the fallback quotas used before each, stay below the overage of a tenth.
+const START_DURATION: Duration = Duration::from_millis(200);
+/// A bucket that was at least this full under the previous coordinator begins this full: a
+/// twentieth of all that a workspace may use in a window, where the overage is a tenth.
+const HALF_FULL: f64 = 0.5;
+/// Time constant of the decay: an instance's use counts less by the factor e for each such time.
+const USE_DECAY_DURATION: Duration = Duration::from_secs(2);
+/// How long an instance that cannot reach the coordinator uses its fallback quota. A third of the
+/// instances, if cut off, use half a second's worth of the rate in this time, which the
+/// coordinator grants to others as well; the overage of a window of eight seconds is nearly one
+/// second's worth.
+const FALLBACK_TTL: Duration = Duration::from_millis(1_500);
+/// Capacity of a fallback bucket, as time at its rate. An empty bucket is full again after a
+/// window.
+const FALLBACK_BURST_DURATION: Duration = Duration::from_millis(200);
+/// Maximum time after which a refused caller is asked to retry.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// What workspaces may use beyond their allotments: in any window at most
-/// (rate x window + burst) x (1 + overage) + slack.
+/// What workspaces may use beyond their allotments: in any window at most (rate x window + burst)
+/// x (1 + overage) + slack.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuotaBounds {
-    /// The window.
+    /// The window's length.
     pub window: Duration,
-    /// Part of the allotment that may be used beyond it.
+    /// Ratio of the allotment that may be used beyond it.
     pub overage: f64,
-    /// Units that may be used beyond it besides.
+    /// Units that may be used in addition to the overage.
     pub slack: f64,
 }
 
-/// What the keeper decides on a request.
+/// The coordinator's decision on a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum QuotaDecision {
-    /// It may go.
+    /// The request may be sent.
     Granted {
-        /// The asking instance's part of the rate, in units a second.
+        /// The asking instance's share of the workspace's rate, in units a second.
         instance_rate_per_s: f64,
     },
-    /// The workspace has used what it may.
+    /// The workspace has used up its allotment.
     Refused {
-        /// When there is room for it, behind those that were refused before.
+        /// When there will be enough free units, after all requests refused before.
         retry_after: Duration,
     },
 }
 
-/// A count that fades with time.
+/// A count that decays exponentially with time.
 #[derive(Debug, Clone, Copy)]
-struct Faded {
+struct DecayingCount {
     count: f64,
     at: Instant,
 }
 
-impl Faded {
+impl DecayingCount {
     fn at(self, now: Instant) -> f64 {
         let passed = now.saturating_duration_since(self.at);
-        self.count * (-passed.as_secs_f64() / USE_TIME.as_secs_f64()).exp()
+        self.count * (-passed.as_secs_f64() / USE_DECAY_DURATION.as_secs_f64()).exp()
     }
 
     fn add(&mut self, count: f64, now: Instant) {
@@ -90,20 +93,20 @@
     }
 }
 
-/// What a workspace may use now, in two buckets. Requests inside the allotment take from the first
-/// alone, so that whatever else passes takes nothing from them; others may take from the second.
+/// What a workspace may use now, in two buckets. Requests within the allotment take only from the
+/// first, so that other requests never reduce it; others may take from the second.
 #[derive(Debug)]
 struct Bucket {
-    /// Units of the allotment.
+    /// Available units of the allotment.
     level: f64,
-    /// Units beyond it.
+    /// Available units beyond the allotment.
     extra: f64,
     at: Instant,
-    /// When the last of those that were told to come back has its turn.
-    turn_at: Instant,
-    /// Use of each instance.
-    used: HashMap<SocketAddr, Faded>,
-    forget_at: Instant,
+    /// The retry time of the last refused request.
+    next_retry_at: Instant,
+    /// Recent use by each instance.
+    use_by_instance: HashMap<SocketAddr, DecayingCount>,
+    cleanup_at: Instant,
 }
 
 impl Bucket {
@@ -112,26 +115,26 @@
             level,
             extra,
             at: now,
-            turn_at: now,
-            used: HashMap::new(),
-            forget_at: now + USE_TIME,
+            next_retry_at: now,
+            use_by_instance: HashMap::new(),
+            cleanup_at: now + USE_DECAY_DURATION,
         }
     }
 
-    fn refill(&mut self, allotted: Allotment, extra: Allotment, now: Instant) {
+    fn refill(&mut self, allotment: Allotment, extra: Allotment, now: Instant) {
         let passed_s = now.saturating_duration_since(self.at).as_secs_f64();
-        self.level = self.level_at(allotted, now);
+        self.level = self.level_at(allotment, now);
         self.extra = (self.extra + extra.rate_per_s * passed_s).min(extra.burst);
         self.at = now;
     }
 
-    /// Units of the allotment that may be used at a moment.
-    fn level_at(&self, allotted: Allotment, now: Instant) -> f64 {
+    /// Available units of the allotment at a time.
+    fn level_at(&self, allotment: Allotment, now: Instant) -> f64 {
         let passed_s = now.saturating_duration_since(self.at).as_secs_f64();
-        (self.level + allotted.rate_per_s * passed_s).min(allotted.burst)
+        (self.level + allotment.rate_per_s * passed_s).min(allotment.burst)
     }
 
-    /// Takes what a request counts, if it fits.
+    /// Takes the cost of a request if it fits.
     fn take(&mut self, cost: f64) -> bool {
         let from = if self.level >= cost {
             &mut self.level
@@ -145,64 +148,71 @@
         fits
     }
 
-    /// An instance uses so many units; its part of all use.
+    /// Records an instance's use. Returns the instance's fraction of the workspace's use.
     fn record_use(&mut self, instance: SocketAddr, cost: f64, now: Instant) -> f64 {
-        let none = Faded {
+        let unused = DecayingCount {
             count: 0.0,
             at: now,
         };
-        let own = self.used.entry(instance).or_insert(none);
-        own.add(cost, now);
-        let own = own.count;
-        if now >= self.forget_at {
-            self.forget_at = now + USE_TIME;
-            self.used.retain(|_, used| used.at(now) >= 1.0);
+        let own_use = self.use_by_instance.entry(instance).or_insert(unused);
+        own_use.add(cost, now);
+        let own_use = own_use.count;
+        if now >= self.cleanup_at {
+            self.cleanup_at = now + USE_DECAY_DURATION;
+            self.use_by_instance
+                .retain(|_, recent| recent.at(now) >= 1.0);
         }
-        let all: f64 = self.used.values().map(|used| used.at(now)).sum();
-        if all > 0.0 { own / all } else { 0.0 }
+        let total: f64 = self
+            .use_by_instance
+            .values()
+            .map(|recent| recent.at(now))
+            .sum();
+        if total > 0.0 { own_use / total } else { 0.0 }
     }
 
-    /// When a request that finds no room may come back.
+    /// The time after which a request that does not fit may be retried.
     fn retry_after(&mut self, cost: f64, rate_per_s: f64, now: Instant) -> Duration {
         if rate_per_s <= 0.0 {
-            return LONGEST_RETRY;
+            return MAX_RETRY_AFTER;
         }
-        let time = |units: f64| Duration::from_secs_f64((units / rate_per_s).clamp(0.0, 3_600.0));
-        let fits_at = now + time(cost - self.level);
-        self.turn_at = fits_at.max(self.turn_at + time(cost));
-        let left = self.turn_at.saturating_duration_since(now);
-        if left > LONGEST_RETRY {
-            // Whoever comes later has no turn that can be told, and takes none.
-            self.turn_at = now + LONGEST_RETRY;
+        let refill_duration =
+            |units: f64| Duration::from_secs_f64((units / rate_per_s).clamp(0.0, 3_600.0));
+        let fits_at = now + refill_duration(cost - self.level);
+        self.next_retry_at = fits_at.max(self.next_retry_at + refill_duration(cost));
+        let delay = self.next_retry_at.saturating_duration_since(now);
+        if delay > MAX_RETRY_AFTER {
+            // Requests refused later reserve no retry time of their own.
+            self.next_retry_at = now + MAX_RETRY_AFTER;
         }
-        left.min(LONGEST_RETRY)
+        delay.min(MAX_RETRY_AFTER)
     }
 }
 
-/// The buckets of all workspaces, at the instance that is asked.
+/// The buckets of all workspaces at the coordinator.
 #[derive(Debug)]
 pub struct QuotaCoordinator {
     bounds: QuotaBounds,
-    /// Since then nothing was used that is not counted here.
-    begun_at: Instant,
-    /// Workspaces that were not asked for yet and whose buckets begin half full.
+    /// All use since this time is counted by this coordinator.
+    started_at: Instant,
+    /// Workspaces without a request yet whose buckets begin half full.
     begin_half_full: BTreeSet<WorkspaceName>,
     buckets: HashMap<WorkspaceName, Bucket>,
 }
 
 impl QuotaCoordinator {
-    /// A keeper from now on, that knows nothing of what was used before.
+    /// Creates a coordinator whose term begins now. It does not know what was used before.
     pub fn new(bounds: QuotaBounds, now: Instant) -> Self {
         Self {
             bounds,
-            begun_at: now,
+            started_at: now,
             begin_half_full: BTreeSet::new(),
             buckets: HashMap::new(),
         }
     }
 
-    /// These workspaces' buckets were at least half full when the keeper before told so last, and
-    /// nobody else was told that: what they may use at once is there again.
+    /// Half fills the buckets of workspaces whose buckets were at least half full in the previous
+    /// coordinator's last report. The caller ensures that no other coordinator has used that
+    /// report.
     pub fn start_half_full(
         &mut self,
         names: impl IntoIterator<Item = WorkspaceName>,
@@ -211,7 +221,7 @@
         for name in names {
             if let Some(bucket) = self.buckets.get_mut(&name) {
                 let burst = allotment(&name).map_or(0.0, |allotment| allotment.burst);
-                bucket.level = (bucket.level + burst * HALF).min(burst);
+                bucket.level = (bucket.level + burst * HALF_FULL).min(burst);
             } else {
                 self.begin_half_full.insert(name);
             }
@@ -224,24 +234,26 @@
         allotment: impl Fn(&str) -> Option<Allotment>,
         now: Instant,
     ) -> BTreeSet<WorkspaceName> {
-        let asked = self.buckets.iter().filter(|(name, bucket)| {
+        let names = self.buckets.iter().filter(|(name, bucket)| {
             let allotment = allotment(name);
-            allotment.is_some_and(|one| bucket.level_at(one, now) >= one.burst * HALF)
+            allotment.is_some_and(|allotment| {
+                bucket.level_at(allotment, now) >= allotment.burst * HALF_FULL
+            })
         });
-        let asked = asked.map(|(name, _)| name);
-        asked.chain(&self.begin_half_full).cloned().collect()
+        let names = names.map(|(name, _)| name);
+        names.chain(&self.begin_half_full).cloned().collect()
     }
 
-    /// What is granted beyond an allotment.
+    /// The rate and burst that are granted beyond an allotment.
     fn extra(&self, allotment: Allotment) -> Allotment {
-        let part = self.bounds.overage * OVERAGE_PART;
+        let fraction = self.bounds.overage * OVERAGE_FRACTION;
         Allotment {
-            rate_per_s: allotment.rate_per_s * part,
-            burst: allotment.burst * part + self.bounds.slack * SLACK_PART,
+            rate_per_s: allotment.rate_per_s * fraction,
+            burst: allotment.burst * fraction + self.bounds.slack * SLACK_FRACTION,
         }
     }
 
-    /// Whether a request that counts so much may go, which an instance asks.
+    /// Decides whether an instance may send a request of this cost.
     pub fn decide(
         &mut self,
         workspace: &WorkspaceName,
@@ -252,27 +264,27 @@
     ) -> QuotaDecision {
         let extra = self.extra(allotment);
         let level = if self.begin_half_full.remove(workspace) {
-            allotment.burst * HALF
+            allotment.burst * HALF_FULL
         } else {
-            allotment.rate_per_s * START_TIME.as_secs_f64()
+            allotment.rate_per_s * START_DURATION.as_secs_f64()
         };
-        let start = self.bounds.slack * START_PART;
+        let start_extra = self.bounds.slack * START_SLACK_FRACTION;
         let bucket = self.buckets.entry(workspace.clone());
-        // It has filled since the keeper began, whether or not anybody asked.
-        let bucket = bucket.or_insert_with(|| Bucket::new(level, start, self.begun_at));
+        // The bucket has been refilled since the coordinator began, even without requests.
+        let bucket = bucket.or_insert_with(|| Bucket::new(level, start_extra, self.started_at));
         bucket.refill(allotment, extra, now);
         if !bucket.take(cost) {
             return QuotaDecision::Refused {
                 retry_after: bucket.retry_after(cost, allotment.rate_per_s, now),
             };
         }
-        let part = bucket.record_use(instance, cost, now);
+        let fraction = bucket.record_use(instance, cost, now);
         QuotaDecision::Granted {
-            instance_rate_per_s: part * allotment.rate_per_s,
+            instance_rate_per_s: fraction * allotment.rate_per_s,
         }
     }
 
-    /// A request that was granted did not run and never will.
+    /// Returns the units of a granted request that did not run and never will.
     pub fn release(
         &mut self,
         workspace: &str,
@@ -287,35 +299,35 @@
         }
     }
 
-    /// Forgets workspaces that are not there any more.
-    pub fn retain(&mut self, is_there: impl Fn(&str) -> bool) {
-        self.begin_half_full.retain(|name| is_there(name));
-        self.buckets.retain(|name, _| is_there(name));
+    /// Removes workspaces that do not exist any more.
+    pub fn retain(&mut self, exists: impl Fn(&str) -> bool) {
+        self.begin_half_full.retain(|name| exists(name));
+        self.buckets.retain(|name, _| exists(name));
     }
 
-    /// Units that a workspace may use now, as far as was counted.
+    /// The available units of a workspace, as last counted.
     pub fn level(&self, workspace: &str) -> Option<f64> {
         Some(self.buckets.get(workspace)?.level)
     }
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Part {
+struct FallbackBucket {
     rate_per_s: f64,
     level: f64,
-    /// Up to when the level counts.
+    /// The time up to which `level` is computed.
     at: Instant,
-    told_at: Instant,
+    updated_at: Instant,
 }
 
-/// What an instance may use while it does not hear the keeper.
+/// What an instance may use while it cannot reach the coordinator.
 #[derive(Debug, Default)]
 pub struct FallbackQuotas {
-    by_workspace: HashMap<WorkspaceName, Part>,
+    by_workspace: HashMap<WorkspaceName, FallbackBucket>,
 }
 
 impl FallbackQuotas {
-    /// The keeper tells this instance's part of a workspace's rate.
+    /// Sets this instance's share of a workspace's rate, as received from the coordinator.
     pub fn set_rate(
         &mut self,
         workspace: &WorkspaceName,
@@ -323,42 +335,43 @@
         window: Duration,
         now: Instant,
     ) {
-        let most = rate_per_s * SAVED_TIME.as_secs_f64();
-        let part = self.by_workspace.entry(workspace.clone());
-        let part = part.or_insert(Part {
+        let capacity = rate_per_s * FALLBACK_BURST_DURATION.as_secs_f64();
+        let bucket = self.by_workspace.entry(workspace.clone());
+        let bucket = bucket.or_insert(FallbackBucket {
             rate_per_s,
-            level: most,
+            level: capacity,
             at: now,
-            told_at: now,
+            updated_at: now,
         });
-        let passed = now.saturating_duration_since(part.at).as_secs_f64();
-        let saved = most * passed / window.as_secs_f64().max(1.0);
-        part.level = (part.level + saved).min(most);
-        (part.rate_per_s, part.at, part.told_at) = (rate_per_s, now, now);
+        let passed = now.saturating_duration_since(bucket.at).as_secs_f64();
+        let saved = capacity * passed / window.as_secs_f64().max(1.0);
+        bucket.level = (bucket.level + saved).min(capacity);
+        (bucket.rate_per_s, bucket.at, bucket.updated_at) = (rate_per_s, now, now);
     }
 
-    /// Whether a request that counts so much may go without asking the keeper.
+    /// Whether a request of this cost may be sent without asking the coordinator.
     ///
-    /// A part of one three-hundredth of a rate seldom holds a request. So one that does not fit goes
-    /// with the chance that the part is of it, by a number drawn from 0 to 1, and takes the part in
-    /// either case: all instances together use what their parts are, up to a request or two.
-    pub fn try_take(&mut self, workspace: &str, cost: f64, drawn: f64, now: Instant) -> bool {
-        let Some(part) = self.by_workspace.get_mut(workspace) else {
+    /// A share of one three-hundredth of a rate seldom covers a whole request. So a request that
+    /// does not fit passes with a probability equal to the fraction that is available, compared
+    /// with `random` between 0 and 1, and uses up that fraction in either case. All instances
+    /// together use what their shares add up to, give or take a request or two.
+    pub fn try_take(&mut self, workspace: &str, cost: f64, random: f64, now: Instant) -> bool {
+        let Some(bucket) = self.by_workspace.get_mut(workspace) else {
             return false;
         };
-        if now.saturating_duration_since(part.told_at) > PART_TIME {
+        if now.saturating_duration_since(bucket.updated_at) > FALLBACK_TTL {
             return false;
         }
-        let passed = now.saturating_duration_since(part.at).as_secs_f64();
-        part.level += part.rate_per_s * passed;
-        part.at = now;
-        let chance = part.level / cost;
-        part.level = (part.level - cost).max(0.0);
-        drawn < chance
+        let passed = now.saturating_duration_since(bucket.at).as_secs_f64();
+        bucket.level += bucket.rate_per_s * passed;
+        bucket.at = now;
+        let chance = bucket.level / cost;
+        bucket.level = (bucket.level - cost).max(0.0);
+        random < chance
     }
 
-    /// Forgets workspaces that are not there any more.
-    pub fn retain(&mut self, is_there: impl Fn(&str) -> bool) {
-        self.by_workspace.retain(|name, _| is_there(name));
+    /// Removes workspaces that do not exist any more.
+    pub fn retain(&mut self, exists: impl Fn(&str) -> bool) {
+        self.by_workspace.retain(|name, _| exists(name));
     }
 }
--- a/crates/serving/src/freshness.rs
+++ b/crates/serving/src/freshness.rs
@@ -1,77 +1,79 @@
-//! Until when an instance may act on the configuration that it has.
+//! Until when an instance may apply the configuration that it has.
 //!
-//! Most of what an instance believes only says what is better, and may be old. A key permits: an
-//! instance that has not heard that one was taken away would go on letting its holder in. That
-//! nothing was heard proves nothing. What does is a question whose answer names the newest version:
-//! whatever was taken away in a later one was taken away after the question was *asked*. So the age of
-//! what is known counts from the question, by the asker's clock, never from the answer, which may
-//! have been long on its way, or read late by an instance that stood still.
+//! Most of an instance's knowledge only improves decisions, so it may be outdated. A key, however,
+//! grants access: an instance that has not learned of a revocation would keep admitting the key's
+//! owner. Receiving nothing proves nothing. Proof is a request whose answer names the newest
+//! version: any later revocation happened after the request was *sent*. So the age of the
+//! configuration counts from sending the request, by the requester's clock, never from the answer,
+//! which may have been delayed or read late by a paused instance.
 //!
-//! The question goes to the store or to another instance, which answers with its version and how
-//! old its own proof is; the asker adds that age to its own question's. There is no I/O here.
+//! The request goes to the store or to another instance, which answers with its version and the
+//! age of its own proof. The requester adds that age to the age of its request. This module uses
+//! no I/O.
 
 use passway_types::prelude::*;
 
-/// Clocks of two instances, and of the store, may run apart by so much of any span: a hundredth,
-/// where crystals differ by a ten-thousandth.
+/// Relative drift between the clocks of two instances, or of an instance and the store: a
+/// hundredth, where crystals differ by a ten-thousandth.
 const CLOCK_DRIFT: f64 = 0.01;
 
-/// That a version was the newest when somebody asked.
+/// Confirms that a version was the newest when a request was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Confirmation {
     /// The version.
     pub version: Revision,
-    /// When the question left, by the clock of whoever keeps this.
+    /// When the request was sent, by the clock of the instance that stores this.
     pub sent_at: Instant,
 }
 
-/// What an instance can prove of the configuration that it has in force.
+/// What an instance can prove about its active configuration.
 #[derive(Debug, Default)]
 pub struct Freshness {
-    in_force: Revision,
-    /// The youngest question by which what is in force was the newest.
+    active_version: Revision,
+    /// When the latest request was sent whose answer proves that the active version was the
+    /// newest.
     proved_at: Option<Instant>,
-    /// The youngest confirmation of a version that is not in force here yet.
-    awaited: Option<Confirmation>,
+    /// The latest confirmation of a version that is not active yet.
+    pending: Option<Confirmation>,
 }
 
 impl Freshness {
-    /// A version is in force from now on.
+    /// Records that a version is active from now on.
     pub fn set_active_version(&mut self, version: Revision) {
-        self.in_force = self.in_force.max(version);
-        if let Some(awaited) = self.awaited.take_if(|awaited| awaited.version <= version) {
-            self.prove(awaited.sent_at);
+        self.active_version = self.active_version.max(version);
+        if let Some(pending) = self.pending.take_if(|pending| pending.version <= version) {
+            self.record_proof(pending.sent_at);
         }
     }
 
-    /// An answer names the newest version.
+    /// Records an answer that names the newest version.
     pub fn confirm(&mut self, confirmation: Confirmation) {
-        if confirmation.version <= self.in_force {
-            self.prove(confirmation.sent_at);
+        if confirmation.version <= self.active_version {
+            self.record_proof(confirmation.sent_at);
             return;
         }
-        let younger = |awaited: &Confirmation| awaited.sent_at >= confirmation.sent_at;
-        if !self.awaited.as_ref().is_some_and(younger) {
-            self.awaited = Some(confirmation);
+        let is_pending_newer = |pending: &Confirmation| pending.sent_at >= confirmation.sent_at;
+        if !self.pending.as_ref().is_some_and(is_pending_newer) {
+            self.pending = Some(confirmation);
         }
     }
 
-    fn prove(&mut self, sent_at: Instant) {
+    fn record_proof(&mut self, sent_at: Instant) {
         self.proved_at = self.proved_at.max(Some(sent_at));
     }
 
-    /// The version in force and the moment at which it was the newest for sure.
+    /// The active version and the latest time at which it was certainly the newest.
     pub fn proof(&self) -> Option<Confirmation> {
         let sent_at = self.proved_at?;
         Some(Confirmation {
-            version: self.in_force,
+            version: self.active_version,
             sent_at,
         })
     }
 
-    /// Until when keys may be acted on if none may be so much later than it was taken away;
-    /// `None` before the first proof.
-    pub fn keys_valid_until(&self, bound: Duration) -> Option<Instant> {
-        Some(self.proved_at? + bound.mul_f64(1.0 - CLOCK_DRIFT))
+    /// Until when keys may be accepted if none may be accepted for longer than `max_age` after its
+    /// revocation; `None` before the first proof.
+    pub fn keys_valid_until(&self, max_age: Duration) -> Option<Instant> {
+        Some(self.proved_at? + max_age.mul_f64(1.0 - CLOCK_DRIFT))
     }
 }
--- a/crates/serving/src/halls.rs
+++ b/crates/serving/src/halls.rs
@@ -1,7 +1,7 @@
-//! Where requests may go: the regions that bind a route or a workspace, and the data halls that operators have
-//! evacuated.
+//! Where requests may go: the allowed regions of a route or a workspace, and the data halls that
+//! operators have evacuated.
 //!
-//! There is no I/O and no clock here.
+//! This module uses no I/O and no clock.
 
 use passway_types::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,10 +14,10 @@
 pub struct AllowedRegions(Option<Arc<BTreeSet<Region>>>);
 
 impl AllowedRegions {
-    /// Any region.
+    /// Allows any region.
     pub const ANY: Self = Self(None);
 
-    /// These regions alone.
+    /// Allows only these regions.
     pub fn only(regions: impl IntoIterator<Item = Region>) -> Self {
         Self(Some(Arc::new(regions.into_iter().collect())))
     }
@@ -28,22 +28,23 @@
         match (&self.0, &other.0) {
             (None, _) => other.clone(),
             (_, None) => self.clone(),
-            (Some(mine), Some(others)) => Self::only(mine.intersection(others).cloned()),
+            (Some(own), Some(others)) => Self::only(own.intersection(others).cloned()),
         }
     }
 
-    /// Whether they bind at all.
+    /// Whether only some regions are allowed.
     pub fn is_restricted(&self) -> bool {
         self.0.is_some()
     }
 
-    /// The names of the regions, if they bind.
+    /// The allowed regions; empty if there is no restriction.
     pub fn regions(&self) -> impl Iterator<Item = &Region> {
         self.0.iter().flat_map(|regions| regions.iter())
     }
 
-    /// Whether a request may be served in a region; one that is not known is no allowed one.
-    fn allow(&self, region: Option<&Region>) -> bool {
+    /// Whether a request may be served in a region. An unknown region is allowed only without
+    /// restriction.
+    fn allows(&self, region: Option<&Region>) -> bool {
         let Some(regions) = &self.0 else {
             return true;
         };
@@ -59,7 +60,7 @@
 }
 
 impl Halls {
-    /// Halls with their regions, none of them evacuated.
+    /// Creates halls with their regions, none of them evacuated.
     pub fn new(regions: HallRegions) -> Self {
         Self {
             regions,
@@ -67,28 +68,28 @@
         }
     }
 
-    /// Whether a hall is one of the fleet's; any is while none is known.
+    /// Whether a hall belongs to the fleet; true for any hall while none is known.
     pub fn is_known(&self, hall: &DataHall) -> bool {
         self.regions.is_empty() || self.regions.contains_key(hall)
     }
 
-    /// The halls to which nothing may be sent.
+    /// The evacuated halls, to which no request may be sent.
     pub fn evacuated(&self) -> &BTreeSet<DataHall> {
         &self.evacuated
     }
 
-    /// Operators have evacuated these halls and no others. Returns those that were given back.
+    /// Sets the evacuated halls. Returns those that are no longer evacuated.
     pub fn set_evacuated(&mut self, evacuated: BTreeSet<DataHall>) -> BTreeSet<DataHall> {
-        let before = std::mem::replace(&mut self.evacuated, evacuated);
-        before.difference(&self.evacuated).cloned().collect()
+        let previous = std::mem::replace(&mut self.evacuated, evacuated);
+        previous.difference(&self.evacuated).cloned().collect()
     }
 
-    /// Whether a request with some allowed regions may be sent to a hall now.
+    /// Whether a request with these allowed regions may be sent to a hall now.
     pub fn admits(&self, hall: &DataHall, allowed: &AllowedRegions) -> bool {
-        !self.evacuated.contains(hall) && allowed.allow(self.regions.get(hall))
+        !self.evacuated.contains(hall) && allowed.allows(self.regions.get(hall))
     }
 
-    /// Whether some hall is closed to a request with some allowed regions.
+    /// Whether some hall may be closed to a request with these allowed regions.
     pub fn has_restrictions(&self, allowed: &AllowedRegions) -> bool {
         allowed.is_restricted() || !self.evacuated.is_empty()
     }
--- a/crates/serving/src/hash.rs
+++ b/crates/serving/src/hash.rs
@@ -1,24 +1,24 @@
-//! A hash that gives the same number in each process: 64-bit FNV-1a.
+//! A hash that is the same in every process: 64-bit FNV-1a.
 
-/// Start value of FNV-1a, as published.
+/// Initial value of FNV-1a, as published.
 const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
-/// Factor of FNV-1a, as published.
+/// Multiplier of FNV-1a, as published.
 const PRIME: u64 = 0x0100_0000_01b3;
 
-/// How far a hash is shifted down onto itself, so that its upper bits have a part in
-/// the multiplication that follows; about half of its bits.
+/// Right shift that folds the upper half of the bits into the lower one before the multiplication;
+/// about half of the hash's width.
 const MIX_SHIFT: u32 = 29;
-/// 2^64 divided by the golden ratio: the usual odd factor to mix a hash's bits.
+/// 2^64 divided by the golden ratio, the usual odd multiplier for mixing the bits of a hash.
 const MIX_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// The hash of `text` with its bits mixed, the upper ones best: it ranks names that differ in
-/// their last letters only.
+/// The hash of `text` with its bits mixed, best in the upper ones, so that it ranks names that
+/// differ only in their last characters.
 pub fn mixed(seed: u64, text: &str) -> u64 {
     let hash = fnv1a(seed, text);
     (hash ^ (hash >> MIX_SHIFT)).wrapping_mul(MIX_FACTOR)
 }
 
-/// The hash of `text`. Each `seed` gives a hash of its own; 0 gives plain FNV-1a.
+/// The FNV-1a hash of `text`. Each `seed` gives a different hash; 0 gives plain FNV-1a.
 pub fn fnv1a(seed: u64, text: &str) -> u64 {
     text.bytes().fold(seed ^ OFFSET_BASIS, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(PRIME)
--- a/crates/serving/src/headers.rs
+++ b/crates/serving/src/headers.rs
@@ -1,9 +1,9 @@
-//! Headers as they were received, in their order and spelling.
+//! Headers as received, in their original order and spelling.
 
 /// One header.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Header {
-    /// The name as it was spelled.
+    /// The name in its original spelling.
     pub name: String,
     /// The value, byte for byte.
     pub value: Vec<u8>,
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Headers(pub Vec<Header>);
 
-/// Headers that concern one connection and are not passed on.
+/// Hop-by-hop headers, which are not forwarded.
 const CONNECTION_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -27,27 +27,27 @@
 ];
 
 impl Headers {
-    /// All values of a header; names are compared without case.
+    /// All values of a header. Names are compared case-insensitively.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         let named = self
             .0
             .iter()
-            .filter(move |h| h.name.eq_ignore_ascii_case(name));
+            .filter(move |header| header.name.eq_ignore_ascii_case(name));
         named.map(|header| header.value.as_slice())
     }
 
-    /// The first value of a header, if it is text.
+    /// The first value of a header, if it is valid UTF-8, without surrounding whitespace.
     pub fn text<'a>(&'a self, name: &'a str) -> Option<&'a str> {
         let value = std::str::from_utf8(self.all(name).next()?).ok()?;
         Some(value.trim())
     }
 
-    /// Whether a header is there.
+    /// Whether a header is present.
     pub fn has(&self, name: &str) -> bool {
         self.all(name).next().is_some()
     }
 
-    /// Adds a header.
+    /// Appends a header.
     pub fn push(&mut self, name: &str, value: impl Into<Vec<u8>>) {
         self.0.push(Header {
             name: name.to_owned(),
@@ -55,18 +55,18 @@
         });
     }
 
-    /// Whether the `Connection` header names a word, such as `close`.
-    pub fn connection_contains(&self, word: &str) -> bool {
+    /// Whether the `Connection` header contains a token such as `close`.
+    pub fn connection_contains(&self, token: &str) -> bool {
         self.all("connection").any(|value| {
             let value = String::from_utf8_lossy(value);
             value
                 .split(',')
-                .any(|w| w.trim().eq_ignore_ascii_case(word))
+                .any(|listed| listed.trim().eq_ignore_ascii_case(token))
         })
     }
 
-    /// The headers that travel on: all but those of one connection, those that
-    /// `Connection` names, and the framing.
+    /// The end-to-end headers: all but the hop-by-hop headers, those that `Connection` lists, and
+    /// the framing.
     pub fn end_to_end(&self) -> impl Iterator<Item = &Header> {
         self.0.iter().filter(|header| {
             let name = header.name.as_str();
--- a/crates/serving/src/limits.rs
+++ b/crates/serving/src/limits.rs
@@ -1,44 +1,45 @@
-//! What upstreams say that they take a second.
+//! Rate limits that upstreams advertise.
 //!
-//! An upstream in need names in its answers how many requests a second it takes from all instances
-//! together, for as long as it says so. Answers overtake each other, and many instances hear them, so
-//! words have an order of their own ([`ObservedLimit::replaces`]). They live and die with the start of
-//! the upstream that said them.
+//! A limited upstream names in its answers how many requests a second it accepts from all
+//! instances together, until an answer names no limit. Answers overtake each other and reach many
+//! instances, so advertised limits have an order of their own ([`ObservedLimit::replaces`]). They
+//! apply only to the start of the upstream that sent them.
 //!
-//! There is no I/O and no clock here.
+//! This module uses no I/O and no clock.
 
 use crate::allotment::QuotaBounds;
 use crate::workspaces::Allotment;
 use passway_types::prelude::*;
 use std::collections::HashMap;
 
-/// What the head of an answer says about how much its upstream takes.
+/// The limit that the head of an answer advertises.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum LimitSignal {
-    /// Nothing: the upstream is in no need.
+    /// No limit.
     Absent,
-    /// So many requests a second, from all instances together; finite and not below 0.
+    /// Requests a second from all instances together; finite and not below 0.
     PerSecond(f64),
-    /// It says something that cannot be read, so that what was known before stays.
+    /// The value cannot be parsed, so the limit known before stays.
     Unusable,
 }
 
-/// A limit that an upstream named, or that it names none, and when.
+/// A limit that an upstream advertised, or that it advertised none, with the time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ObservedLimit {
-    /// Requests a second; `None` if the upstream is in no need.
+    /// Requests a second; `None` if the upstream is not limited.
     pub per_s: Option<f64>,
-    /// When the request was sent whose answer says so: the upstream said it after that.
+    /// When the request was sent whose answer carries the limit: a lower bound for the time at
+    /// which the upstream advertised it.
     pub sent_at: Instant,
-    /// When the answer's head was there: the upstream said it before that.
+    /// When the head of the answer was received: an upper bound for that time.
     pub received_at: Instant,
 }
 
 impl ObservedLimit {
-    /// Whether this is what holds now, with another word known.
+    /// Whether this limit replaces another known one.
     ///
-    /// A word whose request was sent after the other was heard is the newer one for certain. Of two
-    /// that may have overtaken each other the one that allows less counts, until the next.
+    /// A limit whose request was sent after the other was received is certainly newer. If the two
+    /// may have overtaken each other, the lower limit applies until the next one.
     pub fn replaces(&self, known: &Self) -> bool {
         if self.sent_at >= known.received_at {
             return true;
@@ -46,35 +47,36 @@
         if known.sent_at >= self.received_at {
             return false;
         }
-        let allowed = |word: &Self| word.per_s.unwrap_or(f64::INFINITY);
+        let allowed = |limit: &Self| limit.per_s.unwrap_or(f64::INFINITY);
         allowed(self) < allowed(known)
     }
 }
 
-/// The least that an upstream gets that takes nothing: a request in ten seconds, whose answer tells
-/// whether it still does.
-const LEAST_PER_S: f64 = 0.1;
-/// What may go at once, as time at the limit; at least one request. Callers come by chance, and an
-/// upstream that takes ten a second is not hurt by three at a time.
-const BURST_TIME: Duration = Duration::from_millis(250);
-/// Part of the limit that all instances together send while nobody counts. With what the counter
-/// before and the one after let pass it stays below one and a half times the limit over four seconds.
-const UNCOUNTED_PART: f64 = 0.25;
-/// What an instance may save up of its share, as time: all of them may send what they have saved in the
-/// moment when the counter is lost.
-const SAVED_TIME: Duration = Duration::from_secs(1);
+/// Minimum rate for an upstream that accepts nothing: one request in ten seconds, whose answer
+/// shows whether that is still so.
+const MIN_PER_S: f64 = 0.1;
+/// Burst as time at the limit; at least one request. Callers arrive at random, and three requests
+/// at a time do not harm an upstream that accepts ten a second.
+const BURST_DURATION: Duration = Duration::from_millis(250);
+/// Fraction of the limit that all instances together send while there is no coordinator. With what
+/// the previous and the next coordinator grant, the total stays below one and a half times the
+/// limit over four seconds.
+const UNCOORDINATED_FRACTION: f64 = 0.25;
+/// Maximum time for which an instance accumulates its share: all instances may send what they have
+/// accumulated at the instant when the coordinator is lost.
+const MAX_ACCUMULATION: Duration = Duration::from_secs(1);
 
-/// What an upstream with a limit may get: exactly that, over all instances.
+/// The allotment of an upstream with this limit, exactly the limit over all instances.
 pub fn allotment(per_s: f64) -> Allotment {
-    let rate_per_s = per_s.max(LEAST_PER_S);
+    let rate_per_s = per_s.max(MIN_PER_S);
     Allotment {
         rate_per_s,
-        burst: (rate_per_s * BURST_TIME.as_secs_f64()).max(1.0),
+        burst: (rate_per_s * BURST_DURATION.as_secs_f64()).max(1.0),
     }
 }
 
-/// Nothing may be sent beyond the limit: the margin that upstreams have is for what is on its way
-/// and for changes of the counter.
+/// Allows nothing beyond the limit: the margin of upstreams is reserved for requests in flight and
+/// for changes of the coordinator.
 pub const NO_OVERAGE: QuotaBounds = QuotaBounds {
     window: Duration::from_secs(4),
     overage: 0.0,
@@ -82,48 +84,52 @@
 };
 
 #[derive(Debug, Clone, Copy)]
-struct Share {
+struct FallbackBucket {
     level: f64,
     at: Instant,
 }
 
-/// What one instance sends to limited upstreams while it cannot ask the counter.
+/// What one instance sends to limited upstreams while it cannot ask the coordinator.
 #[derive(Debug, Default)]
-pub struct FallbackLimits(HashMap<UpstreamId, Share>);
+pub struct FallbackLimits(HashMap<UpstreamId, FallbackBucket>);
 
 impl FallbackLimits {
-    /// Whether a request may go without being counted, in a fleet of so many instances.
+    /// Whether a request may be sent without the coordinator, in a fleet of this many instances.
     ///
-    /// A share of one three-hundredth of a request a second never holds a request. So a request goes
-    /// with the chance that the share is of one, by a number drawn from 0 to 1, and takes the share in either
-    /// case: all instances together send what their shares are, up to a request or two.
+    /// A share of one three-hundredth of a request a second never covers a whole request. So a
+    /// request passes with a probability equal to the accumulated fraction, compared with `random`
+    /// between 0 and 1, and uses up that fraction in either case. All instances together send what
+    /// their shares add up to, give or take a request or two.
     pub fn try_take(
         &mut self,
         upstream: &UpstreamId,
         per_s: f64,
         instances: usize,
-        drawn: f64,
+        random: f64,
         now: Instant,
     ) -> bool {
         let Some(instances) = u32::try_from(instances).ok().filter(|count| *count > 0) else {
             return false;
         };
-        let rate_per_s = allotment(per_s).rate_per_s * UNCOUNTED_PART / f64::from(instances);
-        let share = self.0.entry(upstream.clone());
-        let share = share.or_insert(Share {
+        let rate_per_s =
+            allotment(per_s).rate_per_s * UNCOORDINATED_FRACTION / f64::from(instances);
+        let bucket = self.0.entry(upstream.clone());
+        let bucket = bucket.or_insert(FallbackBucket {
             level: 0.0,
             at: now,
         });
-        let passed = now.saturating_duration_since(share.at).min(SAVED_TIME);
-        let chance = share.level + rate_per_s * passed.as_secs_f64();
-        *share = Share {
-            level: (chance - 1.0).max(0.0),
+        let elapsed = now
+            .saturating_duration_since(bucket.at)
+            .min(MAX_ACCUMULATION);
+        let available = bucket.level + rate_per_s * elapsed.as_secs_f64();
+        *bucket = FallbackBucket {
+            level: (available - 1.0).max(0.0),
             at: now,
         };
-        drawn < chance
+        random < available
     }
 
-    /// Forgets upstreams that name no limit any more.
+    /// Removes upstreams that advertise no limit any more.
     pub fn retain(&mut self, is_limited: impl Fn(&str) -> bool) {
         self.0.retain(|upstream, _| is_limited(upstream));
     }
--- a/crates/serving/src/ports.rs
+++ b/crates/serving/src/ports.rs
@@ -1,6 +1,8 @@
-//! What an instance needs of the place it runs in, as traits with typed messages.
+//! The interfaces between an instance and the platform that it runs on, as traits with typed
+//! messages.
 //!
-//! An adapter implements them in the words of one platform. It decides nothing.
+//! An adapter implements them with the headers, keys and formats of one platform. It makes no
+//! decisions.
 
 use crate::allotment::QuotaBounds;
 use crate::halls::HallRegions;
@@ -14,19 +16,19 @@
 use passway_types::prelude::*;
 use std::net::SocketAddr;
 
-/// A lease at the store.
+/// The id of a lease in the store.
 pub type LeaseId = u64;
-/// A point in the store's history.
+/// A revision of the store; it grows with each change.
 pub type StoreRevision = u64;
 
 /// A value in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredValue {
-    /// Its key.
+    /// The value's key.
     pub key: String,
-    /// Its bytes; clones share them.
+    /// The value's bytes; clones share them.
     pub value: Bytes,
-    /// When it was written last.
+    /// The revision of the last write.
     pub revision: StoreRevision,
 }
 
@@ -35,7 +37,7 @@
 pub struct Listing {
     /// The values.
     pub values: Vec<StoredValue>,
-    /// The moment from which to watch on.
+    /// The revision after which to start a watch.
     pub revision: StoreRevision,
 }
 
@@ -44,11 +46,11 @@
 pub enum StoreChange {
     /// A value was written.
     Written(StoredValue),
-    /// A key went away.
+    /// A key was removed.
     Removed {
-        /// The key.
+        /// The removed key.
         key: String,
-        /// When it went.
+        /// The revision of the removal.
         revision: StoreRevision,
     },
 }
@@ -62,7 +64,7 @@
         }
     }
 
-    /// When it changed.
+    /// The revision of the change.
     pub fn revision(&self) -> StoreRevision {
         match self {
             Self::Written(value) => value.revision,
@@ -74,23 +76,23 @@
 /// The answer to a watch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WatchAnswer {
-    /// What changed; nothing, if the time ran out.
+    /// The changes; empty if the wait timed out.
     Changes {
         /// The changes in their order.
         changes: Vec<StoreChange>,
-        /// The moment from which to watch on.
+        /// The revision after which to continue the watch.
         revision: StoreRevision,
     },
-    /// The history since then is gone: list anew.
+    /// The store no longer has the history after that revision: list again.
     HistoryCompacted,
 }
 
 /// Why the store gave no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreError {
-    /// Nothing was done.
+    /// The call had no effect.
     NotDone,
-    /// It may have been done, or may be done later.
+    /// The call may have taken effect, or may do so later.
     Unknown,
 }
 
@@ -99,27 +101,27 @@
 pub struct ConditionalWrite {
     /// The key.
     pub key: String,
-    /// The revision that must stand; 0 if the key must be absent.
+    /// The revision that the key must have; 0 if the key must be absent.
     pub expected: StoreRevision,
     /// The new value; `None` removes the key.
     pub value: Option<Vec<u8>>,
-    /// The lease that the key ends with.
+    /// The lease with which the key expires.
     pub lease: Option<LeaseId>,
 }
 
 /// The answer to conditional writes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WriteAnswer {
-    /// Done, at this revision.
+    /// All keys were written, at this revision.
     Written(StoreRevision),
-    /// Another value stands.
+    /// A key has another revision than expected.
     Conflict,
     /// The lease has ended.
     LeaseEnded,
 }
 
-/// Longest time for the answer to a renewal of a lease of 1.2 s: one that is lost can be made again in time.
-const RENEWAL_TIME: Duration = Duration::from_millis(450);
+/// Timeout for the renewal of a lease of 1.2 s: a renewal that is lost can be retried in time.
+const RENEWAL_TIMEOUT: Duration = Duration::from_millis(450);
 
 /// The platform's store.
 pub trait SharedStore: Send + Sync {
@@ -140,7 +142,7 @@
         wait: Duration,
     ) -> Result<WatchAnswer, StoreError>;
 
-    /// Writes keys, all of them if every condition holds, else none.
+    /// Writes all keys if every condition holds, otherwise none.
     ///
     /// # Errors
     /// If the store does not answer or refuses.
@@ -152,213 +154,213 @@
     /// If the store does not answer or refuses.
     fn grant_lease(&self, time_to_live: Duration) -> Result<LeaseId, StoreError>;
 
-    /// Renews a lease; false if it has ended.
+    /// Renews a lease. Returns false if it has ended.
     ///
     /// # Errors
     /// If the store does not answer or refuses.
     fn renew_lease(&self, lease: LeaseId) -> Result<bool, StoreError> {
-        self.renew_lease_with_timeout(lease, RENEWAL_TIME)
+        self.renew_lease_with_timeout(lease, RENEWAL_TIMEOUT)
     }
 
-    /// The same, with the longest time for the answer.
+    /// Renews a lease with a timeout for the answer.
     ///
     /// # Errors
     /// As [`SharedStore::renew_lease`].
     fn renew_lease_with_timeout(
         &self,
         lease: LeaseId,
-        longest: Duration,
+        timeout: Duration,
     ) -> Result<bool, StoreError>;
 
-    /// Ends a lease and the keys under it.
+    /// Ends a lease and removes its keys.
     ///
     /// # Errors
     /// If the store does not answer or refuses.
     fn end_lease(&self, lease: LeaseId) -> Result<(), StoreError>;
 }
 
-/// What operators and upstreams write into the store.
+/// Decodes what operators and upstreams write into the store.
 pub trait Directory: Send + Sync {
-    /// The prefix under which the configuration lies.
+    /// The prefix of the configuration's keys.
     fn configuration_prefix(&self) -> &str;
 
-    /// The data hall that a key of the configuration's prefix names as emptied, for as long as the key is there;
-    /// `None` if it holds something else.
+    /// The data hall that a key under the configuration's prefix marks as evacuated while the key
+    /// is present; `None` if the key has another meaning.
     fn evacuated_hall<'a>(&self, key: &'a str) -> Option<&'a str>;
 
-    /// Decodes a configuration; `None` if the key holds something else.
+    /// Decodes a configuration. Returns `None` if the key has another meaning.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// If the configuration is invalid, with the reason.
     fn decode_configuration(&self, value: &StoredValue) -> anyhow::Result<Option<RouteTable>>;
 
-    /// The prefix under which upstreams keep themselves.
+    /// The prefix of the upstreams' entries.
     fn upstream_prefix(&self) -> &str;
 
-    /// The upstream's id that a key names.
+    /// The id of the upstream whose entry has this key.
     fn upstream_id<'a>(&self, key: &'a str) -> Option<&'a str>;
 
-    /// Decodes what an upstream says of itself.
+    /// Decodes an upstream's entry.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// If the entry is invalid, with the reason.
     fn decode_upstream(&self, value: &StoredValue, now: Instant) -> anyhow::Result<UpstreamEntry>;
 }
 
-/// What a request's headers say.
+/// What an instance reads from a request's headers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestMetadata {
-    /// The attempt's id.
+    /// The id of the attempt.
     pub id: String,
     /// How long the caller waits, in milliseconds.
     pub deadline_ms: Option<u64>,
-    /// The model and adapter, where one is asked for.
+    /// The requested model and adapter, if any.
     pub model_ref: Option<ModelRef>,
-    /// The last event that the caller has of a stream.
+    /// The last event of a stream that the caller has received.
     pub last_event_id: Option<String>,
-    /// What is kept of its key; `None` without a key, or with more than one.
+    /// The digest of the request's key; `None` without a key or with more than one.
     pub key: Option<KeyDigest>,
-    /// Its tokens, in and out at most, where it names them.
+    /// The maximum number of tokens, input and output, if the request names them.
     pub tokens: Option<u64>,
 }
 
-/// What an upstream is told of a request's workspace.
+/// How the workspace's header of a request is forwarded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WorkspaceHeader {
-    /// The configuration has no workspaces: headers pass as they are.
+    /// The configuration has no workspaces: headers are forwarded unchanged.
     Untouched,
-    /// The workspace's name, if the request has one; a key and a name that the caller sent are
-    /// withheld.
+    /// Sets the workspace's name, if the request has one. A key or a name sent by the caller is
+    /// removed.
     Set(Option<WorkspaceName>),
 }
 
 /// What an instance adds to a request for an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ForwardingMetadata {
-    /// The incarnation that may run it.
+    /// The incarnation that may run the request.
     pub upstream: UpstreamId,
-    /// What is left until the deadline, in milliseconds.
+    /// The time left until the deadline, in milliseconds.
     pub deadline_ms: u64,
-    /// Its workspace.
+    /// The request's workspace.
     pub workspace: WorkspaceHeader,
-    /// Its rank among waiting requests; 0 goes first.
+    /// The rank among waiting requests; 0 goes first.
     pub urgency: Option<u8>,
-    /// The event after which a stream goes on.
+    /// The event after which a stream resumes.
     pub last_event_id: Option<String>,
 }
 
-/// What an upstream's answer says of itself.
+/// What an instance reads from the head of an upstream's answer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AnswerMetadata {
-    /// The attempt that it answers.
+    /// The id of the attempt that is answered.
     pub id: Option<String>,
-    /// Whether an upstream vouches for it.
+    /// Whether the answer carries an upstream's seal.
     pub is_sealed: bool,
     /// Whether the request has not run and never will.
     pub not_run: bool,
     /// Whether another incarnation than the expected one answered.
     pub is_other_incarnation: bool,
-    /// What it says of its upstream.
+    /// What the upstream reports about itself.
     pub signals: UpstreamSignals,
 }
 
-/// The words in which callers and upstreams speak.
+/// The headers that callers and upstreams use.
 pub trait HeaderProtocol: Send + Sync {
-    /// Reads a request's headers.
+    /// Parses a request's headers.
     fn parse_request(&self, headers: &Headers) -> RequestMetadata;
 
-    /// The headers that go to an upstream, without framing.
+    /// The headers to send to an upstream, without framing.
     fn forwarded_headers(&self, headers: &Headers, stamp: &ForwardingMetadata) -> Headers;
 
-    /// Reads an answer's head.
+    /// Parses the head of an answer.
     fn parse_answer(&self, status: u16, headers: &Headers, expected: &str) -> AnswerMetadata;
 
-    /// How a caller is told which kind of key is missing.
+    /// The challenge for a caller whose key is missing or unknown.
     fn auth_challenge(&self) -> &'static str;
 
-    /// Labels an answer of this instance with the attempt that it belongs to.
+    /// Labels an answer of this instance with the id of its attempt.
     fn label_answer(&self, headers: &mut Headers, id: &str);
 }
 
 /// An order to an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineOrder {
-    /// Load or unload.
+    /// Whether to load or to unload.
     pub action: OrderAction,
-    /// What.
+    /// The model or adapter.
     pub model_ref: ModelRef,
-    /// The orders that the engine must have taken for this one to count.
+    /// The number of orders that the engine must have accepted for this one to apply.
     pub expected_orders: u64,
-    /// The incarnation that it is for.
+    /// The incarnation that the order is for.
     pub upstream: UpstreamId,
-    /// The instance that gives it.
+    /// The instance that gives the order.
     pub holder: InstanceId,
-    /// The term of the right to order.
+    /// The fencing number of the holder's term.
     pub fence: Fence,
 }
 
-/// What an order does.
+/// The action of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderAction {
-    /// Brings a model or adapter.
+    /// Loads a model or adapter.
     Load,
-    /// Takes it away.
+    /// Unloads a model or adapter.
     Unload,
 }
 
 /// The answer to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// It is being carried out.
+    /// The order is being carried out.
     Taken,
-    /// It held already.
+    /// The engine was already in the requested state.
     Done,
-    /// Another order is under way, or the engine has taken others.
+    /// Another order is in progress, or the engine has accepted other orders than expected.
     Conflict,
-    /// The engine refused it for good.
+    /// The engine refused the order for good.
     Refused,
     /// Another incarnation has the address.
     OtherIncarnation,
-    /// It was not sent.
+    /// The order was not sent.
     NotSent,
-    /// No answer: it may be carried out later.
+    /// No answer arrived; the order may still be carried out.
     Lost,
 }
 
-/// What an engine says of its present state.
+/// The present state of an engine, as it reports.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineReport {
-    /// What stands on it.
+    /// Loaded models.
     pub models: Vec<ResidentModel>,
-    /// Whether an order is under way.
+    /// Whether an order is in progress.
     pub busy: bool,
-    /// Orders that it has taken.
+    /// The number of orders that the engine has accepted.
     pub orders_taken: u64,
-    /// Checkpoints in its memory.
+    /// Checkpoints in the engine's memory.
     pub in_memory: Vec<ModelName>,
-    /// Checkpoints on its disk.
+    /// Checkpoints on the engine's disk.
     pub on_disk: Vec<ModelName>,
-    /// Adapters on their way to it: they take room and do not serve yet.
+    /// Adapters that are being loaded: they use memory but do not serve requests yet.
     pub adapters_loading: Vec<ModelRef>,
-    /// When it started, in Unix milliseconds by its own clock; 0 if it does not tell.
+    /// When the engine started, in Unix milliseconds by its own clock; 0 if not reported.
     pub started_at_ms: u64,
 }
 
-/// An engine's answer, and what it says of the engine.
+/// An engine's answer with its signals.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineResponse<T> {
-    /// What it answers.
+    /// The answer.
     pub answer: T,
-    /// What the answer's head says of the engine; nothing without an answer of this engine's.
+    /// The signals in the head of the answer; none if this engine did not answer.
     pub signals: UpstreamSignals,
 }
 
-/// The control side of engines.
+/// The control interface of engines.
 pub trait Engines: Send + Sync {
-    /// Gives an order.
+    /// Sends an order.
     fn order(&self, address: SocketAddr, order: &EngineOrder) -> EngineResponse<OrderAnswer>;
 
-    /// Asks an engine for its state; `None` without an answer.
+    /// Asks an engine for its state. The answer is `None` if there was none.
     fn report(
         &self,
         engine: &UpstreamId,
@@ -369,43 +371,43 @@
 /// The settings of one instance.
 #[derive(Debug, Clone, PartialEq)]
 pub struct InstanceSettings {
-    /// Its name.
+    /// The instance's name.
     pub instance: InstanceId,
-    /// Its data hall.
+    /// The instance's data hall.
     pub hall: DataHall,
-    /// The region of each data hall; empty if that is not told.
+    /// The region of each data hall; empty if not configured.
     pub regions: HallRegions,
-    /// Where callers connect.
+    /// The address for callers.
     pub callers_address: SocketAddr,
-    /// Where the balancer asks whether it is ready.
+    /// The address at which the load balancer checks readiness.
     pub ready_address: SocketAddr,
-    /// Where other instances connect.
+    /// The address for other instances.
     pub peer_address: SocketAddr,
-    /// The store.
+    /// The address of the store.
     pub store_address: SocketAddr,
-    /// Processor that it has, as a part of a usual core.
+    /// The instance's processor capacity, as a fraction of a standard core.
     pub cpu_core_fraction: f64,
-    /// What is worth bringing to engines, while this instance has the right to order.
+    /// The policy by which models are loaded while this instance holds the leadership.
     pub placement: PolicyName,
-    /// Bounds that may change while the process runs.
+    /// Limits that may change while the process runs.
     pub bounds: InstanceBounds,
 }
 
-/// Bounds that may change while a process runs.
+/// Limits that may change while the process runs.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct InstanceBounds {
-    /// Time from a stop's beginning to its end.
+    /// Maximum duration of a graceful stop.
     pub grace: Duration,
-    /// Shortest time-to-live of a lease.
+    /// Minimum time-to-live of a lease.
     pub shortest_lease: Duration,
     /// Time in which two holders must not both give orders to one engine.
     pub holder_gap: Duration,
-    /// Span over which loads from the weight store count against its ceiling.
+    /// Window over which loads from the weight store count against its rate limit.
     pub load_window: Duration,
-    /// Repeats that all instances together may send.
+    /// Retries that all instances together may send.
     pub retry: crate::retry::RetryAllowance,
-    /// Time after which nobody may act on a key that was taken away, whatever the instance has
-    /// heard; `None` if keys that were taken away only stop once that is heard.
+    /// Time after which no instance may accept a revoked key, whatever it has received; `None` if
+    /// a revoked key is refused only once the revocation is received.
     pub revocation: Option<Duration>,
     /// What workspaces may use beyond their allotments, over all instances.
     pub quota: QuotaBounds,
--- a/crates/serving/src/retry.rs
+++ b/crates/serving/src/retry.rs
@@ -1,128 +1,131 @@
-//! The part of the fleet's retry allowance that one instance may spend.
+//! The share of the fleet's retry budget that one instance may spend.
 //!
-//! All instances together may send a service so many repeats in a window: a fixed
-//! allowance and a share of its requests. Each instance spends the share on the
-//! requests it took itself, and its part of the fixed allowance, so that no
-//! agreement is needed and nothing is borrowed.
+//! All instances together may send a service a limited number of retries in a window: a fixed
+//! allowance and a ratio of its requests. Each instance spends the ratio on the requests that it
+//! received itself, and its share of the fixed allowance. So instances need no agreement and
+//! borrow nothing.
 
 use passway_types::prelude::*;
 use std::collections::HashMap;
 
-/// Part of the allowed ratio that is earned. What was earned in one window may be
-/// spent in the next, so half of the ratio keeps each window inside the whole.
-const RATIO_PART: f64 = 0.5;
-/// Part of the fixed allowance that is spent. It comes back over one window, so a
-/// window may see it twice.
-const SLACK_PART: f64 = 0.45;
-/// For so many windows the allowance is shared as among the most instances that were there: a
-/// window may see what they had, and what they had earned in the one before.
-const COUNTED_WINDOWS: f64 = 2.0;
-/// Instances come to a new holder within this: a retry of their dialers, and some for those
-/// that had relied on the holder before until it was silent.
-const COMING_TIME: Duration = Duration::from_secs(3);
-/// A service without requests for so many windows is forgotten: its part is whole again after
-/// one, and what it earned has faded to 2% after four.
-const FORGOTTEN_WINDOWS: f64 = 4.0;
-/// Services that are kept before the first look for some to forget.
-const SPARE_SERVICES: usize = 16;
-
-/// The allowance of the whole fleet.
+/// Fraction of the allowed ratio that is earned. What was earned in one window may be spent in the
+/// next, so half of the ratio keeps each window within the whole ratio.
+const EARNED_RATIO_FRACTION: f64 = 0.5;
+/// Fraction of the fixed allowance that is spent. It is refilled over one window, so a window may
+/// see it twice.
+const SLACK_FRACTION: f64 = 0.45;
+/// For this many windows the allowance is shared among the largest recent number of instances: a
+/// window may see what those spent and what they had earned in the previous window.
+const INSTANCE_COUNT_WINDOWS: f64 = 2.0;
+/// Time in which instances connect to a new holder: one retry of their connections, and some time
+/// for those that relied on the previous holder until it became silent.
+const RECONNECT_DURATION: Duration = Duration::from_secs(3);
+/// A service without requests for this many windows is removed: its share is full again after one
+/// window, and what it earned has decayed to 2% after four.
+const IDLE_WINDOWS: f64 = 4.0;
+/// Number of services before the first check for idle ones.
+const MIN_CLEANUP_THRESHOLD: usize = 16;
+
+/// The retry allowance of the whole fleet.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryAllowance {
-    /// Repeats for each request.
+    /// Retries for each request.
     pub ratio: f64,
-    /// Repeats in a window whatever the requests.
+    /// Retries in a window independent of the number of requests.
     pub slack: f64,
-    /// The window, in seconds.
+    /// The length of the window, in seconds.
     pub window_s: f64,
 }
 
-/// What one service may still be sent.
+/// The retries that one service may still be sent.
 #[derive(Debug, Clone, Copy)]
 struct Bucket {
-    left: f64,
-    /// Requests of about one window, as a count that fades.
-    recent: f64,
+    available: f64,
+    /// Requests of about the last window, as a decaying count.
+    recent_requests: f64,
     at: Instant,
 }
 
-/// How many instances share the allowance, as a holder of the right to order sees them come.
+/// How many instances share the allowance, as a holder sees them connect.
 ///
-/// While a fleet comes to a new holder that sees one after the other. To tell each that it
-/// shares with few would give all of them together many times the allowance.
+/// While a fleet moves to a new holder, the instances connect one after another. If each were
+/// assigned a share among only the few connected so far, all shares together would be many times
+/// the allowance.
 ///
-/// Where terms of one holder follow each other, each too short for that, they count together.
+/// If consecutive terms of one holder are each too short for all instances to connect, they count
+/// as one.
 #[derive(Debug, Clone, Copy)]
 pub struct InstanceCount {
-    known_from: Instant,
-    /// Until then more instances may be on their way than are there.
-    coming_until: Instant,
-    /// The most that were there at one time since those before were known to have gone.
-    most: usize,
+    known_at: Instant,
+    /// Until then more instances may still connect than are connected.
+    settled_at: Instant,
+    /// The highest number connected at one time, until the instances had time to connect.
+    max_instances: usize,
 }
 
 impl InstanceCount {
-    /// A term begins.
+    /// Starts a term.
     pub fn start_term(now: Instant) -> Self {
-        let known_from = now + COMING_TIME;
+        let known_at = now + RECONNECT_DURATION;
         Self {
-            known_from,
-            coming_until: known_from,
-            most: 0,
+            known_at,
+            settled_at: known_at,
+            max_instances: 0,
         }
     }
 
-    /// The holder's next term begins, and nobody else had one in between: who was there comes again.
+    /// Starts the holder's next term when no other instance held one in between: the same
+    /// instances connect again.
     pub fn continue_term(&mut self, now: Instant) {
-        self.coming_until = now + COMING_TIME;
+        self.settled_at = now + RECONNECT_DURATION;
     }
 
-    /// The number to share among, where so many are there now; `None` while others may be on
-    /// their way.
+    /// The number of instances to share among when this many are connected; `None` while others
+    /// may still connect.
     pub fn sharing_instances(&mut self, instances: usize, now: Instant) -> Option<usize> {
-        let is_settled = now >= self.coming_until;
-        self.most = if is_settled {
+        let is_settled = now >= self.settled_at;
+        self.max_instances = if is_settled {
             instances
         } else {
-            self.most.max(instances)
+            self.max_instances.max(instances)
         };
-        (now >= self.known_from).then_some(self.most)
+        (now >= self.known_at).then_some(self.max_instances)
     }
 }
 
-/// A number of instances that was told, and until when it counts although fewer are there.
+/// A reported number of instances, and until when it counts although fewer are connected.
 #[derive(Debug, Clone, Copy)]
-struct Told {
+struct ReportedCount {
     instances: f64,
-    until: Instant,
+    counts_until: Instant,
 }
 
-/// Repeats that may still be sent, by service.
+/// Retries that may still be sent, by service.
 ///
-/// A process begins with none, and comes to its part of the fixed allowance over a window:
-/// the one before it may have spent that part, and it knows the fleet's size only once that
-/// is told. What it earns by its own requests it may spend at once.
+/// A process starts with no retries and accumulates its share of the fixed allowance over a
+/// window: the previous process may have spent that share, and the fleet's size is unknown until
+/// it is reported. What the process earns by its own requests it may spend at once.
 #[derive(Debug)]
 pub struct RetryBudget {
     allowance: RetryAllowance,
-    /// The numbers that count, the largest first; empty until one is told.
-    instances: Vec<Told>,
-    /// When the first of them was told.
-    told_at: Option<Instant>,
+    /// The reported numbers that still count, the largest first; empty until the first report.
+    instances: Vec<ReportedCount>,
+    /// When the first number was reported.
+    first_report_at: Option<Instant>,
     buckets: HashMap<ServiceName, Bucket>,
-    /// With so many services it is looked whether some are gone from the configuration.
-    look_at_services: usize,
+    /// The number of services at which idle ones are removed.
+    cleanup_threshold: usize,
 }
 
 impl RetryBudget {
-    /// An empty budget for an instance that does not know how many there are.
+    /// Creates an empty budget for an instance that does not know the fleet's size.
     pub fn new(allowance: RetryAllowance) -> Self {
         Self {
             allowance,
             instances: Vec::new(),
-            told_at: None,
+            first_report_at: None,
             buckets: HashMap::new(),
-            look_at_services: SPARE_SERVICES,
+            cleanup_threshold: MIN_CLEANUP_THRESHOLD,
         }
     }
 
@@ -131,87 +134,93 @@
         self.allowance = allowance;
     }
 
-    /// So many instances share the fixed allowance now. More count at once, fewer once no
-    /// window sees the others any more.
+    /// Records how many instances share the fixed allowance now. A higher number counts at once, a
+    /// lower one only when no window includes the other instances any more.
     pub fn set_instances(&mut self, instances: usize, now: Instant) {
-        let instances = count(instances);
-        self.told_at.get_or_insert(now);
-        let counted_s = COUNTED_WINDOWS * self.allowance.window_s;
-        let until = now + Duration::from_secs_f64(counted_s);
+        let instances = divisor(instances);
+        self.first_report_at.get_or_insert(now);
+        let window_s = INSTANCE_COUNT_WINDOWS * self.allowance.window_s;
+        let counts_until = now + Duration::from_secs_f64(window_s);
         self.instances
-            .retain(|told| told.instances > instances && told.until > now);
-        self.instances.push(Told { instances, until });
+            .retain(|report| report.instances > instances && report.counts_until > now);
+        self.instances.push(ReportedCount {
+            instances,
+            counts_until,
+        });
     }
 
-    /// The part of the fixed allowance of one instance.
-    fn part(&self, now: Instant) -> f64 {
-        let slack = self.allowance.slack * SLACK_PART;
-        // The newest counts until another one is told.
+    /// One instance's share of the fixed allowance.
+    fn slack_share(&self, now: Instant) -> f64 {
+        let slack = self.allowance.slack * SLACK_FRACTION;
+        // The latest report counts until the next one.
         let newest = self.instances.last();
-        let mut counted = self.instances.iter().filter(|told| told.until > now);
-        let most = counted.next().or(newest);
-        most.map_or(0.0, |most| slack / most.instances)
+        let mut counted = self
+            .instances
+            .iter()
+            .filter(|report| report.counts_until > now);
+        let largest = counted.next().or(newest);
+        largest.map_or(0.0, |largest| slack / largest.instances)
     }
 
-    /// Forgets services that are not asked for any more. One that comes back begins with its
-    /// part, which it would have by then.
-    fn forget_quiet(&mut self, now: Instant) {
-        let longest_s = FORGOTTEN_WINDOWS * self.allowance.window_s;
-        let quiet_s = |at: Instant| now.saturating_duration_since(at).as_secs_f64();
+    /// Removes services without recent requests. If such a service receives requests again, it
+    /// begins with its share, which it would have accumulated by then.
+    fn remove_idle(&mut self, now: Instant) {
+        let max_idle_s = IDLE_WINDOWS * self.allowance.window_s;
+        let idle_s = |at: Instant| now.saturating_duration_since(at).as_secs_f64();
         self.buckets
-            .retain(|_, bucket| quiet_s(bucket.at) < longest_s);
-        self.look_at_services = 2 * self.buckets.len() + SPARE_SERVICES;
+            .retain(|_, bucket| idle_s(bucket.at) < max_idle_s);
+        self.cleanup_threshold = 2 * self.buckets.len() + MIN_CLEANUP_THRESHOLD;
     }
 
     fn bucket(&mut self, service: &ServiceName, now: Instant) -> &mut Bucket {
-        if self.buckets.len() >= self.look_at_services {
-            self.forget_quiet(now);
+        if self.buckets.len() >= self.cleanup_threshold {
+            self.remove_idle(now);
         }
-        let part = self.part(now);
+        let share = self.slack_share(now);
         let window_s = self.allowance.window_s;
-        let earned = self.allowance.ratio * RATIO_PART;
-        let told_s = self.told_at.map_or(0.0, |at| {
-            let passed = now.saturating_duration_since(at);
-            passed.as_secs_f64()
+        let earned_per_request = self.allowance.ratio * EARNED_RATIO_FRACTION;
+        let known_s = self.first_report_at.map_or(0.0, |at| {
+            let elapsed = now.saturating_duration_since(at);
+            elapsed.as_secs_f64()
         });
         let bucket = self.buckets.entry(service.clone()).or_insert(Bucket {
-            left: part * (told_s / window_s).min(1.0),
-            recent: 0.0,
+            available: share * (known_s / window_s).min(1.0),
+            recent_requests: 0.0,
             at: now,
         });
-        let quiet_s = now.saturating_duration_since(bucket.at).as_secs_f64();
+        let idle_s = now.saturating_duration_since(bucket.at).as_secs_f64();
         bucket.at = now;
-        bucket.recent *= (-quiet_s / window_s).exp();
-        // The fixed part comes back over a window; what was earned fades with its requests.
-        let most = part + earned * bucket.recent;
-        bucket.left = (bucket.left + part * quiet_s / window_s).min(most);
+        bucket.recent_requests *= (-idle_s / window_s).exp();
+        // The fixed share is refilled over a window; the earned retries decay with the requests.
+        let capacity = share + earned_per_request * bucket.recent_requests;
+        bucket.available = (bucket.available + share * idle_s / window_s).min(capacity);
         bucket
     }
 
-    /// A request for the service was taken.
+    /// Records a request for the service.
     pub fn record_request(&mut self, service: &ServiceName, now: Instant) {
-        let earned = self.allowance.ratio * RATIO_PART;
+        let earned_per_request = self.allowance.ratio * EARNED_RATIO_FRACTION;
         let bucket = self.bucket(service, now);
-        bucket.recent += 1.0;
-        bucket.left += earned;
+        bucket.recent_requests += 1.0;
+        bucket.available += earned_per_request;
     }
 
-    /// Whether a repeat could be spent.
+    /// Whether a retry could be spent.
     pub fn can_spend(&mut self, service: &ServiceName, now: Instant) -> bool {
-        self.bucket(service, now).left >= 1.0
+        self.bucket(service, now).available >= 1.0
     }
 
-    /// Spends one repeat if there is one left.
+    /// Spends one retry if one is left.
     pub fn try_spend(&mut self, service: &ServiceName, now: Instant) -> bool {
         let has_spare = self.can_spend(service, now);
         if has_spare {
-            self.bucket(service, now).left -= 1.0;
+            self.bucket(service, now).available -= 1.0;
         }
         has_spare
     }
 }
 
-/// A count as a divisor; at least one.
-fn count(instances: usize) -> f64 {
+/// A number of instances as a divisor; at least one.
+fn divisor(instances: usize) -> f64 {
     f64::from(u32::try_from(instances.max(1)).unwrap_or(u32::MAX))
 }
--- a/crates/serving/src/routes.rs
+++ b/crates/serving/src/routes.rs
@@ -6,16 +6,16 @@
 use passway_types::prelude::*;
 use std::collections::HashMap;
 
-/// What may be repeated of a route's requests.
+/// Whether a route's requests may be repeated, and how they are answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestKind {
-    /// May run more than once.
+    /// A request may run more than once.
     Repeatable,
-    /// May run at most once for each attempt of its caller.
+    /// A request may run at most once for each attempt of its caller.
     OnceOnly,
-    /// Answered by a stream of events.
+    /// A request is answered by a stream of events.
     Stream {
-        /// Whether another upstream may go on after an event.
+        /// Whether another upstream may resume the stream after an event.
         resumable: bool,
     },
 }
@@ -32,102 +32,109 @@
     }
 }
 
-/// A service that takes a part of a route's requests.
+/// A service that receives some of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Backend {
-    /// The service.
+    /// The service's name.
     pub service: ServiceName,
-    /// Its weight among the route's backends.
+    /// The service's weight among the route's backends.
     pub weight: u32,
 }
 
 /// A route.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
-    /// Its name.
+    /// The route's name.
     pub name: Arc<str>,
-    /// The host it is for.
+    /// The host that the route applies to.
     pub host: Arc<str>,
-    /// The beginning of the paths it is for.
+    /// The path prefix that the route applies to.
     pub prefix: Arc<str>,
-    /// What may be repeated.
+    /// Whether requests may be repeated, and how they are answered.
     pub kind: RequestKind,
-    /// Longest time that a request is held, in milliseconds.
+    /// Maximum time for a request, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer, or a stream's first event, is worth most, in milliseconds.
+    /// Target for the time until an answer, or a stream's first event, in milliseconds.
     pub latency_target_ms: u64,
-    /// Longest pause between two events of a stream that is worth most, in milliseconds.
+    /// Target for the longest gap between two events of a stream, in milliseconds.
     pub gap_target_ms: u64,
-    /// Whether it needs no key.
+    /// Whether requests need no key.
     pub is_public: bool,
-    /// Rank among routes; 0 is the most urgent.
+    /// Priority among routes; 0 is the most urgent.
     pub priority: u8,
-    /// Most upstreams that one request may be sent to.
+    /// Maximum number of upstreams that one request may be sent to.
     pub attempts: u32,
-    /// The regions in which its requests may be served.
+    /// The regions in which requests may be served.
     pub allowed: AllowedRegions,
-    /// Where its requests go.
+    /// The services that requests go to.
     pub backends: Vec<Backend>,
 }
 
-/// Shortest gap after which a caller leaves a stream, in milliseconds.
-const MIN_PATIENCE_MS: u64 = 2_000;
-/// A caller leaves a stream after a gap of so many times the goal of its first event.
-const PATIENCE_GOALS: u64 = 4;
-/// A caller leaves a stream after a gap of so many times the goal for pauses.
-const PATIENCE_GAPS: u64 = 8;
+/// Minimum gap after which a caller abandons a stream, in milliseconds.
+const MIN_SILENCE_MS: u64 = 2_000;
+/// A caller abandons a stream after a gap of this many times the target for its first event.
+const SILENCE_PER_LATENCY_TARGET: u64 = 4;
+/// A caller abandons a stream after a gap of this many times the target for gaps.
+const SILENCE_PER_GAP_TARGET: u64 = 8;
 
 impl Route {
-    /// The gap after which a caller leaves a stream, before its first event too, in milliseconds.
+    /// The gap after which a caller abandons a stream, also before its first event, in
+    /// milliseconds.
     pub fn max_silence_ms(&self) -> u64 {
         if !self.kind.is_stream() {
             return self.timeout_ms;
         }
-        let by_goal = self.latency_target_ms.saturating_mul(PATIENCE_GOALS);
-        let by_gap = self.gap_target_ms.saturating_mul(PATIENCE_GAPS);
-        by_goal.max(by_gap).max(MIN_PATIENCE_MS)
+        let by_latency_target = self
+            .latency_target_ms
+            .saturating_mul(SILENCE_PER_LATENCY_TARGET);
+        let by_gap_target = self.gap_target_ms.saturating_mul(SILENCE_PER_GAP_TARGET);
+        by_latency_target.max(by_gap_target).max(MIN_SILENCE_MS)
     }
 
-    /// The backend for a request, chosen by weight from a number drawn for the request.
-    pub fn backend(&self, drawn: u64) -> Option<&ServiceName> {
-        let total: u64 = self.backends.iter().map(|b| u64::from(b.weight)).sum();
-        let mut left = drawn.checked_rem(total)?;
+    /// The backend for a request, chosen by weight with the request's random number.
+    pub fn backend(&self, random: u64) -> Option<&ServiceName> {
+        let total: u64 = self
+            .backends
+            .iter()
+            .map(|backend| u64::from(backend.weight))
+            .sum();
+        let mut offset = random.checked_rem(total)?;
         for backend in &self.backends {
             let weight = u64::from(backend.weight);
-            if left < weight {
+            if offset < weight {
                 return Some(&backend.service);
             }
-            left -= weight;
+            offset -= weight;
         }
         None
     }
 }
 
-/// A model that a pool of engines may hold.
+/// A model that a pool of engines may load.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ModelSpec {
-    /// Its name.
+    /// The model's name.
     pub name: ModelName,
-    /// Accelerator memory of its weights, in megabytes.
+    /// Accelerator memory of the model's weights, in megabytes.
     pub weights_mb: f64,
-    /// Accelerator memory of one of its adapters, in megabytes.
+    /// Accelerator memory of one of the model's adapters, in megabytes.
     pub adapter_mb: f64,
-    /// Time to load it from the weight store, in milliseconds.
+    /// Time to load the model from the weight store, in milliseconds.
     pub load_ms: u64,
-    /// Time to load it from an engine's own disk, in milliseconds.
+    /// Time to load the model from an engine's own disk, in milliseconds.
     pub disk_ms: u64,
-    /// Time to load it from an engine's own memory, in milliseconds.
+    /// Time to load the model from an engine's own memory, in milliseconds.
     pub memory_ms: u64,
 }
 
-/// What the engines of a service have in common.
+/// The common properties of a service's engines.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EnginePool {
-    /// Requests that an engine runs at one time.
+    /// Maximum number of requests that an engine runs concurrently.
     pub slots: u32,
     /// Accelerator memory for weights and adapters, in megabytes.
     pub weights_mb: f64,
-    /// Adapters that an engine can hold.
+    /// Maximum number of adapters on an engine.
     pub adapter_slots: usize,
     /// Loads a second that the weight store allows over all engines.
     pub loads_per_s: f64,
@@ -143,7 +150,7 @@
 }
 
 impl ModelSpecs {
-    /// The model of a name.
+    /// The model with this name.
     pub fn named(&self, model: &str) -> Option<&ModelSpec> {
         self.by_name.get(model).map(|index| &self.specs[*index])
     }
@@ -153,12 +160,12 @@
         self.specs.iter()
     }
 
-    /// How many there are.
+    /// The number of models.
     pub fn len(&self) -> usize {
         self.specs.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no models.
     pub fn is_empty(&self) -> bool {
         self.specs.is_empty()
     }
@@ -187,45 +194,45 @@
 /// A service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// The service's name.
     pub name: ServiceName,
-    /// Connections that an upstream takes from all instances together.
+    /// Maximum number of connections to an upstream from all instances together.
     pub max_connections: u32,
-    /// What a cold upstream bears; `None` without a bound.
+    /// The rate limit of cold upstreams; `None` for no limit.
     pub cold_limit: Option<ColdLimit>,
-    /// The engines' common traits; `None` for a plain service.
+    /// The common properties of the engines; `None` for a plain service.
     pub pool: Option<EnginePool>,
 }
 
-/// Bounds on what callers send.
+/// Limits for callers' requests and connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Largest head, in bytes.
+    /// Maximum size of a head, in bytes.
     pub max_header_bytes: usize,
-    /// Largest body, in bytes.
+    /// Maximum size of a body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time for a head to arrive, in milliseconds.
+    /// Maximum time for a head to arrive, in milliseconds.
     pub header_timeout_ms: u64,
-    /// Longest rest of a connection, in milliseconds.
+    /// Maximum time that a connection may be idle, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
 /// One version of the configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouteTable {
-    /// Its version; grows.
+    /// The version, which grows.
     pub version: Revision,
     routes: HashMap<Arc<str>, Vec<Arc<Route>>>,
     /// The services by name.
     pub services: HashMap<ServiceName, Arc<Service>>,
     /// The workspaces; `None` if routes need no key.
     pub workspaces: Option<Workspaces>,
-    /// Bounds on callers.
+    /// Limits for callers.
     pub limits: CallerLimits,
 }
 
 impl RouteTable {
-    /// A table of routes; longer prefixes are tried first.
+    /// Creates a table of routes in which longer prefixes are tried first.
     pub fn new(
         version: Revision,
         routes: Vec<Route>,
@@ -240,7 +247,9 @@
         for routes in by_host.values_mut() {
             routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
-        let services = services.into_iter().map(|s| (s.name.clone(), Arc::new(s)));
+        let services = services
+            .into_iter()
+            .map(|service| (service.name.clone(), Arc::new(service)));
         Self {
             version,
             routes: by_host,
@@ -250,15 +259,18 @@
         }
     }
 
-    /// The same with workspaces, whose keys its closed routes ask for.
+    /// Adds the workspaces whose keys the closed routes require.
     ///
     /// # Errors
-    /// If there is none, and so nobody could use a closed route.
+    /// If there is no workspace although a route is closed, so that no caller could use it.
     pub fn with_workspaces(self, workspaces: Workspaces) -> anyhow::Result<Self> {
         let mut routes = self.routes.values().flatten();
         let closed = routes.find(|route| !route.is_public);
         if let Some(route) = closed.filter(|_| workspaces.is_empty()) {
-            anyhow::bail!("no workspace, and route {} needs a key", route.name);
+            anyhow::bail!(
+                "there is no workspace although route {} needs a key",
+                route.name
+            );
         }
         Ok(Self {
             workspaces: Some(workspaces),
@@ -266,7 +278,7 @@
         })
     }
 
-    /// The route of a request: the longest prefix of the path among the host's routes.
+    /// The route of a request: the longest matching prefix among the host's routes.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.routes.get(host)?;
         routes.iter().find(|route| path.starts_with(&*route.prefix))
--- a/crates/serving/src/signals.rs
+++ b/crates/serving/src/signals.rs
@@ -1,31 +1,33 @@
-//! What upstreams say of themselves in the heads of their answers, whatever these answer.
+//! Signals: what upstreams report about themselves in the heads of their answers.
 //!
-//! An adapter reads them once, for answers to callers' requests as for those to questions and orders of
-//! an instance. Each word has one rule for what cannot be read; such words are counted and change nothing.
+//! An adapter parses them in the same way in answers to callers' requests, to probes and to orders
+//! of an instance. Each signal has one rule for values that cannot be parsed; these are counted
+//! and change nothing.
 
 use crate::limits::LimitSignal;
 use passway_types::prelude::*;
 
-/// All that the head of an answer says of its upstream.
+/// All signals in the head of an answer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct UpstreamSignals {
-    /// How many requests it takes.
+    /// The rate limit that the upstream advertises.
     pub limit: LimitSignal,
-    /// Whether it leaves.
+    /// Whether the upstream is leaving.
     pub leaving: LeavingSignal,
-    /// For how long it wants nothing from the instance that it answers.
+    /// How long the upstream asks the instance that it answers to back off.
     pub backoff: BackoffSignal,
 }
 
 impl UpstreamSignals {
-    /// An answer that says nothing.
+    /// No signals.
     pub const NONE: Self = Self {
         limit: LimitSignal::Absent,
         leaving: LeavingSignal::Absent,
         backoff: BackoffSignal::Absent,
     };
 
-    /// The words that are there and cannot be read, by the names under which they are counted.
+    /// The signals that are present but cannot be parsed, by the names under which they are
+    /// counted.
     pub fn unusable_names(&self) -> impl Iterator<Item = &'static str> {
         let limit = (self.limit == LimitSignal::Unusable).then_some("limit");
         let leaving = (self.leaving == LeavingSignal::Unusable).then_some("leaving");
@@ -34,25 +36,27 @@
     }
 }
 
-/// Whether an answer says that its upstream leaves. That is final for a start of an upstream.
+/// Whether an answer reports that its upstream is leaving. That is final for a start of an
+/// upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeavingSignal {
-    /// It does not say so. What was said before stands.
+    /// The answer does not report it. An earlier report stays valid.
     Absent,
-    /// It leaves.
+    /// The upstream is leaving.
     Leaving,
-    /// It says something else than that it leaves, and goes on being used: a word that is false would
-    /// take the upstream away for the rest of its start.
+    /// The value is not the expected one and is ignored: a wrong report would remove the upstream
+    /// until its next start.
     Unusable,
 }
 
-/// For how long an upstream wants nothing from the instance that it has turned away.
+/// How long an upstream asks the instance whose request it refused to back off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BackoffSignal {
-    /// It does not say.
+    /// The answer names no time.
     Absent,
-    /// For this time, which may be zero. Of several times that an answer names, the longest.
+    /// The requested time, which may be zero. If an answer names several times, the longest.
     For(Duration),
-    /// None of what it says can be read: it has turned one request away and asks for nothing more.
+    /// None of the values can be parsed: the upstream has refused one request, and no backoff
+    /// applies.
     Unusable,
 }
--- a/crates/serving/src/upstreams.rs
+++ b/crates/serving/src/upstreams.rs
@@ -1,4 +1,5 @@
-//! Upstreams: what they say of themselves, what this instance saw, and the choice.
+//! Upstreams: what they report, what this instance has observed of them, and the choice of one for
+//! a request.
 
 mod backoff;
 mod choice;
@@ -15,42 +16,42 @@
 use std::net::SocketAddr;
 use upstream::Upstream;
 
-/// A model that stands on an engine.
+/// A model that is loaded on an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResidentModel {
-    /// The model.
+    /// The model's name.
     pub name: ModelName,
-    /// Its adapters that stand there.
+    /// The model's adapters that are loaded with it.
     pub adapters: Vec<AdapterName>,
 }
 
-/// What an upstream says of itself.
+/// An upstream's report about itself.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UpstreamEntry {
-    /// Its id; an upstream that starts again may keep it (`started_at_ms`).
+    /// The upstream's id, which it may keep when it starts again (`started_at_ms`).
     pub id: UpstreamId,
-    /// The service it belongs to.
+    /// The service that the upstream belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address at which the upstream listens.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The data hall of the upstream.
     pub hall: DataHall,
-    /// Requests that it works on at one time.
+    /// Maximum number of requests that run concurrently.
     pub slots: u32,
-    /// Whether it takes nothing new.
+    /// Whether the upstream accepts no new requests.
     pub draining: bool,
-    /// Until when it is slow from its start; `None` if it is not.
+    /// Until when the upstream is slow after its start; `None` if it is not.
     pub cold_until: Option<Instant>,
-    /// Models on its accelerators.
+    /// Models loaded on the accelerators.
     pub models: Vec<ResidentModel>,
-    /// Checkpoints in its memory.
+    /// Checkpoints in memory.
     pub in_memory: Vec<ModelName>,
-    /// Checkpoints on its disk.
+    /// Checkpoints on disk.
     pub on_disk: Vec<ModelName>,
-    /// Number of this word of its; grows while it lives.
+    /// Sequence number of this report; it grows while the upstream runs.
     pub heartbeat: u64,
-    /// When it started, in Unix milliseconds by its own clock; 0 if it does not tell. It may
-    /// start again under its id, and then holds and knows nothing of before.
+    /// When the upstream started, in Unix milliseconds by its own clock; 0 if not reported. An
+    /// upstream may start again under its id and then has nothing of its earlier state.
     pub started_at_ms: u64,
 }
 
@@ -59,31 +60,31 @@
 pub struct ModelRef {
     /// The model.
     pub model: ModelName,
-    /// The adapter, if one is asked for.
+    /// The adapter, if one is requested.
     pub adapter: Option<AdapterName>,
 }
 
-/// What a cold upstream of a service bears.
+/// The rate limit of a service's cold upstreams.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdLimit {
     /// Requests a second, from all instances together.
     pub per_s: f64,
-    /// How long an upstream stays cold from its start.
+    /// How long an upstream stays cold after its start.
     pub duration: Duration,
 }
 
-/// How an attempt at an upstream ended, as far as it tells about the upstream.
+/// How an attempt at an upstream ended, as far as it is evidence about the upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// A whole answer.
+    /// The upstream answered completely.
     Answered,
-    /// It failed, broke off, or did not take the request though it should have.
+    /// The upstream failed, disconnected, or refused a request that it should have accepted.
     Failed,
-    /// It did not take the request, being too full.
+    /// The upstream refused the request because it was full.
     Shed,
-    /// It could not be reached.
+    /// The upstream could not be reached.
     Unreachable,
-    /// The caller left, or nothing else can be said.
+    /// The caller disconnected, or the end says nothing else about the upstream.
     Unknown,
 }
 
@@ -92,30 +93,31 @@
 pub struct UpstreamTable {
     hall: DataHall,
     halls: Halls,
-    /// What cold upstreams bear, by service.
-    cold_bounds: HashMap<ServiceName, ColdLimit>,
+    /// Rate limits of cold upstreams, by service.
+    cold_limits: HashMap<ServiceName, ColdLimit>,
     upstreams: HashMap<UpstreamId, Upstream>,
     restarted: Vec<UpstreamId>,
-    departures: LeavingStarts,
-    /// Upstreams that have asked for rest, until an answer of theirs shows that it is over: few of many.
-    resting: BTreeSet<UpstreamId>,
+    leaving: LeavingStarts,
+    /// The few upstreams that have asked for backoff, until one of their answers shows that it is
+    /// over.
+    backing_off: BTreeSet<UpstreamId>,
 }
 
 impl UpstreamTable {
-    /// No upstreams, for an instance in a data hall.
+    /// Creates an empty table for an instance in a data hall.
     pub fn new(hall: DataHall) -> Self {
         Self {
             hall,
             halls: Halls::default(),
-            cold_bounds: HashMap::new(),
+            cold_limits: HashMap::new(),
             upstreams: HashMap::new(),
             restarted: Vec::new(),
-            departures: LeavingStarts::default(),
-            resting: BTreeSet::new(),
+            leaving: LeavingStarts::default(),
+            backing_off: BTreeSet::new(),
         }
     }
 
-    /// The same in a fleet whose halls lie in some regions.
+    /// Sets the regions of the fleet's halls.
     #[must_use]
     pub fn with_regions(self, regions: HallRegions) -> Self {
         Self {
@@ -129,37 +131,37 @@
         self.upstreams.is_empty()
     }
 
-    /// Operators have emptied these halls and no others; returns whether that is news.
+    /// Sets the halls that operators have evacuated. Returns whether they have changed.
     ///
-    /// Upstreams of a hall that is given back may be cold without having said so yet.
+    /// Upstreams of a hall that is no longer evacuated may be cold without having reported it yet.
     pub fn set_evacuated(&mut self, emptied: BTreeSet<DataHall>, now: Instant) -> bool {
         if *self.halls.evacuated() == emptied {
             return false;
         }
-        let given_back = self.halls.set_evacuated(emptied);
+        let reopened = self.halls.set_evacuated(emptied);
         for upstream in self.upstreams.values_mut() {
-            let bound = self.cold_bounds.get(&upstream.entry.service);
-            if given_back.contains(&upstream.entry.hall)
-                && let Some(bound) = bound
+            let cold_limit = self.cold_limits.get(&upstream.entry.service);
+            if reopened.contains(&upstream.entry.hall)
+                && let Some(cold_limit) = cold_limit
             {
-                upstream.may_be_cold_until = Some(now + bound.duration);
+                upstream.may_be_cold_until = Some(now + cold_limit.duration);
             }
         }
         true
     }
 
-    /// The halls to which nothing may be sent.
+    /// The evacuated halls, to which no request may be sent.
     pub fn evacuated(&self) -> &BTreeSet<DataHall> {
         self.halls.evacuated()
     }
 
-    /// Whether a hall is one of the fleet's; any is while none is known.
+    /// Whether a hall belongs to the fleet; true for any hall while none is known.
     pub fn is_known_hall(&self, hall: &DataHall) -> bool {
         self.halls.is_known(hall)
     }
 
-    /// Whether a request with some allowed regions may be sent to an upstream where it stands. Where one stands
-    /// that is not listed is not known.
+    /// Whether a request with these allowed regions may be sent to an upstream in its hall. The
+    /// hall of an unlisted upstream is unknown.
     pub fn admits(&self, id: &str, allowed: &AllowedRegions) -> bool {
         let upstream = self.upstreams.get(id);
         upstream.map_or(!self.halls.has_restrictions(allowed), |upstream| {
@@ -167,63 +169,62 @@
         })
     }
 
-    /// Uses a configuration's bounds on cold upstreams.
-    pub fn set_cold_limits(&mut self, bounds: HashMap<ServiceName, ColdLimit>) {
-        self.cold_bounds = bounds;
+    /// Sets a configuration's rate limits for cold upstreams.
+    pub fn set_cold_limits(&mut self, cold_limits: HashMap<ServiceName, ColdLimit>) {
+        self.cold_limits = cold_limits;
         for upstream in self.upstreams.values_mut() {
-            let bound = self.cold_bounds.get(&upstream.entry.service);
-            upstream.cold_per_s = bound.map(|bound| bound.per_s);
+            let cold_limit = self.cold_limits.get(&upstream.entry.service);
+            upstream.cold_per_s = cold_limit.map(|cold_limit| cold_limit.per_s);
         }
     }
 
-    /// The entries as they were last heard.
+    /// The latest entries.
     pub fn entries(&self) -> impl Iterator<Item = &UpstreamEntry> {
         self.upstreams.values().map(|upstream| &upstream.entry)
     }
 
-    /// An upstream has said something of itself. Returns whether more has changed than
-    /// the models that stand on it.
+    /// Updates an upstream's entry. Returns whether more than its loaded models has changed.
     pub fn update(&mut self, mut entry: UpstreamEntry, now: Instant) -> bool {
         if entry.draining {
-            let _ = self.departures.record(&entry.id, entry.started_at_ms, now);
+            let _ = self.leaving.record(&entry.id, entry.started_at_ms, now);
         }
-        // Leaving is final for a start, whatever a word says that is older or does not know it yet.
+        // Leaving is final for a start, even if a report is older or does not include it yet.
         entry.draining = self.is_leaving(&entry.id, entry.started_at_ms);
         let cold_per_s = self
-            .cold_bounds
+            .cold_limits
             .get(&entry.service)
-            .map(|bound| bound.per_s);
-        let new = |entry| {
+            .map(|cold_limit| cold_limit.per_s);
+        let new_upstream = |entry| {
             let mut upstream = Upstream::new(entry, now);
             upstream.cold_per_s = cold_per_s;
             upstream
         };
         let Some(known) = self.upstreams.get_mut(&entry.id) else {
             let id = entry.id.clone();
-            self.upstreams.insert(id, new(entry));
+            self.upstreams.insert(id, new_upstream(entry));
             return true;
         };
         if entry.started_at_ms < known.entry.started_at_ms {
-            // It was said before the upstream started again.
+            // The report is from before the upstream started again.
             return false;
         }
         if entry.started_at_ms > known.entry.started_at_ms {
-            // Nothing that was seen of it before holds for it now.
+            // Observations of the previous start do not apply to the new one.
             self.restarted.push(entry.id.clone());
-            *known = new(entry);
+            *known = new_upstream(entry);
             return true;
         }
-        let returned = known.removed_at.take().is_some();
+        let has_returned = known.removed_at.take().is_some();
         if entry.heartbeat < known.entry.heartbeat {
-            // An older word, told late; only leaving is final.
-            let leaves = entry.draining && !known.entry.draining;
+            // An older report that arrived late; only leaving is final.
+            let is_leaving = entry.draining && !known.entry.draining;
             known.entry.draining |= entry.draining;
-            return leaves || returned;
+            return is_leaving || has_returned;
         }
         if known.entry.models != entry.models {
             known.absent_until.clear();
         }
-        let more = returned
+        let has_changed = has_returned
             || known.entry.service != entry.service
             || known.entry.address != entry.address
             || known.entry.slots != entry.slots
@@ -232,7 +233,7 @@
         known.cold_per_s = cold_per_s;
         known.entry = entry;
         known.record_loaded();
-        more
+        has_changed
     }
 
     /// Upstreams that have started again under their ids since the last call.
@@ -240,38 +241,38 @@
         std::mem::take(&mut self.restarted)
     }
 
-    /// Whether an upstream has said that it leaves.
+    /// Whether an upstream has reported that it is leaving.
     pub fn is_draining(&self, id: &str) -> bool {
         let upstream = self.upstreams.get(id);
         upstream.is_some_and(|upstream| upstream.entry.draining)
     }
 
-    /// When an upstream has started, in Unix milliseconds by its own clock; 0 if it does not tell.
+    /// When an upstream started, in Unix milliseconds by its own clock; 0 if not reported.
     pub fn started_at_ms(&self, id: &str) -> u64 {
         let upstream = self.upstreams.get(id);
         upstream.map_or(0, |upstream| upstream.entry.started_at_ms)
     }
 
-    /// The service that an upstream has said to belong to.
+    /// The service that an upstream reports to belong to.
     pub fn service_of(&self, id: &str) -> Option<&ServiceName> {
         let upstream = self.upstreams.get(id)?;
         Some(&upstream.entry.service)
     }
 
-    /// An upstream's entry is missing; it is gone at the moment given unless the entry
-    /// comes back.
-    pub fn mark_missing(&mut self, id: &str, gone_at: Instant) {
+    /// Records that an upstream's entry is missing. The upstream counts as removed at the given
+    /// time unless the entry returns.
+    pub fn mark_missing(&mut self, id: &str, removed_at: Instant) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
-            upstream.removed_at.get_or_insert(gone_at);
+            upstream.removed_at.get_or_insert(removed_at);
         }
     }
 
-    /// The whole list was read; what is not on it is gone at the moment given.
-    pub fn replace_all(&mut self, entries: Vec<UpstreamEntry>, gone_at: Instant, now: Instant) {
+    /// Replaces the whole list. Upstreams that are not listed count as removed at the given time.
+    pub fn replace_all(&mut self, entries: Vec<UpstreamEntry>, removed_at: Instant, now: Instant) {
         let listed: HashSet<&str> = entries.iter().map(|entry| &*entry.id).collect();
         for (id, upstream) in &mut self.upstreams {
             if !listed.contains(&**id) {
-                upstream.removed_at.get_or_insert(gone_at);
+                upstream.removed_at.get_or_insert(removed_at);
             }
         }
         for entry in entries {
@@ -279,21 +280,21 @@
         }
     }
 
-    /// Forgets upstreams that are gone by now, and hands out their last entries.
+    /// Drops upstreams that are removed by now. Returns their last entries.
     pub fn remove_expired(&mut self, now: Instant) -> Vec<UpstreamEntry> {
-        let gone = self
+        let removed = self
             .upstreams
             .extract_if(|_, upstream| upstream.is_removed(now));
-        let gone = gone.map(|(_, upstream)| upstream.entry).collect();
+        let removed = removed.map(|(_, upstream)| upstream.entry).collect();
         let upstreams = &self.upstreams;
-        self.departures
+        self.leaving
             .remove_expired(|id| upstreams.contains_key(id), now);
-        self.resting.retain(|id| upstreams.contains_key(id));
-        gone
+        self.backing_off.retain(|id| upstreams.contains_key(id));
+        removed
     }
 
-    /// What the holder of the right to order says of an engine's models, which is
-    /// newer than the engine's own word.
+    /// Sets an engine's models as published by the holder, which are newer than the engine's own
+    /// report. `closing` are the models about to be unloaded.
     pub fn set_placement(&mut self, id: &str, models: Vec<ResidentModel>, closing: Vec<ModelName>) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
             if upstream.entry.models != models {
@@ -305,41 +306,42 @@
         }
     }
 
-    /// Digests of what stands on each engine, as far as is known here.
+    /// Digests of the models on each engine, as known to this instance.
     pub fn placement_digests(&self) -> impl Iterator<Item = PlacementDigest> {
         let engines = self.upstreams.values();
         engines.map(|engine| digest(&engine.entry.id, &engine.entry.models, &engine.closing))
     }
 
-    /// A term of this instance begins: what a holder before was about to evict stays.
+    /// Clears the models that the previous holder was about to unload, when a term of this
+    /// instance begins.
     pub fn clear_closing(&mut self) {
         for upstream in self.upstreams.values_mut() {
             upstream.closing.clear();
         }
     }
 
-    /// A request was sent to an upstream.
+    /// Records that a request was sent to an upstream.
     pub fn record_start(&mut self, id: &str, model_ref: Option<&ModelRef>, now: Instant) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
             upstream.record_start(model_ref, now);
         }
     }
 
-    /// Bytes have come from an upstream.
+    /// Records that bytes were received from an upstream.
     pub fn record_activity(&mut self, id: &str, now: Instant) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
             upstream.record_activity(now);
         }
     }
 
-    /// Whether an upstream that works has not been heard of for long.
+    /// Whether nothing was received from an upstream for long although it runs requests.
     pub fn is_silent(&self, id: &str, now: Instant) -> bool {
         self.upstreams
             .get(id)
             .is_some_and(|upstream| upstream.is_silent(now))
     }
 
-    /// A request that was sent to an upstream has ended.
+    /// Records that a request that was sent to an upstream has ended.
     pub fn record_end(
         &mut self,
         id: &str,
@@ -352,123 +354,134 @@
         }
     }
 
-    /// Another instance's request that was sent to an upstream has ended so.
+    /// Records how another instance's request to an upstream ended.
     pub fn record_peer_outcome(&mut self, id: &str, outcome: Outcome, now: Instant) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
             upstream.record_outcome(outcome, now);
         }
     }
 
-    /// A start of an upstream has said in an answer that it leaves. Returns whether that is news.
+    /// Records that a start of an upstream has reported in an answer that it is leaving. Returns
+    /// whether this is new.
     pub fn record_leaving(&mut self, id: &UpstreamId, started_at_ms: u64, now: Instant) -> bool {
-        let is_news = self.departures.record(id, started_at_ms, now);
-        let leaves = self.is_leaving(id, started_at_ms);
+        let is_new = self.leaving.record(id, started_at_ms, now);
+        let is_leaving = self.is_leaving(id, started_at_ms);
         if let Some(upstream) = self.upstreams.get_mut(id)
             && upstream.entry.started_at_ms == started_at_ms
         {
-            upstream.entry.draining |= leaves;
+            upstream.entry.draining |= is_leaving;
         }
-        is_news
+        is_new
     }
 
-    /// Whether a start of an upstream has said that it leaves, in an answer or in its entry.
+    /// Whether a start of an upstream has reported that it is leaving, in an answer or in its
+    /// entry.
     pub fn is_leaving(&self, id: &str, started_at_ms: u64) -> bool {
-        self.departures.leaves(id, started_at_ms)
+        self.leaving.is_leaving(id, started_at_ms)
     }
 
-    /// Upstreams that are known to leave, with their starts in Unix milliseconds by their own clocks.
+    /// Upstreams that are known to be leaving, with their starts in Unix milliseconds by their own
+    /// clocks.
     pub fn leaving(&self) -> impl Iterator<Item = (&UpstreamId, u64)> {
-        self.departures.all()
+        self.leaving.iter()
     }
 
-    /// Lets a request through to a start of an upstream, if that wants one from this instance as far as it has
-    /// said. One that is not listed any more may serve on.
+    /// Admits a request to a start of an upstream unless that is leaving or has asked this
+    /// instance to back off. An upstream that is not listed any more may still serve.
     pub fn try_admit(&mut self, id: &str, started_at_ms: u64, now: Instant) -> bool {
-        let rest = self
+        let backoff = self
             .upstreams
             .get_mut(id)
             .map(|upstream| &mut upstream.backoff);
-        !self.departures.leaves(id, started_at_ms) && rest.is_none_or(|rest| rest.try_admit(now))
+        !self.leaving.is_leaving(id, started_at_ms)
+            && backoff.is_none_or(|backoff| backoff.try_admit(now))
     }
 
-    /// An upstream has asked this instance for rest until a moment.
+    /// Records that an upstream has asked this instance to back off until a time.
     pub fn record_backoff(&mut self, id: &UpstreamId, until: Instant) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
-            upstream.backoff.begin(until);
-            self.resting.insert(id.clone());
+            upstream.backoff.extend(until);
+            self.backing_off.insert(id.clone());
         }
     }
 
-    /// An upstream asks for no rest in its answer to what was sent at a moment.
+    /// Records an answer without backoff to a request that was sent at `sent_at`.
     pub fn record_no_backoff(&mut self, id: &str, sent_at: Instant) {
-        if !self.resting.contains(id) {
+        if !self.backing_off.contains(id) {
             return;
         }
         let upstream = self.upstreams.get_mut(id);
-        if upstream.is_none_or(|upstream| upstream.backoff.record_no_backoff_answer(sent_at)) {
-            self.resting.remove(id);
+        if upstream.is_none_or(|upstream| upstream.backoff.record_no_backoff(sent_at)) {
+            self.backing_off.remove(id);
         }
     }
 
-    /// Until when an upstream wants nothing from this instance; `None` if a request may go there.
+    /// Until when an upstream accepts no request from this instance; `None` if a request may be
+    /// sent.
     pub fn backoff_until(&self, id: &str, now: Instant) -> Option<Instant> {
         self.upstreams.get(id)?.backoff.blocked_until(now)
     }
 
-    /// Upstreams that want nothing from this instance now, with when they do.
+    /// Upstreams that accept no request from this instance now, with the time when they do.
     pub fn backing_off(&self, now: Instant) -> impl Iterator<Item = (&UpstreamId, Instant)> {
-        self.resting.iter().filter_map(move |id| {
-            let rest = &self.upstreams.get(id)?.backoff;
-            let until = rest.blocked_until(now).filter(|_| rest.is_active(now))?;
+        self.backing_off.iter().filter_map(move |id| {
+            let backoff = &self.upstreams.get(id)?.backoff;
+            let until = backoff
+                .blocked_until(now)
+                .filter(|_| backoff.is_active(now))?;
             Some((id, until))
         })
     }
 
-    /// Those that could serve a request, if they wanted one from this instance now, with when they do.
+    /// Upstreams that could serve a request if they did not ask this instance to back off, with
+    /// the time when they accept requests.
     pub fn backing_off_for(
         &self,
-        wanted: RequestNeeds<'_>,
+        needs: RequestNeeds<'_>,
         now: Instant,
     ) -> Vec<(UpstreamId, Instant)> {
-        let closed = self.resting.iter().filter_map(|id| {
+        let backing_off = self.backing_off.iter().filter_map(|id| {
             let upstream = self.upstreams.get(id)?;
             let until = upstream.backoff.blocked_until(now)?;
-            let is_usable = self.is_usable(upstream, wanted, now);
+            let is_usable = self.is_usable(upstream, needs, now);
             is_usable.then(|| (id.clone(), until))
         });
-        closed.collect()
+        backing_off.collect()
     }
 
-    /// An upstream has said how much it takes. Returns whether that is another limit than before.
-    pub fn record_limit(&mut self, id: &str, word: ObservedLimit) -> bool {
+    /// Records the limit that an upstream advertises. Returns whether it differs from the previous
+    /// one.
+    pub fn record_limit(&mut self, id: &str, limit: ObservedLimit) -> bool {
         let upstream = self.upstreams.get_mut(id);
-        upstream.is_some_and(|upstream| upstream.record_limit(word))
+        upstream.is_some_and(|upstream| upstream.record_limit(limit))
     }
 
-    /// Requests a second that an upstream takes from all instances together, as it says or as a cold one bears;
-    /// `None` without a limit.
+    /// Requests a second that an upstream accepts from all instances together, as advertised or
+    /// because it is cold; `None` without a limit.
     pub fn limit_per_s(&self, id: &str, now: Instant) -> Option<f64> {
         self.upstreams.get(id)?.limit_per_s(now)
     }
 
-    /// Requests a second that an upstream says it takes from all instances together; `None` without a limit.
+    /// Requests a second that an upstream advertises to accept from all instances together; `None`
+    /// without a limit.
     pub fn advertised_limit_per_s(&self, id: &str) -> Option<f64> {
         self.upstreams.get(id)?.advertised_per_s()
     }
 
-    /// What upstreams said last of how much they take, those that ever named a limit, with their starts
-    /// in Unix milliseconds by their own clocks.
+    /// The latest observed limits of all upstreams that have ever advertised one, with their
+    /// starts in Unix milliseconds by their own clocks.
     pub fn observed_limits(&self) -> impl Iterator<Item = (&UpstreamId, u64, ObservedLimit)> {
         self.upstreams.iter().filter_map(|(id, upstream)| {
-            let word = upstream.limit_word()?;
-            Some((id, upstream.entry.started_at_ms, word))
+            let limit = upstream.observed_limit()?;
+            Some((id, upstream.entry.started_at_ms, limit))
         })
     }
 
-    /// Upstreams that name a limit.
+    /// The number of upstreams that advertise a limit.
     pub fn limited_count(&self) -> usize {
         let all = self.upstreams.values();
-        all.filter(|one| one.advertised_per_s().is_some()).count()
+        all.filter(|upstream| upstream.advertised_per_s().is_some())
+            .count()
     }
 
     /// Whether an upstream has what a request needs, as far as is known.
@@ -477,8 +490,9 @@
         upstream.is_some_and(|upstream| upstream.has(model_ref, now))
     }
 
-    /// Whether none of a service's engines has a model or a copy of it, so that it can only come from
-    /// the weight store. Unknown engines may have it: false if there is none.
+    /// Whether none of a service's engines has the model loaded or cached, so that it must be
+    /// loaded from the weight store. Returns false if no engine is known, because an unknown one
+    /// may have it.
     pub fn is_cached_nowhere(
         &self,
         service: &ServiceName,
@@ -486,10 +500,10 @@
         allowed: &AllowedRegions,
     ) -> bool {
         let mut engines = self.admitted_upstreams(service, allowed).peekable();
-        engines.peek().is_some() && !engines.any(|one| one.has_cached(model))
+        engines.peek().is_some() && !engines.any(|upstream| upstream.has_cached(model))
     }
 
-    /// Whether an engine that takes any requests has a model or a copy of it.
+    /// Whether an engine that accepts requests without limit has the model loaded or cached.
     pub fn is_cached_on_available_engine(
         &self,
         service: &ServiceName,
@@ -498,60 +512,61 @@
         now: Instant,
     ) -> bool {
         let mut engines = self.admitted_upstreams(service, allowed);
-        engines.any(|one| {
-            let takes = one.limit_per_s(now).is_none()
-                && !one.backoff.is_active(now)
-                && !one.entry.draining;
-            takes && one.has_cached(model)
+        engines.any(|upstream| {
+            let accepts = upstream.limit_per_s(now).is_none()
+                && !upstream.backoff.is_active(now)
+                && !upstream.entry.draining;
+            accepts && upstream.has_cached(model)
         })
     }
 
-    /// Upstreams of a service where requests with some allowed regions may go.
+    /// Upstreams of a service to which requests with these allowed regions may be sent.
     fn admitted_upstreams<'a>(
         &'a self,
         service: &ServiceName,
         allowed: &AllowedRegions,
     ) -> impl Iterator<Item = &'a Upstream> {
         let all = self.upstreams.values();
-        let of_service = all.filter(move |one| one.entry.service == *service);
-        of_service.filter(move |one| self.halls.admits(&one.entry.hall, allowed))
+        let of_service = all.filter(move |upstream| upstream.entry.service == *service);
+        of_service.filter(move |upstream| self.halls.admits(&upstream.entry.hall, allowed))
     }
 
-    /// Requests that an upstream works on at one time.
+    /// Maximum number of requests that an upstream runs concurrently.
     pub fn slots_of(&self, id: &str) -> u32 {
         self.upstreams
             .get(id)
             .map_or(0, |upstream| upstream.entry.slots)
     }
 
-    /// Where an upstream listens.
+    /// The address at which an upstream listens.
     pub fn address_of(&self, id: &str) -> Option<SocketAddr> {
         let upstream = self.upstreams.get(id)?;
         Some(upstream.entry.address)
     }
 
-    /// An upstream broke off and may have ended: it gets nothing for a while if there is another.
+    /// Records that an upstream disconnected and may have terminated. For a while it receives
+    /// requests only if there is no other.
     pub fn mark_unreachable(&mut self, id: &str, now: Instant) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
             upstream.mark_unreachable(now);
         }
     }
 
-    /// An upstream that broke off runs on.
+    /// Records that an upstream that disconnected is still running.
     pub fn mark_reachable(&mut self, id: &str, now: Instant) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
             upstream.unreachable_until = now;
         }
     }
 
-    /// An engine said that it does not have what a request needs.
+    /// Records that an engine reported that it does not have what a request needs.
     pub fn mark_model_absent(&mut self, id: &str, model_ref: &ModelRef, now: Instant) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
             upstream.mark_model_absent(model_ref, now);
         }
     }
 
-    /// Requests of this instance that run, by engine and model.
+    /// Running requests of this instance, by engine and model.
     pub fn in_flight_by_model(&self) -> impl Iterator<Item = (&UpstreamId, &ModelName, u32)> {
         self.upstreams.iter().flat_map(|(id, upstream)| {
             let models = upstream.in_flight_models.iter();
--- a/crates/serving/src/upstreams/choice.rs
+++ b/crates/serving/src/upstreams/choice.rs
@@ -1,4 +1,4 @@
-//! Which upstream a request goes to.
+//! Chooses the upstream that a request goes to.
 
 use super::upstream::Upstream;
 use super::{ModelRef, UpstreamTable};
@@ -7,67 +7,70 @@
 use passway_types::prelude::*;
 use std::net::SocketAddr;
 
-/// What a failure rate of one costs in the choice, in units of an upstream's slots.
+/// Cost of a failure rate of one, in units of an upstream's slots.
 const FAILURE_COST: f64 = 3.0;
-/// What another data hall costs in the choice, in units of an upstream's slots: little,
-/// since an instance sees only its own load and all of a hall would choose alike.
+/// Cost of another data hall, in units of an upstream's slots. It is small, because an instance
+/// sees only its own load and all instances of a hall would choose alike.
 const OTHER_HALL_COST: f64 = 0.01;
-/// The draw that tells upstreams of like cost apart is worth up to so many requests.
-const DRAW_REQUESTS: f64 = 1.0;
-/// What an upstream costs that has been silent, in units of its slots.
+/// The random part of the cost, which separates upstreams of similar cost, is worth up to this
+/// many requests.
+const RANDOM_COST_REQUESTS: f64 = 1.0;
+/// Cost of an upstream that has been silent, in units of its slots.
 const SILENCE_COST: f64 = 3.0;
-/// What an upstream costs that is slow from its start, in units of its slots.
+/// Cost of an upstream that is slow after its start, in units of its slots.
 const COLD_COST: f64 = 0.5;
-/// One in so many requests takes upstreams in need for any other, so that somebody hears when they
-/// are in need no more although others carry what they did.
+/// One in this many requests treats limited upstreams like any other, so that an instance learns
+/// when they are no longer limited although others have taken over their requests.
 const REQUESTS_PER_TRIAL: u64 = 50;
 /// Where to send a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Choice {
-    /// To this upstream.
+    /// Send the request to this upstream.
     Send {
-        /// Its id.
+        /// The upstream's id.
         id: UpstreamId,
-        /// Where it listens.
+        /// The address at which the upstream listens.
         address: SocketAddr,
     },
-    /// No upstream that may be used has what the request needs.
+    /// No usable upstream has what the request needs.
     Absent,
-    /// All that have it are as full as this instance may make them.
+    /// All usable upstreams have as many requests as this instance may send them.
     Full,
 }
 
-/// A part of one, fixed by a number and a name.
-fn part_of(drawn: u64, name: &str) -> f64 {
-    let upper = hash::mixed(drawn, name) >> 32;
+/// A number between 0 and 1, determined by a number and a name.
+fn random_fraction(random: u64, name: &str) -> f64 {
+    let upper = hash::mixed(random, name) >> 32;
     f64::from(u32::try_from(upper).unwrap_or(0)) / f64::from(u32::MAX)
 }
 
-/// What upstreams are compared by, the first field first; the least is chosen.
+/// The order in which upstreams are compared, field by field; the least is chosen.
 #[derive(Debug, PartialEq, PartialOrd)]
 struct Rank<'a> {
     is_unreachable: bool,
-    /// What an upstream in need takes is left to requests that nobody else can serve.
-    is_last: bool,
+    /// Whether the upstream's limited capacity is reserved for requests that no other upstream can
+    /// serve.
+    is_last_resort: bool,
     /// In units of the upstream's slots.
     cost: f64,
-    /// Tells equal costs apart.
+    /// Breaks ties between equal costs.
     id: &'a UpstreamId,
 }
 
 impl Upstream {
-    fn rank(&self, load: u32, hall: &DataHall, drawn: u64, now: Instant) -> Rank<'_> {
+    fn rank(&self, load: u32, hall: &DataHall, random: u64, now: Instant) -> Rank<'_> {
         let id = &self.entry.id;
         let slots = f64::from(self.entry.slots.max(1));
         Rank {
             is_unreachable: now < self.unreachable_until,
-            is_last: self.goes_last(drawn, now),
-            cost: self.cost(load, hall, now) + part_of(drawn, id) * DRAW_REQUESTS / slots,
+            is_last_resort: self.is_last_resort(random, now),
+            cost: self.cost(load, hall, now)
+                + random_fraction(random, id) * RANDOM_COST_REQUESTS / slots,
             id,
         }
     }
 
-    /// Whether it takes new requests and has what is needed, as far as is known.
+    /// Whether the upstream accepts new requests and has what is needed, as far as is known.
     pub(super) fn is_usable(
         &self,
         service: &ServiceName,
@@ -81,20 +84,21 @@
             && model_ref.is_none_or(|model_ref| self.has(model_ref, now))
     }
 
-    /// Whether a request with a number of its own goes here only if it can go nowhere else.
-    fn goes_last(&self, drawn: u64, now: Instant) -> bool {
+    /// Whether a request with this random number is sent to the upstream only if no other can
+    /// serve it.
+    fn is_last_resort(&self, random: u64, now: Instant) -> bool {
         self.limit_per_s(now).is_some()
-            && !hash::mixed(!drawn, &self.entry.id).is_multiple_of(REQUESTS_PER_TRIAL)
+            && !hash::mixed(!random, &self.entry.id).is_multiple_of(REQUESTS_PER_TRIAL)
     }
 
     fn is_full(&self, load: u32, now: Instant) -> bool {
         load >= self.entry.slots || now < self.full_until
     }
 
-    /// What it costs to send a request there, in units of its slots.
+    /// The cost of sending a request to the upstream, in units of its slots.
     fn cost(&self, load: u32, hall: &DataHall, now: Instant) -> f64 {
         let load = f64::from(load) / f64::from(self.entry.slots.max(1));
-        let away = if self.entry.hall == *hall {
+        let other_hall = if self.entry.hall == *hall {
             0.0
         } else {
             OTHER_HALL_COST
@@ -105,7 +109,7 @@
             0.0
         };
         let cold = if self.is_cold(now) { COLD_COST } else { 0.0 };
-        load + away + silence + cold + FAILURE_COST * self.failure_rate(now)
+        load + other_hall + silence + cold + FAILURE_COST * self.failure_rate(now)
     }
 }
 
@@ -118,18 +122,18 @@
     pub model_ref: Option<&'a ModelRef>,
     /// The hall that is preferred at equal load.
     pub hall: &'a DataHall,
-    /// The regions in which it may be served.
+    /// The regions in which the request may be served.
     pub allowed: &'a AllowedRegions,
-    /// A number of the request's own, so that instances that all see little load do not all
+    /// The request's own random number, so that instances that all see little load do not all
     /// choose the same upstream.
     pub random: u64,
 }
 
 impl UpstreamTable {
-    /// The upstream for a request by what this instance has sent itself.
+    /// The upstream for a request, by the load that this instance has sent itself.
     ///
-    /// `tried` are upstreams that the request has been at, which it does not go to again.
-    /// `drawn` is as in [`RequestNeeds`].
+    /// The request is not sent again to the upstreams in `tried`. `random` is as in
+    /// [`RequestNeeds`].
     pub fn choose(
         &self,
         service: &ServiceName,
@@ -138,38 +142,38 @@
         random: u64,
         now: Instant,
     ) -> Choice {
-        let wanted = RequestNeeds {
+        let needs = RequestNeeds {
             service,
             model_ref,
             hall: &self.hall,
             allowed: &AllowedRegions::ANY,
             random,
         };
-        let is_open = |id: &UpstreamId| !tried.contains(id);
-        self.choose_by(wanted, is_open, None, now)
+        let is_allowed = |id: &UpstreamId| !tried.contains(id);
+        self.choose_by(needs, is_allowed, None, now)
     }
 
-    /// The upstream for a request among those that are `open` to it. The load is what `runs`
-    /// tells, or what this instance has sent itself.
+    /// The upstream for a request among those that `is_allowed` accepts. The load is what
+    /// `load_of` returns, or else what this instance has sent itself.
     pub fn choose_by(
         &self,
-        wanted: RequestNeeds<'_>,
-        is_open: impl Fn(&UpstreamId) -> bool,
-        runs: Option<&dyn Fn(&UpstreamId) -> u32>,
+        needs: RequestNeeds<'_>,
+        is_allowed: impl Fn(&UpstreamId) -> bool,
+        load_of: Option<&dyn Fn(&UpstreamId) -> u32>,
         now: Instant,
     ) -> Choice {
-        let mut full = false;
+        let mut any_full = false;
         let mut best: Option<(Rank<'_>, &Upstream)> = None;
-        for upstream in self.usable(wanted, now) {
-            if !is_open(&upstream.entry.id) {
+        for upstream in self.usable(needs, now) {
+            if !is_allowed(&upstream.entry.id) {
                 continue;
             }
-            let load = runs.map_or(upstream.in_flight, |runs| runs(&upstream.entry.id));
+            let load = load_of.map_or(upstream.in_flight, |load_of| load_of(&upstream.entry.id));
             if upstream.is_full(load, now) {
-                full = true;
+                any_full = true;
                 continue;
             }
-            let rank = upstream.rank(load, wanted.hall, wanted.random, now);
+            let rank = upstream.rank(load, needs.hall, needs.random, now);
             if best.as_ref().is_none_or(|(least, _)| rank < *least) {
                 best = Some((rank, upstream));
             }
@@ -179,40 +183,41 @@
                 id: upstream.entry.id.clone(),
                 address: upstream.entry.address,
             },
-            None if full => Choice::Full,
+            None if any_full => Choice::Full,
             None => Choice::Absent,
         }
     }
 
-    /// Upstreams that take new requests and have what is needed, as far as is known.
+    /// Upstreams that accept new requests and have what is needed, as far as is known.
     fn usable<'a>(
         &'a self,
-        wanted: RequestNeeds<'_>,
+        needs: RequestNeeds<'_>,
         now: Instant,
     ) -> impl Iterator<Item = &'a Upstream> {
         let all = self.upstreams.values();
-        all.filter(move |upstream| self.is_usable(upstream, wanted, now))
+        all.filter(move |upstream| self.is_usable(upstream, needs, now))
     }
 
-    /// Whether an upstream takes new requests, has what is needed and stands where the request may go, as far
-    /// as is known.
+    /// Whether an upstream accepts new requests, has what is needed and is in a hall where the
+    /// request may be sent, as far as is known.
     pub(super) fn is_usable(
         &self,
         upstream: &Upstream,
-        wanted: RequestNeeds<'_>,
+        needs: RequestNeeds<'_>,
         now: Instant,
     ) -> bool {
-        upstream.is_usable(wanted.service, wanted.model_ref, now)
-            && self.halls.admits(&upstream.entry.hall, wanted.allowed)
+        upstream.is_usable(needs.service, needs.model_ref, now)
+            && self.halls.admits(&upstream.entry.hall, needs.allowed)
     }
 
-    /// Engines that could take a request, in an order drawn for it, those in need last.
-    pub fn shuffled_engines(&self, wanted: RequestNeeds<'_>, now: Instant) -> Vec<UpstreamId> {
-        let usable = self.usable(wanted, now);
+    /// Engines that could accept a request, in an order determined by its random number, limited
+    /// ones last.
+    pub fn shuffled_engines(&self, needs: RequestNeeds<'_>, now: Instant) -> Vec<UpstreamId> {
+        let usable = self.usable(needs, now);
         let mut engines: Vec<&Upstream> = usable.collect();
         engines.sort_by_cached_key(|engine| {
-            let drawn = hash::mixed(wanted.random, &engine.entry.id);
-            (engine.goes_last(wanted.random, now), drawn)
+            let random = hash::mixed(needs.random, &engine.entry.id);
+            (engine.is_last_resort(needs.random, now), random)
         });
         let ids = engines.iter().map(|engine| engine.entry.id.clone());
         ids.collect()
--- a/crates/serving/src/upstreams/upstream.rs
+++ b/crates/serving/src/upstreams/upstream.rs
@@ -1,4 +1,4 @@
-//! One upstream: its own word, and what this instance saw of it.
+//! One upstream: its own report, and what this instance has observed of it.
 
 use super::backoff::Backoff;
 use super::{ModelRef, Outcome, UpstreamEntry};
@@ -8,57 +8,60 @@
 
 /// Weight of the newest outcome in an upstream's failure rate.
 const FAILURE_WEIGHT: f64 = 0.25;
-/// Time in which a failure rate halves when nothing is sent, so that the upstream is tried again.
+/// Half-life of a failure rate when nothing is sent, in seconds, so that the upstream is tried
+/// again.
 const FAILURE_HALF_LIFE_S: f64 = 2.0;
-/// An upstream that took a request for one too many is not asked again for this long.
-const SHED_PAUSE: Duration = Duration::from_millis(80);
-/// An upstream that could not be reached gets nothing for this long if there is another.
-const UNREACHABLE_PAUSE: Duration = Duration::from_millis(700);
-/// An upstream that works and is not heard of for this long counts as silent: its
-/// streams send an event every few hundredths of a second.
-const SILENCE_LIMIT: Duration = Duration::from_millis(700);
-/// A word that an upstream stays cold for so much longer is news: the same word heard twice is no more than
-/// some tenths of a second apart.
-const COLDER_TIME: Duration = Duration::from_millis(600);
-/// A model that an upstream said it does not have is not asked for there for this long.
-const ABSENT_PAUSE: Duration = Duration::from_millis(400);
-
-/// An upstream's word and what this instance saw of it.
+/// How long an upstream that refused a request because it was full gets no further one.
+const SHED_BACKOFF: Duration = Duration::from_millis(80);
+/// How long an upstream that could not be reached gets requests only if there is no other.
+const UNREACHABLE_BACKOFF: Duration = Duration::from_millis(700);
+/// A working upstream from which nothing is received for this long counts as silent: its streams
+/// send an event every few hundredths of a second.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(700);
+/// A report counts as new if it extends the cold time by at least this much: the same report
+/// received twice differs by no more than some tenths of a second.
+const MIN_COLD_EXTENSION: Duration = Duration::from_millis(600);
+/// How long an upstream gets no requests for a model that it reported missing.
+const ABSENT_BACKOFF: Duration = Duration::from_millis(400);
+
+/// An upstream's report and what this instance has observed of it.
 #[derive(Debug)]
 pub(super) struct Upstream {
     pub(super) entry: UpstreamEntry,
-    /// Requests of this instance that run there, in all and by model; no model without any.
+    /// Running requests of this instance, in total and by model; models without requests are not
+    /// listed.
     pub(super) in_flight: u32,
     pub(super) in_flight_models: HashMap<ModelName, u32>,
-    /// Since when nothing was heard while requests run; `None` while none runs.
+    /// Since when nothing was received while requests run; `None` while none runs.
     silent_since: Option<Instant>,
-    /// As it was at `judged_at`, between 0 and 1.
+    /// The failure rate at `outcome_at`, between 0 and 1.
     failure_rate: f64,
     outcome_at: Instant,
-    /// Until when it gets nothing if there is another.
+    /// Until when the upstream gets requests only if there is no other.
     pub(super) unreachable_until: Instant,
-    /// Until when it counts as full.
+    /// Until when the upstream counts as full.
     pub(super) full_until: Instant,
-    /// Until when it counts as lacking what it said it does not have.
+    /// Until when the upstream counts as lacking what it reported missing.
     pub(super) absent_until: HashMap<ModelRef, Instant>,
-    /// Models that the holder of the right to order is about to unload.
+    /// Models that the holder is about to unload.
     pub(super) closing: Vec<ModelName>,
-    /// Models that stood here since it is known, which it keeps a copy of.
+    /// Models that have been loaded since the upstream is known; it has cached copies of them.
     loaded_before: HashSet<ModelName>,
-    /// When it is gone unless its entry comes back; `None` while the entry is there.
+    /// When the upstream counts as removed unless its entry returns; `None` while the entry is
+    /// present.
     pub(super) removed_at: Option<Instant>,
-    /// What it said last of how much it takes; `None` if it never named a limit.
+    /// The latest advertised limit; `None` if the upstream never advertised one.
     limit: Option<ObservedLimit>,
-    /// Requests a second that it bears while it is cold; `None` if that is not bounded.
+    /// Requests a second that the upstream accepts while it is cold; `None` without a limit.
     pub(super) cold_per_s: Option<f64>,
-    /// Until when it may be cold without having said so.
+    /// Until when the upstream may be cold without having reported it.
     pub(super) may_be_cold_until: Option<Instant>,
-    /// What it asked this instance for.
+    /// The backoff that the upstream asked this instance for.
     pub(super) backoff: Backoff,
 }
 
 impl Upstream {
-    /// One of which nothing was seen yet.
+    /// Creates an upstream that was not observed yet.
     pub(super) fn new(entry: UpstreamEntry, now: Instant) -> Self {
         Self {
             entry,
@@ -80,52 +83,53 @@
         }
     }
 
-    /// Requests a second that it takes from all instances together, as it says or as a cold one bears;
-    /// `None` without a limit.
+    /// Requests a second that the upstream accepts from all instances together, as advertised or
+    /// because it is cold; `None` without a limit.
     pub(super) fn limit_per_s(&self, now: Instant) -> Option<f64> {
         let cold = self.cold_per_s.filter(|_| self.is_cold(now));
         let limits = self.advertised_per_s().into_iter().chain(cold);
         limits.reduce(f64::min)
     }
 
-    /// Requests a second that it says it takes from all instances together; `None` without a limit.
+    /// Requests a second that the upstream advertises to accept from all instances together;
+    /// `None` without a limit.
     pub(super) fn advertised_per_s(&self) -> Option<f64> {
         self.limit?.per_s
     }
 
-    /// Whether it is cold, as it says or as it may be.
+    /// Whether the upstream is cold, as reported or as assumed.
     pub(super) fn is_cold(&self, now: Instant) -> bool {
         let until = self.entry.cold_until.max(self.may_be_cold_until);
         until.is_some_and(|until| now < until)
     }
 
-    /// Whether its next word says that it stays cold for longer than was known.
+    /// Whether a new report extends the cold time.
     pub(super) fn stays_cold_longer(&self, entry: &UpstreamEntry) -> bool {
         let known = self.entry.cold_until;
         entry.cold_until.is_some_and(|until| {
-            known.is_none_or(|known| until.saturating_duration_since(known) >= COLDER_TIME)
+            known.is_none_or(|known| until.saturating_duration_since(known) >= MIN_COLD_EXTENSION)
         })
     }
 
-    /// What it said last of how much it takes; `None` if it never named a limit.
-    pub(super) fn limit_word(&self) -> Option<ObservedLimit> {
+    /// The latest advertised limit; `None` if the upstream never advertised one.
+    pub(super) fn observed_limit(&self) -> Option<ObservedLimit> {
         self.limit
     }
 
-    /// It has said how much it takes. Returns whether that is another limit than before.
-    pub(super) fn record_limit(&mut self, word: ObservedLimit) -> bool {
+    /// Records an advertised limit. Returns whether it differs from the previous one.
+    pub(super) fn record_limit(&mut self, limit: ObservedLimit) -> bool {
         let known = self.limit.as_ref();
-        // One that never named a limit says in each answer that it is in no need.
-        let is_news = known.map_or(word.per_s.is_some(), |known| word.replaces(known));
-        if !is_news {
+        // Upstreams that never had a limit report in each answer that they have none.
+        let is_new = known.map_or(limit.per_s.is_some(), |known| limit.replaces(known));
+        if !is_new {
             return false;
         }
-        let before = self.advertised_per_s();
-        self.limit = Some(word);
-        word.per_s != before
+        let previous_per_s = self.advertised_per_s();
+        self.limit = Some(limit);
+        limit.per_s != previous_per_s
     }
 
-    /// Notes what stands here now.
+    /// Records the models that are loaded now.
     pub(super) fn record_loaded(&mut self) {
         for model in &self.entry.models {
             if !self.loaded_before.contains(&model.name) {
@@ -134,21 +138,22 @@
         }
     }
 
-    /// Whether a model can come here from nearer than the weight store, as far as is known.
+    /// Whether a model can be loaded here from a nearer place than the weight store, as far as is
+    /// known.
     pub(super) fn has_cached(&self, model: &ModelName) -> bool {
         let entry = &self.entry;
         self.loaded_before.contains(model)
-            || entry.models.iter().any(|standing| standing.name == *model)
+            || entry.models.iter().any(|loaded| loaded.name == *model)
             || entry.in_memory.contains(model)
             || entry.on_disk.contains(model)
     }
 
-    /// Whether its entry is missing for too long.
+    /// Whether the upstream's entry has been missing for too long.
     pub(super) fn is_removed(&self, now: Instant) -> bool {
         self.removed_at.is_some_and(|at| now >= at)
     }
 
-    /// Whether it has what a request needs, as far as is known.
+    /// Whether the upstream has what a request needs, as far as is known.
     pub(super) fn has(&self, model_ref: &ModelRef, now: Instant) -> bool {
         if self.closing.contains(&model_ref.model) {
             return false;
@@ -160,26 +165,30 @@
         {
             return false;
         }
-        let resident = self.entry.models.iter().find(|m| m.name == model_ref.model);
-        resident.is_some_and(|model| {
+        let loaded = self
+            .entry
+            .models
+            .iter()
+            .find(|model| model.name == model_ref.model);
+        loaded.is_some_and(|model| {
             let adapter = model_ref.adapter.as_ref();
             adapter.is_none_or(|adapter| model.adapters.contains(adapter))
         })
     }
 
-    /// The part of its attempts that failed, faded by the time since the last one.
+    /// The ratio of failed attempts, decayed by the time since the last one.
     pub(super) fn failure_rate(&self, now: Instant) -> f64 {
-        let quiet_s = now.saturating_duration_since(self.outcome_at).as_secs_f64();
-        self.failure_rate * 0.5_f64.powf(quiet_s / FAILURE_HALF_LIFE_S)
+        let idle_s = now.saturating_duration_since(self.outcome_at).as_secs_f64();
+        self.failure_rate * 0.5_f64.powf(idle_s / FAILURE_HALF_LIFE_S)
     }
 
-    /// Whether it works and has not been heard of for long.
+    /// Whether nothing was received for long although requests run.
     pub(super) fn is_silent(&self, now: Instant) -> bool {
         self.silent_since
-            .is_some_and(|since| now >= since + SILENCE_LIMIT)
+            .is_some_and(|since| now >= since + SILENCE_TIMEOUT)
     }
 
-    /// A request was sent to it.
+    /// Records that a request was sent.
     pub(super) fn record_start(&mut self, model_ref: Option<&ModelRef>, now: Instant) {
         self.in_flight += 1;
         self.silent_since.get_or_insert(now);
@@ -189,12 +198,12 @@
         }
     }
 
-    /// Bytes have come from it.
+    /// Records that bytes were received.
     pub(super) fn record_activity(&mut self, now: Instant) {
         self.silent_since = Some(now);
     }
 
-    /// A request that was sent to it has ended.
+    /// Records that a request has ended.
     pub(super) fn record_end(
         &mut self,
         model_ref: Option<&ModelRef>,
@@ -216,17 +225,17 @@
         self.record_outcome(outcome, now);
     }
 
-    /// Takes an outcome into the failure rate and the pauses.
+    /// Updates the failure rate and the backoffs by an outcome.
     pub(super) fn record_outcome(&mut self, outcome: Outcome, now: Instant) {
         let failed = match outcome {
             Outcome::Answered => 0.0,
             Outcome::Failed => 1.0,
             Outcome::Shed => {
-                self.full_until = now + SHED_PAUSE;
+                self.full_until = now + SHED_BACKOFF;
                 1.0
             }
             Outcome::Unreachable => {
-                self.unreachable_until = now + UNREACHABLE_PAUSE;
+                self.unreachable_until = now + UNREACHABLE_BACKOFF;
                 1.0
             }
             Outcome::Unknown => return,
@@ -236,14 +245,15 @@
         self.outcome_at = now;
     }
 
-    /// It may have ended: it gets nothing for a while if there is another.
+    /// Records that the upstream may have terminated. For a while it gets requests only if there
+    /// is no other.
     pub(super) fn mark_unreachable(&mut self, now: Instant) {
-        self.unreachable_until = now + UNREACHABLE_PAUSE;
+        self.unreachable_until = now + UNREACHABLE_BACKOFF;
     }
 
-    /// It said that it does not have what a request needs.
+    /// Records that the upstream reported that it does not have what a request needs.
     pub(super) fn mark_model_absent(&mut self, model_ref: &ModelRef, now: Instant) {
         self.absent_until
-            .insert(model_ref.clone(), now + ABSENT_PAUSE);
+            .insert(model_ref.clone(), now + ABSENT_BACKOFF);
     }
 }
