--- a/crates/serving/src/leadership.rs
+++ b/crates/serving/src/leadership.rs
@@ -10,7 +10,7 @@
 //! Instances that are not on the list take the key first.
 //!
 //! While the store is unavailable, a holder extends its leadership with the promises of all
-//! instances that could succeed it: see [`promises`].
+//! instances that could succeed it: see `promises`.
 //!
 //! [`Leadership::step`] returns the next call to the store; the answer goes to the `handle_*`
 //! method for that call. This module uses no I/O and no clock.
--- a/crates/serving/src/leadership/candidates.rs
+++ b/crates/serving/src/leadership/candidates.rs
@@ -136,7 +136,7 @@
             && self.desired_candidates != self.recent.candidates
     }
 
-    /// The list to write for [`Step::WriteCandidates`], with the revision that it replaces.
+    /// The list to write for [`WriteCandidates`](super::Step::WriteCandidates), with the revision that it replaces.
     pub fn recent_holders_with_candidates(&self) -> RecentHolders {
         RecentHolders {
             candidates: self.desired_candidates.clone(),
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Handles the answer to [`Step::WriteCandidates`], whose list was `written`.
+    /// Handles the answer to [`WriteCandidates`](super::Step::WriteCandidates), whose list was `written`.
     pub fn handle_list_write(
         &mut self,
         answer: &Result<WriteAnswer, StoreError>,
--- a/crates/serving/src/poison/exclusive_runs.rs
+++ b/crates/serving/src/poison/exclusive_runs.rs
@@ -21,7 +21,7 @@
 
 #[derive(Debug)]
 struct Permit {
-    run: ExclusiveRunId,
+    run_id: ExclusiveRunId,
     expires_at: Instant,
 }
 
@@ -33,7 +33,7 @@
 }
 
 impl ExclusiveRuns {
-    /// Gives a run the permit for its request, for `duration` or [`MAX_PERMIT_DURATION`],
+    /// Gives a run the permit for its request, for `duration` or `MAX_PERMIT_DURATION`,
     /// whichever is shorter.
     ///
     /// # Errors
@@ -53,10 +53,16 @@
         self.permits.retain(|_, permit| now < permit.expires_at);
         let has_capacity = self.permits.len() < MAX_PERMITS;
         match self.permits.get(&digest) {
-            Some(permit) if permit.run == run => Ok(()),
+            Some(permit) if permit.run_id == run => Ok(()),
             None if has_capacity => {
                 let expires_at = now + duration.min(MAX_PERMIT_DURATION);
-                self.permits.insert(digest, Permit { run, expires_at });
+                self.permits.insert(
+                    digest,
+                    Permit {
+                        run_id: run,
+                        expires_at,
+                    },
+                );
                 Ok(())
             }
             _ => Err(RETRY_DELAY),
@@ -68,7 +74,7 @@
         if self
             .permits
             .get(&digest)
-            .is_some_and(|permit| permit.run == run)
+            .is_some_and(|permit| permit.run_id == run)
         {
             self.permits.remove(&digest);
         }
