--- a/crates/instance/src/holder.rs
+++ b/crates/instance/src/holder.rs
@@ -481,7 +481,7 @@
     /// The planner begins with what this instance knew as a listener.
     fn begin_term(&mut self) {
         let mut upstreams = self.shared.upstreams();
-        upstreams.clear_closing();
+        upstreams.clear_evicting();
         self.shared.poison.look();
         let entries = upstreams.entries().cloned();
         let doubtful = self.shared.doubtful_engines();
--- a/crates/serving/src/poison/list.rs
+++ b/crates/serving/src/poison/list.rs
@@ -410,8 +410,8 @@
     /// suspects to send to other instances.
     pub fn clear_persisted(&mut self) -> Vec<Suspect> {
         let all = self.known.values_mut().map(|known| &mut known.suspect);
-        let kept = all.filter(|suspect| suspect.should_persist());
-        let cleared = kept.map(|suspect| {
+        let persisted = all.filter(|suspect| suspect.should_persist());
+        let cleared = persisted.map(|suspect| {
             suspect.clear();
             suspect.clone()
         });
--- a/crates/serving/src/ports.rs
+++ b/crates/serving/src/ports.rs
@@ -275,7 +275,7 @@
     /// Parses the head of an answer.
     fn parse_answer(&self, status: u16, headers: &Headers, expected: &str) -> AnswerMetadata;
 
-    /// The challenge for a caller whose key is missing or unknown.
+    /// The challenge that names the kind of key which a caller must send.
     fn auth_challenge(&self) -> &'static str;
 
     /// Labels an answer of this instance with the id of its attempt.
--- a/crates/serving/src/upstreams.rs
+++ b/crates/serving/src/upstreams.rs
@@ -294,29 +294,34 @@
     }
 
     /// Sets an engine's models as published by the holder, which are newer than the engine's own
-    /// report. `closing` are the models about to be unloaded.
-    pub fn set_placement(&mut self, id: &str, models: Vec<ResidentModel>, closing: Vec<ModelName>) {
+    /// report. `evicting` are the models about to be unloaded.
+    pub fn set_placement(
+        &mut self,
+        id: &str,
+        models: Vec<ResidentModel>,
+        evicting: Vec<ModelName>,
+    ) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
             if upstream.entry.models != models {
                 upstream.absent_until.clear();
             }
             upstream.entry.models = models;
             upstream.record_loaded();
-            upstream.closing = closing;
+            upstream.evicting = evicting;
         }
     }
 
     /// Digests of the models on each engine, as known to this instance.
     pub fn placement_digests(&self) -> impl Iterator<Item = PlacementDigest> {
         let engines = self.upstreams.values();
-        engines.map(|engine| digest(&engine.entry.id, &engine.entry.models, &engine.closing))
+        engines.map(|engine| digest(&engine.entry.id, &engine.entry.models, &engine.evicting))
     }
 
     /// Clears the models that the previous holder was about to unload, when a term of this
     /// instance begins.
-    pub fn clear_closing(&mut self) {
+    pub fn clear_evicting(&mut self) {
         for upstream in self.upstreams.values_mut() {
-            upstream.closing.clear();
+            upstream.evicting.clear();
         }
     }
 
--- a/crates/serving/src/upstreams/upstream.rs
+++ b/crates/serving/src/upstreams/upstream.rs
@@ -44,7 +44,7 @@
     /// Until when the upstream counts as lacking what it reported missing.
     pub(super) absent_until: HashMap<ModelRef, Instant>,
     /// Models that the holder is about to unload.
-    pub(super) closing: Vec<ModelName>,
+    pub(super) evicting: Vec<ModelName>,
     /// Models that have been loaded since the upstream is known; it has cached copies of them.
     loaded_before: HashSet<ModelName>,
     /// When the upstream counts as removed unless its entry returns; `None` while the entry is
@@ -73,7 +73,7 @@
             unreachable_until: now,
             full_until: now,
             absent_until: HashMap::new(),
-            closing: Vec::new(),
+            evicting: Vec::new(),
             loaded_before: HashSet::new(),
             removed_at: None,
             limit: None,
@@ -155,7 +155,7 @@
 
     /// Whether the upstream has what a request needs, as far as is known.
     pub(super) fn has(&self, model_ref: &ModelRef, now: Instant) -> bool {
-        if self.closing.contains(&model_ref.model) {
+        if self.evicting.contains(&model_ref.model) {
             return false;
         }
         if self
--- a/tests/all/fleet_start.rs
+++ b/tests/all/fleet_start.rs
@@ -134,7 +134,7 @@
     table.set_placement("i-0", vec![resident("m0")], vec!["m0".into()]);
     let known = table.placement_digests().collect();
     assert_eq!(planner.placements_unlike(&known).len(), 1);
-    table.clear_closing();
+    table.clear_evicting();
     let known = table.placement_digests().collect();
     assert_eq!(planner.placements_unlike(&known), []);
 }
--- a/tests/all/former_holder.rs
+++ b/tests/all/former_holder.rs
@@ -18,12 +18,12 @@
 const MODEL: &str = "model1@1";
 
 /// A controller that says what the test tells it to.
-struct EngineResponse {
+struct Said {
     link: Link,
     reader: LinkReader,
 }
 
-impl EngineResponse {
+impl Said {
     /// The connection that a router makes to a listener.
     fn accept(listener: &TcpListener) -> Self {
         let (stream, _) = listener.accept().expect("a router");
@@ -97,7 +97,7 @@
         .each_ref()
         .map(|listener| listener.local_addr().expect("address"));
     let router = Router::start(&world.router_settings(0, &addresses)).expect("router");
-    let [mut former, mut holder] = listeners.each_ref().map(EngineResponse::accept);
+    let [mut former, mut holder] = listeners.each_ref().map(Said::accept);
 
     former.names_holder(1, addresses[0]);
     former.configures(&world, 1);
--- a/tests/all/upstream_choice.rs
+++ b/tests/all/upstream_choice.rs
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn closing_model_absent() {
+fn evicting_model_absent() {
     let now = Instant::now();
     let mut table = UpstreamTable::new("hall0".into());
     table.update(entry(0, 1), now);
