--- a/crates/instance/src/forward/waiting.rs
+++ b/crates/instance/src/forward/waiting.rs
@@ -1,160 +1,171 @@
 //! Waiting for an upstream and choosing it.
 
-use super::{Forwarding, Target, draw};
-use crate::dispatch::Question;
+use super::{Forwarding, Target, request_hash};
+use crate::dispatch::EngineQuery;
 use crate::relay::{millis, millis_since};
-use crate::shared::{Need, Shared};
+use crate::shared::{ReportEvent, Shared};
 use passway_serving::upstreams::{Choice, ModelRef, RequestNeeds};
 use passway_types::clock;
 use passway_types::prelude::*;
 
-/// Longest time between two looks whether a waiting request's caller is still there.
-const WAIT_STEP: Duration = Duration::from_millis(200);
-/// Longest time between two looks whether a full upstream has room.
-const FULL_STEP: Duration = Duration::from_millis(50);
-/// Part of its time that a request may wait for an upstream before it is refused.
-const WAIT_PART: f64 = 0.45;
-/// Part of its goal after which the most urgent kind of request is due.
-const URGENT_PART: f64 = 0.5;
+/// Longest interval between two checks whether a waiting request's caller is still connected.
+const CALLER_POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Longest interval between two checks whether a full upstream has free capacity.
+const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Fraction of its time that a request may wait for an upstream before it is refused.
+const WAIT_RATIO: f64 = 0.45;
+/// Fraction of its latency goal after which a request of the most urgent kind is due.
+const URGENT_GOAL_RATIO: f64 = 0.5;
 
 impl Forwarding<'_> {
-    /// Until when the request may wait for an upstream if its time ends at a moment.
+    /// Until when the request may wait for an upstream if its time ends at `ends_at`.
     pub(super) fn wait_until(&self, ends_at: Instant) -> Instant {
-        let whole = ends_at.saturating_duration_since(self.arrived_at);
+        let total = ends_at.saturating_duration_since(self.arrived_at);
         let patience = Duration::from_millis(self.route.max_silence_ms());
-        self.arrived_at + whole.min(patience).mul_f64(WAIT_PART)
+        self.arrived_at + total.min(patience).mul_f64(WAIT_RATIO)
     }
 
-    /// Waits for an upstream that can take the request.
-    pub(super) fn find_upstream(&mut self, may_wait: bool) -> Option<Target> {
-        let mut told: Option<ToldWait> = None;
+    /// Waits for an upstream that accepts the request.
+    pub(super) fn wait_for_upstream(&mut self, may_wait: bool) -> Option<Target> {
+        let mut reported_wait: Option<ReportedWait> = None;
         loop {
             if self.refused_for().is_some() {
                 return None;
             }
             let now = clock::now();
-            if !self.may_run_beside_doubt() {
-                if !self.wait_held(now) {
+            if !self.may_run_now() {
+                if !self.wait_on_hold(now) {
                     return None;
                 }
                 continue;
             }
-            if let Some(next) = self.next.take() {
-                return Some(next);
+            if let Some(target) = self.next_target.take() {
+                return Some(target);
             }
             self.shared.metrics.choice();
-            let seen = self.shared.changes_seen();
+            let change_count = self.shared.upstream_change_count();
             let choice = match self.choose(now) {
-                Ok(target) => match self.with_turn(target) {
+                Ok(target) => match self.with_limit_grant(target) {
                     Some(target) => return Some(target),
-                    None if !self.has_asked_enough(now) => continue,
+                    None if !self.has_used_grant_requests(now) => continue,
                     None => Choice::Absent,
                 },
                 Err(choice) => choice,
             };
-            let turn_at = self.turn_at(now);
+            let available_at = self.next_available_at(now);
             if choice == Choice::Absent
-                && turn_at.is_none()
+                && available_at.is_none()
                 && may_wait
-                && self.record.offers == 0
-                && let Some(comes_ms) = self.comes_too_late(now)
+                && self.request_log.offers == 0
+                && let Some(model_ready_ms) = self.late_model_ready_ms(now)
             {
-                self.comes_ms = Some(comes_ms);
+                self.model_ready_ms = Some(model_ready_ms);
                 return None;
             }
-            // A stop shortens the request's time, and what it waits must leave time to run.
-            let stop_at = self.shared.ends_at().unwrap_or(self.deadline_at);
+            // A stop shortens the request's time, and the wait must leave time to run.
+            let stop_at = self.shared.waits_end_at().unwrap_or(self.deadline_at);
             let wait_until = self.wait_until(self.deadline_at.min(stop_at));
             let is_absent = choice == Choice::Absent;
-            self.turn_ms = turn_at
+            self.upstream_available_ms = available_at
                 .filter(|_| is_absent)
                 .map(|at| millis_since(now, at));
-            if now >= wait_until || !may_wait || self.shared.is_ending() {
-                self.record.cut_by_stop = now < self.wait_until(self.deadline_at);
+            if now >= wait_until || !may_wait || self.shared.should_end_waits() {
+                self.request_log.cut_by_stop = now < self.wait_until(self.deadline_at);
                 return None;
             }
-            if is_absent && self.comes_in_vain(wait_until, now) {
-                self.tell_missed(wait_until);
+            if is_absent && self.is_wait_hopeless(wait_until, now) {
+                self.report_refused_wait(wait_until);
                 return None;
             }
             if is_absent
-                && told.is_none()
-                && let Some(wish) = self.wish()
+                && reported_wait.is_none()
+                && let Some(model_ref) = self.model_ref()
             {
-                told = Some(ToldWait::begin(
+                reported_wait = Some(ReportedWait::new(
                     self.shared,
                     &self.service,
-                    wish,
+                    model_ref,
                     wait_until,
                 ));
             }
-            // Each turn of this loop waits: requests for a service that has no upstream left
-            // must not take the processor from all others.
-            let longest = if is_absent { WAIT_STEP } else { FULL_STEP };
-            let look_at = turn_at.map_or(wait_until, |at| at.min(wait_until));
-            let step = longest.min(look_at - now);
-            if is_absent || !self.shared.dispatch.is_used() {
-                self.shared.wait_for_upstreams(seen, step);
+            // Each iteration waits, so that requests for a service without upstreams do not take
+            // the processor from all others.
+            let max_step = if is_absent {
+                CALLER_POLL_INTERVAL
             } else {
-                // A slot is free when the dispatcher says so, whatever changes here.
+                CAPACITY_POLL_INTERVAL
+            };
+            let retry_at = available_at.map_or(wait_until, |at| at.min(wait_until));
+            let step = max_step.min(retry_at - now);
+            if is_absent || !self.shared.dispatch.is_enabled() {
+                self.shared.wait_for_upstream_change(change_count, step);
+            } else {
+                // Only the dispatcher knows when a slot is free; changes in this instance do not
+                // show it.
                 std::thread::sleep(step);
             }
             if is_absent {
-                // Those that were tried may have what is needed again.
+                // The upstreams that were tried may have the model again.
                 self.tried.clear();
             }
             if self.caller.is_closed() {
-                // The caller has left: nobody reads what giving up writes.
+                // The caller has left, and nobody reads a refusal.
                 return None;
             }
         }
     }
 
-    /// Waits a little for what tells whether the request crashes upstreams; false once it has waited for
-    /// as long as it may.
-    fn wait_held(&mut self, now: Instant) -> bool {
-        let stop_at = self.shared.ends_at().unwrap_or(self.deadline_at);
+    /// Waits briefly for information on whether the request crashes upstreams; false once the wait
+    /// is over.
+    fn wait_on_hold(&mut self, now: Instant) -> bool {
+        let stop_at = self.shared.waits_end_at().unwrap_or(self.deadline_at);
         let wait_until = self.wait_until(self.deadline_at.min(stop_at));
-        let may_wait = now < wait_until && !self.shared.is_ending() && !self.caller.is_closed();
+        let may_wait =
+            now < wait_until && !self.shared.should_end_waits() && !self.caller.is_closed();
         if may_wait {
-            std::thread::sleep(FULL_STEP.min(wait_until - now));
+            std::thread::sleep(CAPACITY_POLL_INTERVAL.min(wait_until - now));
         }
         may_wait
     }
 
-    /// When its model can be there at the earliest, in milliseconds, if that is known to be later than
-    /// the request may wait. The holder counts it as waiting as if it did, since others will ask.
-    fn comes_too_late(&self, now: Instant) -> Option<u64> {
-        let model_ref = self.wish()?;
+    /// Milliseconds until the request's model can be loaded, if that is known to be after the end
+    /// of its wait. The holder counts the request as waiting all the same, because other requests
+    /// for the model will follow.
+    fn late_model_ready_ms(&self, now: Instant) -> Option<u64> {
+        let model_ref = self.model_ref()?;
         let load_time = self.load_time()?;
         let wait_until = self.wait_until(self.deadline_at);
-        let comes_at = now + load_time;
+        let ready_at = now + load_time;
         let upstreams = self.shared.upstreams();
-        if comes_at <= wait_until
-            || !upstreams.is_cached_nowhere(&self.service, &model_ref.model, &self.access.allowed)
+        if ready_at <= wait_until
+            || !upstreams.is_cached_nowhere(
+                &self.service,
+                &model_ref.model,
+                &self.access.allowed_regions,
+            )
         {
             return None;
         }
         drop(upstreams);
-        self.tell_missed(wait_until);
+        self.report_refused_wait(wait_until);
         Some(millis(load_time))
     }
 
-    /// How long the request's model takes from the weight store.
+    /// How long the request's model takes to load from the weight store.
     pub(super) fn load_time(&self) -> Option<Duration> {
-        let model_ref = self.wish()?;
+        let model_ref = self.model_ref()?;
         let table = self.shared.routes.load();
         let pool = table.as_ref()?.services.get(&self.service)?.pool.as_ref()?;
         let load_ms = pool.models.named(&model_ref.model)?.load_ms;
         Some(Duration::from_millis(load_ms))
     }
 
-    /// Tells the holder that the request is refused, which would have waited for its model.
-    fn tell_missed(&self, wait_until: Instant) {
-        if let Some(model_ref) = self.wish() {
-            self.shared.tell(Need::Missed {
+    /// Reports to the holder that the request is refused instead of waiting for its model.
+    fn report_refused_wait(&self, wait_until: Instant) {
+        if let Some(model_ref) = self.model_ref() {
+            self.shared.report(ReportEvent::RefusedAsTooLate {
                 service: self.service.clone(),
-                wish: model_ref.clone(),
+                model_ref: model_ref.clone(),
                 until: wait_until,
             });
         }
@@ -164,101 +175,111 @@
     pub(super) fn wanted(&self) -> RequestNeeds<'_> {
         RequestNeeds {
             service: &self.service,
-            model_ref: self.wish(),
+            model_ref: self.model_ref(),
             hall: &self.shared.settings.hall,
-            allowed: &self.access.allowed,
-            random: draw(&self.facts.id),
+            allowed: &self.access.allowed_regions,
+            random: request_hash(&self.facts.id),
         }
     }
 
-    /// The upstream for the next attempt, or why there is none now.
+    /// Chooses the upstream for the next attempt.
+    ///
+    /// # Errors
+    /// Why there is none now.
     pub(super) fn choose(&self, now: Instant) -> Result<Target, Choice> {
-        let drawn = draw(&self.facts.id).wrapping_add(self.runs.into());
-        let closed = self.closed_to_it(now);
+        let random = request_hash(&self.facts.id).wrapping_add(self.runs.into());
+        let excluded = self.excluded_upstreams(now);
         let dispatch = &self.shared.dispatch;
-        let told = self.wish().and_then(|model_ref| {
-            let question = Question {
-                id: self.question,
+        let answer = self.model_ref().and_then(|model_ref| {
+            let query = EngineQuery {
+                run_id: self.run_id,
                 service: &self.service,
                 model_ref,
-                tried: &closed,
-                drawn,
+                tried: &excluded,
+                random,
                 due_at: self.due_at(),
                 is_urgent: self.priority() == 0,
-                allowed: &self.access.allowed,
+                allowed_regions: &self.access.allowed_regions,
             };
-            dispatch.ask(self.shared, &question)
+            dispatch.query_engine(self.shared, &query)
         });
-        if let Some(told) = told {
-            return match told.choice {
+        if let Some(answer) = answer {
+            return match answer.choice {
                 Choice::Send { id, address } => Ok(Target {
                     started_at_ms: self.shared.upstreams().started_at_ms(&id),
                     id,
                     address,
-                    has_turn: false,
-                    run: told.run,
+                    has_limit_grant: false,
+                    run_id: answer.run_id,
                 }),
-                none => Err(none),
+                other => Err(other),
             };
         }
         let upstreams = self.shared.upstreams();
         let wanted = RequestNeeds {
-            random: drawn,
+            random,
             ..self.wanted()
         };
-        let is_open = |id: &UpstreamId| !closed.contains(id);
-        match upstreams.choose_by(wanted, is_open, None, now) {
+        let is_eligible = |id: &UpstreamId| !excluded.contains(id);
+        match upstreams.choose_by(wanted, is_eligible, None, now) {
             Choice::Send { id, address } => Ok(Target {
-                run: self.wish().and_then(|_| dispatch.unasked(&id)),
+                run_id: self
+                    .model_ref()
+                    .and_then(|_| dispatch.record_direct_run(&id)),
                 started_at_ms: upstreams.started_at_ms(&id),
                 id,
                 address,
-                has_turn: false,
+                has_limit_grant: false,
             }),
-            none => Err(none),
+            other => Err(other),
         }
     }
 
-    /// When the request must begin to be in time. What is most urgent is due when half of its
-    /// goal is over, so that it goes before what has a like goal.
+    /// When the request must begin to run to meet its goal. The most urgent requests are due at
+    /// half of their goal, so that they go before others with a similar goal.
     fn due_at(&self) -> Instant {
         let goal = Duration::from_millis(self.route.latency_target_ms);
-        let part = if self.priority() == 0 {
-            URGENT_PART
+        let ratio = if self.priority() == 0 {
+            URGENT_GOAL_RATIO
         } else {
             1.0
         };
-        self.arrived_at + goal.mul_f64(part)
+        self.arrived_at + goal.mul_f64(ratio)
     }
 }
 
-/// The holder of the right to order counts a request as waiting while this lives.
-struct ToldWait<'a> {
+/// The holder counts a request as waiting until this is dropped.
+struct ReportedWait<'a> {
     shared: &'a Shared,
     service: ServiceName,
-    wish: ModelRef,
+    model_ref: ModelRef,
 }
 
-impl<'a> ToldWait<'a> {
-    fn begin(shared: &'a Shared, service: &ServiceName, wish: &ModelRef, until: Instant) -> Self {
-        shared.tell(Need::Waits {
+impl<'a> ReportedWait<'a> {
+    fn new(
+        shared: &'a Shared,
+        service: &ServiceName,
+        model_ref: &ModelRef,
+        until: Instant,
+    ) -> Self {
+        shared.report(ReportEvent::WaitStarted {
             service: service.clone(),
-            wish: wish.clone(),
+            model_ref: model_ref.clone(),
             until,
         });
         Self {
             shared,
             service: service.clone(),
-            wish: wish.clone(),
+            model_ref: model_ref.clone(),
         }
     }
 }
 
-impl Drop for ToldWait<'_> {
+impl Drop for ReportedWait<'_> {
     fn drop(&mut self) {
-        self.shared.tell(Need::WaitEnds {
+        self.shared.report(ReportEvent::WaitEnded {
             service: self.service.clone(),
-            wish: self.wish.clone(),
+            model_ref: self.model_ref.clone(),
         });
     }
 }
--- a/crates/instance/src/http1/body.rs
+++ b/crates/instance/src/http1/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of messages: where they end, and reading them part by part.
+//! Bodies of messages: their framing, and reading them in parts.
 
 use super::HttpError;
 use super::head::{AnswerHead, RequestHead};
@@ -6,28 +6,28 @@
 use passway_serving::headers::Headers;
 use std::time::Instant;
 
-/// Longest line of a chunk's size with its extensions, and largest trailer. None of them is
-/// passed on; without a bound a sender whose line never ends is kept whole until its time is
-/// over, which on a link of 1,000 Mbit/s is more than the process may have. As much as a
-/// request's head may have on the users' sites.
+/// Longest chunk-size line with its extensions, and largest trailer, in bytes. Neither is
+/// forwarded. Without a bound, a line that never ends would be buffered until the deadline, which
+/// on a link of 1,000 Mbit/s exceeds the process's memory. The value is the usual limit for a
+/// request's head.
 const MAX_LINE_BYTES: usize = 16 << 10;
 
-/// How a body ends.
+/// How the end of a body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Framing {
-    /// After so many more bytes.
+    /// The body ends after this many more bytes.
     Length(u64),
-    /// After the last chunk; so many bytes are left of the present one.
+    /// Chunked, within a chunk; this many bytes of the chunk are left.
     Chunk(u64),
-    /// At the line end behind a chunk's bytes.
+    /// Chunked, at the line end after a chunk's data.
     ChunkEnd,
-    /// At the head of the next chunk.
+    /// Chunked, at the size line of the next chunk.
     ChunkHead,
-    /// In the trailer behind the last chunk.
+    /// Chunked, in the trailer after the last chunk.
     Trailer,
-    /// With the connection.
+    /// The body ends with the connection.
     Connection,
-    /// It has ended.
+    /// The body has ended.
     Done,
 }
 
@@ -35,18 +35,18 @@
 #[derive(Debug)]
 pub struct BodyReader {
     framing: Framing,
-    /// Bytes of the trailer that were left out.
+    /// Bytes of the trailer that were skipped.
     trailer_bytes: usize,
-    /// Whether the connection may carry another message when the body has ended.
-    pub reusable: bool,
+    /// Whether the connection may carry another message after this body.
+    pub is_reusable: bool,
 }
 
-/// What came of a body.
+/// The result of reading one part of a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyPart {
-    /// Bytes were added.
+    /// Bytes were appended.
     Bytes,
-    /// The body has ended, whole.
+    /// The body has ended and is complete.
     End,
 }
 
@@ -56,14 +56,16 @@
         return Ok(None);
     };
     if lengths.any(|other| other != first) {
-        return Err(HttpError::Malformed("several lengths"));
+        return Err(HttpError::Malformed(
+            "several different Content-Length values",
+        ));
     }
-    let digits = !first.is_empty() && first.iter().all(u8::is_ascii_digit);
-    let text = std::str::from_utf8(first).ok().filter(|_| digits);
+    let is_number = !first.is_empty() && first.iter().all(u8::is_ascii_digit);
+    let text = std::str::from_utf8(first).ok().filter(|_| is_number);
     let length = text.and_then(|text| text.parse().ok());
-    length
-        .map(Some)
-        .ok_or(HttpError::Malformed("a length that is no number"))
+    length.map(Some).ok_or(HttpError::Malformed(
+        "a Content-Length that is not a number",
+    ))
 }
 
 fn is_chunked(headers: &Headers) -> Result<bool, HttpError> {
@@ -72,21 +74,21 @@
         return Ok(false);
     };
     if codings.next().is_some() || !first.trim_ascii().eq_ignore_ascii_case(b"chunked") {
-        return Err(HttpError::Malformed("an unknown transfer coding"));
+        return Err(HttpError::Malformed("an unsupported Transfer-Encoding"));
     }
     Ok(true)
 }
 
 impl BodyReader {
-    /// The body of a request.
+    /// The reader for the body of a request.
     ///
     /// # Errors
-    /// If its framing is in doubt.
+    /// If its framing is ambiguous.
     pub fn of_request(head: &RequestHead) -> Result<Self, HttpError> {
         let length = single_length(&head.headers)?;
         let chunked = is_chunked(&head.headers)?;
         let framing = match (chunked, length) {
-            (true, Some(_)) => return Err(HttpError::Malformed("a length and chunks")),
+            (true, Some(_)) => return Err(HttpError::Malformed("a Content-Length and chunks")),
             (true, None) if !head.is_1_1 => {
                 return Err(HttpError::Malformed("chunks in HTTP/1.0"));
             }
@@ -97,21 +99,21 @@
         Ok(Self {
             framing,
             trailer_bytes: 0,
-            reusable: true,
+            is_reusable: true,
         })
     }
 
-    /// The body of an answer.
+    /// The reader for the body of an answer.
     ///
     /// # Errors
-    /// If its framing is in doubt.
+    /// If its framing is ambiguous.
     pub fn of_answer(head: &AnswerHead, method: &str) -> Result<Self, HttpError> {
         let length = single_length(&head.headers)?;
         let chunked = is_chunked(&head.headers)?;
-        let empty = head.is_bodyless(method);
+        let is_empty = head.is_bodyless(method);
         let framing = match (chunked, length) {
-            _ if empty => Framing::Done,
-            (true, Some(_)) => return Err(HttpError::Malformed("a length and chunks")),
+            _ if is_empty => Framing::Done,
+            (true, Some(_)) => return Err(HttpError::Malformed("a Content-Length and chunks")),
             (true, None) => Framing::ChunkHead,
             (false, Some(0)) => Framing::Done,
             (false, Some(length)) => Framing::Length(length),
@@ -121,12 +123,12 @@
         Ok(Self {
             framing,
             trailer_bytes: 0,
-            reusable: head.is_1_1 && !says_close && framing != Framing::Connection,
+            is_reusable: head.is_1_1 && !says_close && framing != Framing::Connection,
         })
     }
 
-    /// The bytes that it says it has; 0 if it does not say.
-    pub fn announced(&self) -> usize {
+    /// The announced length of the body in bytes; 0 if it is not announced.
+    pub fn announced_bytes(&self) -> usize {
         match self.framing {
             Framing::Length(length) => usize::try_from(length).unwrap_or(usize::MAX),
             _ => 0,
@@ -138,22 +140,26 @@
         self.framing == Framing::Done
     }
 
-    /// Moves what has come of the body to `out`; false if nothing could be moved.
-    fn take(&mut self, connection: &mut Connection, out: &mut Vec<u8>) -> Result<bool, HttpError> {
-        let mut moved = false;
+    /// Moves buffered bytes of the body to `out`; false if there were none.
+    fn decode_buffered(
+        &mut self,
+        connection: &mut Connection,
+        out: &mut Vec<u8>,
+    ) -> Result<bool, HttpError> {
+        let mut has_moved = false;
         loop {
-            let bytes = connection.unused();
+            let bytes = connection.buffered();
             match self.framing {
                 Framing::Done => return Ok(true),
                 Framing::Length(left) | Framing::Chunk(left) => {
                     let available = u64::try_from(bytes.len()).unwrap_or(u64::MAX);
                     let count = usize::try_from(left.min(available)).unwrap_or(usize::MAX);
                     if count == 0 {
-                        return Ok(moved);
+                        return Ok(has_moved);
                     }
                     out.extend_from_slice(&bytes[..count]);
-                    connection.advance(count);
-                    moved = true;
+                    connection.consume(count);
+                    has_moved = true;
                     let left = left - u64::try_from(count).unwrap_or(left);
                     self.framing = match (self.framing, left) {
                         (Framing::Length(_), 0) => Framing::Done,
@@ -164,28 +170,30 @@
                 }
                 Framing::ChunkEnd => {
                     if bytes.len() < 2 {
-                        return Ok(moved);
+                        return Ok(has_moved);
                     }
                     if &bytes[..2] != b"\r\n" {
-                        return Err(HttpError::Malformed("a chunk without its end"));
+                        return Err(HttpError::Malformed(
+                            "a chunk without a line end after its data",
+                        ));
                     }
-                    connection.advance(2);
+                    connection.consume(2);
                     self.framing = Framing::ChunkHead;
                 }
                 Framing::ChunkHead => match httparse::parse_chunk_size(bytes) {
                     Ok(httparse::Status::Complete((length, 0))) => {
-                        connection.advance(length);
+                        connection.consume(length);
                         self.framing = Framing::Trailer;
                     }
                     Ok(httparse::Status::Complete((length, size))) => {
-                        connection.advance(length);
+                        connection.consume(length);
                         self.framing = Framing::Chunk(size);
                     }
                     Ok(httparse::Status::Partial) if bytes.len() > MAX_LINE_BYTES => {
                         return Err(HttpError::TooLarge);
                     }
-                    Ok(httparse::Status::Partial) => return Ok(moved),
-                    Err(_) => return Err(HttpError::Malformed("a chunk without its size")),
+                    Ok(httparse::Status::Partial) => return Ok(has_moved),
+                    Err(_) => return Err(HttpError::Malformed("an invalid chunk size")),
                 },
                 Framing::Trailer => {
                     let end = bytes.windows(2).position(|pair| pair == b"\r\n");
@@ -194,9 +202,9 @@
                         return Err(HttpError::TooLarge);
                     }
                     let Some(end) = end else {
-                        return Ok(moved);
+                        return Ok(has_moved);
                     };
-                    connection.advance(length);
+                    connection.consume(length);
                     self.trailer_bytes += length;
                     if end == 0 {
                         self.framing = Framing::Done;
@@ -204,23 +212,23 @@
                 }
                 Framing::Connection => {
                     if bytes.is_empty() {
-                        return Ok(moved);
+                        return Ok(has_moved);
                     }
                     out.extend_from_slice(bytes);
                     let count = bytes.len();
-                    connection.advance(count);
-                    moved = true;
+                    connection.consume(count);
+                    has_moved = true;
                 }
             }
         }
     }
 
-    /// Waits for the next part of the body and adds it to `out`.
+    /// Waits for the next part of the body and appends it to `out`.
     ///
     /// # Errors
-    /// If the body breaks off or is late, a chunk's line or the trailer is too large, or a
+    /// If the body breaks off or is late, a chunk-size line or the trailer is too large, or a
     /// connection breaks.
-    pub fn next(
+    pub fn read_part(
         &mut self,
         connection: &mut Connection,
         out: &mut Vec<u8>,
@@ -228,9 +236,9 @@
         until: Instant,
     ) -> Result<BodyPart, HttpError> {
         loop {
-            let before = out.len();
-            self.take(connection, out)?;
-            if out.len() > before {
+            let old_length = out.len();
+            self.decode_buffered(connection, out)?;
+            if out.len() > old_length {
                 return Ok(BodyPart::Bytes);
             }
             if self.is_done() {
@@ -249,7 +257,7 @@
     /// Reads the rest of the body.
     ///
     /// # Errors
-    /// As [`BodyReader::next`], or if the body is over `max_bytes`.
+    /// As [`BodyReader::read_part`], or if the body is larger than `max_bytes`.
     pub fn read_whole(
         &mut self,
         connection: &mut Connection,
@@ -259,12 +267,14 @@
     ) -> Result<Vec<u8>, HttpError> {
         let mut body = Vec::new();
         if let Framing::Length(length) = self.framing {
-            // Growing by doubling leaves pieces that nothing else fits into. What is set aside
-            // and does not come takes no memory.
+            // Growing by doubling would fragment the heap. Reserved memory that is never written
+            // takes no physical memory.
             let length = usize::try_from(length).unwrap_or(usize::MAX);
             body.reserve_exact(length.min(max_bytes));
         }
-        while self.next(connection, &mut body, watched.as_deref_mut(), until)? == BodyPart::Bytes {
+        while self.read_part(connection, &mut body, watched.as_deref_mut(), until)?
+            == BodyPart::Bytes
+        {
             if body.len() > max_bytes {
                 return Err(HttpError::TooLarge);
             }
--- a/crates/instance/src/lifecycle.rs
+++ b/crates/instance/src/lifecycle.rs
@@ -18,29 +18,29 @@
 use passway_types::prelude::*;
 use std::net::SocketAddr;
 
-/// Time that the balancer needs to notice that an instance is not ready: two questions, a second apart.
-const BALANCER_TIME: Duration = Duration::from_millis(2_600);
-/// Time kept back of the grace at a stop: the last log lines take 200 ms, and the process
-/// has a quarter of a core.
+/// Time for the balancer to notice that an instance is not ready: two probes, one second apart.
+const BALANCER_NOTICE_DELAY: Duration = Duration::from_millis(2_600);
+/// Part of the grace that a stop keeps in reserve: writing the last log lines takes 200 ms, and the
+/// process has a quarter of a core.
 const GRACE_RESERVE: Duration = Duration::from_millis(600);
-/// Time before that for the answers to whatever still waits. Refusing 400 requests took less
-/// than 20 ms of one core, which is 0.8 s on an instance that has a fortieth of one; such an
-/// instance holds some tens. Upstreams keep five sixths of the usual grace of 8 s.
-const ANSWER_TIME: Duration = Duration::from_millis(600);
-/// Time for cut streams to close and to be logged, out of the reserve.
-const CUT_TIME: Duration = Duration::from_millis(100);
-/// Pause between two looks whether requests are in progress at a stop.
-const STOP_STEP: Duration = Duration::from_millis(50);
-
-/// The place an instance runs in.
+/// Time before the reserve to answer requests that still wait. Refusing 400 requests takes less
+/// than 20 ms of one core, which is 0.8 s on an instance with a fortieth of a core; such an
+/// instance holds a few tens of requests. Upstreams keep five sixths of the usual grace of 8 s.
+const ANSWER_WINDOW: Duration = Duration::from_millis(600);
+/// Part of the reserve in which cut streams close and are logged.
+const STREAM_CUT_WINDOW: Duration = Duration::from_millis(100);
+/// Interval between two checks for requests in progress at a stop.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
+
+/// External interfaces that an instance runs with.
 pub struct Surroundings {
     /// The store.
     pub store: Arc<dyn SharedStore>,
-    /// What lies in the store.
+    /// The encoding of the store's contents.
     pub directory: Arc<dyn Directory>,
-    /// Callers' and upstreams' words.
+    /// The headers that callers and upstreams use.
     pub vocabulary: Box<dyn HeaderProtocol>,
-    /// The control side of engines.
+    /// The control interface of engines.
     pub engines: Arc<dyn Engines>,
 }
 
@@ -54,131 +54,132 @@
 #[derive(Debug)]
 pub struct Instance {
     shared: Arc<Shared>,
-    right: Arc<Right>,
+    leadership: Arc<Right>,
     callers: Callers,
     ready_address: SocketAddr,
 }
 
 impl Instance {
-    /// Binds the addresses of the settings and begins to serve; at port 0 the kernel chooses.
+    /// Binds the addresses of the settings and starts to serve; for port 0 the kernel chooses a
+    /// port.
     ///
     /// # Errors
     /// If an address cannot be bound.
     pub fn start(mut settings: InstanceSettings, surroundings: Surroundings) -> Result<Self> {
-        let peers = holder::bind(settings.peer_address)?;
-        settings.peer_address = peers.local_addr().context("the bound address")?;
-        // Without a bound: requests tell their needs while they hold the upstreams' lock, which the
-        // reporting thread takes as well. Three words of a hundred bytes a request that is in
-        // progress are the most that wait.
-        let (needs, needed) = channel::unbounded();
-        let shared = Arc::new(Shared::new(settings, surroundings.vocabulary, needs));
+        let peer_listener = holder::bind(settings.peer_address)?;
+        settings.peer_address = peer_listener.local_addr().context("the bound address")?;
+        // Unbounded, because requests send events while they hold the upstreams' lock, which the
+        // reporting thread takes as well. At most three events of a hundred bytes wait for each
+        // request in progress.
+        let (event_sender, event_receiver) = channel::unbounded();
+        let shared = Arc::new(Shared::new(settings, surroundings.vocabulary, event_sender));
         let settings = &shared.settings;
-        let right = Arc::new(Right::new(&shared));
-        shared.set_right(right.clone());
-        let ready_address = ready::listen(&shared, &right, settings.ready_address)?;
+        let leadership = Arc::new(Right::new(&shared));
+        shared.set_leadership(leadership.clone());
+        let ready_address = ready::listen(&shared, &leadership, settings.ready_address)?;
         let callers = callers::listen(&shared, settings.callers_address)?;
-        let (relay, [configuration_tap, upstream_tap]) = Relay::new();
+        let (relay, [configuration_receiver, upstream_receiver]) = Relay::new();
         let engines = surroundings.engines.clone();
         shared.set_engines(engines.clone());
-        let (holder, news) = holder::start(&shared, &right, &relay, engines, peers);
+        let (holder, updates) = holder::start(&shared, &leadership, &relay, engines, peer_listener);
         let store = &surroundings.store;
-        right.start(
+        leadership.start(
             &shared,
             store,
             relay.resting(),
             holder.clone(),
-            news.clone(),
+            updates.clone(),
         );
         feeds::follow(
             store.clone(),
-            configuration_tap,
-            news.clone(),
+            configuration_receiver,
+            updates.clone(),
             ConfigurationFeed::new(shared.clone(), surroundings.directory.clone()),
         );
         feeds::follow(
             store.clone(),
-            upstream_tap,
-            news,
+            upstream_receiver,
+            updates,
             UpstreamFeed::new(
                 shared.clone(),
                 surroundings.directory.clone(),
                 holder.clone(),
-                right.clone(),
+                leadership.clone(),
             ),
         );
-        Poison::keep(&shared, &right, store);
-        Allotments::keep(&shared, &right, store);
+        Poison::keep(&shared, &leadership, store);
+        Allotments::keep(&shared, &leadership, store);
         Dispatch::start(&shared);
         ConfigurationAge::start(&shared);
-        report::start(&shared, &right, &relay, needed);
+        report::start(&shared, &leadership, &relay, event_receiver);
         log::info!(instance:% = settings.instance; "started");
         Ok(Self {
             shared,
-            right,
+            leadership,
             callers,
             ready_address,
         })
     }
 
-    /// Where callers connect.
+    /// The address that callers connect to.
     pub fn callers_address(&self) -> SocketAddr {
         self.callers.address()
     }
 
-    /// Where the balancer asks.
+    /// The address for the balancer's probes.
     pub fn ready_address(&self) -> SocketAddr {
         self.ready_address
     }
 
-    /// Whether it takes callers.
+    /// Whether the balancer may send callers to this instance.
     pub fn is_ready(&self) -> bool {
         self.shared.is_ready()
     }
 
-    /// Requests whose answer is not complete.
+    /// Number of requests whose answer is not complete.
     pub fn in_progress(&self) -> usize {
         self.shared.in_progress()
     }
 
-    /// The fencing number, if this instance may give orders now.
+    /// The fencing number, if this instance may send orders now.
     pub fn fence(&self) -> Option<Fence> {
-        self.right.fence()
+        self.leadership.fence()
     }
 
-    /// Who holds the right to order, as far as this instance knows.
+    /// The holder, as far as this instance knows.
     pub fn holder(&self) -> Option<Holder> {
-        self.right.holder()
+        self.leadership.holder()
     }
 
-    /// Whether it could announce a term to an instance.
+    /// Whether this instance could announce a term to the instance `name`.
     pub fn knows_member(&self, name: &str) -> bool {
         self.shared.members().contains_key(name)
     }
 
-    /// Instances that it could announce a term to, itself among them.
-    pub fn known_members(&self) -> usize {
+    /// Number of instances that this one could announce a term to, including itself.
+    pub fn known_member_count(&self) -> usize {
         self.shared.members().len()
     }
 
-    /// How many instances dispatch for engines, as far as this one was told.
-    pub fn dispatchers(&self) -> usize {
-        self.shared.dispatch.list().len()
+    /// Number of instances that dispatch for engines, by the holder's last message.
+    pub fn dispatcher_count(&self) -> usize {
+        self.shared.dispatch.dispatcher_list().len()
     }
 
-    /// Whether a request for a service could be sent a second time now: a process that has
-    /// just started must first come to its part of the fleet's allowance.
-    pub fn may_repeat(&self, service: &str) -> bool {
+    /// Whether the retry budget allows a retry for a service now. A process that has just started
+    /// must first receive its share of the fleet's allowance.
+    pub fn has_spare_retry(&self, service: &str) -> bool {
         let now = clock::now();
-        self.shared.retries().can_spend(&service.into(), now)
+        self.shared.retry_budget().can_spend(&service.into(), now)
     }
 
-    /// How many other instances it knows.
-    pub fn other_instances(&self) -> usize {
+    /// Number of other instances that this one knows.
+    pub fn other_instance_count(&self) -> usize {
         self.shared.other_instances().len()
     }
 
-    /// The configuration's version in force.
-    pub fn version(&self) -> Option<Revision> {
+    /// The version of the configuration in effect.
+    pub fn config_version(&self) -> Option<Revision> {
         self.shared
             .routes
             .load()
@@ -186,40 +187,42 @@
             .map(|table| table.version)
     }
 
-    /// Uses settings that have changed. Names and addresses stay until the next start.
+    /// Applies changed settings. Names and addresses stay the same until the next start.
     pub fn reload(&self, settings: &InstanceSettings) {
-        self.shared.use_bounds(settings.bounds);
+        self.shared.apply_bounds(settings.bounds);
     }
 
-    /// Takes nothing new and finishes what is in progress, within the grace. What cannot
-    /// be finished gets an answer: "not run" if it was never sent on, and otherwise that
-    /// the answer is lost. A stream that has begun goes on a little longer, and is cut then.
+    /// Accepts nothing new and finishes the requests in progress within the grace. Requests that
+    /// cannot finish are answered: "not run" if they were never sent to an upstream, otherwise that
+    /// the answer is lost. Streams in progress continue slightly longer and are then cut.
     pub fn stop(&self) {
-        let begun_at = clock::now();
+        let started_at = clock::now();
         let grace = self.shared.bounds.load().grace;
-        let stopped_at = begun_at + grace.saturating_sub(GRACE_RESERVE);
-        let ends_at = begun_at + grace.saturating_sub(GRACE_RESERVE + ANSWER_TIME);
-        self.shared.stop(ends_at);
-        self.right.release();
-        let closed_at = ends_at.min(begun_at + BALANCER_TIME);
-        wait_until(closed_at, || false);
-        self.shared.close();
+        let cut_streams_at = started_at + grace.saturating_sub(GRACE_RESERVE);
+        let ends_at = started_at + grace.saturating_sub(GRACE_RESERVE + ANSWER_WINDOW);
+        self.shared.begin_stop(ends_at);
+        self.leadership.release();
+        let refuse_at = ends_at.min(started_at + BALANCER_NOTICE_DELAY);
+        wait_until(refuse_at, || false);
+        self.shared.refuse_requests();
         wait_until(ends_at, || self.shared.in_progress() == 0);
-        self.callers.end();
-        wait_until(stopped_at, || self.callers.open() == 0);
+        self.callers.end_waits();
+        wait_until(cut_streams_at, || self.callers.open_connections() == 0);
         self.callers.cut_streams();
-        wait_until(stopped_at + CUT_TIME, || self.callers.open() == 0);
-        log::info!(in_progress = self.shared.in_progress(), open = self.callers.open(); "stopped");
+        wait_until(cut_streams_at + STREAM_CUT_WINDOW, || {
+            self.callers.open_connections() == 0
+        });
+        log::info!(in_progress = self.shared.in_progress(), open = self.callers.open_connections(); "stopped");
     }
 }
 
-/// Waits until `holds` does, at most until `limit_at`.
-fn wait_until(limit_at: Instant, holds: impl Fn() -> bool) {
+/// Waits until `is_done` returns true, at most until `limit_at`.
+fn wait_until(limit_at: Instant, is_done: impl Fn() -> bool) {
     loop {
-        let left = limit_at.saturating_duration_since(clock::now());
-        if left.is_zero() || holds() {
+        let remaining = limit_at.saturating_duration_since(clock::now());
+        if remaining.is_zero() || is_done() {
             return;
         }
-        std::thread::sleep(left.min(STOP_STEP));
+        std::thread::sleep(remaining.min(STOP_POLL_INTERVAL));
     }
 }
--- a/tests/all/closed_site.rs
+++ b/tests/all/keyed_cluster.rs
@@ -1,28 +1,28 @@
-//! An instance whose routes ask for keys, with bounds as the settings file gives them.
+//! An instance whose routes require keys, with bounds as in the settings file.
 
-use crate::site::{self, ask, configuration, request};
+use crate::cluster::{self, ask, configuration, request};
 use passway_instance::Instance;
 use passway_serving::ports::InstanceSettings;
 use passway_standins::platform::documents::with_workspaces;
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// A key of the workspace that all of these have.
+/// The key of the workspace in these configurations.
 pub const KEY: &str = "k1-asnmgkcuyj8pjbvk9m68";
 
-/// A version with workspaces, and a public route `open` beside the closed ones.
-pub fn closed(version: u64, workspaces: &[Value]) -> Value {
+/// A configuration with workspaces, and a public route `open` beside the closed ones.
+pub fn keyed_configuration(version: u64, workspaces: &[Value]) -> Value {
     let mut document = with_workspaces(configuration(version, &["m0"]), workspaces);
-    let mut open = document["routes"][0].clone();
-    open["name"] = "open".into();
-    open["prefix"] = "/open/".into();
-    open["public"] = true.into();
+    let mut public_route = document["routes"][0].clone();
+    public_route["name"] = "open".into();
+    public_route["prefix"] = "/open/".into();
+    public_route["public"] = true.into();
     let routes = document["routes"].as_array_mut().expect("routes");
-    routes.push(open);
+    routes.push(public_route);
     document
 }
 
-/// Settings on loopback whose bounds are written as in the settings file.
+/// Settings on loopback with `bounds` written as in the settings file.
 pub fn settings(name: &str, store: SocketAddr, bounds: &str) -> InstanceSettings {
     let text = format!(
         "node_name = \"{name}\"\nzone = \"hall0\"\nip = \"127.0.0.1\"\ninternal_ports = [0, 0]\n\
@@ -35,14 +35,14 @@
 }
 
 /// Starts an instance with bounds and waits until it is ready.
-pub fn ready(name: &str, store: SocketAddr, bounds: &str) -> Instance {
-    let instance = site::start_with(settings(name, store, bounds));
-    site::until("readiness", || instance.is_ready());
+pub fn start_ready(name: &str, store: SocketAddr, bounds: &str) -> Instance {
+    let instance = cluster::start_with(settings(name, store, bounds));
+    cluster::until("readiness", || instance.is_ready());
     instance
 }
 
-/// What a request with the key is answered, by status and `Retry-After`.
-pub fn status(instance: &Instance, path: &str, id: &str) -> (u16, Option<f64>) {
+/// The status and the `Retry-After` of the answer to a request with the key.
+pub fn status_with_key(instance: &Instance, path: &str, id: &str) -> (u16, Option<f64>) {
     let head = format!("Authorization: Token {KEY}\r\n");
     let bytes = request("GET", path, id, &head, "");
     let answer = ask(instance.callers_address(), &bytes).expect("an answer");
