--- a/tests/all/cold_upstreams.rs
+++ b/tests/all/cold_upstreams.rs
@@ -13,7 +13,7 @@
     duration: Duration::from_secs(3),
 };
 
-fn entry(beat: u64, cold_until: Option<Instant>) -> UpstreamEntry {
+fn entry(heartbeat: u64, cold_until: Option<Instant>) -> UpstreamEntry {
     UpstreamEntry {
         id: "i-0".into(),
         service: "plain".into(),
@@ -25,7 +25,7 @@
         models: Vec::new(),
         in_memory: Vec::new(),
         on_disk: Vec::new(),
-        heartbeat: beat,
+        heartbeat,
         started_at_ms: 0,
     }
 }
