--- a/crates/instance/src/candidates.rs
+++ b/crates/instance/src/candidates.rs
@@ -5,7 +5,7 @@
 //! processor capacity for the holder's work are preferred.
 
 use passway_serving::hash;
-use passway_serving::tenure::Candidate;
+use passway_serving::leadership::Candidate;
 use passway_types::prelude::*;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/instance/src/dispatch.rs
+++ b/crates/instance/src/dispatch.rs
@@ -9,11 +9,11 @@
 use crate::queries::PendingQueries;
 use crate::shared::Shared;
 use passway_serving::dispatch::{
-    Dispatchers, REFRESH_PAUSE, RunBook, RunId, RunKey, Waiter, WaitingLine, counted_load,
+    Dispatchers, REFRESH_INTERVAL, RunId, RunKey, RunTable, WaitQueue, Waiter, effective_load,
 };
 use passway_serving::halls::AllowedRegions;
-use passway_serving::tenure::Candidate;
-use passway_serving::upstreams::{Choice, ModelRef, Outcome, Wanted};
+use passway_serving::leadership::Candidate;
+use passway_serving::upstreams::{Choice, ModelRef, Outcome, RequestNeeds};
 use passway_types::clock;
 use passway_types::prelude::*;
 use passway_wire::dispatch::{
@@ -99,8 +99,8 @@
     /// `None` if the port is taken: the instance then chooses engines by its own state.
     socket: Option<UdpSocket>,
     dispatchers: Mutex<Dispatchers>,
-    run_table: Mutex<RunBook>,
-    wait_queue: Mutex<WaitingLine>,
+    run_table: Mutex<RunTable>,
+    wait_queue: Mutex<WaitQueue>,
     /// Queries that wait for an answer.
     pending_queries: PendingQueries<Grant>,
     runs: Mutex<HashMap<RunId, LocalRun>>,
@@ -176,14 +176,14 @@
             random,
             ..
         } = query;
-        let wanted = Wanted {
+        let wanted = RequestNeeds {
             service,
             model_ref: Some(model_ref),
             hall: &shared.settings.hall,
             allowed: query.allowed_regions,
-            drawn: random,
+            random,
         };
-        let mut engines = shared.upstreams().drawn_engines(wanted, now);
+        let mut engines = shared.upstreams().shuffled_engines(wanted, now);
         engines.retain(|id| !tried.contains(id));
         let ask = Ask {
             id: 0,
@@ -197,10 +197,10 @@
             tried: tried.iter().map(ToString::to_string).collect(),
             regions: query
                 .allowed_regions
-                .names()
+                .regions()
                 .map(ToString::to_string)
                 .collect(),
-            is_bound: query.allowed_regions.bind(),
+            is_bound: query.allowed_regions.is_restricted(),
         };
         let mut queried = Vec::new();
         let mut choice = Choice::Absent;
@@ -218,7 +218,7 @@
                 ..ask.clone()
             };
             let Some(grant) = self.query_dispatcher(shared, dispatcher, ask) else {
-                lock(&self.dispatchers).silent(dispatcher, clock::now());
+                lock(&self.dispatchers).mark_unresponsive(dispatcher, clock::now());
                 return None;
             };
             match grant.verdict() {
@@ -339,12 +339,12 @@
             AllowedRegions::ANY
         };
         let (service, hall) = (ask.service.as_str().into(), ask.hall.as_str().into());
-        let wanted = Wanted {
+        let wanted = RequestNeeds {
             service: &service,
             model_ref: Some(&model_ref),
             hall: &hall,
             allowed: &allowed,
-            drawn: ask.drawn,
+            random: ask.drawn,
         };
         let dispatchers = lock(&self.dispatchers);
         let is_eligible = |id: &UpstreamId| {
@@ -353,7 +353,7 @@
         };
         let load_of = |id: &UpstreamId| {
             let slots = upstreams.slots_of(id);
-            counted_load(run_table.load(id), slots, ask.is_urgent)
+            effective_load(run_table.load(id), slots, ask.is_urgent)
         };
         let choice = upstreams.choose_by(wanted, is_eligible, Some(&load_of), now);
         let mut wait_queue = lock(&self.wait_queue);
@@ -365,17 +365,17 @@
             Choice::Send { id, .. } => {
                 let free_slots = upstreams.slots_of(&id).saturating_sub(load_of(&id));
                 let could_use = |other: &ModelRef| upstreams.has(&id, other, now);
-                let waiters_ahead = wait_queue.before(key, &waiter, could_use, now);
+                let waiters_ahead = wait_queue.count_ahead(key, &waiter, could_use, now);
                 if waiters_ahead >= usize::try_from(free_slots).unwrap_or(usize::MAX) {
-                    wait_queue.note(key, waiter, now);
+                    wait_queue.record(key, waiter, now);
                     return grant(Verdict::Full, "");
                 }
-                wait_queue.leave(key);
-                run_table.note(key, &id, now);
+                wait_queue.remove(key);
+                run_table.record(key, &id, now);
                 grant(Verdict::Go, &id)
             }
             Choice::Full => {
-                wait_queue.note(key, waiter, now);
+                wait_queue.record(key, waiter, now);
                 grant(Verdict::Full, "")
             }
             Choice::Absent => grant(Verdict::Absent, ""),
@@ -388,9 +388,11 @@
             instance: from,
             id: ended.id,
         };
-        let engine = lock(&self.run_table).end(key);
+        let engine = lock(&self.run_table).remove(key);
         if let (Some(engine), Some(outcome)) = (engine, decode(ended.outcome())) {
-            shared.upstreams().observed(&engine, outcome, clock::now());
+            shared
+                .upstreams()
+                .record_peer_outcome(&engine, outcome, clock::now());
         }
     }
 
@@ -413,7 +415,7 @@
                         instance: from,
                         id: run.id,
                     };
-                    run_table.note(key, &run.engine.as_str().into(), now);
+                    run_table.record(key, &run.engine.as_str().into(), now);
                 }
             }
             Body::VersionAsk(ask) => {
@@ -480,10 +482,10 @@
             // list changes.
             let read_timeout = self.is_enabled().then(|| {
                 if now >= refresh_at {
-                    refresh_at = now + REFRESH_PAUSE;
+                    refresh_at = now + REFRESH_INTERVAL;
                     self.announce_runs(shared);
-                    lock(&self.run_table).expire(now);
-                    lock(&self.wait_queue).expire(now);
+                    lock(&self.run_table).remove_expired(now);
+                    lock(&self.wait_queue).remove_expired(now);
                 }
                 let remaining = refresh_at.saturating_duration_since(now);
                 remaining.max(Duration::from_millis(1))
--- a/crates/instance/src/forward/exchange.rs
+++ b/crates/instance/src/forward/exchange.rs
@@ -17,7 +17,7 @@
 use crate::shared::MemoryReservation;
 use crate::signals::{self, ReceivedSignals};
 use passway_serving::headers::Headers;
-use passway_serving::ports::{AnswerFacts, Stamp};
+use passway_serving::ports::{AnswerMetadata, ForwardingMetadata};
 use passway_serving::routes::RequestKind;
 use passway_serving::upstreams::Outcome;
 use passway_types::clock;
@@ -51,7 +51,7 @@
 impl Forwarding<'_> {
     /// Sends the request over a pooled or a new connection.
     pub(super) fn exchange(&mut self, target: &Target) -> Attempt {
-        let max_idle = if self.route.kind.may_run_again() {
+        let max_idle = if self.route.kind.can_run_again() {
             MAX_IDLE_REPEATABLE
         } else {
             MAX_IDLE_RUN_ONCE
@@ -81,7 +81,7 @@
         if !is_movable {
             return self.deadline_at;
         }
-        let silence = Duration::from_millis(self.route.gap_goal_ms * SILENCE_GAP_MULTIPLE);
+        let silence = Duration::from_millis(self.route.gap_target_ms * SILENCE_GAP_MULTIPLE);
         self.deadline_at
             .min(clock::now() + silence.max(MIN_SILENCE))
     }
@@ -92,7 +92,7 @@
         let now = clock::now();
         if !self.shared.upstreams().is_silent(&target.id, now)
             || now < self.usual_first_byte_at()
-            || !self.shared.retry_budget().has_spare(&self.service, now)
+            || !self.shared.retry_budget().can_spend(&self.service, now)
         {
             return false;
         }
@@ -107,29 +107,32 @@
         if self.delivered.head_sent {
             return self.attempt_at;
         }
-        let goal = Duration::from_millis(self.route.goal_ms);
+        let goal = Duration::from_millis(self.route.latency_target_ms);
         let usual_time = self
             .shared
             .first_byte_times()
-            .longest(&self.route.name, goal);
+            .usual_max(&self.route.name, goal);
         self.attempt_at + usual_time
     }
 
     fn record_activity(&self, target: &Target) {
         let now = clock::now();
-        self.shared.upstreams().heard(&target.id, now);
+        self.shared.upstreams().record_activity(&target.id, now);
     }
 
     fn request_bytes(&self, target: &Target) -> Vec<u8> {
         let remaining = self.deadline_at.saturating_duration_since(clock::now());
-        let stamp = Stamp {
+        let stamp = ForwardingMetadata {
             upstream: target.id.clone(),
             deadline_ms: relay::millis(remaining),
             workspace: self.access.mark.clone(),
             urgency: self.is_engine.then_some(self.priority().min(9)),
-            last_event: self.delivered.splitter.last_id().map(str::to_owned),
+            last_event_id: self.delivered.splitter.last_id().map(str::to_owned),
         };
-        let mut headers = self.shared.vocabulary.forwarded(&self.head.headers, &stamp);
+        let mut headers = self
+            .shared
+            .vocabulary
+            .forwarded_headers(&self.head.headers, &stamp);
         let has_body =
             self.head.headers.has("content-length") || self.head.headers.has("transfer-encoding");
         if has_body {
@@ -191,12 +194,12 @@
         &mut self,
         target: &Target,
         upstream: &mut Connection,
-    ) -> Result<(AnswerHead, AnswerFacts), Attempt> {
+    ) -> Result<(AnswerHead, AnswerMetadata), Attempt> {
         for _ in 0..=MAX_STALE_ANSWERS {
             let head = self.read_head(target, upstream)?;
             self.record_activity(target);
             let vocabulary = &self.shared.vocabulary;
-            let facts = vocabulary.answer(head.status, &head.headers, &target.id);
+            let facts = vocabulary.parse_answer(head.status, &head.headers, &target.id);
             if facts.id.as_deref().is_none_or(|id| id == self.facts.id) {
                 self.apply_signals(target, &facts);
                 if self.route.kind.is_stream() && !facts.not_run {
@@ -214,14 +217,14 @@
 
     /// Applies the upstream's signals in an answer to this request. An answer without a request id
     /// may belong to any request, and one of another incarnation says nothing about the target.
-    fn apply_signals(&self, target: &Target, facts: &AnswerFacts) {
-        if facts.other_incarnation || facts.id.is_none() {
+    fn apply_signals(&self, target: &Target, facts: &AnswerMetadata) {
+        if facts.is_other_incarnation || facts.id.is_none() {
             return;
         }
         let received = ReceivedSignals {
             start: &target.start(),
-            signals: &facts.words,
-            is_authenticated: facts.vouched,
+            signals: &facts.signals,
+            is_authenticated: facts.is_sealed,
             sent_at: self.attempt_at,
         };
         signals::apply(self.shared, received);
@@ -273,7 +276,7 @@
         target: &Target,
         mut upstream: Connection,
         head: &AnswerHead,
-        facts: &AnswerFacts,
+        facts: &AnswerMetadata,
         request_whole: bool,
     ) -> Attempt {
         let Ok(mut body) = BodyReader::of_answer(head, &self.head.method) else {
@@ -282,7 +285,7 @@
         body.is_reusable &= request_whole;
         let is_success = (200..300).contains(&head.status);
         let is_encoded = head.headers.has("content-encoding");
-        if is_success && (!facts.vouched || is_encoded || facts.id.is_none()) {
+        if is_success && (!facts.is_sealed || is_encoded || facts.id.is_none()) {
             return Attempt::Broken;
         }
         if is_success && self.route.kind.is_stream() {
@@ -317,7 +320,7 @@
         if is_success {
             return Attempt::Answered(self.deliver_whole(head, &bytes));
         }
-        if !facts.vouched {
+        if !facts.is_sealed {
             return Attempt::Broken;
         }
         Attempt::Failed(Box::new(FailedAnswer {
@@ -341,8 +344,13 @@
     }
 
     /// Handles an answer by which the upstream has not run the request.
-    fn handle_refusal(&self, target: &Target, head: &AnswerHead, facts: &AnswerFacts) -> Attempt {
-        if facts.other_incarnation {
+    fn handle_refusal(
+        &self,
+        target: &Target,
+        head: &AnswerHead,
+        facts: &AnswerMetadata,
+    ) -> Attempt {
+        if facts.is_other_incarnation {
             self.shared.pool.close_idle(&target.id);
             return Attempt::NotRun(Outcome::Unreachable);
         }
@@ -350,13 +358,15 @@
             && let Some(model_ref) = self.model_ref()
         {
             let now = clock::now();
-            self.shared.upstreams().absent(&target.id, model_ref, now);
+            self.shared
+                .upstreams()
+                .mark_model_absent(&target.id, model_ref, now);
             return Attempt::NotRun(Outcome::Unknown);
         }
         if self
             .shared
             .upstreams()
-            .closed_until(&target.id, clock::now())
+            .backoff_until(&target.id, clock::now())
             .is_some()
         {
             // The upstream has asked this instance to back off. That is no failure, and the
--- a/crates/instance/src/forward/waiting.rs
+++ b/crates/instance/src/forward/waiting.rs
@@ -4,7 +4,7 @@
 use crate::dispatch::EngineQuery;
 use crate::relay::{millis, millis_since};
 use crate::shared::{ReportEvent, Shared};
-use passway_serving::upstreams::{Choice, ModelRef, Wanted};
+use passway_serving::upstreams::{Choice, ModelRef, RequestNeeds};
 use passway_types::clock;
 use passway_types::prelude::*;
 
@@ -21,7 +21,7 @@
     /// Until when the request may wait for an upstream if its time ends at `ends_at`.
     pub(super) fn wait_until(&self, ends_at: Instant) -> Instant {
         let total = ends_at.saturating_duration_since(self.arrived_at);
-        let patience = Duration::from_millis(self.route.patience_ms());
+        let patience = Duration::from_millis(self.route.max_silence_ms());
         self.arrived_at + total.min(patience).mul_f64(WAIT_RATIO)
     }
 
@@ -138,7 +138,7 @@
         let ready_at = now + load_time;
         let upstreams = self.shared.upstreams();
         if ready_at <= wait_until
-            || !upstreams.lies_nowhere(
+            || !upstreams.is_cached_nowhere(
                 &self.service,
                 &model_ref.model,
                 &self.access.allowed_regions,
@@ -172,13 +172,13 @@
     }
 
     /// What the request needs of an upstream.
-    pub(super) fn wanted(&self) -> Wanted<'_> {
-        Wanted {
+    pub(super) fn wanted(&self) -> RequestNeeds<'_> {
+        RequestNeeds {
             service: &self.service,
             model_ref: self.model_ref(),
             hall: &self.shared.settings.hall,
             allowed: &self.access.allowed_regions,
-            drawn: request_hash(&self.facts.id),
+            random: request_hash(&self.facts.id),
         }
     }
 
@@ -216,8 +216,8 @@
             };
         }
         let upstreams = self.shared.upstreams();
-        let wanted = Wanted {
-            drawn: random,
+        let wanted = RequestNeeds {
+            random,
             ..self.wanted()
         };
         let is_eligible = |id: &UpstreamId| !excluded.contains(id);
@@ -238,7 +238,7 @@
     /// When the request must begin to run to meet its goal. The most urgent requests are due at
     /// half of their goal, so that they go before others with a similar goal.
     fn due_at(&self) -> Instant {
-        let goal = Duration::from_millis(self.route.goal_ms);
+        let goal = Duration::from_millis(self.route.latency_target_ms);
         let ratio = if self.priority() == 0 {
             URGENT_GOAL_RATIO
         } else {
--- a/crates/instance/src/leadership.rs
+++ b/crates/instance/src/leadership.rs
@@ -1,7 +1,7 @@
 //! Leadership, i.e. the right to send orders to engines: one key in the store under a lease, held
 //! by one instance at a time.
 //!
-//! [`Tenure`] makes the decisions. This module runs the thread that carries them out against the
+//! [`Leadership`] makes the decisions. This module runs the thread that carries them out against the
 //! store, and the feed that reports the current state of the key.
 
 use crate::allotments;
@@ -12,12 +12,12 @@
 use crate::shared::{ReportEvent, Shared};
 use crossbeam::channel::Sender;
 use passway_process::logging::json::DECISION_TARGET;
+use passway_serving::leadership::{
+    Candidate, Holder, Leadership, LeadershipSettings, PromiseRefusal, RecentHolders, Step,
+};
 use passway_serving::ports::{
     ConditionalWrite, LeaseId, Listing, SharedStore, StoreChange, StoreError, StoredValue,
 };
-use passway_serving::tenure::{
-    Candidate, Holder, NoPromise, RecentHolders, Step, Tenure, TenureLimits,
-};
 use passway_types::clock;
 use passway_types::prelude::*;
 use rand::RngExt;
@@ -41,13 +41,13 @@
 /// Runs the leadership state machine of this instance with a thread and the store.
 #[derive(Debug)]
 pub struct LeadershipDriver {
-    leadership: Mutex<Tenure>,
+    leadership: Mutex<Leadership>,
     changed: Condvar,
     /// When a holder last requested a promise.
     promise_requested_at: Mutex<Option<Instant>>,
     /// The last answer to such a request; a changed answer is logged.
-    last_promise_answer: Mutex<Option<Result<(), NoPromise>>>,
-    is_weak: bool,
+    last_promise_answer: Mutex<Option<Result<(), PromiseRefusal>>>,
+    has_low_cpu: bool,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -106,25 +106,29 @@
     pub fn new(shared: &Shared) -> Self {
         let settings = &shared.settings;
         let bounds = shared.bounds.load();
-        let is_weak = settings.processor_part < MIN_HOLDER_CPU_CORES;
-        let limits = TenureLimits {
-            lease: LEASE_TTL.max(bounds.shortest_lease),
-            gap: bounds.holder_gap,
-            is_weak,
+        let has_low_cpu = settings.cpu_core_fraction < MIN_HOLDER_CPU_CORES;
+        let limits = LeadershipSettings {
+            min_lease_ttl: LEASE_TTL.max(bounds.shortest_lease),
+            holder_gap: bounds.holder_gap,
+            has_low_cpu,
         };
         Self {
-            leadership: Mutex::new(Tenure::new(settings.instance.clone(), limits, clock::now())),
+            leadership: Mutex::new(Leadership::new(
+                settings.instance.clone(),
+                limits,
+                clock::now(),
+            )),
             changed: Condvar::new(),
             promise_requested_at: Mutex::default(),
             last_promise_answer: Mutex::default(),
-            is_weak,
+            has_low_cpu,
         }
     }
 
     /// Whether this instance has too little processor capacity for the holder's work, so that other
     /// instances should be preferred as holders.
-    pub fn is_weak(&self) -> bool {
-        self.is_weak
+    pub fn has_low_cpu(&self) -> bool {
+        self.has_low_cpu
     }
 
     /// Starts the thread that acquires leadership whenever nobody holds it, and the feed of
@@ -146,12 +150,12 @@
         std::thread::spawn(move || driver.run(&shared, &*store, &holder_inputs));
     }
 
-    fn leadership(&self) -> MutexGuard<'_, Tenure> {
+    fn leadership(&self) -> MutexGuard<'_, Leadership> {
         lock(&self.leadership)
     }
 
     /// Changes the leadership state and wakes the thread that acts on it.
-    fn update(&self, change: impl FnOnce(&mut Tenure)) {
+    fn update(&self, change: impl FnOnce(&mut Leadership)) {
         change(&mut self.leadership());
         self.changed.notify_all();
     }
@@ -164,7 +168,7 @@
     /// Takes in another instance's message that it is the holder. Returns whether the message
     /// changed the known holder.
     pub fn learn_holder(&self, holder: Holder) -> bool {
-        let is_new = self.leadership().told(holder);
+        let is_new = self.leadership().learn_holder(holder);
         self.changed.notify_all();
         is_new
     }
@@ -177,13 +181,13 @@
     /// This instance's fencing number while its term lasts, including times when it may not send
     /// orders.
     pub fn term(&self) -> Option<Fence> {
-        self.leadership().term(clock::now())
+        self.leadership().term_fence(clock::now())
     }
 
     /// This instance's fencing number if it needs the candidates' promises not to acquire
     /// leadership, because the store did not answer the last renewal.
     pub fn promise_fence(&self) -> Option<Fence> {
-        self.leadership().asks_promises(clock::now())
+        self.leadership().promise_request_fence(clock::now())
     }
 
     /// Promises another holder not to acquire leadership for a while, if this instance can.
@@ -194,10 +198,10 @@
         &self,
         asker: &InstanceId,
         store_answers: bool,
-    ) -> Result<(), NoPromise> {
+    ) -> Result<(), PromiseRefusal> {
         let now = clock::now();
         let previous_request_at = lock(&self.promise_requested_at).replace(now);
-        let answer = self.leadership().promise(asker, store_answers, now);
+        let answer = self.leadership().try_promise(asker, store_answers, now);
         let is_first = previous_request_at.is_none_or(|at| now > at + PROMISE_REQUEST_WINDOW);
         let new_answer = Some(answer);
         if lock(&self.last_promise_answer).replace(answer) != new_answer || is_first {
@@ -209,7 +213,7 @@
     /// The candidates of the current term whose promise is missing. Without it, the term cannot
     /// extend beyond its lease.
     pub fn candidates_without_promise(&self) -> Vec<InstanceId> {
-        self.leadership().without_promise(clock::now())
+        self.leadership().candidates_without_promise(clock::now())
     }
 
     /// Whether a holder requested a promise recently. This instance should then check for itself
@@ -220,39 +224,40 @@
 
     /// Records a candidate's promise, given in answer to a request sent at `requested_at`.
     pub fn record_promise(&self, from: &InstanceId, fence: Fence, requested_at: Instant) {
-        self.update(|leadership| leadership.promised(from, fence, requested_at));
+        self.update(|leadership| leadership.record_promise(from, fence, requested_at));
     }
 
     /// Records that a candidate's process is stopping.
     pub fn record_departure(&self, from: &InstanceId, fence: Fence) {
-        self.update(|leadership| leadership.left(from, fence));
+        self.update(|leadership| leadership.record_departure(from, fence));
     }
 
     /// Sets the candidates that a term of this instance should have.
     pub fn set_desired_candidates(&self, candidates: Vec<Candidate>) {
-        self.update(|leadership| leadership.want_candidates(candidates));
+        self.update(|leadership| leadership.set_desired_candidates(candidates));
     }
 
     /// Whether no other instance was the holder between this instance's last two terms.
     pub fn succeeds_itself(&self) -> bool {
-        self.leadership().succeeds_itself()
+        self.leadership().was_previous_holder()
     }
 
     /// The candidates that the store listed before this instance's term. They may be extending the
     /// leadership of another holder without the store.
     pub fn previous_candidates(&self) -> Vec<Candidate> {
-        self.leadership().former_candidates().to_vec()
+        self.leadership().previous_candidates().to_vec()
     }
 
     /// Releases leadership, so that another instance can acquire it at once.
     pub fn release(&self) {
-        self.update(Tenure::release);
+        self.update(Leadership::release);
     }
 
     /// Records how long the store took to answer a call that was sent at `sent_at`.
     fn record_store_latency<T>(&self, answer: &Result<T, StoreError>, sent_at: Instant) {
         if answer.is_ok() {
-            self.leadership().answered_within(clock::since(sent_at));
+            self.leadership()
+                .record_store_latency(clock::since(sent_at));
         }
     }
 
@@ -261,12 +266,12 @@
         let mut held_fence = None;
         loop {
             let mut leadership = self.leadership();
-            leadership.set_gap(shared.bounds.load().holder_gap);
+            leadership.set_holder_gap(shared.bounds.load().holder_gap);
             let random = rand::rng().random_range(0.0..1.0);
             let store_answers = !shared.store_health.is_failing();
             let now = clock::now();
             let step = leadership.step(random, store_answers, now);
-            if matches!(step, Step::End(_))
+            if matches!(step, Step::EndLease(_))
                 && let Some(fence) = held_fence.take()
             {
                 log_term_end(fence, &leadership, now);
@@ -277,19 +282,19 @@
                     let timeout = until.saturating_duration_since(now);
                     drop(self.changed.wait_timeout(leadership, timeout));
                 }
-                Step::Grant => {
-                    let ttl = leadership.lease_time();
+                Step::GrantLease => {
+                    let ttl = leadership.lease_ttl();
                     drop(leadership);
                     let answer = store.grant_lease(ttl);
                     self.record_store_latency(&answer, now);
-                    self.leadership().granted(answer, now);
+                    self.leadership().handle_grant(answer, now);
                 }
-                Step::Take(lease) => {
-                    let recent = leadership.recent_with_me();
+                Step::TakeKey(lease) => {
+                    let recent = leadership.recent_holders_with_me();
                     drop(leadership);
                     let answer = store.write(&acquisition_writes(shared, lease, &recent));
                     self.record_store_latency(&answer, now);
-                    held_fence = self.leadership().taken(&answer, clock::now());
+                    held_fence = self.leadership().handle_take(&answer, clock::now());
                     if let Some(fence) = held_fence {
                         log::info!(target: DECISION_TARGET, fence = fence; "holds the right to order");
                         shared.allotments.notify_term_begun();
@@ -297,27 +302,28 @@
                         let _ = holder_inputs.send(Input::TermBegun);
                     }
                 }
-                Step::Renew(lease) => {
-                    let timeout = leadership.renewal_time();
+                Step::RenewLease(lease) => {
+                    let timeout = leadership.renewal_timeout();
                     drop(leadership);
-                    let answer = store.renew_lease_within(lease, timeout);
+                    let answer = store.renew_lease_with_timeout(lease, timeout);
                     self.record_store_latency(&answer, now);
                     if answer == Ok(true) {
                         shared.store_health.record_answer();
                     }
-                    self.leadership().renewed(answer, now, clock::now());
+                    self.leadership().handle_renewal(answer, now, clock::now());
                 }
-                Step::List => {
-                    let recent = leadership.recent_with_candidates();
+                Step::WriteCandidates => {
+                    let recent = leadership.recent_holders_with_candidates();
                     drop(leadership);
                     let answer = store.write(&[recent_holders_write(&recent)]);
                     log::info!(target: DECISION_TARGET, candidates = recent.candidates.len(), answer:? = answer; "list of candidates");
-                    self.leadership().listed(&answer, recent, clock::now());
+                    self.leadership()
+                        .handle_list_write(&answer, recent, clock::now());
                 }
-                Step::End(lease) => {
+                Step::EndLease(lease) => {
                     drop(leadership);
                     end_lease(store, lease);
-                    self.leadership().ended(clock::now());
+                    self.leadership().handle_lease_end(clock::now());
                 }
                 Step::Stop => return,
             }
@@ -325,12 +331,12 @@
     }
 }
 
-fn log_term_end(fence: Fence, leadership: &Tenure, now: Instant) {
-    let without_promise = leadership.without_promise(now);
-    let last_end = leadership.last_end();
-    let overdue_ms = last_end.map_or(0, |end| millis(end.overdue));
+fn log_term_end(fence: Fence, leadership: &Leadership, now: Instant) {
+    let without_promise = leadership.candidates_without_promise(now);
+    let last_end = leadership.last_term_end();
+    let overdue_ms = last_end.map_or(0, |end| millis(end.renewal_overdue));
     log::info!(target: DECISION_TARGET, fence = fence, cause:? = last_end.map(|end| end.cause),
-        unanswered = last_end.map_or(0, |end| end.unanswered), overdue_ms = overdue_ms,
+        unanswered = last_end.map_or(0, |end| end.unanswered_renewals), overdue_ms = overdue_ms,
         without_promise:? = without_promise;
         "lost the right to order");
 }
@@ -393,8 +399,8 @@
         let (revision, value) = half_full.unwrap_or_default();
         self.shared.allotments.apply_stored(revision, value);
         self.leadership.update(|leadership| {
-            leadership.seen_recent(recent);
-            leadership.seen(holder);
+            leadership.observe_recent(recent);
+            leadership.observe_holder(holder);
         });
     }
 
@@ -402,12 +408,12 @@
         match change {
             StoreChange::Written(value) if value.key == HOLDER_KEY => {
                 self.leadership
-                    .update(|leadership| leadership.seen(decode_holder(value)));
+                    .update(|leadership| leadership.observe_holder(decode_holder(value)));
             }
             StoreChange::Written(value) if value.key == RECENT_KEY => {
                 let recent = decode_recent(value);
                 self.leadership
-                    .update(|leadership| leadership.seen_recent(recent));
+                    .update(|leadership| leadership.observe_recent(recent));
             }
             StoreChange::Written(value) if value.key == poison::KEY => {
                 let poison = &self.shared.poison;
@@ -426,7 +432,8 @@
                 }
             }
             StoreChange::Removed { key, .. } if key == HOLDER_KEY => {
-                self.leadership.update(|leadership| leadership.seen(None));
+                self.leadership
+                    .update(|leadership| leadership.observe_holder(None));
             }
             _ => {}
         }
--- a/crates/instance/src/limits.rs
+++ b/crates/instance/src/limits.rs
@@ -6,7 +6,7 @@
 
 use crate::coordinator::{self, TermCoordinator};
 use crate::shared::Shared;
-use passway_serving::limits::{self, EXACT, Shares};
+use passway_serving::limits::{self, FallbackLimits, NO_OVERAGE};
 use passway_types::clock;
 use passway_types::prelude::*;
 use passway_wire::permits::{UseAsk, UseTold, UseVerdict};
@@ -28,7 +28,7 @@
 #[derive(Debug, Default)]
 pub struct Limits {
     coordinator: TermCoordinator,
-    local_shares: Mutex<Shares>,
+    local_shares: Mutex<FallbackLimits>,
 }
 
 impl Limits {
@@ -64,7 +64,7 @@
             .local_shares
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        if local_shares.take(upstream, per_s, instances, rand::random(), clock::now()) {
+        if local_shares.try_take(upstream, per_s, instances, rand::random(), clock::now()) {
             LimitDecision::Granted
         } else {
             LimitDecision::Undecided
@@ -79,8 +79,8 @@
         let known_limit = shared.upstreams().limit_per_s(&upstream, clock::now());
         let per_s = known_limit.map_or(ask.rate_per_s, |limit| limit.min(ask.rate_per_s));
         let allotment = limits::allotment(per_s);
-        let decision = self.coordinator.in_term(fence, EXACT, |counter| {
-            counter.ask(&upstream, allotment, from, ask.cost, clock::now())
+        let decision = self.coordinator.in_term(fence, NO_OVERAGE, |counter| {
+            counter.decide(&upstream, allotment, from, ask.cost, clock::now())
         });
         coordinator::encode_decision(ask, decision)
     }
--- a/crates/instance/src/signals.rs
+++ b/crates/instance/src/signals.rs
@@ -8,9 +8,9 @@
 use crate::relay::{millis, millis_since};
 use crate::shared::{ReportEvent, Shared};
 use passway_process::logging::json::DECISION_TARGET;
-use passway_serving::limits::{LimitWord, NamedLimit};
+use passway_serving::limits::{LimitSignal, ObservedLimit};
 use passway_serving::poison::UpstreamStart;
-use passway_serving::words::{NamedLeaving, NamedRest, UpstreamWords};
+use passway_serving::signals::{BackoffSignal, LeavingSignal, UpstreamSignals};
 use passway_types::clock;
 use passway_types::prelude::*;
 use passway_wire::message::{LeavingUpstream, RestingUpstream, UpstreamLimit, Words};
@@ -30,7 +30,7 @@
     /// The start of the upstream that was asked.
     pub start: &'a UpstreamStart,
     /// The signals.
-    pub signals: &'a UpstreamWords,
+    pub signals: &'a UpstreamSignals,
     /// Whether the upstream itself vouches for the answer.
     pub is_authenticated: bool,
     /// When the request was sent.
@@ -40,32 +40,32 @@
 /// Applies the signals of an upstream's answer.
 pub fn apply(shared: &Shared, received: ReceivedSignals<'_>) {
     let ReceivedSignals { start, signals, .. } = received;
-    for signal in signals.unusable() {
+    for signal in signals.unusable_names() {
         shared.metrics.unusable_signal(signal);
     }
     apply_limit(shared, received);
-    if signals.leaving == NamedLeaving::Leaves && record_leaving(shared, start) {
+    if signals.leaving == LeavingSignal::Leaving && record_leaving(shared, start) {
         shared.report(ReportEvent::SignalsChanged(start.upstream.clone()));
     }
-    match signals.rest {
-        NamedRest::For(backoff) if !backoff.is_zero() => record_backoff(shared, start, backoff),
+    match signals.backoff {
+        BackoffSignal::For(backoff) if !backoff.is_zero() => record_backoff(shared, start, backoff),
         _ => shared
             .upstreams()
-            .note_no_rest(&start.upstream, received.sent_at),
+            .record_no_backoff(&start.upstream, received.sent_at),
     }
 }
 
 fn apply_limit(shared: &Shared, received: ReceivedSignals<'_>) {
     let per_s = match received.signals.limit {
-        NamedLimit::PerSecond(per_s) => Some(per_s),
+        LimitSignal::PerSecond(per_s) => Some(per_s),
         // A missing limit only means that there is none if the upstream vouches for the answer.
-        NamedLimit::Absent if received.is_authenticated => None,
-        NamedLimit::Absent | NamedLimit::Unusable => return,
+        LimitSignal::Absent if received.is_authenticated => None,
+        LimitSignal::Absent | LimitSignal::Unusable => return,
     };
-    let limit = LimitWord {
+    let limit = ObservedLimit {
         per_s,
         sent_at: received.sent_at,
-        heard_at: clock::now(),
+        received_at: clock::now(),
     };
     if record_limit(shared, received.start, limit) {
         shared.report(ReportEvent::SignalsChanged(received.start.upstream.clone()));
@@ -77,7 +77,7 @@
 fn record_leaving(shared: &Shared, start: &UpstreamStart) -> bool {
     let now = clock::now();
     let mut upstreams = shared.upstreams();
-    let is_new = upstreams.note_leaving(&start.upstream, start.started_at_ms, now);
+    let is_new = upstreams.record_leaving(&start.upstream, start.started_at_ms, now);
     drop(upstreams);
     if is_new {
         log::info!(target: DECISION_TARGET, upstream:% = start.upstream; "an upstream says that it leaves");
@@ -98,7 +98,7 @@
     if upstreams.started_at_ms(&start.upstream) != start.started_at_ms {
         return;
     }
-    upstreams.note_rest(&start.upstream, until);
+    upstreams.record_backoff(&start.upstream, until);
     drop(upstreams);
     shared.notify_upstreams_changed();
     shared.report(ReportEvent::SignalsChanged(start.upstream.clone()));
@@ -108,11 +108,11 @@
 
 /// Records the limit that a start of an upstream signalled to this or another instance. Returns
 /// whether the limit changed.
-pub fn record_limit(shared: &Shared, start: &UpstreamStart, limit: LimitWord) -> bool {
+pub fn record_limit(shared: &Shared, start: &UpstreamStart, limit: ObservedLimit) -> bool {
     let mut upstreams = shared.upstreams();
     // A signal of another start of the upstream does not apply to this one.
     let is_current_start = upstreams.started_at_ms(&start.upstream) == start.started_at_ms;
-    let has_changed = is_current_start && upstreams.note_limit(&start.upstream, limit);
+    let has_changed = is_current_start && upstreams.record_limit(&start.upstream, limit);
     drop(upstreams);
     if has_changed {
         log::info!(target: DECISION_TARGET, upstream:% = start.upstream, per_s:? = limit.per_s; "an upstream says what it takes");
@@ -132,13 +132,13 @@
     let now = clock::now();
     let upstreams = shared.upstreams();
     let is_named = |id: &UpstreamId| named.is_none_or(|named| named.contains(id));
-    let limits = upstreams.limit_words().filter(|(id, ..)| is_named(id));
+    let limits = upstreams.observed_limits().filter(|(id, ..)| is_named(id));
     let limits = limits.map(|(id, started_at_ms, limit)| UpstreamLimit {
         upstream: id.to_string(),
         started_at_ms,
         per_s: limit.per_s,
         sent_ms_ago: millis_since(limit.sent_at, now),
-        heard_ms_ago: millis_since(limit.heard_at, now),
+        heard_ms_ago: millis_since(limit.received_at, now),
     });
     let leaving = upstreams.leaving().filter(|(id, _)| is_named(id));
     let leaving = leaving.map(|(id, started_at_ms)| LeavingUpstream {
@@ -159,7 +159,7 @@
     let mut message = encode(shared, named);
     let upstreams = shared.upstreams();
     let is_named = |id: &UpstreamId| named.is_none_or(|named| named.contains(id));
-    let backing_off = upstreams.resting(now).filter(|(id, _)| is_named(id));
+    let backing_off = upstreams.backing_off(now).filter(|(id, _)| is_named(id));
     let backing_off = backing_off.map(|(id, until)| RestingUpstream {
         upstream: id.to_string(),
         started_at_ms: upstreams.started_at_ms(id),
@@ -182,12 +182,12 @@
         if shared.upstreams().started_at_ms(&start.upstream) != start.started_at_ms {
             continue;
         }
-        let limit = LimitWord {
+        let limit = ObservedLimit {
             per_s: received_limit
                 .per_s
                 .filter(|per_s| per_s.is_finite() && *per_s >= 0.0),
             sent_at: ago(received_limit.sent_ms_ago),
-            heard_at: ago(received_limit.heard_ms_ago),
+            received_at: ago(received_limit.heard_ms_ago),
         };
         record_limit(shared, &start, limit);
         concerned.push(start.upstream);
--- a/tests/all/cold_upstreams.rs
+++ b/tests/all/cold_upstreams.rs
@@ -3,17 +3,17 @@
 
 use crate::cluster::{self, ask, request, until};
 use crate::signalling::SignallingServer;
-use passway_serving::upstreams::{ColdBound, UpstreamEntry, UpstreamTable};
+use passway_serving::upstreams::{ColdLimit, UpstreamEntry, UpstreamTable};
 use passway_standins::platform::documents::{configuration, plain_entry};
 use passway_types::prelude::*;
 use serde_json::json;
 
-const COLD_BOUND: ColdBound = ColdBound {
+const COLD_BOUND: ColdLimit = ColdLimit {
     per_s: 8.0,
-    time: Duration::from_secs(3),
+    duration: Duration::from_secs(3),
 };
 
-fn entry(beat: u64, cold_until: Option<Instant>) -> UpstreamEntry {
+fn entry(heartbeat: u64, cold_until: Option<Instant>) -> UpstreamEntry {
     UpstreamEntry {
         id: "i-0".into(),
         service: "plain".into(),
@@ -25,7 +25,7 @@
         models: Vec::new(),
         in_memory: Vec::new(),
         on_disk: Vec::new(),
-        beat,
+        heartbeat,
         started_at_ms: 0,
     }
 }
@@ -36,7 +36,7 @@
     let at = |ms| now + Duration::from_millis(ms);
     let mut table = UpstreamTable::new("hall0".into());
     table.update(entry(1, None), now);
-    table.set_cold_bounds([("plain".into(), COLD_BOUND)].into());
+    table.set_cold_limits([("plain".into(), COLD_BOUND)].into());
     assert_eq!(table.limit_per_s("i-0", now), None);
     // An upstream may become cold at any time. The change is published; further entries in the same
     // state are not.
@@ -45,15 +45,15 @@
     assert_eq!(table.limit_per_s("i-0", at(2_000)), Some(COLD_BOUND.per_s));
     assert_eq!(table.limit_per_s("i-0", at(2_100)), None);
     // An upstream of a hall that is put back into service may be cold without reporting it.
-    table.set_emptied(["hall0".into()].into(), at(2_200));
+    table.set_evacuated(["hall0".into()].into(), at(2_200));
     assert_eq!(table.limit_per_s("i-0", at(2_200)), None);
-    table.set_emptied([].into(), at(2_300));
+    table.set_evacuated([].into(), at(2_300));
     table.update(entry(4, None), at(2_400));
     assert_eq!(table.limit_per_s("i-0", at(5_200)), Some(COLD_BOUND.per_s));
     assert_eq!(table.limit_per_s("i-0", at(5_300)), None);
     // A configuration without a bound for cold upstreams.
     table.update(entry(5, Some(at(9_000))), at(6_000));
-    table.set_cold_bounds([].into());
+    table.set_cold_limits([].into());
     assert_eq!(table.limit_per_s("i-0", at(6_000)), None);
 }
 
--- a/tests/all/late_models.rs
+++ b/tests/all/late_models.rs
@@ -54,7 +54,7 @@
     let (service, m0) = ("engines".into(), "m0".into());
     let mut table = UpstreamTable::new("hall0".into());
     assert!(
-        !table.lies_nowhere(&service, &m0, &AllowedRegions::ANY),
+        !table.is_cached_nowhere(&service, &m0, &AllowedRegions::ANY),
         "before the first entry nothing is known"
     );
     let entry = UpstreamEntry {
@@ -68,17 +68,17 @@
         models: Vec::new(),
         in_memory: Vec::new(),
         on_disk: vec!["m1".into()],
-        beat: 1,
+        heartbeat: 1,
         started_at_ms: 1,
     };
     table.update(entry, Instant::now());
-    assert!(table.lies_nowhere(&service, &m0, &AllowedRegions::ANY));
-    assert!(!table.lies_nowhere(&service, &"m1".into(), &AllowedRegions::ANY));
+    assert!(table.is_cached_nowhere(&service, &m0, &AllowedRegions::ANY));
+    assert!(!table.is_cached_nowhere(&service, &"m1".into(), &AllowedRegions::ANY));
     let resident_model = ResidentModel {
         name: m0.clone(),
         adapters: Vec::new(),
     };
     table.set_placement("i-0", vec![resident_model], Vec::new());
     table.set_placement("i-0", Vec::new(), Vec::new());
-    assert!(!table.lies_nowhere(&service, &m0, &AllowedRegions::ANY));
+    assert!(!table.is_cached_nowhere(&service, &m0, &AllowedRegions::ANY));
 }
