--- a/crates/instance/src/feeds.rs
+++ b/crates/instance/src/feeds.rs
@@ -248,7 +248,7 @@
         let timeout = self.watch_timeout();
         let asked_at = clock::now();
         match self.store.watch(&self.prefix, after, timeout)? {
-            WatchAnswer::HistoryGone => self.must_list = true,
+            WatchAnswer::HistoryCompacted => self.must_list = true,
             WatchAnswer::Changes { changes, revision } => {
                 // A large answer may have taken long to arrive; an answer without changes was sent
                 // just now.
--- a/crates/instance/src/forward/access.rs
+++ b/crates/instance/src/forward/access.rs
@@ -6,7 +6,7 @@
 use crate::relay::millis;
 use crate::reply::Refusal;
 use passway_serving::halls::AllowedRegions;
-use passway_serving::ports::{RequestFacts, WorkspaceMark};
+use passway_serving::ports::{RequestMetadata, WorkspaceHeader};
 use passway_serving::routes::{Route, RouteTable};
 use passway_serving::workspaces::Workspace;
 use passway_types::clock;
@@ -48,7 +48,7 @@
     /// The workspace that the request's key belongs to.
     pub workspace: Option<Arc<Workspace>>,
     /// The workspace header for upstreams.
-    pub mark: WorkspaceMark,
+    pub mark: WorkspaceHeader,
     /// The regions in which the request may be served, by its route and its workspace.
     pub allowed_regions: AllowedRegions,
     /// Whether the request requires a valid key.
@@ -57,17 +57,17 @@
 
 impl Access {
     /// Looks up the request's key; `None` if the route requires a key and this one is not known.
-    pub fn look_up(table: &RouteTable, route: &Route, facts: &RequestFacts) -> Option<Self> {
+    pub fn look_up(table: &RouteTable, route: &Route, facts: &RequestMetadata) -> Option<Self> {
         let Some(workspaces) = &table.workspaces else {
             return Some(Self {
                 workspace: None,
-                mark: WorkspaceMark::Untouched,
+                mark: WorkspaceHeader::Untouched,
                 allowed_regions: route.allowed.clone(),
                 needs_key: false,
             });
         };
         let key = facts.key.as_ref();
-        let workspace = key.and_then(|key| workspaces.of_key(key)).cloned();
+        let workspace = key.and_then(|key| workspaces.find_by_key(key)).cloned();
         let needs_key = !route.is_public;
         if needs_key && workspace.is_none() {
             return None;
@@ -75,10 +75,11 @@
         let name = workspace.as_ref().map(|workspace| workspace.name.clone());
         let workspace_regions = workspace.as_ref().map(|workspace| &workspace.allowed);
         Some(Self {
-            allowed_regions: workspace_regions
-                .map_or(route.allowed.clone(), |regions| regions.and(&route.allowed)),
+            allowed_regions: workspace_regions.map_or(route.allowed.clone(), |regions| {
+                regions.intersection(&route.allowed)
+            }),
             workspace,
-            mark: WorkspaceMark::Set(name),
+            mark: WorkspaceHeader::Set(name),
             needs_key,
         })
     }
--- a/crates/instance/src/poison/exclusive.rs
+++ b/crates/instance/src/poison/exclusive.rs
@@ -10,7 +10,7 @@
 use crate::relay::millis;
 use crate::shared::Shared;
 use passway_process::logging::json::REQUEST_TARGET;
-use passway_serving::poison::{RequestDigest, RunTurns};
+use passway_serving::poison::{ExclusiveRuns, RequestDigest};
 use passway_types::clock;
 use passway_types::prelude::*;
 use passway_wire::dispatch::Dispatch as Body;
@@ -21,11 +21,11 @@
 
 /// Requests that must run exclusively among their copies.
 #[derive(Debug, Default)]
-pub(super) struct ExclusiveRuns {
+pub(super) struct ExclusivePermits {
     /// Requests of this instance that run or ask for a permit.
     local: Mutex<HashSet<RequestDigest>>,
     /// Permits of all instances, while this instance is the coordinator.
-    granted: Mutex<RunTurns>,
+    granted: Mutex<ExclusiveRuns>,
 }
 
 /// The answer to a request for a permit.
@@ -179,8 +179,13 @@
             return answer;
         };
         let (run, max_duration) = ((from, request.id), Duration::from_millis(request.run_ms));
-        match lock(&self.exclusive_runs.granted).ask(fence, digest, run, max_duration, clock::now())
-        {
+        match lock(&self.exclusive_runs.granted).try_acquire(
+            fence,
+            digest,
+            run,
+            max_duration,
+            clock::now(),
+        ) {
             Ok(()) => answer.set_verdict(UseVerdict::Granted),
             Err(retry_after) => {
                 answer.set_verdict(UseVerdict::Refused);
@@ -193,7 +198,7 @@
     /// Releases the permit of a run that ended without a crash.
     pub fn release_exclusive_run(&self, from: SocketAddr, released: &PermitRelease) {
         if let Some(digest) = decode_digest(&released.digest) {
-            lock(&self.exclusive_runs.granted).give_back(digest, (from, released.id));
+            lock(&self.exclusive_runs.granted).release(digest, (from, released.id));
         }
     }
 }
--- a/crates/instance/src/ready.rs
+++ b/crates/instance/src/ready.rs
@@ -55,8 +55,9 @@
 fn gauge_values(shared: &Shared, leadership: &LeadershipDriver) -> GaugeValues {
     let routes = shared.routes.load();
     let upstreams = shared.upstreams();
-    let (limited_upstreams, leaving_upstreams) = (upstreams.limited(), upstreams.leaving().count());
-    let upstreams_in_backoff = upstreams.resting(clock::now()).count();
+    let (limited_upstreams, leaving_upstreams) =
+        (upstreams.limited_count(), upstreams.leaving().count());
+    let upstreams_in_backoff = upstreams.backing_off(clock::now()).count();
     drop(upstreams);
     GaugeValues {
         holds_leadership: leadership.fence().is_some(),
@@ -84,7 +85,7 @@
         let Some(head) = head else {
             return Ok(());
         };
-        let should_close = head.headers.connection_says("close") || !head.is_1_1;
+        let should_close = head.headers.connection_contains("close") || !head.is_1_1;
         let body = if head.target == METRICS_PATH {
             shared
                 .metrics
--- /dev/null
+++ b/crates/serving/src/leadership/records.rs
@@ -0,0 +1,88 @@
+//! What the store holds about the leadership, and the calls that are made to it.
+
+use crate::ports::{LeaseId, StoreRevision};
+use passway_types::prelude::*;
+use std::net::SocketAddr;
+
+/// The holder of the leadership, as stored.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Holder {
+    /// The holder's name.
+    pub instance: InstanceId,
+    /// Where the holder listens for other instances.
+    pub address: SocketAddr,
+    /// The store's revision of the key, used as the fencing number.
+    pub fence: Fence,
+}
+
+/// An instance that may take the key at once.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Candidate {
+    /// The candidate's name.
+    pub instance: InstanceId,
+    /// Where the candidate listens for other instances.
+    pub address: SocketAddr,
+}
+
+/// The recent holders and the current candidates, as stored.
+#[derive(Debug, Clone, Default, PartialEq, Eq)]
+pub struct RecentHolders {
+    /// The holders, the most recent one last.
+    pub names: Vec<InstanceId>,
+    /// The instances that may take the key at once; any instance if this is empty.
+    pub candidates: Vec<Candidate>,
+    /// The store's revision of this key; 0 if it was never written.
+    pub revision: StoreRevision,
+}
+
+/// Settings of an instance's leadership.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct LeadershipSettings {
+    /// Minimum time-to-live of the lease.
+    pub min_lease_ttl: Duration,
+    /// Time in which two holders must not both give orders to one engine.
+    pub holder_gap: Duration,
+    /// Whether other instances should be preferred as holders because this one has little CPU.
+    pub has_low_cpu: bool,
+}
+
+/// The next action for the leadership.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Step {
+    /// Do nothing before this time unless an update arrives.
+    Wait(Instant),
+    /// Request a lease.
+    GrantLease,
+    /// Write the holder's key under the lease if the key is absent.
+    TakeKey(LeaseId),
+    /// Renew the lease.
+    RenewLease(LeaseId),
+    /// Write the list of recent holders with the candidates of this term.
+    WriteCandidates,
+    /// End the lease.
+    EndLease(LeaseId),
+    /// Stop for good.
+    Stop,
+}
+
+/// Why a term ended that was not released.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum EndCause {
+    /// The lease expired by the holder's own clock.
+    Lapsed,
+    /// The store had already expired the lease.
+    LeaseGone,
+    /// Another instance has taken the leadership.
+    Succeeded,
+}
+
+/// How a term ended that was not released.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct TermEnd {
+    /// Why the term ended.
+    pub cause: EndCause,
+    /// Consecutive renewals at the end of the term that the store did not answer or refused.
+    pub unanswered_renewals: u32,
+    /// Time since the next renewal was due. A large value means that the process renewed late.
+    pub renewal_overdue: Duration,
+}
--- a/tests/all/cluster.rs
+++ b/tests/all/cluster.rs
@@ -60,7 +60,7 @@
         ready_address: any_port,
         peer_address: any_port,
         store_address: store,
-        processor_part: 1.0,
+        cpu_core_fraction: 1.0,
         placement: PolicyName::default(),
         bounds: InstanceBounds {
             grace: Duration::from_secs(8),
--- a/tests/all/fleet_start.rs
+++ b/tests/all/fleet_start.rs
@@ -82,7 +82,9 @@
             .into(),
         revision: 1,
     };
-    let table = PlatformDirectory.configuration(&value).expect("decoded");
+    let table = PlatformDirectory
+        .decode_configuration(&value)
+        .expect("decoded");
     planner.set_table(&table.expect("a configuration"));
     planner
 }
@@ -106,7 +108,7 @@
     assert_eq!(planner.placements_unlike(&known(&table)), []);
     // One engine has changed meanwhile, and another is not known to the instance at all.
     let changed = UpstreamEntry {
-        beat: 2,
+        heartbeat: 2,
         ..engine(7, &["m2", "m0"])
     };
     planner.heard(changed.clone(), now);
@@ -123,7 +125,7 @@
         "an instance that connects later still lacks them"
     );
     let reordered = UpstreamEntry {
-        beat: 3,
+        heartbeat: 3,
         ..engine(7, &["m0", "m2"])
     };
     planner.heard(reordered, now);
@@ -141,7 +143,7 @@
     table.set_placement("i-0", vec![resident("m0")], vec!["m0".into()]);
     let known = table.placement_digests().collect();
     assert_eq!(planner.placements_unlike(&known).len(), 1);
-    table.forget_closing();
+    table.clear_evicting();
     let known = table.placement_digests().collect();
     assert_eq!(planner.placements_unlike(&known), []);
 }
