--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -2,7 +2,7 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use passway_serving::placement::policy::PolicyName;
-use passway_serving::placement::{ModelRuns, Waiters};
+use passway_serving::placement::{RunningRequests, Waiters};
 use passway_serving::upstreams::ModelRef;
 use passway_standins::fleet_model::{self, FleetSize, warm_planner};
 use passway_standins::sizes::{SIZES, WarmRouter};
@@ -34,7 +34,7 @@
         group.bench_function(size.name, |bencher| {
             bencher.iter(|| {
                 now += Duration::from_micros(10);
-                planner.taken(&service, &wish, 1, now);
+                planner.record_arrivals(&service, &wish, 1, now);
             });
         });
     }
@@ -54,7 +54,7 @@
             bencher.iter(|| {
                 now += Duration::from_millis(1);
                 number = (number + 7) % size.models;
-                let wish = ModelRef {
+                let model_ref = ModelRef {
                     model: FleetSize::model(number),
                     adapter: None,
                 };
@@ -62,11 +62,11 @@
                 let waiters = Waiters {
                     instance: "one".into(),
                     service: service.clone(),
-                    wish,
+                    model_ref,
                     count: 1,
-                    until,
+                    latest_deadline: until,
                 };
-                planner.waiting(waiters, now);
+                planner.set_waiters(waiters, now);
                 planner.decide(now)
             });
         });
@@ -109,29 +109,29 @@
             for word in 0..WORDS {
                 let number = round * WORDS + word;
                 let instance: InstanceId = format!("instance-{}", number % INSTANCES).into();
-                let runs = (0..RUNS_EACH).map(|run| ModelRuns {
+                let runs = (0..RUNS_EACH).map(|run| RunningRequests {
                     engine: format!("e{}", (number * 7 + run * 31) % size.engines).into(),
                     model: FleetSize::model((number + run) % size.busy),
                     count: 1,
                 });
-                let runs: Vec<ModelRuns> = runs.collect();
-                planner.running(&instance, &runs);
-                planner.taken(&service, &wish(number), 1, now);
+                let runs: Vec<RunningRequests> = runs.collect();
+                planner.set_running(&instance, &runs);
+                planner.record_arrivals(&service, &wish(number), 1, now);
                 let waiters = Waiters {
                     instance,
                     service: service.clone(),
-                    wish: wish(size.busy + number % WAITING_MODELS * 5),
+                    model_ref: wish(size.busy + number % WAITING_MODELS * 5),
                     count: u32::from(!number.is_multiple_of(3)),
-                    until: now + Duration::from_secs(3),
+                    latest_deadline: now + Duration::from_secs(3),
                 };
-                planner.waiting(waiters, now);
+                planner.set_waiters(waiters, now);
             }
             let mut orders = 0;
             for _ in 0..PASSES {
                 now += Duration::from_millis(1);
                 orders += planner.decide(now).len();
-                planner.take_awaited();
-                planner.take_changed();
+                planner.take_awaited_placements();
+                planner.take_changed_placements();
             }
             orders
         });
--- a/crates/instance/src/control.rs
+++ b/crates/instance/src/control.rs
@@ -51,7 +51,7 @@
 ) -> OrderAnswer {
     let given = EngineOrder {
         action: order.action,
-        wish: order.wish.clone(),
+        wish: order.model_ref.clone(),
         expected_orders: order.expected_orders,
         upstream: order.engine.clone(),
         holder: shared.settings.instance.clone(),
--- a/crates/instance/src/holder.rs
+++ b/crates/instance/src/holder.rs
@@ -22,7 +22,7 @@
 use order_names::name_of;
 use passway_process::logging::json::DECISION_TARGET;
 use passway_process::outbox::Outbox;
-use passway_serving::placement::{Action, ModelRuns, Planner, Waiters};
+use passway_serving::placement::{Action, Planner, RunningRequests, Waiters};
 use passway_serving::poison::UpstreamStart;
 use passway_serving::ports::{Engines, OrderAnswer};
 use passway_serving::retry::InstanceCount;
@@ -81,7 +81,7 @@
         sender: sender.clone(),
         planner: Planner::new(
             shared.bounds.load().load_window,
-            shared.settings.placement.policy(),
+            shared.settings.placement.build(),
         ),
         peers: BTreeMap::new(),
         listeners: Listeners::default(),
@@ -168,9 +168,12 @@
         loop {
             let now = clock::now();
             let look_at = if self.fence.is_some() {
-                let telling = self.planner.has_changed().then_some(self.tell_at);
+                let telling = self
+                    .planner
+                    .has_changed_placements()
+                    .then_some(self.tell_at);
                 let next = if self.right.fence().is_some() {
-                    self.planner.next_look_at(now)
+                    self.planner.next_decision_at(now)
                 } else {
                     now + RIGHT_STEP
                 };
@@ -216,7 +219,7 @@
                     self.candidates.went(&name, now);
                 }
                 if let Some(instance) = instance {
-                    self.planner.instance_gone(&instance);
+                    self.planner.remove_instance(&instance);
                 }
             }
             Input::Needs(needs) => self.needs(&needs, now),
@@ -227,18 +230,18 @@
             Input::Suspects(told) => self.tell_suspects(told),
             Input::Words(told) => self.tell_words(told),
             Input::Promised(promise) => self.promised(&promise),
-            Input::Heard(entry) => self.planner.heard(entry, now),
+            Input::Heard(entry) => self.planner.update_engine(entry, now),
             Input::Listed(ids) => self.planner.retain(&ids),
             Input::Answered(order, answer) => {
                 log::info!(target: DECISION_TARGET, engine:% = order.engine, action:? = order.action,
-                    model:% = order.wish.model, adapter:? = order.wish.adapter,
+                    model:% = order.model_ref.model, adapter:? = order.model_ref.adapter,
                     expected = order.expected_orders, answer:? = answer; "order");
                 self.shared.metrics.order(name_of(answer));
-                self.planner.answered(&order, answer, now);
+                self.planner.record_answer(&order, answer, now);
             }
             Input::Reported(engine, report) => {
                 log::info!(engine:% = engine, report:? = report.as_ref().map(|r| (r.busy, r.orders_taken, r.models.len())); "report");
-                self.planner.reported(&engine, report, now);
+                self.planner.record_report(&engine, report, now);
             }
         }
     }
@@ -273,7 +276,7 @@
             self.send_to(number, &Body::Words(said));
         }
         let known = subscribe.placements.iter().copied().collect();
-        let lacking = self.planner.placements_unlike(&known);
+        let lacking = self.planner.placements_differing_from(&known);
         if !lacking.is_empty() {
             self.send_to(number, &placements(lacking));
         }
@@ -374,24 +377,25 @@
             let waiters = Waiters {
                 instance: needs.instance.as_str().into(),
                 service,
-                wish: wanted,
+                model_ref: wanted,
                 count: waiting.count,
-                until: now + Duration::from_millis(waiting.wait_ms.into()),
+                latest_deadline: now + Duration::from_millis(waiting.wait_ms.into()),
             };
-            self.planner.waiting(waiters, now);
+            self.planner.set_waiters(waiters, now);
         }
         for taken in &needs.taken {
             let (service, wanted) = wish(taken);
-            self.planner.taken(&service, &wanted, taken.count, now);
+            self.planner
+                .record_arrivals(&service, &wanted, taken.count, now);
         }
-        let running = needs.running.iter().map(|running| ModelRuns {
+        let running = needs.running.iter().map(|running| RunningRequests {
             engine: running.engine.as_str().into(),
             model: running.model.as_str().into(),
             count: running.count,
         });
         let running: Vec<_> = running.collect();
         let instance = InstanceId::from(needs.instance.as_str());
-        self.planner.running(&instance, &running);
+        self.planner.set_running(&instance, &running);
     }
 
     fn decide(&mut self) {
@@ -402,15 +406,15 @@
             self.planner.set_table(&table);
             let upstreams = self.shared.upstreams();
             for entry in upstreams.entries() {
-                self.planner.heard(entry.clone(), clock::now());
+                self.planner.update_engine(entry.clone(), clock::now());
             }
         }
         let upstreams = self.shared.upstreams();
         let emptied = upstreams.emptied();
-        let emptied = (emptied != self.planner.emptied()).then(|| emptied.clone());
+        let emptied = (emptied != self.planner.evacuated_halls()).then(|| emptied.clone());
         drop(upstreams);
         if let Some(emptied) = emptied {
-            self.planner.set_emptied(emptied);
+            self.planner.set_evacuated_halls(emptied);
         }
         let fence = self.right.term();
         if fence != self.fence {
@@ -445,7 +449,7 @@
             let resting = upstreams.resting(now);
             let resting = resting.map(|(id, until)| (id.clone(), until)).collect();
             drop(upstreams);
-            self.planner.set_resting(resting);
+            self.planner.set_backing_off(resting);
             let actions = self.planner.decide(now);
             let took = clock::since(now);
             // Whatever else it has to do, the thread plans for half of its time at most.
--- a/crates/instance/src/holder/telling.rs
+++ b/crates/instance/src/holder/telling.rs
@@ -29,7 +29,7 @@
     EnginePlacement {
         engine: placement.engine.to_string(),
         models: models.collect(),
-        closing: placement.closing.iter().map(ToString::to_string).collect(),
+        closing: placement.evicting.iter().map(ToString::to_string).collect(),
     }
 }
 
@@ -80,7 +80,8 @@
     /// Tells those that may succeed this instance to which engines orders are on their way, ahead
     /// of the orders: whether the answer to one gets lost is known too late for that.
     pub(super) fn tell_doubtful(&mut self, now: Instant) {
-        let doubtful: BTreeSet<UpstreamId> = self.planner.doubtful(now).cloned().collect();
+        let doubtful: BTreeSet<UpstreamId> =
+            self.planner.unconfirmed_engines(now).cloned().collect();
         if doubtful == self.doubtful {
             return;
         }
@@ -124,7 +125,8 @@
         for told in &told.resting {
             let until = now + Duration::from_millis(told.left_ms.min(LONGEST_REST_MS));
             let engine = UpstreamId::from(told.upstream.as_str());
-            self.planner.note_rest(&engine, told.started_at_ms, until);
+            self.planner
+                .record_backoff(&engine, told.started_at_ms, until);
         }
         let mut named = words::join(&self.shared, told);
         named.retain(|id| {
@@ -174,7 +176,7 @@
         let Some(instances) = instances else {
             return;
         };
-        let wanted = dispatch::dispatchers_wanted(instances, self.planner.engines());
+        let wanted = dispatch::dispatchers_wanted(instances, self.planner.engine_count());
         let me = &self.shared.settings.instance;
         let chosen = self.candidates.dispatchers(&self.dispatchers, wanted, me);
         if chosen != self.dispatchers {
@@ -203,7 +205,7 @@
             confirmed_ms: self.relay.answered_ms(self.begun_at),
             doubtful: self
                 .planner
-                .doubtful(now)
+                .unconfirmed_engines(now)
                 .map(ToString::to_string)
                 .collect(),
             ..News::default()
@@ -246,14 +248,14 @@
 
     /// Tells all instances what has changed, the less often the more there are.
     pub(super) fn tell_changes(&mut self, now: Instant) {
-        let awaited = self.planner.take_awaited();
+        let awaited = self.planner.take_awaited_placements();
         self.tell_awaited(awaited);
-        if now < self.tell_at || !self.planner.has_changed() {
+        if now < self.tell_at || !self.planner.has_changed_placements() {
             return;
         }
         let peers = u32::try_from(self.peers.len()).unwrap_or(u32::MAX);
         self.tell_at = now + TELL_PAUSE_PER_PEER * peers;
-        let changed = self.planner.take_changed();
+        let changed = self.planner.take_changed_placements();
         if !changed.is_empty() {
             send_to_all(self.peers.values(), placements(changed));
         }
--- a/crates/serving/src/placement.rs
+++ b/crates/serving/src/placement.rs
@@ -24,8 +24,8 @@
 use crate::upstreams::{ModelRef, ResidentModel, UpstreamEntry};
 use announced::Announced;
 pub use announced::{PlacementDigest, digest};
+pub use ceiling::DEFAULT_LOAD_WINDOW;
 use ceiling::StoreLoads;
-pub use ceiling::USUAL_LOAD_WINDOW;
 use census::Census;
 use crashing_loads::CrashingLoads;
 use demand::Demand;
@@ -60,7 +60,7 @@
     /// Load or unload.
     pub action: OrderAction,
     /// What.
-    pub wish: ModelRef,
+    pub model_ref: ModelRef,
     /// The count of orders that it must have taken.
     pub expected_orders: u64,
     /// The start of the engine for which it was decided.
@@ -69,7 +69,7 @@
 
 /// Requests for a model that run on an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ModelRuns {
+pub struct RunningRequests {
     /// The engine.
     pub engine: UpstreamId,
     /// The model.
@@ -100,7 +100,7 @@
     /// Models and adapters that stand there.
     pub models: Vec<ResidentModel>,
     /// Models that are about to go.
-    pub closing: Vec<ModelName>,
+    pub evicting: Vec<ModelName>,
 }
 
 /// The decisions over all engines.
@@ -127,7 +127,7 @@
     crashing_loads: CrashingLoads,
     questions: Questions,
     /// Halls that operators have emptied.
-    emptied: BTreeSet<DataHall>,
+    evacuated_halls: BTreeSet<DataHall>,
     /// Engines that want nothing from this instance, and until when.
     resting: BTreeMap<UpstreamId, Instant>,
     /// When engines may be asked for their state in this term: what a holder before ordered
@@ -154,7 +154,7 @@
             ended_loading: Vec::new(),
             crashing_loads: CrashingLoads::default(),
             questions: Questions::default(),
-            emptied: BTreeSet::new(),
+            evacuated_halls: BTreeSet::new(),
             resting: BTreeMap::new(),
             reports_from: None,
             listening_until: None,
@@ -194,7 +194,7 @@
             engine.forget_orders(doubtful.contains(id));
         }
         for entry in entries {
-            self.heard(entry, now);
+            self.update_engine(entry, now);
         }
         // Instances compare what they know with this when they connect.
         self.changed.clear();
@@ -203,12 +203,12 @@
     }
 
     /// An engine has said something of itself.
-    pub fn heard(&mut self, entry: UpstreamEntry, now: Instant) {
+    pub fn update_engine(&mut self, entry: UpstreamEntry, now: Instant) {
         if !self.pools.contains_key(&entry.service) {
             return;
         }
         let id = entry.id.clone();
-        let is_emptied = self.emptied.contains(&entry.hall);
+        let is_emptied = self.evacuated_halls.contains(&entry.hall);
         if let Some(engine) = self.engines.get_mut(&id) {
             engine.set_emptied(is_emptied);
             if entry.started_at_ms > engine.entry.started_at_ms {
@@ -226,13 +226,13 @@
     }
 
     /// Engines to which an order has no answer and may be carried out yet, for a successor.
-    pub fn doubtful(&self, now: Instant) -> impl Iterator<Item = &UpstreamId> {
+    pub fn unconfirmed_engines(&self, now: Instant) -> impl Iterator<Item = &UpstreamId> {
         let doubtful = self.engines.iter().filter(move |(_, e)| e.is_doubtful(now));
         doubtful.map(|(id, _)| id)
     }
 
     /// How many engines there are.
-    pub fn engines(&self) -> usize {
+    pub fn engine_count(&self) -> usize {
         self.engines.len()
     }
 
@@ -246,12 +246,18 @@
     }
 
     /// So many requests of an instance wait for a model or adapter now.
-    pub fn waiting(&mut self, waiters: Waiters, now: Instant) {
+    pub fn set_waiters(&mut self, waiters: Waiters, now: Instant) {
         self.demand.set_waiters(waiters, now);
     }
 
     /// An instance took so many requests for a model or adapter.
-    pub fn taken(&mut self, service: &ServiceName, model_ref: &ModelRef, count: u32, now: Instant) {
+    pub fn record_arrivals(
+        &mut self,
+        service: &ServiceName,
+        model_ref: &ModelRef,
+        count: u32,
+        now: Instant,
+    ) {
         self.demand.record_arrivals(service, model_ref, count, now);
         if model_ref.adapter.is_none() {
             return;
@@ -262,7 +268,7 @@
     }
 
     /// What runs of an instance's requests.
-    pub fn running(&mut self, instance: &InstanceId, runs: &[ModelRuns]) {
+    pub fn set_running(&mut self, instance: &InstanceId, runs: &[RunningRequests]) {
         let mut by_engine: BTreeMap<&UpstreamId, Vec<(ModelName, u32)>> = BTreeMap::new();
         for run in runs {
             let here = by_engine.entry(&run.engine).or_default();
@@ -286,20 +292,20 @@
     }
 
     /// An instance is gone, and what it ran with it.
-    pub fn instance_gone(&mut self, instance: &InstanceId) {
-        self.demand.instance_gone(instance);
-        self.running(instance, &[]);
+    pub fn remove_instance(&mut self, instance: &InstanceId) {
+        self.demand.remove_instance(instance);
+        self.set_running(instance, &[]);
         self.runs_on.remove(instance);
     }
 
     /// An order was answered.
-    pub fn answered(&mut self, order: &PlannedOrder, answer: OrderAnswer, now: Instant) {
+    pub fn record_answer(&mut self, order: &PlannedOrder, answer: OrderAnswer, now: Instant) {
         let Some(engine) = self.engines.get_mut(&order.engine) else {
             return;
         };
         let time = match order.action {
             OrderAction::Unload => UNLOAD_TIME,
-            OrderAction::Load => engine.load_time(&self.pools, &order.wish.model),
+            OrderAction::Load => engine.load_time(&self.pools, &order.model_ref.model),
         };
         if let Some(loads) = self.store_loads.get_mut(&engine.entry.service) {
             match answer {
@@ -311,12 +317,12 @@
                 _ => loads.not_begun(&order.engine),
             }
         }
-        engine.answered(order, answer, now + time, now);
+        engine.record_answer(order, answer, now + time, now);
         self.changed.insert(order.engine.clone());
     }
 
     /// An engine told its state; `None` if it did not answer.
-    pub fn reported(&mut self, id: &UpstreamId, report: Option<EngineReport>, now: Instant) {
+    pub fn record_report(&mut self, id: &UpstreamId, report: Option<EngineReport>, now: Instant) {
         if let Some(engine) = self.engines.get_mut(id) {
             let started_at_ms = report.as_ref().map_or(0, |report| report.started_at_ms);
             if started_at_ms > engine.entry.started_at_ms {
@@ -326,7 +332,7 @@
             if let (Some(report), Some(loads)) = (&report, loads) {
                 loads.count_is(id, report.orders_taken, now);
             }
-            engine.reported(report, now);
+            engine.record_report(report, now);
             self.homes.update(engine);
             self.changed.insert(id.clone());
         }
@@ -350,15 +356,15 @@
     }
 
     /// The halls that operators have emptied, as they were told last.
-    pub fn emptied(&self) -> &BTreeSet<DataHall> {
-        &self.emptied
+    pub fn evacuated_halls(&self) -> &BTreeSet<DataHall> {
+        &self.evacuated_halls
     }
 
     /// Operators have emptied these halls and no others: what stands there comes elsewhere.
-    pub fn set_emptied(&mut self, emptied: BTreeSet<DataHall>) {
-        self.emptied = emptied;
+    pub fn set_evacuated_halls(&mut self, emptied: BTreeSet<DataHall>) {
+        self.evacuated_halls = emptied;
         for (id, engine) in &mut self.engines {
-            let is_emptied = self.emptied.contains(&engine.entry.hall);
+            let is_emptied = self.evacuated_halls.contains(&engine.entry.hall);
             if engine.set_emptied(is_emptied) {
                 self.changed.insert(id.clone());
             }
@@ -367,28 +373,28 @@
 
     /// An engine wants nothing from some instance until a moment: what requests wait for there had better come
     /// to another one, and nothing comes to it meanwhile.
-    pub fn note_rest(&mut self, id: &UpstreamId, started_at_ms: u64, until: Instant) {
+    pub fn record_backoff(&mut self, id: &UpstreamId, started_at_ms: u64, until: Instant) {
         if let Some(engine) = self.engines.get_mut(id)
             && engine.entry.started_at_ms == started_at_ms
         {
-            engine.note_rest(until);
+            engine.record_backoff(until);
         }
     }
 
     /// These engines want nothing from this instance until the moments given: they are neither ordered nor
     /// asked before.
-    pub fn set_resting(&mut self, resting: BTreeMap<UpstreamId, Instant>) {
+    pub fn set_backing_off(&mut self, resting: BTreeMap<UpstreamId, Instant>) {
         self.resting = resting;
     }
 
     /// Whether placements have changed since they were taken last.
-    pub fn has_changed(&self) -> bool {
+    pub fn has_changed_placements(&self) -> bool {
         !self.changed.is_empty()
     }
 
     /// Placements of engines to which something has come that requests wait for, and the
     /// instances that wait: they are told at once, and all others with the next batch.
-    pub fn take_awaited(&mut self) -> Vec<(Placement, BTreeSet<InstanceId>)> {
+    pub fn take_awaited_placements(&mut self) -> Vec<(Placement, BTreeSet<InstanceId>)> {
         let mut awaited = Vec::new();
         for id in &self.changed {
             let Some(engine) = self.engines.get_mut(id) else {
@@ -409,7 +415,7 @@
     }
 
     /// Placements that have changed since the last call.
-    pub fn take_changed(&mut self) -> Vec<Placement> {
+    pub fn take_changed_placements(&mut self) -> Vec<Placement> {
         let changed = std::mem::take(&mut self.changed);
         let engines = changed.iter().filter_map(|id| self.engines.get(id));
         let mut placements: Vec<Placement> = engines.map(Engine::placement).collect();
@@ -418,7 +424,7 @@
     }
 
     /// The placements that an instance lacks which knows those with some digests.
-    pub fn placements_unlike(&self, known: &BTreeSet<PlacementDigest>) -> Vec<Placement> {
+    pub fn placements_differing_from(&self, known: &BTreeSet<PlacementDigest>) -> Vec<Placement> {
         let told = self.announced.unlike(known);
         // What has changed since all were told is looked at itself.
         let told = told.filter(|id| !self.changed.contains(*id));
@@ -504,7 +510,7 @@
             if self.resting.contains_key(id) {
                 continue;
             }
-            let before = engine.closing.len();
+            let before = engine.evicting.len();
             let may_fetch = loads.has_room(pool, now);
             // What it says of itself tells where requests can go; only orders need its own report.
             if engine.awaits_first_question() && !self.questions.take() {
@@ -518,7 +524,7 @@
                 }
                 actions.push(action);
             }
-            if engine.closing.len() != before {
+            if engine.evicting.len() != before {
                 self.changed.insert(id.clone());
             }
         }
@@ -536,7 +542,7 @@
     }
 
     /// When to decide again if nothing is heard.
-    pub fn next_look_at(&self, now: Instant) -> Instant {
+    pub fn next_decision_at(&self, now: Instant) -> Instant {
         let engines = self.engines.iter();
         let open = engines.filter(|(id, _)| !self.resting.contains_key(*id));
         let dues = open.filter_map(|(_, engine)| engine.look_at());
@@ -564,7 +570,7 @@
     /// How much a model is used now.
     fn usage(&self, service: &ServiceName, model: &ModelName) -> Usage {
         Usage {
-            runs: self.census.runs(service, model),
+            running: self.census.runs(service, model),
             waiters: self.demand.waiters(service, model),
             slots: self.pools.get(service).map_or(1, |pool| pool.slots),
         }
@@ -576,7 +582,7 @@
         let replicas = self.replicas(service, model) + self.coming(service, model);
         let usage = self.usage(service, model);
         let slots = u64::from(usage.slots) * u64::try_from(replicas).unwrap_or(u64::MAX);
-        replicas > 0 && u64::from(usage.runs) + u64::from(usage.waiters) >= slots
+        replicas > 0 && u64::from(usage.running) + u64::from(usage.waiters) >= slots
     }
 
     /// Engines on which a model stands and stays.
--- a/crates/serving/src/placement/announced.rs
+++ b/crates/serving/src/placement/announced.rs
@@ -38,7 +38,7 @@
 impl Placement {
     /// The digest of this placement.
     pub fn digest(&self) -> PlacementDigest {
-        digest(&self.engine, &self.models, &self.closing)
+        digest(&self.engine, &self.models, &self.evicting)
     }
 }
 
--- a/crates/serving/src/placement/ceiling.rs
+++ b/crates/serving/src/placement/ceiling.rs
@@ -10,7 +10,7 @@
 
 /// The span over which loads are counted, unless the settings name another (the users'
 /// sheets all have this one).
-pub const USUAL_LOAD_WINDOW: Duration = Duration::from_secs(5);
+pub const DEFAULT_LOAD_WINDOW: Duration = Duration::from_secs(5);
 /// Loads from the weight store at one time that still run at full speed (users' pages).
 pub(super) const STORE_LOADS_AT_ONCE: usize = 4;
 /// An order without an answer may be carried out so much later (users' bench: up to 12 s).
--- a/crates/serving/src/placement/demand.rs
+++ b/crates/serving/src/placement/demand.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Usage {
     /// Requests that run, over all engines.
-    pub runs: u32,
+    pub running: u32,
     /// Requests that wait since no engine takes them.
     pub waiters: u32,
     /// Requests that an engine runs at one time.
@@ -38,11 +38,11 @@
     /// The service.
     pub service: ServiceName,
     /// What they need.
-    pub wish: ModelRef,
+    pub model_ref: ModelRef,
     /// How many there are; 0 if none waits any more.
     pub count: u32,
     /// When the last of them gives up.
-    pub until: Instant,
+    pub latest_deadline: Instant,
 }
 
 /// A number as a floating point one; times and counts here are far below 2^52.
@@ -101,9 +101,9 @@
         let Waiters {
             instance,
             service,
-            wish: model_ref,
+            model_ref,
             count,
-            until,
+            latest_deadline,
         } = waiters;
         let key = (service, model_ref);
         if count == 0 && !self.waiting.contains_key(&key) {
@@ -120,7 +120,9 @@
         let before = if count == 0 {
             waiting.by_instance.remove(&instance)
         } else {
-            waiting.by_instance.insert(instance, (count, until))
+            waiting
+                .by_instance
+                .insert(instance, (count, latest_deadline))
         };
         if waiting.by_instance.is_empty() {
             self.waiting.remove(&key);
@@ -134,7 +136,7 @@
     }
 
     /// An instance is gone, and what waited there.
-    pub(super) fn instance_gone(&mut self, instance: &InstanceId) {
+    pub(super) fn remove_instance(&mut self, instance: &InstanceId) {
         self.retain(|named, _| named != instance);
     }
 
--- a/crates/serving/src/placement/engine.rs
+++ b/crates/serving/src/placement/engine.rs
@@ -66,7 +66,7 @@
     /// Orders that it has taken at least: a report with fewer is older than that.
     least_orders: u64,
     /// Models that are to make room, in the order in which they go.
-    pub(super) closing: Vec<ModelName>,
+    pub(super) evicting: Vec<ModelName>,
     /// The model that comes when there is room.
     coming: Option<ModelName>,
     /// Whether that comes from the weight store.
@@ -113,7 +113,7 @@
             unresolved: Vec::new(),
             inherited: Inherited::Nothing,
             least_orders: 0,
-            closing: Vec::new(),
+            evicting: Vec::new(),
             coming: None,
             fetches: false,
             adapters_wanted: Vec::new(),
@@ -167,7 +167,7 @@
             true if self.entry.beat <= RECENT_BEATS => Inherited::AtAnyCount,
             true => Inherited::AtThisCount,
         };
-        self.closing.clear();
+        self.evicting.clear();
         self.coming = None;
         self.adapters_wanted.clear();
         self.orders_taken = None;
@@ -210,7 +210,7 @@
         Placement {
             engine: self.entry.id.clone(),
             models: self.models.clone(),
-            closing: self.closing.clone(),
+            evicting: self.evicting.clone(),
         }
     }
 
@@ -223,7 +223,7 @@
         self.entry.service == *service
             && !self.is_going()
             && !self.is_unreachable()
-            && !self.closing.contains(model)
+            && !self.evicting.contains(model)
             && self.resident(model).is_some()
     }
 
@@ -322,8 +322,8 @@
 
     /// Whether an order loads a model from the weight store.
     pub(super) fn is_store_load(&self, order: &PlannedOrder) -> bool {
-        let is_load = order.action == OrderAction::Load && order.wish.adapter.is_none();
-        is_load && self.tier(&order.wish.model) == Tier::Store
+        let is_load = order.action == OrderAction::Load && order.model_ref.adapter.is_none();
+        is_load && self.tier(&order.model_ref.model) == Tier::Store
     }
 
     pub(super) fn size_mb(&self, pool: &EnginePool, model: &ModelName) -> f64 {
@@ -340,7 +340,7 @@
     }
 
     /// It wants nothing from some instance until a moment.
-    pub(super) fn note_rest(&mut self, until: Instant) {
+    pub(super) fn record_backoff(&mut self, until: Instant) {
         self.rests_until = self.rests_until.max(Some(until));
     }
 
@@ -377,7 +377,7 @@
     }
 
     pub(super) fn swap(&mut self, model: ModelName, victims: Vec<ModelName>) {
-        self.closing = victims;
+        self.evicting = victims;
         self.fetches = self.tier(&model) == Tier::Store;
         self.coming = Some(model);
     }
@@ -397,7 +397,7 @@
     /// Models that stand here and stay.
     pub(super) fn staying(&self) -> impl Iterator<Item = &ModelName> {
         let is_usable = !self.is_going() && !self.is_unreachable();
-        let stays = move |name: &&ModelName| is_usable && !self.closing.contains(name);
+        let stays = move |name: &&ModelName| is_usable && !self.evicting.contains(name);
         self.models.iter().map(|model| &model.name).filter(stays)
     }
 
@@ -469,12 +469,12 @@
             return;
         };
         let order = under_way.order();
-        let model = order.wish.model.clone();
+        let model = order.model_ref.model.clone();
         self.ask_at = None;
         self.loading = None;
         // An answer that is still on its way is not waited for.
         self.asked = false;
-        self.closing.retain(|closing| *closing != model);
+        self.evicting.retain(|closing| *closing != model);
         self.models.retain(|m| m.name != model);
         if order.action == OrderAction::Load {
             self.models.push(ResidentModel {
@@ -485,7 +485,7 @@
             self.loaded_at
                 .retain(|loaded, _| models.iter().any(|m| m.name == *loaded));
             self.loaded_at.insert(model.clone(), now);
-            self.just_came.push(order.wish.clone());
+            self.just_came.push(order.model_ref.clone());
             if self.coming.as_ref() == Some(&model) {
                 self.coming = None;
             }
@@ -507,22 +507,25 @@
     fn abandon(&mut self) {
         self.under_way = None;
         self.coming = None;
-        self.closing.clear();
+        self.evicting.clear();
         self.orders_taken = None;
     }
 
     fn adapter_done(&mut self, order: &PlannedOrder, now: Instant) {
         let mut loaded_at = std::mem::take(&mut self.adapter_loaded_at);
-        loaded_at.retain(|loaded, _| self.has_adapter(loaded) && *loaded != order.wish);
+        loaded_at.retain(|loaded, _| self.has_adapter(loaded) && *loaded != order.model_ref);
         if order.action == OrderAction::Load {
-            loaded_at.insert(order.wish.clone(), now);
-            self.just_came.push(order.wish.clone());
+            loaded_at.insert(order.model_ref.clone(), now);
+            self.just_came.push(order.model_ref.clone());
         }
         self.adapter_loaded_at = loaded_at;
         self.adapters_wanted
-            .retain(|model_ref| *model_ref != order.wish);
-        let model = self.models.iter_mut().find(|m| m.name == order.wish.model);
-        let (Some(model), Some(adapter)) = (model, &order.wish.adapter) else {
+            .retain(|model_ref| *model_ref != order.model_ref);
+        let model = self
+            .models
+            .iter_mut()
+            .find(|m| m.name == order.model_ref.model);
+        let (Some(model), Some(adapter)) = (model, &order.model_ref.adapter) else {
             return;
         };
         model.adapters.retain(|name| name != adapter);
--- a/crates/serving/src/placement/engine/orders.rs
+++ b/crates/serving/src/placement/engine/orders.rs
@@ -17,14 +17,14 @@
 const ADAPTER_TIME: Duration = Duration::from_millis(12);
 
 impl Engine {
-    pub(in crate::placement) fn answered(
+    pub(in crate::placement) fn record_answer(
         &mut self,
         order: &PlannedOrder,
         answer: OrderAnswer,
         due_at: Instant,
         now: Instant,
     ) {
-        if order.wish.adapter.is_some() {
+        if order.model_ref.adapter.is_some() {
             self.adapter_answered(order, answer, now);
             return;
         }
@@ -36,7 +36,7 @@
             OrderAnswer::Taken => {
                 self.count_taken();
                 if order.action == OrderAction::Load {
-                    self.loading = Some(order.wish.model.clone());
+                    self.loading = Some(order.model_ref.model.clone());
                 }
                 self.under_way = Some(UnderWay::Taken {
                     order: order.clone(),
@@ -113,7 +113,7 @@
             OrderAnswer::OtherIncarnation => self.ended(),
             OrderAnswer::Refused => {
                 self.adapters_wanted
-                    .retain(|model_ref| *model_ref != order.wish);
+                    .retain(|model_ref| *model_ref != order.model_ref);
             }
             OrderAnswer::NotSent => {
                 self.orders_taken = None;
@@ -133,7 +133,7 @@
             engine: self.entry.id.clone(),
             address: self.entry.address,
             action,
-            wish: model_ref,
+            model_ref: model_ref,
             expected_orders,
             started_at_ms: self.entry.started_at_ms,
         }
@@ -205,7 +205,7 @@
         let coming = self.coming.clone()?;
         if self.is_going() {
             self.coming = None;
-            self.closing.clear();
+            self.evicting.clear();
             return None;
         }
         let whole = |model| ModelRef {
@@ -215,10 +215,10 @@
         let wish = whole(coming);
         if self.free_mb_beside(pool, Some(&wish)) >= self.size_mb(pool, &wish.model) {
             // A model that still stands although it was to go may be used again.
-            self.closing.clear();
+            self.evicting.clear();
             return Some(self.order(OrderAction::Load, wish, expected));
         }
-        let Some(victim) = self.closing.first().cloned() else {
+        let Some(victim) = self.evicting.first().cloned() else {
             self.coming = None;
             return None;
         };
@@ -232,7 +232,7 @@
         now: Instant,
     ) -> Option<PlannedOrder> {
         let models = &self.models;
-        let closing = &self.closing;
+        let closing = &self.evicting;
         self.adapters_wanted.retain(|model_ref| {
             let model = models.iter().find(|m| m.name == model_ref.model);
             let stands =
--- a/crates/serving/src/placement/engine/reports.rs
+++ b/crates/serving/src/placement/engine/reports.rs
@@ -15,7 +15,7 @@
 
 /// Whether a model order has taken effect on an engine with these models.
 fn has_taken_effect(order: &PlannedOrder, models: &[ResidentModel]) -> bool {
-    let stands = models.iter().any(|m| m.name == order.wish.model);
+    let stands = models.iter().any(|m| m.name == order.model_ref.model);
     stands == (order.action == OrderAction::Load)
 }
 
@@ -64,15 +64,22 @@
 
     /// Whether the entry shows the models that stand here after an order and nothing else.
     fn is_effect_of(&self, order: &PlannedOrder) -> bool {
-        let others = self.models.iter().filter(|m| m.name != order.wish.model);
-        let ordered = (order.action == OrderAction::Load).then_some(&order.wish.model);
+        let others = self
+            .models
+            .iter()
+            .filter(|m| m.name != order.model_ref.model);
+        let ordered = (order.action == OrderAction::Load).then_some(&order.model_ref.model);
         let after: BTreeSet<&ModelName> = others.map(|m| &m.name).chain(ordered).collect();
         let shown = self.entry.models.iter().map(|m| &m.name);
         after == shown.collect()
     }
 
     /// The engine told its state, which is some hundred milliseconds old.
-    pub(in crate::placement) fn reported(&mut self, report: Option<EngineReport>, now: Instant) {
+    pub(in crate::placement) fn record_report(
+        &mut self,
+        report: Option<EngineReport>,
+        now: Instant,
+    ) {
         self.asked = false;
         let Some(report) = report else {
             self.unanswered += 1;
@@ -132,11 +139,11 @@
         let coming = self.coming.clone();
         if coming.is_some_and(|model| self.resident(&model).is_some()) {
             self.coming = None;
-            self.closing.clear();
+            self.evicting.clear();
         }
         let models = &self.models;
         let stands = |model: &ModelName| models.iter().any(|m| m.name == *model);
-        self.closing.retain(stands);
+        self.evicting.retain(stands);
         self.shown.has(&self.models, &self.entry.models);
     }
 }
--- a/crates/serving/src/placement/engine/room.rs
+++ b/crates/serving/src/placement/engine/room.rs
@@ -21,7 +21,7 @@
         let coming = loading.into_iter().chain(self.pending_orders());
         let coming: BTreeSet<&ModelRef> = coming
             .filter(|order| order.action == OrderAction::Load)
-            .map(|order| &order.wish)
+            .map(|order| &order.model_ref)
             .chain(&self.adapters_coming)
             .filter(|wish| Some(*wish) != ordered && !self.stands(wish))
             .collect();
@@ -83,7 +83,7 @@
         let standing = self.standing_adapters();
         let pending = self.pending_orders();
         let pending = pending.filter(|order| order.action == OrderAction::Load);
-        let pending = pending.map(|order| &order.wish);
+        let pending = pending.map(|order| &order.model_ref);
         let coming = self.adapters_coming.iter().chain(pending);
         let coming: BTreeSet<&ModelRef> = coming
             .filter(|wish| wish.adapter.is_some() && *wish != ordered && !self.stands(wish))
--- a/crates/serving/src/placement/loading.rs
+++ b/crates/serving/src/placement/loading.rs
@@ -107,12 +107,12 @@
             return false;
         };
         let fetch_time = Duration::from_millis(spec.load_ms);
-        now >= since + self.policy.home_patience(fetch_time)
+        now >= since + self.policy.max_wait_for_cached(fetch_time)
     }
 
     /// Fetches models that lie nowhere, while the weight store has nothing else to do.
     pub(super) fn prefetch(&mut self, now: Instant) {
-        let mut most = self.policy.prefetches();
+        let mut most = self.policy.max_prefetches();
         if most > 0 && self.demand.is_quiet(now) {
             // Nobody misses an engine that loads, unless traffic comes within its six
             // seconds: a small fleet would begin without half of its engines.
--- a/crates/serving/src/placement/policy.rs
+++ b/crates/serving/src/placement/policy.rs
@@ -25,17 +25,17 @@
 
 /// What counts in the worth of a place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Weights {
+pub struct WaitScoring {
     /// Each waiting request, not just that some wait.
-    pub counts: bool,
+    pub should_count_requests: bool,
     /// How long requests have waited.
-    pub ageing: bool,
+    pub should_count_wait_time: bool,
 }
 
-impl Weights {
+impl WaitScoring {
     const ALL: Self = Self {
-        counts: true,
-        ageing: true,
+        should_count_requests: true,
+        should_count_wait_time: true,
     };
 }
 
@@ -45,14 +45,14 @@
     fn replicas(&self, rate_s: f64, usage: Usage) -> usize;
 
     /// What counts in the worth of a place.
-    fn weights(&self) -> Weights;
+    fn wait_scoring(&self) -> WaitScoring;
 
     /// Loads from the weight store that may run at one time although nobody waits for them.
-    fn prefetches(&self) -> usize;
+    fn max_prefetches(&self) -> usize;
 
     /// How long a request waits for an engine that has its model near, before another
     /// engine fetches it from the weight store, which takes `fetch_time`.
-    fn home_patience(&self, fetch_time: Duration) -> Duration;
+    fn max_wait_for_cached(&self, fetch_time: Duration) -> Duration;
 }
 
 /// The policies by name.
@@ -109,12 +109,12 @@
     }
 
     /// The policy.
-    pub fn policy(self) -> Box<dyn PlacementPolicy> {
+    pub fn build(self) -> Box<dyn PlacementPolicy> {
         let balanced = Parts {
             replicas: Replicas::ByDemand,
             prefetches: PREFETCHES_AT_ONCE,
             homes: Homes::Wait,
-            weights: Weights::ALL,
+            weights: WaitScoring::ALL,
         };
         Box::new(match self {
             Self::Balanced => balanced,
@@ -145,9 +145,9 @@
                 ..balanced
             },
             Self::NoCounts | Self::NoAgeing => Parts {
-                weights: Weights {
-                    counts: self != Self::NoCounts,
-                    ageing: self != Self::NoAgeing,
+                weights: WaitScoring {
+                    should_count_requests: self != Self::NoCounts,
+                    should_count_wait_time: self != Self::NoAgeing,
                 },
                 ..balanced
             },
@@ -195,7 +195,7 @@
     replicas: Replicas,
     prefetches: usize,
     homes: Homes,
-    weights: Weights,
+    weights: WaitScoring,
 }
 
 impl PlacementPolicy for Parts {
@@ -207,18 +207,18 @@
         }
     }
 
-    fn weights(&self) -> Weights {
+    fn wait_scoring(&self) -> WaitScoring {
         self.weights
     }
 
-    fn prefetches(&self) -> usize {
+    fn max_prefetches(&self) -> usize {
         self.prefetches
     }
 
     /// As long as the fetch takes, during which its engine loads nothing else: with 1.5 s,
     /// four of nine engines fetched for one request each while homes had a queue, and the
     /// queues grew: 358 of 498 requests for rare models were in time where it is 462.
-    fn home_patience(&self, fetch_time: Duration) -> Duration {
+    fn max_wait_for_cached(&self, fetch_time: Duration) -> Duration {
         match self.homes {
             Homes::Wait => HOME_PATIENCE.max(fetch_time),
             Homes::WaitShort => HOME_PATIENCE,
@@ -244,7 +244,7 @@
     if rate_s < SPARE_RATE_S {
         return 1;
     }
-    let runs = f64::from(usage.runs + usage.waiters);
+    let runs = f64::from(usage.running + usage.waiters);
     at_least(runs / (f64::from(usage.slots.max(1)) * SLOTS_PART)).max(2)
 }
 
--- a/crates/serving/src/placement/worth.rs
+++ b/crates/serving/src/placement/worth.rs
@@ -88,11 +88,19 @@
             since: None,
         };
         if replicas == 0 {
-            let weights = self.policy.weights();
+            let weights = self.policy.wait_scoring();
             let counts = waiting.iter().map(|waiting| {
-                let count = if weights.counts { waiting.count() } else { 1 };
+                let count = if weights.should_count_requests {
+                    waiting.count()
+                } else {
+                    1
+                };
                 let age = now.saturating_duration_since(waiting.since);
-                let ageing = if weights.ageing { 1.0 / AGEING_S } else { 0.0 };
+                let ageing = if weights.should_count_wait_time {
+                    1.0 / AGEING_S
+                } else {
+                    0.0
+                };
                 f64::from(count) + age.as_secs_f64() * ageing
             });
             let waiters: f64 = counts.sum();
--- a/crates/standins/src/bin/passway-config-memory.rs
+++ b/crates/standins/src/bin/passway-config-memory.rs
@@ -10,7 +10,7 @@
 use passway_instance::relay::CONFIGURATION;
 use passway_process::outbox::Outbox;
 use passway_serving::placement::policy::PolicyName;
-use passway_serving::placement::{Planner, USUAL_LOAD_WINDOW};
+use passway_serving::placement::{DEFAULT_LOAD_WINDOW, Planner};
 use passway_serving::ports::{Directory, StoreChange, StoredValue};
 use passway_serving::routes::{CallerLimits, EnginePool, ModelSpec, RouteTable, Service};
 use passway_serving::upstreams::{ModelRef, UpstreamEntry, UpstreamTable};
@@ -253,10 +253,10 @@
     drop(upstreams);
     let table = models_table();
     let case = Case::begin();
-    let mut planner = Planner::new(USUAL_LOAD_WINDOW, PolicyName::default().policy());
+    let mut planner = Planner::new(DEFAULT_LOAD_WINDOW, PolicyName::default().build());
     planner.set_table(&table);
     for number in 0..servers {
-        planner.heard(server(number)?, now);
+        planner.update_engine(server(number)?, now);
     }
     case.print(&format!("planner, {servers} servers"));
     for number in 0..adapters {
@@ -264,7 +264,7 @@
             model: format!("model-{}", number % MODELS).into(),
             adapter: Some(format!("adapter-{number}").into()),
         };
-        planner.taken(&ENGINES.into(), &wish, 1, now);
+        planner.record_arrivals(&ENGINES.into(), &wish, 1, now);
     }
     case.print(&format!("planner, {servers} servers, {adapters} adapters"));
     Ok(())
--- a/crates/standins/src/fleet_model/engine.rs
+++ b/crates/standins/src/fleet_model/engine.rs
@@ -145,7 +145,7 @@
             return OrderAnswer::Conflict;
         }
         self.orders_taken += 1;
-        let source = self.source(&order.wish.model);
+        let source = self.source(&order.model_ref.model);
         let time_ms = match (order.action, source) {
             (OrderAction::Unload, _) => UNLOAD_MS,
             (OrderAction::Load, Source::Memory) => MEMORY_MS,
@@ -173,7 +173,7 @@
     /// `store_speed` is 1 while the weight store gives full speed.
     pub fn progress(&mut self, step_ms: f64, store_speed: f64) -> Option<PlannedOrder> {
         let busy = self.busy.as_mut()?;
-        let model = busy.order.wish.model.clone();
+        let model = busy.order.model_ref.model.clone();
         let is_load = busy.order.action == OrderAction::Load;
         let speed = if is_load && busy.source == Source::Store {
             store_speed
--- a/crates/standins/src/fleet_model/requests.rs
+++ b/crates/standins/src/fleet_model/requests.rs
@@ -114,7 +114,8 @@
         self.waiting.entry(model).or_default().push_back(waiting);
         let now = self.now();
         let wish = wish(FleetSize::model(model));
-        self.planner.taken(&FleetSize::service(), &wish, 1, now);
+        self.planner
+            .record_arrivals(&FleetSize::service(), &wish, 1, now);
     }
 
     /// Requests that have waited too long are refused.
@@ -156,11 +157,11 @@
             let waiters = Waiters {
                 instance: "all".into(),
                 service: FleetSize::service(),
-                wish: wish(FleetSize::model(number)),
+                model_ref: wish(FleetSize::model(number)),
                 count,
-                until,
+                latest_deadline: until,
             };
-            self.planner.waiting(waiters, now);
+            self.planner.set_waiters(waiters, now);
         }
     }
 }
--- a/crates/standins/src/fleet_model/run.rs
+++ b/crates/standins/src/fleet_model/run.rs
@@ -7,7 +7,7 @@
 use super::start::{Disks, first_engines};
 use passway_serving::placement::policy::PolicyName;
 use passway_serving::placement::{
-    Action, ModelRuns, Placement, PlannedOrder, Planner, USUAL_LOAD_WINDOW,
+    Action, DEFAULT_LOAD_WINDOW, Placement, PlannedOrder, Planner, RunningRequests,
 };
 use passway_serving::ports::OrderAction;
 use passway_types::prelude::*;
@@ -53,11 +53,11 @@
     /// A run that has not begun.
     pub fn new(size: FleetSize, policy: PolicyName, disks: Disks, seed: u64) -> Self {
         let begun_at = Instant::now();
-        let mut planner = Planner::new(USUAL_LOAD_WINDOW, policy.policy());
+        let mut planner = Planner::new(DEFAULT_LOAD_WINDOW, policy.build());
         planner.set_table(&size.table());
         let mut engines = first_engines(&size, disks);
         for engine in &mut engines {
-            planner.heard(engine.entry(), begun_at);
+            planner.update_engine(engine.entry(), begun_at);
         }
         planner.begin_term(
             std::iter::empty(),
@@ -140,7 +140,7 @@
         let step_ms = duration_ms(STEP_MS);
         for engine in &mut self.engines {
             if engine.progress(step_ms, speed).is_some() {
-                self.planner.heard(engine.entry(), now);
+                self.planner.update_engine(engine.entry(), now);
             }
         }
     }
@@ -150,14 +150,14 @@
         let mut runs = Vec::new();
         for engine in &self.engines {
             for (model, count) in engine.resident.iter().filter(|(_, count)| **count > 0) {
-                runs.push(ModelRuns {
+                runs.push(RunningRequests {
                     engine: engine.id.clone(),
                     model: model.clone(),
                     count: *count,
                 });
             }
         }
-        self.planner.running(&"all".into(), &runs);
+        self.planner.set_running(&"all".into(), &runs);
     }
 
     /// Lets the planner decide, and does what it says.
@@ -167,12 +167,12 @@
             match action {
                 Action::Ask { engine, .. } => {
                     let report = self.engines[self.by_id[&engine]].report();
-                    self.planner.reported(&engine, Some(report), now);
+                    self.planner.record_report(&engine, Some(report), now);
                 }
                 Action::Order(order) => self.order(&order),
             }
         }
-        for placement in self.planner.take_changed() {
+        for placement in self.planner.take_changed_placements() {
             self.placed.insert(placement.engine.clone(), placement);
         }
     }
@@ -183,7 +183,7 @@
         let engine = &mut self.engines[self.by_id[&order.engine]];
         let answer = engine.take(order);
         let source = engine.busy.as_ref().map(|busy| busy.source);
-        self.planner.answered(order, answer, now);
+        self.planner.record_answer(order, answer, now);
         self.outcome.orders += 1;
         if order.action == OrderAction::Load {
             let from_store = source == Some(Source::Store);
@@ -195,7 +195,7 @@
     /// Whether a model stands on an engine and is not about to go.
     pub(super) fn stays(&self, engine: &Engine, model: &ModelName) -> bool {
         let placed = self.placed.get(&engine.id);
-        let closing = placed.is_some_and(|p| p.closing.contains(model));
+        let closing = placed.is_some_and(|p| p.evicting.contains(model));
         engine.resident.contains_key(model) && !closing
     }
 
--- a/crates/standins/src/fleet_model/start.rs
+++ b/crates/standins/src/fleet_model/start.rs
@@ -3,7 +3,7 @@
 use super::engine::Engine;
 use super::size::{FleetSize, PLACES};
 use passway_serving::placement::policy::PolicyName;
-use passway_serving::placement::{Planner, USUAL_LOAD_WINDOW};
+use passway_serving::placement::{DEFAULT_LOAD_WINDOW, Planner};
 use passway_types::prelude::*;
 
 /// What engines' disks hold at the start.
@@ -51,11 +51,11 @@
 
 /// A planner that knows the engines of a size and has asked each for its state.
 pub fn warm_planner(size: &FleetSize, policy: PolicyName, now: Instant) -> Planner {
-    let mut planner = Planner::new(USUAL_LOAD_WINDOW, policy.policy());
+    let mut planner = Planner::new(DEFAULT_LOAD_WINDOW, policy.build());
     planner.set_table(&size.table());
     for engine in &mut first_engines(size, Disks::Filled) {
-        planner.heard(engine.entry(), now);
-        planner.reported(&engine.id, Some(engine.report()), now);
+        planner.update_engine(engine.entry(), now);
+        planner.record_report(&engine.id, Some(engine.report()), now);
     }
     planner
 }
--- a/tests/all/bounded_state.rs
+++ b/tests/all/bounded_state.rs
@@ -2,7 +2,7 @@
 //! adapters and services there have been. What is kept is read from the debug text of the
 //! state: a name that occurs in it is kept.
 
-use crate::planned::{Planned, plain};
+use crate::test_planner::{TestPlanner, base_model};
 use passway_serving::ports::OrderAnswer;
 use passway_serving::retry::{RetryAllowance, RetryBudget};
 use passway_serving::upstreams::{ModelRef, Outcome, UpstreamEntry, UpstreamTable};
@@ -22,28 +22,28 @@
     UpstreamEntry {
         address: ([127, 0, 0, 1], 9).into(),
         slots: 16,
-        ..crate::planned::entry("i-0", 1, &[])
+        ..crate::test_planner::entry("i-0", 1, &[])
     }
 }
 
 #[test]
 fn invented_models() {
-    let mut planned = Planned::new();
+    let mut planned = TestPlanner::new();
     for number in 0..NAMES {
-        let wish = plain(&format!("invented-{number}"));
+        let wish = base_model(&format!("invented-{number}"));
         planned
             .planner
-            .taken(&"engines".into(), &wish, 1, planned.now);
+            .record_arrivals(&"engines".into(), &wish, 1, planned.now);
     }
     planned.now += Duration::from_mins(1);
-    planned.need("m2");
+    planned.add_waiter("m2");
     planned.planner.decide(planned.now);
     assert_eq!(kept(&planned.planner, "invented-"), 0);
 }
 
 #[test]
 fn adapters_elsewhere() {
-    let mut planned = Planned::new();
+    let mut planned = TestPlanner::new();
     for number in 0..NAMES {
         let wish = ModelRef {
             model: "m0".into(),
@@ -51,7 +51,7 @@
         };
         planned
             .planner
-            .taken(&"engines".into(), &wish, 1, planned.now);
+            .record_arrivals(&"engines".into(), &wish, 1, planned.now);
     }
     // None of them stands on the engine or is wanted there.
     assert_eq!(kept(&planned.planner, "elsewhere-"), 0);
@@ -59,18 +59,18 @@
 
 #[test]
 fn refused_adapters() {
-    let mut planned = Planned::new();
-    planned.orders(OrderAnswer::Taken);
-    planned.report(false, 0, &["m0", "m1"]);
+    let mut planned = TestPlanner::new();
+    planned.orders_within_second(OrderAnswer::Taken);
+    planned.send_report(false, 0, &["m0", "m1"]);
     for number in 0..NAMES {
         let wish = ModelRef {
             model: "m0".into(),
             adapter: Some(format!("refused-{number}").into()),
         };
-        planned.need_wish(wish.clone(), 1);
-        let orders = planned.orders(OrderAnswer::Refused);
+        planned.set_waiters(wish.clone(), 1);
+        let orders = planned.orders_within_second(OrderAnswer::Refused);
         assert!(!orders.is_empty(), "{number}");
-        planned.need_wish(wish, 0);
+        planned.set_waiters(wish, 0);
     }
     let kept = kept(&planned.planner, "refused-");
     assert!(kept < MOST_SPARE, "{kept}");
@@ -82,7 +82,7 @@
     let mut upstreams = UpstreamTable::new("hall0".into());
     upstreams.update(entry(), now);
     for number in 0..NAMES {
-        let wish = plain(&format!("ended-{number}"));
+        let wish = base_model(&format!("ended-{number}"));
         upstreams.started("i-0", Some(&wish), now);
         upstreams.ended("i-0", Some(&wish), Outcome::Answered, now);
     }
--- a/tests/all/closed_halls.rs
+++ b/tests/all/closed_halls.rs
@@ -91,7 +91,7 @@
         address: ([127, 0, 0, 1], 9).into(),
         hall: hall.into(),
         slots: 16,
-        ..crate::planned::entry(id, 1, &[])
+        ..crate::test_planner::entry(id, 1, &[])
     }
 }
 
--- a/tests/all/crashing_loads.rs
+++ b/tests/all/crashing_loads.rs
@@ -4,7 +4,7 @@
 //! wait for the model, and the next engine gets the same order. The same cause as requests that
 //! crash engines: harm that one input does is judged by each case alone.
 
-use crate::planned::Planned;
+use crate::test_planner::TestPlanner;
 use passway_serving::ports::{OrderAction, OrderAnswer};
 use passway_types::prelude::*;
 use std::collections::BTreeSet;
@@ -14,28 +14,28 @@
 const MOST_ENDS: usize = 3;
 
 /// A planner with so many more engines, each with m0, room for one model, and all on its disk.
-fn planned(engines: usize) -> (Planned, BTreeSet<UpstreamId>) {
-    let mut planned = Planned::new();
-    planned.report(false, 0, &["m0", "m1"]);
+fn planned(engines: usize) -> (TestPlanner, BTreeSet<UpstreamId>) {
+    let mut planned = TestPlanner::new();
+    planned.send_report(false, 0, &["m0", "m1"]);
     let ids: Vec<String> = (1..=engines).map(|number| format!("i-{number}")).collect();
     for id in &ids {
-        planned.hear_of(id, 1, &["m0"], &MODELS);
-        planned.reported(id, false, 0, &["m0"], &MODELS);
+        planned.send_entry_of(id, 1, &["m0"], &MODELS);
+        planned.send_report_of(id, false, 0, &["m0"], &MODELS);
     }
     (planned, ids.iter().map(|id| id.as_str().into()).collect())
 }
 
 /// The engines that are ordered to load a model now; the orders are taken.
-fn loading(planned: &mut Planned, model: &str) -> Vec<UpstreamId> {
-    let orders = planned.orders(OrderAnswer::Taken).into_iter();
-    let loads = orders.filter(|o| o.action == OrderAction::Load && &*o.wish.model == model);
+fn loading(planned: &mut TestPlanner, model: &str) -> Vec<UpstreamId> {
+    let orders = planned.orders_within_second(OrderAnswer::Taken).into_iter();
+    let loads = orders.filter(|o| o.action == OrderAction::Load && &*o.model_ref.model == model);
     loads.map(|order| order.engine).collect()
 }
 
 #[test]
 fn ends_three_engines() {
     let (mut planned, mut there) = planned(8);
-    planned.need("m2");
+    planned.add_waiter("m2");
     let mut ended = 0;
     for _ in 0..8 {
         for engine in loading(&mut planned, "m2") {
@@ -46,7 +46,7 @@
     }
     assert_eq!(ended, MOST_ENDS);
     // Others come as before.
-    planned.need("m3");
+    planned.add_waiter("m3");
     assert_eq!(loading(&mut planned, "m3").len(), 1);
 }
 
@@ -54,12 +54,12 @@
 #[test]
 fn leaving_blames_nobody() {
     let (mut planned, mut there) = planned(8);
-    planned.need("m2");
+    planned.add_waiter("m2");
     for _ in 0..5 {
         let engines = loading(&mut planned, "m2");
         assert_eq!(engines.len(), 1);
         for engine in engines {
-            planned.leaves(&engine);
+            planned.send_leaving(&engine);
             there.remove(&engine);
         }
         planned.planner.retain(&there);
--- a/tests/all/fleet_start.rs
+++ b/tests/all/fleet_start.rs
@@ -7,10 +7,10 @@
 //! all placements when it connected and when the term began, 19 kB each time, and the right to
 //! order changed hands five times in 14 s.
 
-use crate::planned::{Planned, entry, resident};
+use crate::test_planner::{TestPlanner, entry, resident};
 use passway_instance::members::{Addresses, Roster, encode};
 use passway_serving::placement::policy::PolicyName;
-use passway_serving::placement::{Placement, Planner, USUAL_LOAD_WINDOW};
+use passway_serving::placement::{DEFAULT_LOAD_WINDOW, Placement, Planner};
 use passway_serving::ports::{Directory, StoredValue};
 use passway_serving::upstreams::{UpstreamEntry, UpstreamTable};
 use passway_types::prelude::*;
@@ -69,7 +69,7 @@
 }
 
 fn planner() -> Planner {
-    let mut planner = Planner::new(USUAL_LOAD_WINDOW, PolicyName::Balanced.policy());
+    let mut planner = Planner::new(DEFAULT_LOAD_WINDOW, PolicyName::Balanced.build());
     let value = StoredValue {
         key: "op/config".into(),
         value: crate::site::configuration(1, &["m0", "m1", "m2"])
@@ -88,26 +88,30 @@
     let entries = || (0..ENGINES).map(|number| engine(number, &["m0", "m1", "m2"]));
     let mut planner = planner();
     planner.begin_term(entries(), &BTreeSet::new(), now);
-    assert_eq!(planner.take_changed(), [], "the term's begin tells nothing");
+    assert_eq!(
+        planner.take_changed_placements(),
+        [],
+        "the term's begin tells nothing"
+    );
     let mut table = UpstreamTable::new("hall0".into());
     for entry in entries() {
         table.update(entry, now);
     }
     let known = |table: &UpstreamTable| table.placement_digests().collect();
-    assert_eq!(planner.placements_unlike(&known(&table)), []);
+    assert_eq!(planner.placements_differing_from(&known(&table)), []);
     // One engine has changed meanwhile, and one is not known there at all.
     let changed = UpstreamEntry {
         beat: 2,
         ..engine(7, &["m2", "m0"])
     };
-    planner.heard(changed.clone(), now);
-    planner.heard(engine(ENGINES, &["m1"]), now);
-    let unlike = planner.placements_unlike(&known(&table));
+    planner.update_engine(changed.clone(), now);
+    planner.update_engine(engine(ENGINES, &["m1"]), now);
+    let unlike = planner.placements_differing_from(&known(&table));
     let engines: Vec<&str> = unlike.iter().map(|p| &*p.engine).collect();
     assert_eq!(engines, [&*format!("i-{ENGINES}"), "i-7"]);
     // All are told what has changed, once, in whatever order an engine names its models.
-    assert_eq!(planner.take_changed().len(), 2);
-    let unlike = planner.placements_unlike(&known(&table));
+    assert_eq!(planner.take_changed_placements().len(), 2);
+    let unlike = planner.placements_differing_from(&known(&table));
     assert_eq!(
         unlike.len(),
         2,
@@ -117,8 +121,8 @@
         beat: 3,
         ..engine(7, &["m0", "m2"])
     };
-    planner.heard(again, now);
-    assert_eq!(planner.take_changed(), [] as [Placement; 0]);
+    planner.update_engine(again, now);
+    assert_eq!(planner.take_changed_placements(), [] as [Placement; 0]);
 }
 
 /// What a holder before was about to evict is part of what an instance knows.
@@ -131,28 +135,28 @@
     table.update(engine(0, &["m0"]), now);
     table.set_placement("i-0", vec![resident("m0")], vec!["m0".into()]);
     let known = table.placement_digests().collect();
-    assert_eq!(planner.placements_unlike(&known).len(), 1);
+    assert_eq!(planner.placements_differing_from(&known).len(), 1);
     table.forget_closing();
     let known = table.placement_digests().collect();
-    assert_eq!(planner.placements_unlike(&known), []);
+    assert_eq!(planner.placements_differing_from(&known), []);
 }
 
 /// Whoever waits for a model is told at once that it has come, and nobody else.
 #[test]
 fn awaited_told_at_once() {
-    let mut planned = Planned::new();
-    planned.orders(passway_serving::ports::OrderAnswer::Taken);
-    planned.report(false, 0, &["m0"]);
-    planned.planner.take_awaited();
-    planned.need("m2");
-    planned.orders(passway_serving::ports::OrderAnswer::Taken);
-    assert_eq!(planned.planner.take_awaited(), []);
-    planned.report(false, 1, &["m0", "m2"]);
-    let awaited = planned.planner.take_awaited();
+    let mut planned = TestPlanner::new();
+    planned.orders_within_second(passway_serving::ports::OrderAnswer::Taken);
+    planned.send_report(false, 0, &["m0"]);
+    planned.planner.take_awaited_placements();
+    planned.add_waiter("m2");
+    planned.orders_within_second(passway_serving::ports::OrderAnswer::Taken);
+    assert_eq!(planned.planner.take_awaited_placements(), []);
+    planned.send_report(false, 1, &["m0", "m2"]);
+    let awaited = planned.planner.take_awaited_placements();
     let told: Vec<_> = awaited
         .iter()
         .map(|(placement, instances)| (&*placement.engine, instances.len()))
         .collect();
     assert_eq!(told, [("i-0", 1)]);
-    assert_eq!(planned.planner.take_awaited(), []);
+    assert_eq!(planned.planner.take_awaited_placements(), []);
 }
--- a/tests/all/limited_engines.rs
+++ b/tests/all/limited_engines.rs
@@ -1,6 +1,6 @@
 //! Engines in need and what is loaded where: what they cannot bear comes to others.
 
-use crate::planned::{Planned, entry, plain};
+use crate::test_planner::{TestPlanner, base_model, entry};
 use passway_serving::placement::PlannedOrder;
 use passway_serving::ports::{EngineReport, OrderAction, OrderAnswer};
 use passway_serving::upstreams::UpstreamEntry;
@@ -15,26 +15,28 @@
     waits_for: &str,
     on_disk: &[&str],
 ) -> Vec<PlannedOrder> {
-    let mut planned = Planned::new();
-    planned.hear_of("i-1", 1, &["m3"], on_disk);
-    planned.orders(OrderAnswer::Taken);
-    planned.report(false, 0, &["m0", "m1"]);
-    planned.reported("i-1", false, 0, &["m3"], on_disk);
+    let mut planned = TestPlanner::new();
+    planned.send_entry_of("i-1", 1, &["m3"], on_disk);
+    planned.orders_within_second(OrderAnswer::Taken);
+    planned.send_report(false, 0, &["m0", "m1"]);
+    planned.send_report_of("i-1", false, 0, &["m3"], on_disk);
     planned.planner.set_limit(&"i-0".into(), limit_per_s);
     for _ in 0..asked * 4 {
         planned.now += Duration::from_millis(1_000 / u64::from(asked));
         let service = "engines".into();
         planned
             .planner
-            .taken(&service, &plain("m0"), 1, planned.now);
+            .record_arrivals(&service, &base_model("m0"), 1, planned.now);
     }
-    planned.need(waits_for);
-    planned.orders(OrderAnswer::Taken)
+    planned.add_waiter(waits_for);
+    planned.orders_within_second(OrderAnswer::Taken)
 }
 
 fn loads(orders: &[PlannedOrder], engine: &str, model: &str) -> bool {
     orders.iter().any(|order| {
-        order.action == OrderAction::Load && *order.engine == *engine && *order.wish.model == *model
+        order.action == OrderAction::Load
+            && *order.engine == *engine
+            && *order.model_ref.model == *model
     })
 }
 
@@ -64,26 +66,30 @@
 
 #[test]
 fn need_ends() {
-    let mut planned = Planned::new();
+    let mut planned = TestPlanner::new();
     planned.planner.set_limit(&"i-0".into(), Some(1.0));
     planned.planner.set_limit(&"i-0".into(), None);
-    planned.orders(OrderAnswer::Taken);
-    planned.report(false, 0, &["m0"]);
-    planned.need("m2");
-    assert!(loads(&planned.orders(OrderAnswer::Taken), "i-0", "m2"));
+    planned.orders_within_second(OrderAnswer::Taken);
+    planned.send_report(false, 0, &["m0"]);
+    planned.add_waiter("m2");
+    assert!(loads(
+        &planned.orders_within_second(OrderAnswer::Taken),
+        "i-0",
+        "m2"
+    ));
 }
 
 /// What was said by another start of an engine counts no more.
 #[test]
 fn restart_ends_need() {
-    let mut planned = Planned::new();
+    let mut planned = TestPlanner::new();
     planned.planner.set_limit(&"i-0".into(), Some(1.0));
     let restarted = UpstreamEntry {
         started_at_ms: 5,
         ..entry("i-0", 1, &[])
     };
-    planned.planner.heard(restarted, planned.now);
-    planned.orders(OrderAnswer::Taken);
+    planned.planner.update_engine(restarted, planned.now);
+    planned.orders_within_second(OrderAnswer::Taken);
     let report = EngineReport {
         models: Vec::new(),
         busy: false,
@@ -94,37 +100,55 @@
         started_at_ms: 5,
     };
     let engine = UpstreamId::from("i-0");
-    planned.planner.reported(&engine, Some(report), planned.now);
-    planned.need("m3");
-    assert!(loads(&planned.orders(OrderAnswer::Taken), "i-0", "m3"));
+    planned
+        .planner
+        .record_report(&engine, Some(report), planned.now);
+    planned.add_waiter("m3");
+    assert!(loads(
+        &planned.orders_within_second(OrderAnswer::Taken),
+        "i-0",
+        "m3"
+    ));
 }
 
 /// Requests wait for a model that stands only on an engine that wants nothing from their instance.
 #[test]
 fn missed_at_rest_comes_to_another() {
-    let mut planned = Planned::new();
-    planned.hear_of("i-1", 1, &["m3"], &["m3", "m0"]);
-    planned.orders(OrderAnswer::Taken);
-    planned.report(false, 0, &["m0", "m1"]);
-    planned.reported("i-1", false, 0, &["m3"], &["m3", "m0"]);
-    planned.need("m0");
-    assert!(!loads(&planned.orders(OrderAnswer::Taken), "i-1", "m0"));
+    let mut planned = TestPlanner::new();
+    planned.send_entry_of("i-1", 1, &["m3"], &["m3", "m0"]);
+    planned.orders_within_second(OrderAnswer::Taken);
+    planned.send_report(false, 0, &["m0", "m1"]);
+    planned.send_report_of("i-1", false, 0, &["m3"], &["m3", "m0"]);
+    planned.add_waiter("m0");
+    assert!(!loads(
+        &planned.orders_within_second(OrderAnswer::Taken),
+        "i-1",
+        "m0"
+    ));
     let until = planned.now + Duration::from_secs(3);
-    planned.planner.note_rest(&"i-0".into(), 0, until);
-    assert!(loads(&planned.orders(OrderAnswer::Taken), "i-1", "m0"));
+    planned.planner.record_backoff(&"i-0".into(), 0, until);
+    assert!(loads(
+        &planned.orders_within_second(OrderAnswer::Taken),
+        "i-1",
+        "m0"
+    ));
 }
 
 /// Nothing is ordered from an engine, or asked, that wants nothing from the holder.
 #[test]
 fn no_orders_at_rest() {
-    let mut planned = Planned::new();
-    planned.orders(OrderAnswer::Taken);
-    planned.report(false, 0, &["m0"]);
+    let mut planned = TestPlanner::new();
+    planned.orders_within_second(OrderAnswer::Taken);
+    planned.send_report(false, 0, &["m0"]);
     let engine = UpstreamId::from("i-0");
     let until = planned.now + Duration::from_secs(3);
-    planned.planner.set_resting([(engine, until)].into());
-    planned.need("m2");
-    assert_eq!(planned.orders(OrderAnswer::Taken), []);
-    planned.planner.set_resting([].into());
-    assert!(loads(&planned.orders(OrderAnswer::Taken), "i-0", "m2"));
+    planned.planner.set_backing_off([(engine, until)].into());
+    planned.add_waiter("m2");
+    assert_eq!(planned.orders_within_second(OrderAnswer::Taken), []);
+    planned.planner.set_backing_off([].into());
+    assert!(loads(
+        &planned.orders_within_second(OrderAnswer::Taken),
+        "i-0",
+        "m2"
+    ));
 }
--- a/tests/all/model_orders.rs
+++ b/tests/all/model_orders.rs
@@ -1,7 +1,7 @@
 //! Models come to where they are asked for, by one holder's orders.
 
-use crate::planned::{Planned, resident};
 use crate::site::{self, stream, until};
+use crate::test_planner::{TestPlanner, resident};
 use passway_serving::ports::{EngineReport, OrderAction, OrderAnswer};
 use passway_serving::upstreams::{ModelRef, ResidentModel};
 use passway_standins::platform::model_server::{EVENTS, Faults, ModelServer, event};
@@ -146,11 +146,11 @@
 
 #[test]
 fn asks_before_ordering() {
-    let mut planned = Planned::new();
-    planned.need("m2");
-    assert_eq!(planned.orders(OrderAnswer::Taken), []);
-    planned.report(false, 3, &["m0", "m1"]);
-    let orders = planned.orders(OrderAnswer::Taken);
+    let mut planned = TestPlanner::new();
+    planned.add_waiter("m2");
+    assert_eq!(planned.orders_within_second(OrderAnswer::Taken), []);
+    planned.send_report(false, 3, &["m0", "m1"]);
+    let orders = planned.orders_within_second(OrderAnswer::Taken);
     assert_eq!(orders.len(), 1);
     assert_eq!(orders[0].action, OrderAction::Unload);
     assert_eq!(orders[0].expected_orders, 3);
@@ -159,13 +159,13 @@
 #[test]
 fn busy_report_no_ground() {
     // Another holder's load is under way: the models it tells are not all that take room.
-    let mut planned = Planned::new();
-    planned.need("m2");
-    planned.orders(OrderAnswer::Taken);
-    planned.report(true, 4, &["m0"]);
-    assert_eq!(planned.orders(OrderAnswer::Taken), []);
-    planned.report(false, 4, &["m0", "m3"]);
-    let orders = planned.orders(OrderAnswer::Taken);
+    let mut planned = TestPlanner::new();
+    planned.add_waiter("m2");
+    planned.orders_within_second(OrderAnswer::Taken);
+    planned.send_report(true, 4, &["m0"]);
+    assert_eq!(planned.orders_within_second(OrderAnswer::Taken), []);
+    planned.send_report(false, 4, &["m0", "m3"]);
+    let orders = planned.orders_within_second(OrderAnswer::Taken);
     assert_eq!(
         orders.first().map(|order| order.action),
         Some(OrderAction::Unload)
@@ -175,19 +175,19 @@
 #[test]
 fn no_load_before_room() {
     // The unload was taken, and a run holds it up.
-    let mut planned = Planned::new();
-    planned.need("m2");
-    planned.orders(OrderAnswer::Taken);
-    planned.report(false, 0, &["m0", "m1"]);
-    let orders = planned.orders(OrderAnswer::Taken);
+    let mut planned = TestPlanner::new();
+    planned.add_waiter("m2");
+    planned.orders_within_second(OrderAnswer::Taken);
+    planned.send_report(false, 0, &["m0", "m1"]);
+    let orders = planned.orders_within_second(OrderAnswer::Taken);
     assert_eq!(orders.len(), 1);
-    planned.report(true, 1, &["m0", "m1"]);
-    assert_eq!(planned.orders(OrderAnswer::Taken), []);
+    planned.send_report(true, 1, &["m0", "m1"]);
+    assert_eq!(planned.orders_within_second(OrderAnswer::Taken), []);
     // An older state, told late.
-    planned.report(false, 0, &["m1"]);
-    assert_eq!(planned.orders(OrderAnswer::Taken), []);
-    planned.report(false, 1, &["m1"]);
-    let orders = planned.orders(OrderAnswer::Taken);
+    planned.send_report(false, 0, &["m1"]);
+    assert_eq!(planned.orders_within_second(OrderAnswer::Taken), []);
+    planned.send_report(false, 1, &["m1"]);
+    let orders = planned.orders_within_second(OrderAnswer::Taken);
     assert_eq!(
         orders.first().map(|order| order.action),
         Some(OrderAction::Load)
@@ -197,19 +197,24 @@
 
 #[test]
 fn other_incarnation() {
-    let mut planned = Planned::new();
-    planned.need("m2");
-    planned.orders(OrderAnswer::Taken);
-    planned.report(false, 0, &["m0", "m1"]);
-    assert_eq!(planned.orders(OrderAnswer::OtherIncarnation).len(), 1);
-    planned.report(false, 0, &[]);
-    assert_eq!(planned.orders(OrderAnswer::Taken), []);
+    let mut planned = TestPlanner::new();
+    planned.add_waiter("m2");
+    planned.orders_within_second(OrderAnswer::Taken);
+    planned.send_report(false, 0, &["m0", "m1"]);
+    assert_eq!(
+        planned
+            .orders_within_second(OrderAnswer::OtherIncarnation)
+            .len(),
+        1
+    );
+    planned.send_report(false, 0, &[]);
+    assert_eq!(planned.orders_within_second(OrderAnswer::Taken), []);
 }
 
 #[test]
 fn used_adapter_keeps_place() {
-    let mut planned = Planned::new();
-    planned.orders(OrderAnswer::Taken);
+    let mut planned = TestPlanner::new();
+    planned.orders_within_second(OrderAnswer::Taken);
     let model = |adapters: &[&str]| ResidentModel {
         name: "m0".into(),
         adapters: adapters.iter().map(|name| (*name).into()).collect(),
@@ -226,20 +231,20 @@
     let engine: UpstreamId = "i-0".into();
     planned
         .planner
-        .reported(&engine, Some(report(0, &["a1", "a2"])), planned.now);
+        .record_report(&engine, Some(report(0, &["a1", "a2"])), planned.now);
     let wish = ModelRef {
         model: "m0".into(),
         adapter: Some("a3".into()),
     };
-    planned.need_wish(wish, 1);
+    planned.set_waiters(wish, 1);
     // Both places are taken; a run holds the unload up.
-    let orders = planned.orders(OrderAnswer::Taken);
+    let orders = planned.orders_within_second(OrderAnswer::Taken);
     assert_eq!(orders.len(), 1, "{orders:?}");
     assert_eq!(orders[0].action, OrderAction::Unload);
     planned
         .planner
-        .reported(&engine, Some(report(1, &["a1", "a2"])), planned.now);
-    let again = planned.orders(OrderAnswer::Taken);
+        .record_report(&engine, Some(report(1, &["a1", "a2"])), planned.now);
+    let again = planned.orders_within_second(OrderAnswer::Taken);
     assert!(
         again
             .iter()
@@ -248,8 +253,8 @@
     );
     planned
         .planner
-        .reported(&engine, Some(report(2, &["a2"])), planned.now);
-    let loads = planned.orders(OrderAnswer::Taken);
+        .record_report(&engine, Some(report(2, &["a2"])), planned.now);
+    let loads = planned.orders_within_second(OrderAnswer::Taken);
     assert_eq!(
         loads.first().map(|order| order.action),
         Some(OrderAction::Load)
@@ -258,18 +263,18 @@
 
 #[test]
 fn older_word_ignored() {
-    let mut planned = Planned::new();
-    planned.need("m2");
-    planned.orders(OrderAnswer::Taken);
-    planned.report(false, 0, &["m0", "m1"]);
-    let orders = planned.orders(OrderAnswer::Taken);
-    let victim = orders.first().expect("an unload").wish.model.clone();
+    let mut planned = TestPlanner::new();
+    planned.add_waiter("m2");
+    planned.orders_within_second(OrderAnswer::Taken);
+    planned.send_report(false, 0, &["m0", "m1"]);
+    let orders = planned.orders_within_second(OrderAnswer::Taken);
+    let victim = orders.first().expect("an unload").model_ref.model.clone();
     let stays = if &*victim == "m0" { "m1" } else { "m0" };
     // A word from when the place was empty once before.
-    planned.hear(0, &[stays]);
-    assert_eq!(planned.orders(OrderAnswer::Taken), []);
-    planned.hear(2, &[stays]);
-    let orders = planned.orders(OrderAnswer::Taken);
+    planned.send_entry(0, &[stays]);
+    assert_eq!(planned.orders_within_second(OrderAnswer::Taken), []);
+    planned.send_entry(2, &[stays]);
+    let orders = planned.orders_within_second(OrderAnswer::Taken);
     assert_eq!(
         orders.first().map(|order| order.action),
         Some(OrderAction::Load)
@@ -278,9 +283,9 @@
 
 #[test]
 fn new_holder_listens() {
-    let mut planned = Planned::new();
-    planned.need("m2");
-    planned.report(false, 0, &["m0", "m1"]);
+    let mut planned = TestPlanner::new();
+    planned.add_waiter("m2");
+    planned.send_report(false, 0, &["m0", "m1"]);
     assert_eq!(planned.planner.decide(planned.now), []);
     // Instances tell what they took before the term began: m0 is busy.
     let busy = ModelRef {
@@ -289,9 +294,12 @@
     };
     planned
         .planner
-        .taken(&"engines".into(), &busy, 40, planned.now);
-    let orders = planned.orders(OrderAnswer::Taken);
-    assert_eq!(orders.first().map(|order| &*order.wish.model), Some("m1"));
+        .record_arrivals(&"engines".into(), &busy, 40, planned.now);
+    let orders = planned.orders_within_second(OrderAnswer::Taken);
+    assert_eq!(
+        orders.first().map(|order| &*order.model_ref.model),
+        Some("m1")
+    );
 }
 
 #[test]
@@ -324,9 +332,9 @@
 #[test]
 fn disk_before_weight_store() {
     // One engine has every model on its disk and is busy; an empty one could only fetch.
-    let mut planned = Planned::new();
-    planned.orders(OrderAnswer::Taken);
-    planned.hear_of("i-9", 1, &[], &[]);
+    let mut planned = TestPlanner::new();
+    planned.orders_within_second(OrderAnswer::Taken);
+    planned.send_entry_of("i-9", 1, &[], &[]);
     let empty = EngineReport {
         models: Vec::new(),
         busy: false,
@@ -338,16 +346,16 @@
     };
     planned
         .planner
-        .reported(&"i-9".into(), Some(empty), planned.now);
-    planned.report(true, 0, &["m0"]);
-    planned.need("m2");
-    let orders = planned.orders(OrderAnswer::Taken);
+        .record_report(&"i-9".into(), Some(empty), planned.now);
+    planned.send_report(true, 0, &["m0"]);
+    planned.add_waiter("m2");
+    let orders = planned.orders_within_second(OrderAnswer::Taken);
     assert_eq!(
         orders,
         [],
         "a second is less than a load from the weight store"
     );
-    let fetched = planned.orders(OrderAnswer::Taken);
+    let fetched = planned.orders_within_second(OrderAnswer::Taken);
     assert_eq!(fetched.first().map(|order| &*order.engine), Some("i-9"));
 }
 
--- a/tests/all/placement_faults.rs
+++ b/tests/all/placement_faults.rs
@@ -6,18 +6,18 @@
 //! way. `PASSWAY_FAULT_RUNS` sets the number of runs, `PASSWAY_FAULT_SEED` the first seed.
 
 mod engine;
-mod matter;
+mod scenario;
 
 use crate::support::FaultRuns;
 use engine::Engine;
-use matter::Matter;
 use passway_serving::placement::policy::PolicyName;
-use passway_serving::placement::{Action, PlannedOrder, Planner, USUAL_LOAD_WINDOW, Waiters};
+use passway_serving::placement::{Action, DEFAULT_LOAD_WINDOW, PlannedOrder, Planner, Waiters};
 use passway_serving::ports::OrderAnswer;
 use passway_serving::upstreams::ModelRef;
 use passway_types::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
+use scenario::Scenario;
 use std::collections::BTreeSet;
 
 const DEFAULT_RUNS: u64 = 150;
@@ -25,11 +25,11 @@
 const STEP: Duration = Duration::from_millis(50);
 const ENGINES: usize = 3;
 /// The span over which loads from the weight store are counted.
-const CEILING_WINDOW: Duration = USUAL_LOAD_WINDOW;
+const CEILING_WINDOW: Duration = DEFAULT_LOAD_WINDOW;
 /// Most loads that may begin in one such span (users' rules: a tenth and three over).
 const CEILING_LOADS: usize = 6;
 
-struct World {
+struct Simulation {
     rng: ChaCha8Rng,
     now: Instant,
     step: u32,
@@ -41,7 +41,7 @@
     /// Limits that an order has broken.
     over: Vec<String>,
     orders: u32,
-    matter: Matter,
+    scenario: Scenario,
     /// When loads from the weight store began.
     store_loads: Vec<Instant>,
     /// How long engines' words take to the holder.
@@ -50,24 +50,24 @@
     doubtful: BTreeSet<UpstreamId>,
 }
 
-impl World {
-    fn new(seed: u64, matter: Matter) -> Self {
+impl Simulation {
+    fn new(seed: u64, scenario: Scenario) -> Self {
         let mut world = Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: Instant::now(),
             step: 0,
             engines: Vec::new(),
             late: Vec::new(),
-            planner: Planner::new(USUAL_LOAD_WINDOW, PolicyName::Balanced.policy()),
+            planner: Planner::new(DEFAULT_LOAD_WINDOW, PolicyName::Balanced.build()),
             incarnations: 0,
             over: Vec::new(),
             orders: 0,
-            matter,
+            scenario,
             store_loads: Vec::new(),
             lag_steps: 0,
             doubtful: BTreeSet::new(),
         };
-        world.planner.set_table(&matter.table());
+        world.planner.set_table(&scenario.table());
         for _ in 0..ENGINES {
             world.add_engine(BTreeSet::new());
         }
@@ -80,17 +80,17 @@
     fn add_engine(&mut self, on_disk: BTreeSet<ModelName>) {
         self.incarnations += 1;
         let mut engine = Engine::new(self.incarnations, on_disk);
-        self.planner.heard(engine.entry(), self.now);
+        self.planner.update_engine(engine.entry(), self.now);
         self.engines.push(engine);
     }
 
     /// A successor that knows what lies in the store.
     fn change_holder(&mut self) {
-        self.planner = Planner::new(USUAL_LOAD_WINDOW, PolicyName::Balanced.policy());
-        self.planner.set_table(&self.matter.table());
+        self.planner = Planner::new(DEFAULT_LOAD_WINDOW, PolicyName::Balanced.build());
+        self.planner.set_table(&self.scenario.table());
         for engine in &self.engines {
             if let Some(entry) = engine.told.last() {
-                self.planner.heard(entry.clone(), self.now);
+                self.planner.update_engine(entry.clone(), self.now);
             }
         }
         self.planner
@@ -107,7 +107,7 @@
             return;
         }
         let gone = self.engines.remove(which);
-        let replaced = self.matter == Matter::Ceiling && self.rng.random_bool(0.7);
+        let replaced = self.scenario == Scenario::Ceiling && self.rng.random_bool(0.7);
         self.add_engine(if replaced {
             BTreeSet::new()
         } else {
@@ -156,20 +156,24 @@
                 engine.send(self.step, self.lag_steps);
             }
             for entry in engine.arriving(self.step) {
-                self.planner.heard(entry, self.now);
+                self.planner.update_engine(entry, self.now);
             }
         }
         if self.rng.random_bool(0.1) {
             let number = self.rng.random_range(0..self.engines.len());
             let told = &self.engines[number].told;
             let older = told[self.rng.random_range(0..told.len())].clone();
-            self.planner.heard(older, self.now);
+            self.planner.update_engine(older, self.now);
         }
     }
 
     fn act(&mut self) {
         let actions = self.planner.decide(self.now);
-        self.doubtful = self.planner.doubtful(self.now).cloned().collect();
+        self.doubtful = self
+            .planner
+            .unconfirmed_engines(self.now)
+            .cloned()
+            .collect();
         for action in actions {
             match action {
                 Action::Order(order) => {
@@ -190,13 +194,13 @@
                         2 => OrderAnswer::NotSent,
                         _ => self.carry_out(&order),
                     };
-                    self.planner.answered(&order, answer, self.now);
+                    self.planner.record_answer(&order, answer, self.now);
                 }
                 Action::Ask { engine, .. } => {
                     let lost = self.rng.random_bool(0.15);
                     let found = self.engines.iter().find(|e| e.id == engine);
                     let report = found.filter(|_| !lost).map(Engine::report);
-                    self.planner.reported(&engine, report, self.now);
+                    self.planner.record_report(&engine, report, self.now);
                 }
             }
         }
@@ -231,7 +235,7 @@
 
     /// A request comes for a model or adapter drawn at random.
     fn ask(&mut self) {
-        let models = self.matter.models();
+        let models = self.scenario.models();
         let model = models[self.rng.random_range(0..models.len())];
         let adapter = self.rng.random_bool(0.4).then(|| {
             let number = self.rng.random_range(1..4);
@@ -245,18 +249,19 @@
         let waiters = Waiters {
             instance: "one".into(),
             service: "engines".into(),
-            wish: wish.clone(),
+            model_ref: wish.clone(),
             count: 1,
-            until,
+            latest_deadline: until,
         };
-        self.planner.waiting(waiters, self.now);
-        self.planner.taken(&"engines".into(), &wish, 1, self.now);
+        self.planner.set_waiters(waiters, self.now);
+        self.planner
+            .record_arrivals(&"engines".into(), &wish, 1, self.now);
     }
 
     /// Holders follow one another and engines restart, at random.
     fn draw_faults(&mut self) {
         // A successor leaves a window free for loads that it does not know of.
-        let successions = if self.matter == Matter::Ceiling {
+        let successions = if self.scenario == Scenario::Ceiling {
             0.003
         } else {
             0.01
@@ -276,7 +281,7 @@
     let runs = FaultRuns::from_environment(DEFAULT_RUNS);
     let mut orders = 0;
     for seed in runs.seeds() {
-        let mut world = World::new(seed, Matter::Memory);
+        let mut world = Simulation::new(seed, Scenario::Memory);
         world.run();
         assert!(world.over.is_empty(), "seed {seed}: {:?}", world.over);
         orders += world.orders;
@@ -293,7 +298,7 @@
     let runs = FaultRuns::from_environment(DEFAULT_RUNS);
     let mut loads = 0;
     for seed in runs.seeds() {
-        let mut world = World::new(seed, Matter::Ceiling);
+        let mut world = Simulation::new(seed, Scenario::Ceiling);
         world.run();
         let most = world.most_store_loads();
         assert!(most <= CEILING_LOADS, "seed {seed}: {most} loads at once");
--- a/tests/all/placement_faults/engine.rs
+++ b/tests/all/placement_faults/engine.rs
@@ -84,18 +84,18 @@
         if order.action != OrderAction::Load {
             return None;
         }
-        let model = &order.wish.model;
+        let model = &order.model_ref.model;
         let loading = self.busy.as_ref().map(|(busy, _)| busy);
         let loading = loading.filter(|busy| busy.action == OrderAction::Load);
         let stands = self.models.iter().find(|m| m.name == *model);
-        let Some(adapter) = &order.wish.adapter else {
-            let is_there = stands.is_some() || loading.is_some_and(|l| l.wish.model == *model);
+        let Some(adapter) = &order.model_ref.adapter else {
+            let is_there = stands.is_some() || loading.is_some_and(|l| l.model_ref.model == *model);
             let held = self.models.len() + usize::from(loading.is_some());
             let is_over = !is_there && held >= PLACES;
             return is_over.then(|| format!("models: {order:?}, {self:?}"));
         };
         let is_there = stands.is_some_and(|m| m.adapters.contains(adapter))
-            || self.coming.iter().any(|(wish, _)| *wish == order.wish);
+            || self.coming.iter().any(|(wish, _)| *wish == order.model_ref);
         let is_over = !is_there && self.adapters() >= ADAPTER_PLACES;
         is_over.then(|| format!("adapters: {order:?}, {self:?}"))
     }
@@ -106,7 +106,7 @@
             return Effect::uncounted(OrderAnswer::Conflict);
         }
         self.taken += 1;
-        match &order.wish.adapter {
+        match &order.model_ref.adapter {
             Some(adapter) => self.take_adapter(order, adapter, run_steps, step),
             None => self.take_model(order, run_steps, step),
         }
@@ -119,7 +119,7 @@
         run_steps: u32,
         step: u32,
     ) -> Effect {
-        let model = &order.wish.model;
+        let model = &order.model_ref.model;
         let Some(model) = self.models.iter_mut().find(|m| m.name == *model) else {
             return Effect::counted(OrderAnswer::Refused);
         };
@@ -131,11 +131,12 @@
         }
         if is_load {
             // The weight store gives adapters one after the other: some take long.
-            self.coming.push((order.wish.clone(), step + run_steps / 6));
+            self.coming
+                .push((order.model_ref.clone(), step + run_steps / 6));
             return Effect::counted(OrderAnswer::Taken);
         }
         if run_steps < ADAPTER_RUN_STEPS {
-            self.leaving.push((order.wish.clone(), step + 10));
+            self.leaving.push((order.model_ref.clone(), step + 10));
             return Effect::counted(OrderAnswer::Taken);
         }
         model.adapters.retain(|name| name != adapter);
@@ -145,7 +146,7 @@
     fn take_model(&mut self, order: &PlannedOrder, run_steps: u32, step: u32) -> Effect {
         let mut effect = Effect::counted(OrderAnswer::Taken);
         if order.action == OrderAction::Load {
-            effect.from_store = !self.on_disk.contains(&order.wish.model);
+            effect.from_store = !self.on_disk.contains(&order.model_ref.model);
             let steps = if effect.from_store { 4 } else { 1 };
             self.busy = Some((order.clone(), step + steps));
         } else {
@@ -160,13 +161,13 @@
         let Some((order, _)) = self.busy.take_if(|(_, at)| *at <= step) else {
             return false;
         };
-        self.models.retain(|m| m.name != order.wish.model);
+        self.models.retain(|m| m.name != order.model_ref.model);
         self.coming
-            .retain(|(wish, _)| wish.model != order.wish.model);
+            .retain(|(wish, _)| wish.model != order.model_ref.model);
         if order.action == OrderAction::Load {
-            self.on_disk.insert(order.wish.model.clone());
+            self.on_disk.insert(order.model_ref.model.clone());
             self.models.push(ResidentModel {
-                name: order.wish.model,
+                name: order.model_ref.model,
                 adapters: Vec::new(),
             });
         }
--- a/tests/all/placement_faults/matter.rs
+++ b/tests/all/placement_faults/scenario.rs
@@ -15,14 +15,14 @@
 
 /// What a run is about.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Matter {
+pub(super) enum Scenario {
     /// Accelerator memory and adapter places.
     Memory,
     /// The weight store's ceiling: loads are short, and disks are lost with their engines.
     Ceiling,
 }
 
-impl Matter {
+impl Scenario {
     pub(super) fn models(self) -> &'static [&'static str] {
         match self {
             Self::Memory => &MODELS,
--- a/tests/all/received_orders.rs
+++ b/tests/all/received_orders.rs
@@ -2,8 +2,8 @@
 //! believes: the fault runs (`placement_faults`) draw such cases, these are the causes one by
 //! one. A calm day at 256 engines had one, 3.6 s after the right to order had changed hands.
 
-use crate::planned::{Planned, entry, plain, resident};
 use crate::site::{self, PATIENCE};
+use crate::test_planner::{TestPlanner, base_model, entry, resident};
 use passway_serving::placement::{Action, PlannedOrder};
 use passway_serving::ports::{Directory, EngineReport, OrderAction, OrderAnswer, StoredValue};
 use passway_serving::upstreams::{ModelRef, UpstreamEntry};
@@ -24,7 +24,7 @@
 
 fn loads(orders: &[PlannedOrder]) -> Vec<&str> {
     let loads = orders.iter().filter(|o| o.action == OrderAction::Load);
-    loads.map(|order| &*order.wish.model).collect()
+    loads.map(|order| &*order.model_ref.model).collect()
 }
 
 fn adapter(model: &str, name: &str) -> ModelRef {
@@ -37,7 +37,7 @@
 /// A model that is loading takes its room, also for an adapter of another one.
 #[test]
 fn loading_model_counts() {
-    let mut planned = Planned::new();
+    let mut planned = TestPlanner::new();
     let mut file = site::configuration(1, &["m0", "m1", "m2", "m3"]);
     // Two models leave half of an adapter's room.
     file["services"][1]["engine"]["weights_mb"] = 140.5.into();
@@ -48,28 +48,31 @@
     };
     let table = PlatformDirectory.configuration(&value).expect("decoded");
     planned.planner.set_table(&table.expect("a configuration"));
-    planned.orders(OrderAnswer::Taken);
-    planned.report(false, 0, &["m0"]);
-    planned.need("m2");
-    let orders = planned.orders(OrderAnswer::Taken);
+    planned.orders_within_second(OrderAnswer::Taken);
+    planned.send_report(false, 0, &["m0"]);
+    planned.add_waiter("m2");
+    let orders = planned.orders_within_second(OrderAnswer::Taken);
     assert_eq!(loads(&orders), ["m2"]);
-    planned.need_wish(adapter("m0", "a1"), 1);
-    assert_eq!(loads(&planned.orders(OrderAnswer::Taken)), [""; 0]);
+    planned.set_waiters(adapter("m0", "a1"), 1);
+    assert_eq!(
+        loads(&planned.orders_within_second(OrderAnswer::Taken)),
+        [""; 0]
+    );
 }
 
 /// Adapters that a holder before ordered take their places while they are on their way.
 #[test]
 fn coming_adapters_count() {
-    let mut planned = Planned::new();
-    planned.orders(OrderAnswer::Taken);
+    let mut planned = TestPlanner::new();
+    planned.orders_within_second(OrderAnswer::Taken);
     let mut state = report(0, &["m0", "m1"], 0);
     state.models[0].adapters = vec!["a1".into()];
     state.adapters_coming = vec![adapter("m1", "a2")];
     planned
         .planner
-        .reported(&"i-0".into(), Some(state), planned.now);
-    planned.need_wish(adapter("m0", "a3"), 1);
-    let orders = planned.orders(OrderAnswer::Taken);
+        .record_report(&"i-0".into(), Some(state), planned.now);
+    planned.set_waiters(adapter("m0", "a3"), 1);
+    let orders = planned.orders_within_second(OrderAnswer::Taken);
     assert_eq!(loads(&orders), [""; 0], "both places are taken: {orders:?}");
 }
 
@@ -77,7 +80,7 @@
 /// asked for shows what the holder before ordered last.
 #[test]
 fn first_question_waits() {
-    let mut planned = Planned::new();
+    let mut planned = TestPlanner::new();
     let begun_at = planned.now;
     let asked_at = loop {
         planned.now += Duration::from_millis(20);
@@ -96,43 +99,55 @@
 /// from a time when the model had gone once before.
 #[test]
 fn late_entry_frees_nothing() {
-    let mut planned = Planned::new();
-    planned.orders(OrderAnswer::Taken);
-    planned.report(false, 0, &["m0"]);
-    planned.need("m2");
-    planned.orders(OrderAnswer::Taken);
-    planned.report(false, 1, &["m0", "m2"]);
+    let mut planned = TestPlanner::new();
+    planned.orders_within_second(OrderAnswer::Taken);
+    planned.send_report(false, 0, &["m0"]);
+    planned.add_waiter("m2");
+    planned.orders_within_second(OrderAnswer::Taken);
+    planned.send_report(false, 1, &["m0", "m2"]);
     // m2 is needed no more, and m0 is busy.
     planned.now += PATIENCE;
-    let busy = plain("m0");
+    let busy = base_model("m0");
     planned
         .planner
-        .taken(&"engines".into(), &busy, 40, planned.now);
-    planned.need_wish(plain("m3"), 5);
-    let orders = planned.orders(OrderAnswer::Taken);
-    let victims: Vec<_> = orders.iter().map(|o| (o.action, &*o.wish.model)).collect();
+        .record_arrivals(&"engines".into(), &busy, 40, planned.now);
+    planned.set_waiters(base_model("m3"), 5);
+    let orders = planned.orders_within_second(OrderAnswer::Taken);
+    let victims: Vec<_> = orders
+        .iter()
+        .map(|o| (o.action, &*o.model_ref.model))
+        .collect();
     assert_eq!(victims, [(OrderAction::Unload, "m2")]);
     // What the engine said before m2 came arrives now: its number is above the last known.
-    planned.hear(2, &["m0"]);
-    assert_eq!(loads(&planned.orders(OrderAnswer::Taken)), [""; 0]);
+    planned.send_entry(2, &["m0"]);
+    assert_eq!(
+        loads(&planned.orders_within_second(OrderAnswer::Taken)),
+        [""; 0]
+    );
     // A report shows it.
-    planned.report(false, 2, &["m0"]);
-    assert_eq!(loads(&planned.orders(OrderAnswer::Taken)), ["m3"]);
+    planned.send_report(false, 2, &["m0"]);
+    assert_eq!(
+        loads(&planned.orders_within_second(OrderAnswer::Taken)),
+        ["m3"]
+    );
 }
 
 /// An order that was not answered may be carried out yet: what it brings keeps its room.
 #[test]
 fn lost_order_keeps_room() {
-    let mut planned = Planned::new();
-    planned.orders(OrderAnswer::Taken);
-    planned.report(false, 0, &["m0"]);
-    planned.need("m2");
-    assert_eq!(loads(&planned.orders(OrderAnswer::Lost)), ["m2"]);
+    let mut planned = TestPlanner::new();
+    planned.orders_within_second(OrderAnswer::Taken);
+    planned.send_report(false, 0, &["m0"]);
+    planned.add_waiter("m2");
+    assert_eq!(
+        loads(&planned.orders_within_second(OrderAnswer::Lost)),
+        ["m2"]
+    );
     // Nobody needs m2 any more, and the engine does not show it.
     planned.now += Duration::from_secs(5);
-    planned.report(false, 0, &["m0"]);
-    planned.need("m3");
-    let orders = planned.orders(OrderAnswer::Taken);
+    planned.send_report(false, 0, &["m0"]);
+    planned.add_waiter("m3");
+    let orders = planned.orders_within_second(OrderAnswer::Taken);
     assert!(
         !loads(&orders).contains(&"m3"),
         "m2 may come into the same room: {orders:?}"
@@ -142,15 +157,15 @@
 /// An engine that starts again under its id holds nothing, and counts orders from 0 again.
 #[test]
 fn started_again() {
-    let mut planned = Planned::new();
-    planned.orders(OrderAnswer::Taken);
-    planned.report(false, 7, &["m0", "m1"]);
+    let mut planned = TestPlanner::new();
+    planned.orders_within_second(OrderAnswer::Taken);
+    planned.send_report(false, 7, &["m0", "m1"]);
     let id: UpstreamId = "i-0".into();
     planned
         .planner
-        .reported(&id, Some(report(0, &[], 500)), planned.now);
-    planned.need("m2");
-    let orders = planned.orders(OrderAnswer::Taken);
+        .record_report(&id, Some(report(0, &[], 500)), planned.now);
+    planned.add_waiter("m2");
+    let orders = planned.orders_within_second(OrderAnswer::Taken);
     let first = orders.first().expect("a load");
     assert_eq!(
         (first.action, first.expected_orders),
@@ -160,22 +175,22 @@
     // A report and an entry from before its start change nothing, whatever their numbers.
     planned
         .planner
-        .reported(&id, Some(report(9, &["m0", "m1"], 0)), planned.now);
-    planned.hear(90, &["m0", "m1"]);
+        .record_report(&id, Some(report(9, &["m0", "m1"], 0)), planned.now);
+    planned.send_entry(90, &["m0", "m1"]);
     planned
         .planner
-        .reported(&id, Some(report(1, &["m2"], 500)), planned.now);
+        .record_report(&id, Some(report(1, &["m2"], 500)), planned.now);
     let entry = UpstreamEntry {
         started_at_ms: 500,
         ..entry(&id, 1, &["m2"])
     };
-    planned.planner.heard(entry, planned.now);
+    planned.planner.update_engine(entry, planned.now);
     planned
         .planner
-        .taken(&"engines".into(), &plain("m2"), 5, planned.now);
+        .record_arrivals(&"engines".into(), &base_model("m2"), 5, planned.now);
     let lacking = planned
         .planner
-        .placements_unlike(&std::collections::BTreeSet::new());
+        .placements_differing_from(&std::collections::BTreeSet::new());
     assert_eq!(lacking.len(), 1);
     assert_eq!(lacking[0].models, [resident("m2")]);
 }
--- a/tests/all/place_worth.rs
+++ b/tests/all/replica_benefit.rs
@@ -1,62 +1,65 @@
 //! Places go to the models whose requests gain most by them, busy or rare.
 
-use crate::planned::{Planned, plain};
+use crate::test_planner::{TestPlanner, base_model};
 use passway_serving::placement::policy::PolicyName;
-use passway_serving::placement::{ModelRuns, Usage};
+use passway_serving::placement::{RunningRequests, Usage};
 use passway_serving::ports::{OrderAction, OrderAnswer};
 use passway_types::prelude::*;
 
 /// Lets requests come for models, so many a second each, for some seconds.
-fn ask(planned: &mut Planned, models: &[(&str, u32)], seconds: u32) {
+fn ask(planned: &mut TestPlanner, models: &[(&str, u32)], seconds: u32) {
     for _ in 0..seconds * 10 {
         planned.now += Duration::from_millis(100);
         for (model, per_s) in models {
             let count = per_s / 10;
-            planned
-                .planner
-                .taken(&"engines".into(), &plain(model), count, planned.now);
+            planned.planner.record_arrivals(
+                &"engines".into(),
+                &base_model(model),
+                count,
+                planned.now,
+            );
         }
     }
 }
 
 /// What is loaded or unloaded first within a second.
-fn first(planned: &mut Planned) -> Option<(OrderAction, String)> {
-    let orders = planned.orders(OrderAnswer::Taken);
+fn first(planned: &mut TestPlanner) -> Option<(OrderAction, String)> {
+    let orders = planned.orders_within_second(OrderAnswer::Taken);
     let first = orders.first()?;
-    Some((first.action, first.wish.model.to_string()))
+    Some((first.action, first.model_ref.model.to_string()))
 }
 
 #[test]
 fn many_before_longest() {
-    let mut planned = Planned::new();
-    planned.orders(OrderAnswer::Taken);
-    planned.hear(2, &["m0"]);
-    planned.need("m2");
+    let mut planned = TestPlanner::new();
+    planned.orders_within_second(OrderAnswer::Taken);
+    planned.send_entry(2, &["m0"]);
+    planned.add_waiter("m2");
     planned.now += Duration::from_millis(300);
-    planned.need_wish(plain("m3"), 50);
-    planned.report(false, 0, &["m0"]);
+    planned.set_waiters(base_model("m3"), 50);
+    planned.send_report(false, 0, &["m0"]);
     assert_eq!(first(&mut planned), Some((OrderAction::Load, "m3".into())));
 }
 
 #[test]
 fn busy_stays() {
-    let mut planned = Planned::new();
-    planned.orders(OrderAnswer::Taken);
-    planned.report(false, 0, &["m0", "m1"]);
+    let mut planned = TestPlanner::new();
+    planned.orders_within_second(OrderAnswer::Taken);
+    planned.send_report(false, 0, &["m0", "m1"]);
     ask(&mut planned, &[("m0", 40), ("m1", 20)], 5);
-    planned.need("m2");
+    planned.add_waiter("m2");
     assert_eq!(first(&mut planned), None);
 }
 
 #[test]
 fn rare_gives_way_to_many() {
     // Requests wait for m0 itself, but far more for m2.
-    let mut planned = Planned::new();
-    planned.orders(OrderAnswer::Taken);
-    planned.report(false, 0, &["m0", "m1"]);
-    planned.need("m0");
-    planned.need("m1");
-    planned.need_wish(plain("m2"), 20);
+    let mut planned = TestPlanner::new();
+    planned.orders_within_second(OrderAnswer::Taken);
+    planned.send_report(false, 0, &["m0", "m1"]);
+    planned.add_waiter("m0");
+    planned.add_waiter("m1");
+    planned.set_waiters(base_model("m2"), 20);
     let first = first(&mut planned).expect("an order");
     assert_eq!(first.0, OrderAction::Unload);
 }
@@ -64,10 +67,10 @@
 #[test]
 fn long_wait_counts() {
     // Two models that are asked for now and then leave one out for some time, not for ever.
-    let mut planned = Planned::new();
-    planned.orders(OrderAnswer::Taken);
-    planned.report(false, 0, &["m0", "m1"]);
-    planned.need("m2");
+    let mut planned = TestPlanner::new();
+    planned.orders_within_second(OrderAnswer::Taken);
+    planned.send_report(false, 0, &["m0", "m1"]);
+    planned.add_waiter("m2");
     let mut waited_s = 0;
     loop {
         ask(&mut planned, &[("m0", 10), ("m1", 10)], 1);
@@ -82,29 +85,29 @@
 
 #[test]
 fn ended_wait_forgotten() {
-    let mut planned = Planned::new();
-    planned.orders(OrderAnswer::Taken);
-    planned.need("m2");
-    planned.need_wish(plain("m2"), 0);
-    planned.report(false, 0, &["m0", "m1"]);
+    let mut planned = TestPlanner::new();
+    planned.orders_within_second(OrderAnswer::Taken);
+    planned.add_waiter("m2");
+    planned.set_waiters(base_model("m2"), 0);
+    planned.send_report(false, 0, &["m0", "m1"]);
     assert_eq!(first(&mut planned), None);
 }
 
 #[test]
 fn instance_gone_waits_end() {
-    let mut planned = Planned::new();
-    planned.orders(OrderAnswer::Taken);
-    planned.need("m2");
-    planned.planner.instance_gone(&"one".into());
-    planned.report(false, 0, &["m0", "m1"]);
+    let mut planned = TestPlanner::new();
+    planned.orders_within_second(OrderAnswer::Taken);
+    planned.add_waiter("m2");
+    planned.planner.remove_instance(&"one".into());
+    planned.send_report(false, 0, &["m0", "m1"]);
     assert_eq!(first(&mut planned), None);
 }
 
 #[test]
 fn replicas_by_runs() {
-    let policy = PolicyName::Balanced.policy();
+    let policy = PolicyName::Balanced.build();
     let usage = |runs, waiters, slots| Usage {
-        runs,
+        running: runs,
         waiters,
         slots,
     };
@@ -119,7 +122,7 @@
 #[test]
 fn homes_as_long_as_fetches() {
     let fetch_time = Duration::from_secs(6);
-    let patience = |name: PolicyName| name.policy().home_patience(fetch_time);
+    let patience = |name: PolicyName| name.build().max_wait_for_cached(fetch_time);
     assert!(patience(PolicyName::Balanced) >= fetch_time);
     assert_eq!(patience(PolicyName::NoHomes), Duration::ZERO);
 }
@@ -127,22 +130,22 @@
 /// Two engines with room for two models each; m0 stands on the first one alone, whose eight
 /// slots its requests take or do not take.
 fn replicas_come(runs: u32) -> bool {
-    let mut planned = Planned::new();
-    planned.hear(1, &["m0"]);
-    planned.hear_of("i-1", 1, &["m1"], &["m1"]);
-    planned.orders(OrderAnswer::Taken);
-    planned.report(false, 0, &["m0"]);
-    planned.report_of("i-1", 0, &["m1"]);
+    let mut planned = TestPlanner::new();
+    planned.send_entry(1, &["m0"]);
+    planned.send_entry_of("i-1", 1, &["m1"], &["m1"]);
+    planned.orders_within_second(OrderAnswer::Taken);
+    planned.send_report(false, 0, &["m0"]);
+    planned.send_idle_report_of("i-1", 0, &["m1"]);
     ask(&mut planned, &[("m0", 20)], 5);
-    let running = ModelRuns {
+    let running = RunningRequests {
         engine: "i-0".into(),
         model: "m0".into(),
         count: runs,
     };
-    planned.planner.running(&"one".into(), &[running]);
-    let orders = planned.orders(OrderAnswer::Taken);
+    planned.planner.set_running(&"one".into(), &[running]);
+    let orders = planned.orders_within_second(OrderAnswer::Taken);
     let second = orders.iter().find(|order| &*order.engine == "i-1");
-    second.is_some_and(|order| &*order.wish.model == "m0" && order.action == OrderAction::Load)
+    second.is_some_and(|order| &*order.model_ref.model == "m0" && order.action == OrderAction::Load)
 }
 
 #[test]
@@ -157,17 +160,17 @@
 /// Loads from the weight store that begin while nobody waits, with so many engines and four
 /// models that lie nowhere.
 fn prefetches(engines: u32, requests_per_s: u32) -> usize {
-    let mut planned = Planned::new();
+    let mut planned = TestPlanner::new();
     let ids: Vec<String> = (0..engines).map(|number| format!("i-{number}")).collect();
     for id in &ids {
-        planned.hear_of(id, 2, &[], &[]);
+        planned.send_entry_of(id, 2, &[], &[]);
     }
-    planned.orders(OrderAnswer::Taken);
+    planned.orders_within_second(OrderAnswer::Taken);
     for id in &ids {
-        planned.report_of(id, 0, &[]);
+        planned.send_idle_report_of(id, 0, &[]);
     }
     ask(&mut planned, &[("m9", requests_per_s)], 5);
-    let orders = planned.orders(OrderAnswer::Taken);
+    let orders = planned.orders_within_second(OrderAnswer::Taken);
     let loads = orders.iter().filter(|o| o.action == OrderAction::Load);
     loads.count()
 }
--- a/tests/all/resting_upstreams.rs
+++ b/tests/all/resting_upstreams.rs
@@ -165,7 +165,7 @@
 fn plain(id: &str, started_at_ms: u64) -> UpstreamEntry {
     UpstreamEntry {
         started_at_ms,
-        ..crate::planned::entry(id, 1, &[])
+        ..crate::test_planner::entry(id, 1, &[])
     }
 }
 
--- a/tests/all/site.rs
+++ b/tests/all/site.rs
@@ -3,7 +3,7 @@
 use passway_instance::{Instance, Surroundings};
 use passway_serving::allotment::QuotaBounds;
 use passway_serving::halls::HallRegions;
-use passway_serving::placement::USUAL_LOAD_WINDOW;
+use passway_serving::placement::DEFAULT_LOAD_WINDOW;
 use passway_serving::placement::policy::PolicyName;
 use passway_serving::ports::{InstanceBounds, InstanceSettings};
 use passway_serving::retry::RetryAllowance;
@@ -62,7 +62,7 @@
             grace: Duration::from_secs(8),
             shortest_lease: Duration::from_secs(1),
             holder_gap: Duration::from_secs(1),
-            load_window: USUAL_LOAD_WINDOW,
+            load_window: DEFAULT_LOAD_WINDOW,
             retry: RetryAllowance {
                 ratio: 0.2,
                 slack: 800.0,
--- a/tests/all/term_begin.rs
+++ b/tests/all/term_begin.rs
@@ -6,7 +6,7 @@
 //! quarter of a core needs two seconds; its lease, which lasts 1.2 s, was not renewed meanwhile. Cause: what
 //! a holder asks at its begin grows with the fleet and was bounded by nothing.
 
-use crate::planned::{Planned, plain};
+use crate::test_planner::{TestPlanner, base_model};
 use passway_serving::placement::{Action, PlannedOrder};
 use passway_serving::ports::{OrderAction, OrderAnswer};
 use passway_types::prelude::*;
@@ -22,18 +22,18 @@
 const ALL_ASKED: Duration = Duration::from_secs(12);
 
 /// A planner whose term begins before so many engines, m2 being on the disk of the last one alone.
-fn begun(engines: usize) -> Planned {
-    let mut planned = Planned::new();
-    planned.hear_of("i-0", 2, &["m0", "m1"], &["m0", "m1"]);
+fn begun(engines: usize) -> TestPlanner {
+    let mut planned = TestPlanner::new();
+    planned.send_entry_of("i-0", 2, &["m0", "m1"], &["m0", "m1"]);
     for number in 0..engines {
         let on_disk = if number + 1 == engines { "m2" } else { "m1" };
-        planned.hear_of(&format!("j-{number:04}"), 1, &["m0"], &["m0", on_disk]);
+        planned.send_entry_of(&format!("j-{number:04}"), 1, &["m0"], &["m0", on_disk]);
     }
     planned
 }
 
 /// Engines that are asked within a time, each of which answers at once.
-fn asked(planned: &mut Planned, time: Duration) -> (Vec<UpstreamId>, Vec<PlannedOrder>) {
+fn asked(planned: &mut TestPlanner, time: Duration) -> (Vec<UpstreamId>, Vec<PlannedOrder>) {
     let until = planned.now + time;
     let (mut asked, mut orders) = (Vec::new(), Vec::new());
     while planned.now < until {
@@ -42,13 +42,13 @@
             match action {
                 Action::Ask { engine, .. } => {
                     let last = on_disk_of(&engine);
-                    planned.reported(&engine, false, 0, &["m0"], &["m0", last]);
+                    planned.send_report_of(&engine, false, 0, &["m0"], &["m0", last]);
                     asked.push(engine);
                 }
                 Action::Order(order) => {
                     planned
                         .planner
-                        .answered(&order, OrderAnswer::Taken, planned.now);
+                        .record_answer(&order, OrderAnswer::Taken, planned.now);
                     orders.push(order);
                 }
             }
@@ -90,11 +90,13 @@
 #[test]
 fn awaited_first() {
     let mut planned = begun(ENGINES);
-    planned.need_wish(plain("m2"), 5);
+    planned.set_waiters(base_model("m2"), 5);
     let (_, orders) = asked(&mut planned, Duration::from_secs(2));
     let last = format!("j-{:04}", ENGINES - 1);
     let comes = orders.iter().any(|order| {
-        order.action == OrderAction::Load && *order.wish.model == *"m2" && *order.engine == *last
+        order.action == OrderAction::Load
+            && *order.model_ref.model == *"m2"
+            && *order.engine == *last
     });
     assert!(comes, "{orders:?}");
 }
--- a/tests/all/planned.rs
+++ b/tests/all/test_planner.rs
@@ -2,14 +2,14 @@
 
 use crate::site::{self, PATIENCE};
 use passway_serving::placement::policy::PolicyName;
-use passway_serving::placement::{Action, PlannedOrder, Planner, USUAL_LOAD_WINDOW, Waiters};
+use passway_serving::placement::{Action, DEFAULT_LOAD_WINDOW, PlannedOrder, Planner, Waiters};
 use passway_serving::ports::{Directory, EngineReport, OrderAnswer, StoredValue};
 use passway_serving::upstreams::{ModelRef, ResidentModel, UpstreamEntry};
 use passway_types::prelude::*;
 use passway_users_platform::PlatformDirectory;
 
 /// A model without an adapter, as a request asks for it.
-pub fn plain(model: &str) -> ModelRef {
+pub fn base_model(model: &str) -> ModelRef {
     ModelRef {
         model: model.into(),
         adapter: None,
@@ -17,7 +17,7 @@
 }
 
 /// A planner with one engine that has room for two models.
-pub struct Planned {
+pub struct TestPlanner {
     /// The planner.
     pub planner: Planner,
     /// The time it is there.
@@ -50,7 +50,7 @@
     }
 }
 
-impl Planned {
+impl TestPlanner {
     /// One engine with m0 and m1 on its accelerators and all models on its disk.
     pub fn new() -> Self {
         let value = StoredValue {
@@ -61,11 +61,11 @@
             revision: 1,
         };
         let table = PlatformDirectory.configuration(&value).expect("decoded");
-        let mut planner = Planner::new(USUAL_LOAD_WINDOW, PolicyName::Balanced.policy());
+        let mut planner = Planner::new(DEFAULT_LOAD_WINDOW, PolicyName::Balanced.build());
         planner.set_table(&table.expect("a configuration"));
         let now = Instant::now();
         let mut fresh = Self { planner, now };
-        fresh.hear(1, &["m0", "m1"]);
+        fresh.send_entry(1, &["m0", "m1"]);
         fresh
             .planner
             .begin_term(std::iter::empty(), &std::collections::BTreeSet::new(), now);
@@ -73,58 +73,58 @@
     }
 
     /// The engine says what stands on it.
-    pub fn hear(&mut self, beat: u64, models: &[&str]) {
-        self.hear_of("i-0", beat, models, &["m0", "m1", "m2", "m3"]);
+    pub fn send_entry(&mut self, beat: u64, models: &[&str]) {
+        self.send_entry_of("i-0", beat, models, &["m0", "m1", "m2", "m3"]);
     }
 
     /// An engine says what stands on it and what lies on its disk.
-    pub fn hear_of(&mut self, id: &str, beat: u64, models: &[&str], on_disk: &[&str]) {
+    pub fn send_entry_of(&mut self, id: &str, beat: u64, models: &[&str], on_disk: &[&str]) {
         let entry = UpstreamEntry {
             on_disk: on_disk.iter().map(|name| (*name).into()).collect(),
             ..entry(id, beat, models)
         };
-        self.planner.heard(entry, self.now);
+        self.planner.update_engine(entry, self.now);
     }
 
     /// An engine says that it leaves.
-    pub fn leaves(&mut self, id: &str) {
+    pub fn send_leaving(&mut self, id: &str) {
         let entry = UpstreamEntry {
             draining: true,
             ..entry(id, 2, &["m0"])
         };
-        self.planner.heard(entry, self.now);
+        self.planner.update_engine(entry, self.now);
     }
 
     /// One request waits for a model.
-    pub fn need(&mut self, model: &str) {
-        self.need_wish(plain(model), 1);
+    pub fn add_waiter(&mut self, model: &str) {
+        self.set_waiters(base_model(model), 1);
     }
 
     /// So many requests of one instance wait.
-    pub fn need_wish(&mut self, wish: ModelRef, count: u32) {
+    pub fn set_waiters(&mut self, model_ref: ModelRef, count: u32) {
         let waiters = Waiters {
             instance: "one".into(),
             service: "engines".into(),
-            wish,
+            model_ref,
             count,
-            until: self.now + PATIENCE,
+            latest_deadline: self.now + PATIENCE,
         };
-        self.planner.waiting(waiters, self.now);
+        self.planner.set_waiters(waiters, self.now);
     }
 
     /// The engine tells its state.
-    pub fn report(&mut self, busy: bool, orders_taken: u64, models: &[&str]) {
+    pub fn send_report(&mut self, busy: bool, orders_taken: u64, models: &[&str]) {
         let on_disk = ["m0", "m1", "m2", "m3"];
-        self.reported("i-0", busy, orders_taken, models, &on_disk);
+        self.send_report_of("i-0", busy, orders_taken, models, &on_disk);
     }
 
     /// An engine that is not busy tells its state; all it has on its disk stands there.
-    pub fn report_of(&mut self, id: &str, orders_taken: u64, models: &[&str]) {
-        self.reported(id, false, orders_taken, models, models);
+    pub fn send_idle_report_of(&mut self, id: &str, orders_taken: u64, models: &[&str]) {
+        self.send_report_of(id, false, orders_taken, models, models);
     }
 
     /// An engine tells its state.
-    pub fn reported(
+    pub fn send_report_of(
         &mut self,
         id: &str,
         busy: bool,
@@ -141,12 +141,13 @@
             adapters_coming: Vec::new(),
             started_at_ms: 0,
         };
-        self.planner.reported(&id.into(), Some(report), self.now);
+        self.planner
+            .record_report(&id.into(), Some(report), self.now);
     }
 
     /// What is decided within so many looks 50 ms apart; the engines answer no question,
     /// and orders to them are not sent.
-    pub fn unanswered(&mut self, looks: u32) -> Vec<Action> {
+    pub fn decide_unanswered(&mut self, looks: u32) -> Vec<Action> {
         let mut actions = Vec::new();
         for _ in 0..looks {
             self.now += Duration::from_millis(50);
@@ -154,9 +155,11 @@
                 match &action {
                     Action::Order(order) => {
                         let answer = OrderAnswer::NotSent;
-                        self.planner.answered(order, answer, self.now);
+                        self.planner.record_answer(order, answer, self.now);
+                    }
+                    Action::Ask { engine, .. } => {
+                        self.planner.record_report(engine, None, self.now)
                     }
-                    Action::Ask { engine, .. } => self.planner.reported(engine, None, self.now),
                 }
                 actions.push(action);
             }
@@ -165,13 +168,13 @@
     }
 
     /// Orders decided within a second of looks, each answered by `answer`.
-    pub fn orders(&mut self, answer: OrderAnswer) -> Vec<PlannedOrder> {
+    pub fn orders_within_second(&mut self, answer: OrderAnswer) -> Vec<PlannedOrder> {
         let mut orders = Vec::new();
         for _ in 0..20 {
             self.now += Duration::from_millis(50);
             for action in self.planner.decide(self.now) {
                 if let Action::Order(order) = action {
-                    self.planner.answered(&order, answer, self.now);
+                    self.planner.record_answer(&order, answer, self.now);
                     orders.push(order);
                 }
             }
