--- a/crates/serving/src/placement.rs
+++ b/crates/serving/src/placement.rs
@@ -1,10 +1,11 @@
-//! Which models stand on which engines: the decisions of the holder of the right to order.
+//! Decides which models are loaded on which engines. Only the holder of the leadership, i.e. of the
+//! right to send orders to engines, runs these decisions.
 //!
-//! Needs, uses, engines' words and answers to orders go in; orders, questions and
-//! changed placements come out. Each engine has at most one model order under way.
-//! Every order names the count of orders that the engine must have taken, so an
-//! order that is carried out late can only take effect in the state that it was
-//! decided for; memory is therefore checked against that state alone.
+//! The input is demand, running requests, engine entries and reports, and answers to orders; the
+//! output is orders, state queries and changed placements. Each engine has at most one model order
+//! in flight. Every order names the number of orders that the engine must have taken before, so a
+//! delayed order can only take effect in the state that it was decided for. The memory check
+//! therefore considers that state alone.
 
 mod announced;
 mod benefit;
@@ -38,16 +39,20 @@
 pub use store_load_limiter::DEFAULT_LOAD_WINDOW;
 use store_load_limiter::StoreLoadLimiter;
 
-/// An order whose effect shows neither in the engine's word nor in a report is asked for after this.
+/// Delay before the holder queries an engine for the effect of an order that neither an entry nor a
+/// report has shown. Unanswered queries back off from this delay.
 const QUERY_DELAY: Duration = Duration::from_millis(120);
-/// Time for an unload that no run holds up.
+/// Duration of an unload that no running request delays.
 const UNLOAD_DURATION: Duration = Duration::from_millis(30);
-/// Instances hear of a model that has come, and send what waits for it, well within this.
+/// How long requests may wait for a model that an engine should serve before the holder queries
+/// that engine. Instances normally learn of a loaded model and send the waiting requests well
+/// within this time.
 const WAIT_BEFORE_CHECK: Duration = Duration::from_millis(500);
-/// How old the state that an engine reports may be: some hundred milliseconds (users' pages).
-/// What may have changed since then is not known to whoever did not order it.
+/// Maximum age of the state in an engine's report: reports lag by some hundred milliseconds (users'
+/// pages). A new holder does not know what its predecessor ordered within this time.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(500);
-/// Time in which instances that hear of a new holder connect and tell what they use.
+/// Time after the start of a term in which instances connect to the new holder and publish their
+/// demand.
 const LISTENING_WINDOW: Duration = Duration::from_millis(300);
 
 /// A model or adapter order.
@@ -55,89 +60,91 @@
 pub struct PlannedOrder {
     /// The engine.
     pub engine: UpstreamId,
-    /// Where it is_listening.
+    /// The address that the engine listens on.
     pub address: SocketAddr,
     /// Load or unload.
     pub action: OrderAction,
-    /// What.
+    /// The model or adapter to load or unload.
     pub model_ref: ModelRef,
-    /// The count of orders that it must have taken.
+    /// Number of orders that the engine must have taken before this one; the engine refuses the
+    /// order otherwise.
     pub expected_orders: u64,
-    /// The start of the engine for which it was decided.
+    /// Start time of the engine process for which the order was decided, in milliseconds.
     pub started_at_ms: u64,
 }
 
-/// Requests for a model that run on an engine.
+/// Running requests for one model on one engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunningRequests {
     /// The engine.
     pub engine: UpstreamId,
     /// The model.
     pub model: ModelName,
-    /// How many there are.
+    /// Number of running requests.
     pub count: u32,
 }
 
-/// What the holder is to do.
+/// An action that the holder must carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Give an order.
+    /// Send an order to an engine.
     Order(PlannedOrder),
-    /// Ask an engine for its state.
+    /// Query an engine for its state.
     Ask {
         /// The engine.
         engine: UpstreamId,
-        /// Where it is_listening.
+        /// The address that the engine listens on.
         address: SocketAddr,
     },
 }
 
-/// Where requests may go on one engine.
+/// The models on one engine to which requests may be routed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Placement {
     /// The engine.
     pub engine: UpstreamId,
-    /// Models and adapters that stand there.
+    /// Loaded models and adapters.
     pub models: Vec<ResidentModel>,
-    /// Models that are about to go.
+    /// Loaded models that are about to be unloaded; no new request may be routed to them.
     pub evicting: Vec<ModelName>,
 }
 
-/// The decisions over all engines.
+/// Plans the placement of models and adapters on all engines.
 #[derive(Debug)]
 pub struct Planner {
     engines: BTreeMap<UpstreamId, Engine>,
     pools: BTreeMap<ServiceName, EnginePool>,
     demand: Demand,
     policy: Box<dyn PlacementPolicy>,
-    /// Replicas and runs, as they were counted at the last change of a pass.
+    /// Replicas and running requests, as counted at the beginning of the current pass.
     replica_counts: ReplicaCounts,
-    /// Engines that have each model near.
+    /// Engines that have each model's checkpoint in memory or on disk.
     checkpoint_locations: CheckpointLocations,
-    /// Loads that count against each service's ceiling of the weight store.
+    /// Limits how many loads from the weight store may begin, by service.
     store_load_limiters: BTreeMap<ServiceName, StoreLoadLimiter>,
-    /// The span over which they count.
+    /// Sliding window over which these loads are counted.
     load_window: Duration,
     changed_engines: BTreeSet<UpstreamId>,
-    /// Engines on which each instance has runs.
+    /// Engines on which each instance has running requests.
     engines_by_instance: HashMap<InstanceId, Vec<UpstreamId>>,
     announced: AnnouncedPlacements,
-    /// Engines that were there and are not, or have started again, while a model came to them.
+    /// Loads on engines that disappeared or restarted before the model was loaded.
     interrupted_loads: Vec<InterruptedLoad>,
     crashing_loads: CrashingLoads,
     query_budget: QueryBudget,
-    /// Halls that operators have emptied.
+    /// Data halls that operators have evacuated.
     evacuated_halls: BTreeSet<DataHall>,
-    /// Engines that want nothing from this instance, and until when.
+    /// Engines that accept nothing from this instance, with the end of the backoff.
     backing_off: BTreeMap<UpstreamId, Instant>,
-    /// When engines may be asked for their state in this term: what a holder before ordered
-    /// last shows in a report by then. `None` until the term's first decision.
+    /// Start of state queries in this term. By then, a report shows the last order of the previous
+    /// holder. `None` until the first decision of the term.
     queries_from: Option<Instant>,
     listening_until: Option<Instant>,
 }
 
 impl Planner {
-    /// No engines; loads from the weight store count over a span.
+    /// Creates a planner without engines. Loads from the weight store are counted over
+    /// `load_window`.
     pub fn new(load_window: Duration, policy: Box<dyn PlacementPolicy>) -> Self {
         Self {
             engines: BTreeMap::new(),
@@ -161,7 +168,7 @@
         }
     }
 
-    /// Uses a configuration.
+    /// Applies the route table of a configuration.
     pub fn set_table(&mut self, table: &RouteTable) {
         let services = table.services.values();
         let pools = services.filter_map(|s| Some((s.name.clone(), s.pool.clone()?)));
@@ -173,10 +180,10 @@
         }
     }
 
-    /// Begins a term with what this instance knew of engines as a listener, and forgets what
-    /// was known of their orders. In `doubtful` engines orders that the holder before had no
-    /// answer to may be carried out yet. Instances tell within moments what they need and use; until
-    /// then nothing is evicted.
+    /// Begins a term with the entries that this instance knows, and drops all knowledge of orders.
+    /// Engines in `unconfirmed` may still carry out an order of the previous holder that had no
+    /// answer. The planner evicts nothing until instances have had time to publish their demand and
+    /// running requests.
     pub fn begin_term(
         &mut self,
         entries: impl Iterator<Item = UpstreamEntry>,
@@ -196,13 +203,13 @@
         for entry in entries {
             self.update_engine(entry, now);
         }
-        // Instances compare what they know with this when they connect.
+        // Instances compare their known placements with these digests when they connect.
         self.changed_engines.clear();
         let placements = self.engines.values().map(Engine::placement);
         self.announced.begin_term(placements);
     }
 
-    /// An engine has said something of itself.
+    /// Applies an engine's entry in the directory.
     pub fn update_engine(&mut self, entry: UpstreamEntry, now: Instant) {
         if !self.pools.contains_key(&entry.service) {
             return;
@@ -225,7 +232,8 @@
         self.changed_engines.insert(id);
     }
 
-    /// Engines to which an order has no answer and may be carried out yet, for a successor.
+    /// Engines that may still carry out an order that has no answer. The holder passes them on to
+    /// its successor.
     pub fn unconfirmed_engines(&self, now: Instant) -> impl Iterator<Item = &UpstreamId> {
         let unconfirmed = self
             .engines
@@ -234,12 +242,12 @@
         unconfirmed.map(|(id, _)| id)
     }
 
-    /// How many engines there are.
+    /// Number of known engines.
     pub fn engine_count(&self) -> usize {
         self.engines.len()
     }
 
-    /// Only these upstreams are there.
+    /// Drops all engines except `ids`.
     pub fn retain(&mut self, ids: &BTreeSet<UpstreamId>) {
         self.checkpoint_locations.retain(ids);
         let removed = self.engines.extract_if(.., |id, _| !ids.contains(id));
@@ -248,12 +256,12 @@
         self.announced.retain(ids);
     }
 
-    /// So many requests of an instance wait for a model or adapter now.
+    /// Sets how many requests of an instance currently wait for a model or adapter.
     pub fn set_waiters(&mut self, waiters: Waiters, now: Instant) {
         self.demand.set_waiters(waiters, now);
     }
 
-    /// An instance took so many requests for a model or adapter.
+    /// Records that an instance accepted `count` requests for a model or adapter.
     pub fn record_arrivals(
         &mut self,
         service: &ServiceName,
@@ -270,14 +278,14 @@
         }
     }
 
-    /// What runs of an instance's requests.
+    /// Replaces the running requests of an instance.
     pub fn set_running(&mut self, instance: &InstanceId, runs: &[RunningRequests]) {
         let mut by_engine: BTreeMap<&UpstreamId, Vec<(ModelName, u32)>> = BTreeMap::new();
         for run in runs {
             let engine_runs = by_engine.entry(&run.engine).or_default();
             engine_runs.push((run.model.clone(), run.count));
         }
-        // An instance runs something on a few engines of hundreds.
+        // An instance has running requests on only a few of hundreds of engines.
         let engines = by_engine.keys().map(|id| (*id).clone()).collect();
         let previous = self.engines_by_instance.insert(instance.clone(), engines);
         for id in previous.into_iter().flatten() {
@@ -294,14 +302,14 @@
         }
     }
 
-    /// An instance is gone, and what it ran with it.
+    /// Removes an instance with its waiting and running requests.
     pub fn remove_instance(&mut self, instance: &InstanceId) {
         self.demand.remove_instance(instance);
         self.set_running(instance, &[]);
         self.engines_by_instance.remove(instance);
     }
 
-    /// An order was answered.
+    /// Applies the answer to an order.
     pub fn record_answer(&mut self, order: &PlannedOrder, answer: OrderAnswer, now: Instant) {
         let Some(engine) = self.engines.get_mut(&order.engine) else {
             return;
@@ -324,7 +332,7 @@
         self.changed_engines.insert(order.engine.clone());
     }
 
-    /// An engine told its state; `None` if it did not answer.
+    /// Applies an engine's report of its state; `None` if the query was not answered.
     pub fn record_report(&mut self, id: &UpstreamId, report: Option<EngineReport>, now: Instant) {
         if let Some(engine) = self.engines.get_mut(id) {
             let started_at_ms = report.as_ref().map_or(0, |report| report.started_at_ms);
@@ -341,14 +349,15 @@
         }
     }
 
-    /// An engine in need takes so many requests a second, or is in no need any more.
+    /// Sets the limit that an engine advertises, in requests per second; `None` if the engine is no
+    /// longer limited.
     pub fn set_limit(&mut self, id: &UpstreamId, per_s: Option<f64>) {
         if let Some(engine) = self.engines.get_mut(id) {
             engine.set_limit(per_s);
         }
     }
 
-    /// A start of an engine leaves, as it said in an answer.
+    /// Marks an engine process as leaving, as it signalled in an answer to a request.
     pub fn set_leaving(&mut self, id: &UpstreamId, started_at_ms: u64) {
         if let Some(engine) = self.engines.get_mut(id)
             && engine.entry.started_at_ms == started_at_ms
@@ -358,12 +367,13 @@
         }
     }
 
-    /// The halls that operators have emptied, as they were told last.
+    /// The data halls that operators have evacuated, as last set.
     pub fn evacuated_halls(&self) -> &BTreeSet<DataHall> {
         &self.evacuated_halls
     }
 
-    /// Operators have emptied these halls and no others: what stands there comes elsewhere.
+    /// Sets the data halls that operators have evacuated. Models on engines there are loaded
+    /// elsewhere.
     pub fn set_evacuated_halls(&mut self, emptied: BTreeSet<DataHall>) {
         self.evacuated_halls = emptied;
         for (id, engine) in &mut self.engines {
@@ -374,8 +384,9 @@
         }
     }
 
-    /// An engine wants nothing from some instance until a moment: what requests wait for there had better come
-    /// to another one, and nothing comes to it meanwhile.
+    /// Records that an engine accepts no requests from some instance until `until`. Meanwhile the
+    /// planner loads the models that requests wait for on other engines, and loads no further
+    /// models on this one.
     pub fn record_backoff(&mut self, id: &UpstreamId, started_at_ms: u64, until: Instant) {
         if let Some(engine) = self.engines.get_mut(id)
             && engine.entry.started_at_ms == started_at_ms
@@ -384,19 +395,20 @@
         }
     }
 
-    /// These engines want nothing from this instance until the moments given: they are neither ordered nor
-    /// asked before.
+    /// Sets the engines that accept nothing from this instance until the given times. The planner
+    /// sends them no orders and no queries until then.
     pub fn set_backing_off(&mut self, resting: BTreeMap<UpstreamId, Instant>) {
         self.backing_off = resting;
     }
 
-    /// Whether placements have changed since they were taken last.
+    /// Whether any placement may have changed since the last [`Self::take_changed_placements`].
     pub fn has_changed_placements(&self) -> bool {
         !self.changed_engines.is_empty()
     }
 
-    /// Placements of engines to which something has come that requests wait for, and the
-    /// instances that wait: they are told at once, and all others with the next batch.
+    /// Placements of engines that have just loaded a model or adapter that requests wait for, each
+    /// with the instances of these requests. These instances are notified at once, all others with
+    /// the next batch.
     pub fn take_awaited_placements(&mut self) -> Vec<(Placement, BTreeSet<InstanceId>)> {
         let mut awaited = Vec::new();
         for id in &self.changed_engines {
@@ -426,10 +438,10 @@
         placements
     }
 
-    /// The placements that an instance lacks which knows those with some digests.
+    /// Placements that an instance lacks if it knows the placements with the given digests.
     pub fn placements_differing_from(&self, known: &BTreeSet<PlacementDigest>) -> Vec<Placement> {
         let announced = self.announced.differing_from(known);
-        // What has changed since all were told is looked at itself.
+        // Changes that have not been announced yet are compared by their current placement.
         let unchanged = announced.filter(|id| !self.changed_engines.contains(*id));
         let engines = unchanged.chain(&self.changed_engines);
         let placements = engines.filter_map(|id| Some(self.engines.get(id)?.placement()));
@@ -438,7 +450,7 @@
             .collect()
     }
 
-    /// What is to be done now.
+    /// Decides the next orders and queries.
     pub fn decide(&mut self, now: Instant) -> Vec<Action> {
         self.demand.expire(now);
         self.record_crashing_loads(now);
@@ -453,7 +465,7 @@
         self.next_actions(now)
     }
 
-    /// Counts engines that ended while a model came to them against the model.
+    /// Records engines that crashed during a load against the model that was loading.
     fn record_crashing_loads(&mut self, now: Instant) {
         for interrupted in std::mem::take(&mut self.interrupted_loads) {
             let InterruptedLoad {
@@ -467,13 +479,13 @@
         self.crashing_loads.expire(&self.engines, now);
     }
 
-    /// Models that are not loaded, since engines ended while they came.
+    /// Models that are not loaded because engines crashed while loading them.
     pub fn refused_models(&self) -> impl Iterator<Item = &(ServiceName, ModelName)> {
         self.crashing_loads.refused()
     }
 
-    /// Has engines asked that should have what requests have waited for: they may be gone,
-    /// or have lost it.
+    /// Schedules queries of engines that should serve a model for which requests still wait: these
+    /// engines may be gone or may have lost the model.
     fn check_silent_engines(&mut self, now: Instant) {
         for waiting in self.demand.waiting_at_least(now, WAIT_BEFORE_CHECK) {
             let service = &waiting.service;
@@ -490,7 +502,7 @@
         }
     }
 
-    /// The next order or question of each engine.
+    /// The next order or query of each engine.
     fn next_actions(&mut self, now: Instant) -> Vec<Action> {
         let mut actions = Vec::new();
         let queries_from = *self.queries_from.get_or_insert(now + MAX_REPORT_AGE);
@@ -519,7 +531,7 @@
             }
             let previous_evicting = engine.evicting.len();
             let can_fetch = limiter.has_capacity(pool, now);
-            // What it says of itself tells where requests can go; only orders need its own report.
+            // An engine's entry suffices for routing; only orders need a report.
             if engine.needs_first_query() && !self.query_budget.try_take() {
                 continue;
             }
@@ -538,7 +550,7 @@
         actions
     }
 
-    /// Engines that have near what requests wait for.
+    /// Engines that have a checkpoint in memory or on disk for which requests wait.
     fn awaited_engines(&self) -> BTreeSet<UpstreamId> {
         let waiting = self.demand.waiting().into_iter();
         let engines = waiting.flat_map(|waiting| {
@@ -548,7 +560,7 @@
         engines.cloned().collect()
     }
 
-    /// When to decide again if nothing is heard.
+    /// When to call [`Self::decide`] again if nothing changes until then.
     pub fn next_decision_at(&self, now: Instant) -> Instant {
         let engines = self.engines.iter();
         let reachable = engines.filter(|(id, _)| !self.backing_off.contains_key(*id));
@@ -567,14 +579,14 @@
         next.unwrap_or(now + Duration::from_secs(1))
     }
 
-    /// Replicas that a model is worth now.
+    /// Number of replicas that the policy gives a model for its current demand.
     fn target_replicas(&self, service: &ServiceName, model: &ModelName, now: Instant) -> usize {
         let usage = self.usage(service, model);
         self.policy
             .replicas(self.demand.rate(service, model, now), usage)
     }
 
-    /// How much a model is used now.
+    /// Current usage of a model.
     fn usage(&self, service: &ServiceName, model: &ModelName) -> Usage {
         Usage {
             running: self.replica_counts.running_count(service, model),
@@ -583,8 +595,7 @@
         }
     }
 
-    /// Whether requests take all slots of the engines that have a model, and of those that
-    /// it comes to.
+    /// Whether requests take all slots of the engines that have a model or are about to load it.
     fn is_out_of_slots(&self, service: &ServiceName, model: &ModelName) -> bool {
         let replicas = self.replica_count(service, model) + self.pending_load_count(service, model);
         let usage = self.usage(service, model);
@@ -592,17 +603,17 @@
         replicas > 0 && u64::from(usage.running) + u64::from(usage.waiters) >= slots
     }
 
-    /// Engines on which a model stands and stays.
+    /// Number of engines on which a model is loaded and not about to be unloaded.
     fn replica_count(&self, service: &ServiceName, model: &ModelName) -> usize {
         self.replica_counts.replica_count(service, model)
     }
 
-    /// Engines on which a model comes.
+    /// Number of engines that are about to load a model.
     fn pending_load_count(&self, service: &ServiceName, model: &ModelName) -> usize {
         self.replica_counts.pending_load_count(service, model)
     }
 
-    /// Engines that have a model near.
+    /// Engines that have a model's checkpoint in memory or on disk.
     fn engines_caching<'a>(
         &'a self,
         service: &ServiceName,
@@ -612,7 +623,7 @@
         engines.filter_map(|id| self.engines.get(id))
     }
 
-    /// Counts replicas and runs anew.
+    /// Recounts replicas and running requests.
     fn recount(&mut self, now: Instant) {
         let demand = &self.demand;
         let can_serve = |engine: &Engine, model: &ModelName| {
--- a/crates/serving/src/placement/announced.rs
+++ b/crates/serving/src/placement/announced.rs
@@ -1,9 +1,9 @@
-//! What instances have been told of placements, so that only differences travel.
+//! The placements that were announced to instances, so that only differences are sent.
 //!
-//! Everything that stands on 256 engines has some 19 kB. Sent to each of 295 instances that
-//! connect to a new holder, that is 5.6 MB, 2.2 s of a link of 20 Mbit/s, behind which the
-//! holder's own calls to the store wait. An instance that connects tells digests instead,
-//! eight bytes an engine, and hears of the engines that differ.
+//! The placements of 256 engines have about 19 kB. Sent to each of 295 instances that connect to a
+//! new holder, this makes 5.6 MB or 2.2 s of a 20 Mbit/s link, which delays the holder's own calls
+//! to the store. An instance therefore sends digests of the placements that it knows when it
+//! connects, eight bytes per engine, and receives only the placements that differ.
 
 use super::Placement;
 use crate::hash::fnv1a;
@@ -11,17 +11,17 @@
 use passway_types::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What an instance believes of one engine, as a number: the upper half tells the engine, the
-/// lower half what stands there. Two beliefs that differ look alike once in 2^32.
+/// Digest of one engine's placement: the upper half identifies the engine, the lower half its
+/// models. Two different placements have the same digest with a probability of 1 in 2^32.
 pub type PlacementDigest = u64;
 
-/// Kinds of parts that a digest is made of, so that a name counts otherwise in each.
+/// Hash seeds of the parts of a digest, so that the same name hashes differently in each part.
 const ENGINE_SEED: u64 = 1;
 const MODEL_SEED: u64 = 2;
 const ADAPTER_SEED: u64 = 3;
 const CLOSING_SEED: u64 = 4;
 
-/// The digest of what stands on an engine, in whatever order it is named.
+/// The digest of an engine's placement. The order of the models and adapters does not matter.
 pub fn digest(engine: &str, models: &[ResidentModel], closing: &[ModelName]) -> PlacementDigest {
     let residents = models.iter().map(|model| {
         let name = fnv1a(MODEL_SEED, &model.name);
@@ -42,26 +42,26 @@
     }
 }
 
-/// The placements that all instances know, by their digests.
+/// Digests of the placements that were announced to all instances.
 #[derive(Debug, Default)]
 pub(super) struct AnnouncedPlacements(BTreeMap<UpstreamId, PlacementDigest>);
 
 impl AnnouncedPlacements {
-    /// A term begins: whoever connects compares what it knows with these.
+    /// Begins a term: connecting instances compare their known placements with these.
     pub(super) fn begin_term(&mut self, placements: impl Iterator<Item = Placement>) {
         let digests = placements.map(|p| (p.engine.clone(), p.digest()));
         self.0 = digests.collect();
     }
 
-    /// Whether a placement is news; it counts as told then.
+    /// Records a placement as announced. Returns whether it differs from the last announcement.
     pub(super) fn record_if_changed(&mut self, placement: &Placement) -> bool {
         let digest = placement.digest();
         self.0.insert(placement.engine.clone(), digest) != Some(digest)
     }
 
-    /// Engines of which an instance that knows some digests was told something else. To work all of them out
-    /// anew for each of 300 instances that connect at once would take a holder of 3,000 engines more than a
-    /// second of a core.
+    /// Engines whose announced placement is not among the known digests. The digests are stored
+    /// because computing them again for each of 300 instances that connect at once would take a
+    /// holder of 3,000 engines more than a second of CPU time.
     pub(super) fn differing_from<'a>(
         &'a self,
         known: &'a BTreeSet<PlacementDigest>,
@@ -70,7 +70,7 @@
         differing.map(|(id, _)| id)
     }
 
-    /// Only these engines are there.
+    /// Drops all engines except `ids`.
     pub(super) fn retain(&mut self, ids: &BTreeSet<UpstreamId>) {
         self.0.retain(|id, _| ids.contains(id));
     }
--- a/crates/serving/src/placement/benefit.rs
+++ b/crates/serving/src/placement/benefit.rs
@@ -1,41 +1,42 @@
-//! What a place on an engine is worth to a model, in one currency for busy and rare
-//! models alike: requests that are served in time thanks to it.
+//! The benefit of a replica: the number of requests that are served in time because of it. The unit
+//! is the same for busy and rare models, so that they can be compared.
 
 use super::Planner;
 use super::demand::{AwaitedModel, as_f64};
 use passway_types::prelude::*;
 use std::collections::BTreeMap;
 
-/// Time over which a place counts, in seconds: what it takes to load a model again that was
-/// wrongly sent away, the runs of what it replaces (0.8 s) and its load (0.3 to 0.5 s).
+/// Time over which the benefit of a replica counts, in seconds: roughly the time to reload a model
+/// that was wrongly evicted, i.e. until the running requests of its replacement have ended (0.8 s)
+/// and the model is loaded (0.3 to 0.5 s).
 const HORIZON_S: f64 = 1.5;
-/// What remains of a replica's worth that the demand does not need, as a part: enough
-/// that the least asked for goes first.
+/// Remaining ratio of the benefit of a replica beyond the demand. The value stays above 0 so that
+/// the replica with the lowest request rate is evicted first.
 const SPARE_REPLICA_RATIO: f64 = 0.02;
-/// A wait of so many seconds adds one more request to the count of those that wait, so
-/// that nothing that is asked for is left out however busy the others are.
+/// Each wait of this many seconds counts as one more waiting request, so that every model is
+/// eventually loaded, however busy the others are.
 const WAIT_S_PER_REQUEST: f64 = 1.0;
 
-/// A model that is worth one more replica.
+/// A model that would benefit from one more replica.
 #[derive(Debug, Clone)]
 pub(super) struct Candidate {
     pub(super) service: ServiceName,
     pub(super) model: ModelName,
-    /// Requests in time that the replica gains.
+    /// Requests served in time because of the replica.
     pub(super) gain: f64,
-    /// Requests that are late by each second that it takes.
+    /// Requests that become late during each second until the replica is loaded.
     pub(super) delay_cost_per_s: f64,
-    /// Since when requests have waited for it; `None` if none does.
+    /// Start of the longest wait for the model; `None` if no request waits.
     pub(super) waiting_since: Option<Instant>,
 }
 
-/// A number of replicas to calculate with.
+/// A number of replicas as a floating-point number.
 fn usize_as_f64(count: usize) -> f64 {
     as_f64(u64::try_from(count).unwrap_or(u64::MAX))
 }
 
 impl Planner {
-    /// Models that are worth one more replica, those that gain most first.
+    /// Models that would benefit from one more replica, in descending order of gain.
     pub(super) fn candidates(&self, now: Instant) -> Vec<Candidate> {
         let waiting = self.demand.waiting();
         let mut models: BTreeMap<(&ServiceName, &ModelName), Vec<&AwaitedModel>> = BTreeMap::new();
@@ -58,7 +59,7 @@
         candidates
     }
 
-    /// What one more replica of a model gains; `None` if it has enough of them.
+    /// The gain of one more replica of a model; `None` if the model has enough replicas.
     fn candidate(
         &self,
         service: &ServiceName,
@@ -72,8 +73,9 @@
             return None;
         }
         let rate = self.demand.rate(service, model, now);
-        // Where requests find no slot, one more replica takes its part of them at once;
-        // else it only makes queues shorter, the less the more replicas are wanted.
+        // If all slots are taken, a new replica takes over its share of the requests at once.
+        // Otherwise it only shortens queues, and its share shrinks as the target number of replicas
+        // grows.
         let sharing_replicas = if self.is_out_of_slots(service, model) {
             replicas + 1
         } else {
@@ -111,7 +113,7 @@
         Some(candidate)
     }
 
-    /// Requests in time that one of a model's replicas is worth.
+    /// The benefit of one of a model's replicas, in requests served in time.
     pub(super) fn replica_benefit(
         &self,
         service: &ServiceName,
--- a/crates/serving/src/placement/checkpoint_locations.rs
+++ b/crates/serving/src/placement/checkpoint_locations.rs
@@ -1,24 +1,24 @@
-//! Which engines have a model's checkpoint near: in their memory or on their disk.
+//! Which engines have a model's checkpoint cached, in memory or on disk.
 //!
-//! Most models have one such engine or two, so a pass over all candidates looks at a few
-//! engines each instead of all of them: at 600 engines and 730 models that all wait, 5 ms a
-//! pass without this. What an engine has changes with each load, so only what differs is
-//! taken in: to gather all anew cost a millisecond a pass at 256 engines.
+//! Most models are cached on one or two engines, so the planner checks a few engines per candidate
+//! instead of all of them. Without this index a pass took 5 ms at 600 engines and 730 models with
+//! waiting requests. The cached models of an engine change with each load, so the index is updated
+//! incrementally: a full rebuild took a millisecond per pass at 256 engines.
 
 use super::engine::Engine;
 use passway_types::prelude::*;
 use std::collections::{BTreeSet, HashMap};
 
-/// Engines by the models that they have near.
+/// Engines by the models that they have cached.
 #[derive(Debug, Default)]
 pub(super) struct CheckpointLocations {
     engines_by_model: HashMap<ServiceName, HashMap<ModelName, BTreeSet<UpstreamId>>>,
-    /// What each engine was last known to have, and its service.
+    /// Service and cached models of each engine, as last indexed.
     cached_by_engine: HashMap<UpstreamId, (ServiceName, BTreeSet<ModelName>)>,
 }
 
 impl CheckpointLocations {
-    /// Takes in what an engine tells of itself.
+    /// Indexes the cached models of an engine.
     pub(super) fn update(&mut self, engine: &Engine) {
         let entry = &engine.entry;
         let cached = entry.in_memory.iter().chain(&entry.on_disk);
@@ -40,7 +40,7 @@
             .insert(entry.id.clone(), (entry.service.clone(), cached));
     }
 
-    /// An engine is gone.
+    /// Removes an engine from the index.
     fn forget(&mut self, id: &UpstreamId) {
         let Some((service, cached)) = self.cached_by_engine.remove(id) else {
             return;
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Only these engines are there.
+    /// Removes all engines except `ids`.
     pub(super) fn retain(&mut self, ids: &BTreeSet<UpstreamId>) {
         let removed = self.cached_by_engine.keys().filter(|id| !ids.contains(*id));
         let removed: Vec<UpstreamId> = removed.cloned().collect();
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Engines that have a model near.
+    /// Engines that have a model's checkpoint cached.
     pub(super) fn engines_caching<'a>(
         &'a self,
         service: &ServiceName,
--- a/crates/serving/src/placement/crashing_loads.rs
+++ b/crates/serving/src/placement/crashing_loads.rs
@@ -1,15 +1,15 @@
-//! Models whose loads end engines.
+//! Detects models whose loads crash engines.
 
 use super::engine::Engine;
 use crate::poison::{MAX_CRASHES, UpstreamStart};
 use passway_types::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A model is not loaded for so long after the last engine that ended while it came: engines
-/// that ended for other reasons cost a model that much at most.
+/// A model is not loaded for this long after the last engine crashed while loading it. This also
+/// bounds the cost to a model if the engines terminated for other reasons.
 const REFUSAL_DURATION: Duration = Duration::from_mins(10);
 
-/// The engines that ended while one model came to them.
+/// The engines that crashed while loading one model.
 #[derive(Debug)]
 struct CrashedEngines {
     engines: BTreeSet<UpstreamStart>,
@@ -22,14 +22,14 @@
     }
 }
 
-/// Loads of this term that engines did not outlast.
+/// Loads of this term during which an engine crashed.
 #[derive(Debug, Default)]
 pub(super) struct CrashingLoads {
     by_model: BTreeMap<(ServiceName, ModelName), CrashedEngines>,
 }
 
 impl CrashingLoads {
-    /// An engine has ended while a model came to it.
+    /// Records that an engine terminated while it was loading a model.
     pub(super) fn record_crash(
         &mut self,
         service: &ServiceName,
@@ -46,7 +46,7 @@
         crashed.last_crash_at = now;
     }
 
-    /// Forgets what is old, and models that have come to an engine since.
+    /// Drops crashes that are too old, and models that an engine has loaded since the last crash.
     pub(super) fn expire(&mut self, engines: &BTreeMap<UpstreamId, Engine>, now: Instant) {
         self.by_model.retain(|(service, model), crashed| {
             let mut engines = engines.values();
@@ -56,7 +56,7 @@
         });
     }
 
-    /// The models that are not to be loaded.
+    /// The models that must not be loaded.
     pub(super) fn refused(&self) -> impl Iterator<Item = &(ServiceName, ModelName)> {
         let refused = self
             .by_model
@@ -65,7 +65,7 @@
         refused.map(|(key, _)| key)
     }
 
-    /// Whether a model is not to be loaded.
+    /// Whether a model must not be loaded.
     pub(super) fn is_refused(&self, service: &ServiceName, model: &ModelName) -> bool {
         if self.by_model.is_empty() {
             return false;
--- a/crates/serving/src/placement/demand.rs
+++ b/crates/serving/src/placement/demand.rs
@@ -1,32 +1,33 @@
-//! What is asked for: requests that wait, and how often each model is asked for.
+//! The demand for models: waiting requests, and the request rate of each model.
 
 use crate::upstreams::ModelRef;
 use passway_types::prelude::*;
 use std::collections::{BTreeMap, HashMap};
 
-/// Time over which requests are averaged, in seconds: long enough to see a rare
-/// model twice, short enough to follow demand that moves within some seconds.
+/// Time constant of the average request rates, in seconds: long enough to see a rare model twice,
+/// short enough to follow demand that changes within some seconds.
 const RATE_WINDOW_S: f64 = 4.0;
-/// Models asked for less often are worth one replica whatever the policy.
+/// Models with a lower request rate get one replica at most, under any policy.
 const BUSY_RATE_PER_S: f64 = 0.5;
 
-/// A model asked for less often is forgotten: one request is after 31 s. All 730 models of a
-/// large fleet together stay below [`IDLE_RATE_PER_S`] then, so forgetting them changes no decision.
+/// A model with a lower request rate is forgotten. The rate of a single request falls below this
+/// value after 31 s. All 730 models of a large fleet together then stay below [`IDLE_RATE_PER_S`],
+/// so that forgetting them changes no decision.
 const FORGOTTEN_RATE_PER_S: f64 = 0.000_1;
-/// Pause between two looks for models to forget: the time over which rates are averaged.
+/// Interval between two searches for models to forget; equals the time constant of the rates.
 const FORGET_INTERVAL: Duration = Duration::from_secs(4);
 
-/// So few requests a second for all models together count as none.
+/// The fleet counts as idle if the rate of all models together is lower.
 const IDLE_RATE_PER_S: f64 = 0.5;
 
-/// How much a model is used now.
+/// Current usage of a model.
 #[derive(Debug, Clone, Copy)]
 pub struct Usage {
-    /// Requests that run, over all engines.
+    /// Running requests, over all engines.
     pub running: u32,
-    /// Requests that wait since no engine takes them.
+    /// Requests that wait because no engine accepts them.
     pub waiters: u32,
-    /// Requests that an engine runs at one time.
+    /// Requests that one engine runs concurrently.
     pub slots: u32,
 }
 
@@ -37,15 +38,15 @@
     pub instance: InstanceId,
     /// The service.
     pub service: ServiceName,
-    /// What they need.
+    /// The model or adapter that the requests wait for.
     pub model_ref: ModelRef,
-    /// How many there are; 0 if none waits any more.
+    /// Number of waiting requests; 0 if no request waits any more.
     pub count: u32,
-    /// When the last of them gives up.
+    /// The latest deadline of these requests.
     pub latest_deadline: Instant,
 }
 
-/// A number as a floating point one; times and counts here are far below 2^52.
+/// A number as a floating-point number; times and counts in this module are far below 2^52.
 #[expect(clippy::cast_precision_loss, reason = "far below 2^52")]
 pub(super) fn as_f64(number: u64) -> f64 {
     number as f64
@@ -56,20 +57,20 @@
 pub(super) struct AwaitedModel {
     pub(super) service: ServiceName,
     pub(super) model_ref: ModelRef,
-    /// Since when requests have waited for it without a break.
+    /// Since when at least one request has been waiting at all times.
     pub(super) waiting_since: Instant,
-    /// Requests of each instance, and when the last of them gives up.
+    /// Number of waiting requests and their latest deadline, by instance.
     by_instance: BTreeMap<InstanceId, (u32, Instant)>,
 }
 
 impl AwaitedModel {
-    /// Requests that wait.
+    /// Number of waiting requests, over all instances.
     pub(super) fn count(&self) -> u32 {
         self.by_instance.values().map(|(count, _)| count).sum()
     }
 }
 
-/// Requests a second, as an average that fades.
+/// Requests per second, as an exponentially decaying average.
 #[derive(Debug, Clone, Copy)]
 struct Rate {
     per_s: f64,
@@ -83,20 +84,20 @@
     }
 }
 
-/// What waits, and how often each model is asked for.
+/// Waiting requests and request rates.
 #[derive(Debug, Default)]
 pub(super) struct Demand {
     awaited: HashMap<(ServiceName, ModelRef), AwaitedModel>,
-    /// Requests that wait for each model, with any adapter or none.
+    /// Waiting requests by model, including requests for its adapters.
     waiters_by_model: HashMap<(ServiceName, ModelName), u32>,
-    /// Names come from callers, so those that are not asked for any more must go.
+    /// Names come from callers, so models without recent requests must be dropped.
     rates: HashMap<(ServiceName, ModelName), Rate>,
-    /// When faded rates are looked for again.
+    /// When to drop decayed rates next.
     forget_at: Option<Instant>,
 }
 
 impl Demand {
-    /// So many requests of an instance wait for a model or adapter now.
+    /// Sets how many requests of an instance currently wait for a model or adapter.
     pub(super) fn set_waiters(&mut self, waiters: Waiters, now: Instant) {
         let Waiters {
             instance,
@@ -135,12 +136,12 @@
         }
     }
 
-    /// An instance is gone, and what waited there.
+    /// Removes the waiting requests of an instance.
     pub(super) fn remove_instance(&mut self, instance: &InstanceId) {
         self.retain(|waiting_instance, _| waiting_instance != instance);
     }
 
-    /// Drops requests whose time is over, and models that are not asked for any more.
+    /// Drops waiting requests past their deadline, and the rates of models without recent requests.
     pub(super) fn expire(&mut self, now: Instant) {
         self.retain(|_, deadline| now < deadline);
         if self.forget_at.is_none_or(|at| now >= at) {
@@ -173,7 +174,7 @@
         }
     }
 
-    /// What waits, the longest wait first.
+    /// Models and adapters that requests wait for, the longest wait first.
     pub(super) fn waiting(&self) -> Vec<&AwaitedModel> {
         let mut waiting: Vec<&AwaitedModel> = self.awaited.values().collect();
         waiting.sort_by(|a, b| {
@@ -185,7 +186,7 @@
         waiting
     }
 
-    /// What has waited for so long.
+    /// Models and adapters that requests have waited for at least `min_wait`.
     pub(super) fn waiting_at_least(
         &self,
         now: Instant,
@@ -208,7 +209,7 @@
             .flat_map(|awaited| awaited.by_instance.keys())
     }
 
-    /// Requests that wait for a model, with any adapter or none.
+    /// Requests that wait for a model, including requests for its adapters.
     pub(super) fn waiters(&self, service: &ServiceName, model: &ModelName) -> u32 {
         if self.waiters_by_model.is_empty() {
             return 0;
@@ -217,7 +218,7 @@
         self.waiters_by_model.get(&key).copied().unwrap_or(0)
     }
 
-    /// So many requests came for a model.
+    /// Records that `count` requests for a model arrived.
     pub(super) fn record_arrivals(
         &mut self,
         service: &ServiceName,
@@ -234,19 +235,19 @@
         rate.updated_at = now;
     }
 
-    /// Requests a second for a model.
+    /// Requests per second for a model.
     pub(super) fn rate(&self, service: &ServiceName, model: &ModelName, now: Instant) -> f64 {
         let key = (service.clone(), model.clone());
         self.rates.get(&key).map_or(0.0, |rate| rate.at(now))
     }
 
-    /// Whether nothing is asked for, as before traffic comes.
+    /// Whether there is no demand, for example before traffic starts.
     pub(super) fn is_idle(&self, now: Instant) -> bool {
         let total_per_s = self.rates.values().map(|rate| rate.at(now)).sum::<f64>();
         self.awaited.is_empty() && total_per_s < IDLE_RATE_PER_S
     }
 
-    /// Models that may be worth more than one replica.
+    /// Models whose request rate may justify more than one replica.
     pub(super) fn busy_models(
         &self,
         now: Instant,
--- a/crates/serving/src/placement/engine.rs
+++ b/crates/serving/src/placement/engine.rs
@@ -1,5 +1,5 @@
-//! One engine as the holder knows it: what stands on it and which order is under way.
-//! Orders and their answers are in `orders`, what it tells of itself in `reports`.
+//! The holder's knowledge of one engine: its loaded models and the orders in flight. Module
+//! `orders` handles orders and their answers, `reports` the engine's entries and reports.
 
 mod capacity;
 mod entry_history;
@@ -18,18 +18,19 @@
 use passway_types::prelude::*;
 use std::collections::{BTreeMap, HashMap};
 
-/// An engine that leaves so many questions in a row unanswered counts as gone.
+/// An engine that leaves this many consecutive queries unanswered counts as unreachable.
 const UNREACHABLE_AFTER_QUERIES: u32 = 2;
-/// Times of adapters' use that are kept beyond twice those that count: so few that 600 engines
-/// keep below 5 MB, so many that they are seldom looked through.
+/// Adapter use times kept beyond twice the number of loaded and pending adapters. The number keeps
+/// 600 engines below 5 MB and makes the map's cleanup rare.
 const SPARE_ADAPTER_USES: usize = 32;
-/// An engine whose entry has no higher number than this has started within the time in which
-/// an order without an answer may be carried out (12 s): it checks in about every 1.2 s.
+/// An engine whose entry has at most this many heartbeats has started within the time in which an
+/// unconfirmed order may still be carried out (12 s): an engine checks in about every 1.2 s.
 const RECENT_HEARTBEATS: u64 = 10;
-/// Pause between two questions to an engine that should have what requests wait for.
+/// Minimum interval between two checks of an engine that should serve a model for which requests
+/// wait.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Where an engine finds a model's weights.
+/// Storage tier from which an engine loads a model's weights.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Tier {
     Memory,
@@ -47,59 +48,62 @@
     }
 }
 
-/// What the holder knows of one engine, and its orders to it.
+/// The holder's knowledge of one engine, and its orders to that engine.
 ///
-/// An order must fit whatever the engine's true state is when it arrives: that the engine can
-/// refuse it by its count does not make it right. So room is kept for what is loading, for
-/// what may be loaded yet, and until it is sure that something has gone.
+/// An order must fit whatever the engine's true state is when the order arrives; the engine's check
+/// of the order count does not excuse an order that would not fit. Memory therefore stays reserved
+/// for loads in flight, for loads that may still begin, and for models until their unload is
+/// certain.
 #[derive(Debug)]
 pub(super) struct Engine {
     pub(super) entry: UpstreamEntry,
     models: Vec<ResidentModel>,
-    /// What its entries have shown of its models.
+    /// Model sets that the engine's entries have shown or may still show.
     entry_history: EntryHistory,
-    /// Adapters that were on their way by the last report, whoever ordered them.
+    /// Adapters that were loading as of the last report, including those ordered by a previous
+    /// holder.
     loading_adapters: Vec<ModelRef>,
-    /// Orders whose answers were lost lately.
+    /// Orders without an answer that the engine may still carry out.
     unconfirmed_orders: Vec<UnconfirmedOrder>,
     inherited_orders: InheritedOrders,
-    /// Orders that it has taken at least: a report with fewer is older than that.
+    /// Lower bound of the orders taken: a report with a lower count is outdated.
     min_orders_taken: u64,
-    /// Models that are to make room, in the order in which they go.
+    /// Models that are about to be unloaded, in the order of the unloads.
     pub(super) evicting: Vec<ModelName>,
-    /// The model that comes when there is room.
+    /// The model to load once enough memory is free.
     pending_load: Option<ModelName>,
-    /// Whether that comes from the weight store.
+    /// Whether `pending_load` comes from the weight store.
     is_store_fetch: bool,
     pending_adapters: Vec<ModelRef>,
-    /// For adapters that stand here or are wanted, and some that went.
+    /// Last use of loaded and pending adapters, and of some unloaded ones.
     adapter_used_at: HashMap<ModelRef, Instant>,
-    /// Models and adapters that have come since this was asked last.
+    /// Models and adapters loaded since the last [`Self::take_newly_loaded`].
     newly_loaded: Vec<ModelRef>,
-    /// For models that stand here.
+    /// Load time of loaded models.
     loaded_at: HashMap<ModelName, Instant>,
-    /// For adapters that stand here and were loaded by orders of this term.
+    /// Load time of adapters that were loaded by orders of this term.
     adapter_loaded_at: HashMap<ModelRef, Instant>,
     running_by_instance: BTreeMap<InstanceId, Vec<(ModelName, u32)>>,
-    /// Orders that it has taken; `None` until it was asked.
+    /// Number of orders that the engine has taken; `None` until a report shows it.
     orders_taken: Option<u64>,
     model_order: Option<InFlightOrder>,
     adapter_order: Option<PlannedOrder>,
-    /// An adapter that is on its way and there at the moment given.
+    /// The order of an adapter that is loading, and when the load is due.
     loading_adapter: Option<(PlannedOrder, Instant)>,
     query_at: Option<Instant>,
     is_query_in_flight: bool,
-    /// The model whose load was taken and that has not come yet, also once that is given up.
+    /// The model whose load order was taken and that is not loaded yet. Kept when the swap is
+    /// abandoned.
     accepted_load: Option<ModelName>,
-    /// QueryBudget in a row without an answer.
+    /// Consecutive queries without an answer.
     unanswered_queries: u32,
-    /// When it was asked last since requests wait for what it should have.
+    /// When the engine was last queried because requests waited for a model that it should serve.
     last_checked_at: Option<Instant>,
-    /// Requests a second that it takes while it is in need.
+    /// Requests per second that a limited engine accepts.
     limit_per_s: Option<f64>,
-    /// Until when it wants nothing from some instance.
+    /// Until when the engine accepts no requests from some instance.
     backing_off_until: Option<Instant>,
-    /// Whether operators have emptied its hall.
+    /// Whether operators have evacuated the engine's hall.
     is_evacuated: bool,
 }
 
@@ -137,8 +141,8 @@
         }
     }
 
-    /// It has started again under its id, and holds and knows nothing of before. An order
-    /// that it has not answered may reach it yet.
+    /// Resets the state after the engine has restarted under its id. The engine may still receive
+    /// an unconfirmed order.
     fn restart(&mut self, entry: UpstreamEntry) {
         let unconfirmed_orders = std::mem::take(&mut self.unconfirmed_orders);
         let had_inherited_orders = self.has_inherited_orders();
@@ -151,7 +155,7 @@
         }
     }
 
-    /// Whether an order to it has no answer and may be carried out yet.
+    /// Whether the engine may still carry out an order that has no answer.
     pub(super) fn has_unconfirmed_orders(&self, now: Instant) -> bool {
         matches!(self.model_order, Some(InFlightOrder::Sent(_)))
             || self.adapter_order.is_some()
@@ -162,7 +166,8 @@
                 .any(|unconfirmed| now < unconfirmed.expires_at)
     }
 
-    /// A term begins. In a `doubtful` engine an order of the holder before may be carried out yet.
+    /// Begins a term. With `has_unconfirmed`, the engine may still carry out an order of the
+    /// previous holder.
     pub(super) fn begin_term(&mut self, has_unconfirmed: bool) {
         self.entry_history.clear();
         self.inherited_orders = match has_unconfirmed {
@@ -181,8 +186,8 @@
         self.is_query_in_flight = false;
     }
 
-    /// Models and adapters that have come since the last call.
-    /// The model that was coming to it, if it has ended now without having said that it leaves.
+    /// The load that is lost if this engine process has just terminated; `None` if no load was in
+    /// progress or the engine had signalled that it leaves.
     pub(super) fn interrupted_load(&self) -> Option<InterruptedLoad> {
         Some(InterruptedLoad {
             service: self.entry.service.clone(),
@@ -194,7 +199,7 @@
         })
     }
 
-    /// Whether a model has come to it by an order after a moment.
+    /// Whether an order has loaded a model after `after`.
     pub(super) fn has_loaded(
         &self,
         service: &ServiceName,
@@ -221,7 +226,7 @@
         self.models.iter().find(|m| m.name == *model)
     }
 
-    /// Whether a model stands here and stays.
+    /// Whether a model is loaded, usable and not about to be unloaded.
     pub(super) fn has(&self, service: &ServiceName, model: &ModelName) -> bool {
         self.entry.service == *service
             && !self.is_leaving()
@@ -230,24 +235,26 @@
             && self.resident(model).is_some()
     }
 
-    /// Whether nothing new goes to it, so that what it has must come elsewhere: it leaves, or its hall was
-    /// emptied.
+    /// Whether nothing new may be loaded and the engine's models must be loaded elsewhere: the
+    /// engine is draining or its hall is evacuated.
     pub(super) fn is_leaving(&self) -> bool {
         self.entry.draining || self.is_evacuated
     }
 
-    /// Whether operators have emptied its hall; returns whether that is news.
+    /// Sets whether operators have evacuated the engine's hall. Returns whether this is a change.
     pub(super) fn set_evacuated(&mut self, is_evacuated: bool) -> bool {
         std::mem::replace(&mut self.is_evacuated, is_evacuated) != is_evacuated
     }
 
-    /// Whether it left the last questions unanswered. Its entry goes seconds after its end,
-    /// and not at all while the store is away; meanwhile what stands on it serves nobody.
+    /// Whether the engine left the last queries unanswered. The entry of a terminated engine stays
+    /// for seconds, and indefinitely during an outage of the store; meanwhile its models serve no
+    /// request.
     fn is_unreachable(&self) -> bool {
         self.unanswered_queries >= UNREACHABLE_AFTER_QUERIES
     }
 
-    /// Requests wait for what it should have: it is asked, once in a while.
+    /// Schedules a query because requests wait for a model that this engine should serve, at most
+    /// once per [`CHECK_INTERVAL`].
     pub(super) fn schedule_check(&mut self, now: Instant) {
         let is_query_planned =
             self.is_query_in_flight || self.query_at.is_some() || self.model_order.is_some();
@@ -260,13 +267,13 @@
         }
     }
 
-    /// Whether requests for a model or adapter can run here.
+    /// Whether requests for a model or adapter can run on this engine.
     pub(super) fn serves(&self, service: &ServiceName, model_ref: &ModelRef) -> bool {
         self.has(service, &model_ref.model)
             && (model_ref.adapter.is_none() || self.has_adapter(model_ref))
     }
 
-    /// Whether the adapter that a request needs stands here.
+    /// Whether the adapter of `model_ref` is loaded.
     fn has_adapter(&self, model_ref: &ModelRef) -> bool {
         let adapters = self.resident(&model_ref.model).map(|model| &model.adapters);
         let adapter = model_ref.adapter.as_ref();
@@ -275,17 +282,17 @@
             .is_some_and(|(adapters, adapter)| adapters.contains(adapter))
     }
 
-    /// Whether a model is to be loaded here, once there is room.
+    /// Whether a model will be loaded once enough memory is free.
     pub(super) fn will_load(&self, service: &ServiceName, model: &ModelName) -> bool {
         self.entry.service == *service && self.pending_load.as_ref() == Some(model)
     }
 
-    /// The model that comes, if one does.
+    /// The model to load once enough memory is free.
     pub(super) fn pending_load(&self) -> Option<&ModelName> {
         self.pending_load.as_ref()
     }
 
-    /// Whether a model, or an adapter or the model it belongs to, is still to be loaded here.
+    /// Whether the model or adapter, or the model of the adapter, is going to be loaded.
     pub(super) fn will_have(&self, service: &ServiceName, model_ref: &ModelRef) -> bool {
         if model_ref.adapter.is_none() {
             return self.will_load(service, &model_ref.model);
@@ -321,7 +328,7 @@
         Duration::from_millis(spec.map_or(0, |spec| self.tier(model).load_ms(spec)))
     }
 
-    /// Whether what comes was to be loaded from the weight store when that was decided.
+    /// Whether the pending load was from the weight store when it was decided.
     pub(super) fn has_pending_store_load(&self) -> bool {
         self.pending_load.is_some() && self.is_store_fetch
     }
@@ -336,43 +343,44 @@
         let spec = pool.models.named(model);
         let adapters = self.resident(model).map_or(0, |m| m.adapters.len());
         let adapters = super::demand::as_f64(u64::try_from(adapters).unwrap_or(0));
-        // A model that the configuration does not name is taken to fill the engine.
+        // A model that is missing in the configuration is assumed to fill the engine.
         spec.map_or(pool.weights_mb, |s| s.weights_mb + adapters * s.adapter_mb)
     }
 
-    /// It says how much it takes; `None` once it is in no need any more.
+    /// Sets the limit that the engine advertises; `None` if the engine is no longer limited.
     pub(super) fn set_limit(&mut self, per_s: Option<f64>) {
         self.limit_per_s = per_s;
     }
 
-    /// It wants nothing from some instance until a moment.
+    /// Records that the engine accepts no requests from some instance until `until`.
     pub(super) fn record_backoff(&mut self, until: Instant) {
         self.backing_off_until = self.backing_off_until.max(Some(until));
     }
 
-    /// Whether it wants nothing from some instance.
+    /// Whether the engine accepts no requests from some instance.
     pub(super) fn is_backing_off(&self, now: Instant) -> bool {
         self.backing_off_until.is_some_and(|until| now < until)
     }
 
-    /// Whether it says that it takes less than it has slots for.
+    /// Whether the engine advertises a limit below its number of slots.
     pub(super) fn is_limited(&self) -> bool {
         self.limit_per_s.is_some()
     }
 
-    /// Whether it takes what one of its models is asked for, if the others are asked for as often.
+    /// Whether the engine's limit allows this request rate for one of its models, if each of its
+    /// other models receives the same rate.
     pub(super) fn can_serve_rate(&self, requests_per_s: f64) -> bool {
         let model_count = u64::try_from(self.models.len()).unwrap_or(u64::MAX);
         let limit = self.limit_per_s;
         limit.is_none_or(|per_s| requests_per_s * super::demand::as_f64(model_count) <= per_s)
     }
 
-    /// Whether a new swap may begin here.
+    /// Whether a new swap of models may begin.
     pub(super) fn can_start_swap(&self) -> bool {
         !self.is_leaving() && self.pending_load.is_none() && self.orders_taken.is_some()
     }
 
-    /// Time until the order under way is done, in milliseconds.
+    /// Time until the model order in flight is due, in milliseconds.
     pub(super) fn order_remaining_ms(&self, now: Instant) -> f64 {
         match &self.model_order {
             Some(InFlightOrder::Taken { due_at, .. }) => {
@@ -407,7 +415,7 @@
         }
     }
 
-    /// Models that stand here and stay.
+    /// Models that are loaded, usable and not about to be unloaded.
     pub(super) fn usable_models(&self) -> impl Iterator<Item = &ModelName> {
         let is_engine_usable = !self.is_leaving() && !self.is_unreachable();
         let is_usable = move |name: &&ModelName| is_engine_usable && !self.evicting.contains(name);
@@ -417,13 +425,13 @@
             .filter(is_usable)
     }
 
-    /// Runs by model, as each instance told them.
+    /// Running requests by model, one entry for each instance.
     pub(super) fn running_requests(&self) -> impl Iterator<Item = (&ModelName, u32)> {
         let running = self.running_by_instance.values().flatten();
         running.map(|(model, count)| (model, *count))
     }
 
-    /// Runs of a model, over all instances.
+    /// Running requests for a model, over all instances.
     pub(super) fn running_count(&self, model: &ModelName) -> u32 {
         let running = self.running_by_instance.values().flatten();
         running
@@ -432,16 +440,17 @@
             .sum()
     }
 
-    /// Requests for a model or adapter came; the adapter that was used last is unloaded last.
+    /// Records the use of a loaded adapter. The most recently used adapter is unloaded last.
     pub(super) fn record_adapter_use(&mut self, model_ref: &ModelRef, now: Instant) {
-        // One that stands elsewhere takes no place here, and names come from callers.
+        // Ignores adapters that are not loaded: names come from callers, and the map must stay
+        // small.
         if self.has_adapter(model_ref) {
             self.touch_adapter(model_ref, now);
         }
     }
 
-    /// Notes a use, and forgets those of adapters that neither stand here nor are wanted
-    /// whenever they are as many as those that do.
+    /// Records a use. Drops the uses of adapters that are neither loaded nor pending once the map
+    /// has grown beyond its limit.
     fn touch_adapter(&mut self, model_ref: &ModelRef, now: Instant) {
         let max_uses = 2 * self.adapter_count() + SPARE_ADAPTER_USES;
         if self.adapter_used_at.len() >= max_uses {
@@ -452,12 +461,12 @@
         self.adapter_used_at.insert(model_ref.clone(), now);
     }
 
-    /// Adapters that stand here.
+    /// Number of loaded adapters.
     fn loaded_adapter_count(&self) -> usize {
         self.models.iter().map(|m| m.adapters.len()).sum()
     }
 
-    /// Adapters that stand here or are wanted.
+    /// Number of loaded and pending adapters.
     pub(super) fn adapter_count(&self) -> usize {
         self.loaded_adapter_count() + self.pending_adapters.len()
     }
@@ -480,7 +489,7 @@
         self.pending_adapters.push(model_ref);
     }
 
-    /// The model order under way has taken effect.
+    /// Applies the effect of the model order in flight.
     fn complete_model_order(&mut self, now: Instant) {
         let Some(in_flight) = self.model_order.take() else {
             return;
@@ -489,7 +498,7 @@
         let model = order.model_ref.model.clone();
         self.query_at = None;
         self.accepted_load = None;
-        // An answer that is still on its way is not waited for.
+        // The effect is known, so the answer to a query in flight is not awaited.
         self.is_query_in_flight = false;
         self.evicting.retain(|closing| *closing != model);
         self.models.retain(|m| m.name != model);
@@ -510,17 +519,17 @@
         self.entry_history.record(&self.models, &self.entry.models);
     }
 
-    /// This incarnation has ended; its entry goes later.
+    /// Marks this engine process as terminated; its entry disappears later.
     fn mark_terminated(&mut self) {
         self.abandon_swap();
         self.entry.draining = true;
         self.models.clear();
         self.query_at = None;
-        // Nothing more is asked at an address that belongs to another one now.
+        // The address may belong to another engine by now, so it is not queried again.
         self.is_query_in_flight = true;
     }
 
-    /// Gives the swap up.
+    /// Abandons the swap.
     fn abandon_swap(&mut self) {
         self.model_order = None;
         self.pending_load = None;
@@ -557,7 +566,7 @@
         query_at.into_iter().chain(adapter_loaded_at).min()
     }
 
-    /// Takes in an adapter that has come by now; true if one has.
+    /// Applies an adapter load that is due. Returns whether there was one.
     pub(super) fn complete_due_adapter(&mut self, now: Instant) -> bool {
         let due = self.loading_adapter.take_if(|(_, at)| now >= *at);
         let Some((order, _)) = due else {
--- a/crates/serving/src/placement/engine/capacity.rs
+++ b/crates/serving/src/placement/engine/capacity.rs
@@ -1,5 +1,6 @@
-//! Room on an engine: what stands, what is on its way, and what orders without an answer may
-//! bring yet. Whatever the engine's true state is when an order arrives, it must fit.
+//! Free memory and adapter slots of an engine. Both count what is loaded, what is loading, and what
+//! unconfirmed orders may still load, so that an order fits whatever the engine's true state is on
+//! its arrival.
 
 use super::{Engine, InFlightOrder, InheritedOrders};
 use crate::placement::PlannedOrder;
@@ -9,12 +10,13 @@
 use std::collections::BTreeSet;
 
 impl Engine {
-    /// Room for more weights, beside what stands, is loading, or may be loaded yet.
+    /// Free memory for weights, in megabytes, with loading models and possible loads counted as
+    /// used.
     pub(in crate::placement) fn free_mb(&self, pool: &EnginePool) -> f64 {
         self.free_mb_excluding(pool, None)
     }
 
-    /// The same for what an order brings: it takes no room beside itself.
+    /// The same, without counting `ordered` itself.
     pub(super) fn free_mb_excluding(&self, pool: &EnginePool, ordered: Option<&ModelRef>) -> f64 {
         let loaded = self.models.iter().map(|m| self.size_mb(pool, &m.name));
         let in_flight = self.model_order.as_ref().map(InFlightOrder::order);
@@ -34,13 +36,13 @@
                 let sizes = pool.models.iter().map(|spec| spec.weights_mb);
                 sizes.fold(0.0, f64::max)
             }
-            // Several may come, one after the other.
+            // Several orders may be carried out, one after the other.
             InheritedOrders::AtAnyCount => pool.weights_mb,
         };
         pool.weights_mb - loaded.sum::<f64>() - reserved.sum::<f64>() - inherited
     }
 
-    /// What a model or adapter takes.
+    /// Memory of a model or adapter, in megabytes.
     pub(super) fn model_ref_mb(pool: &EnginePool, model_ref: &ModelRef) -> f64 {
         let spec = pool.models.named(&model_ref.model);
         let size = |spec: &ModelSpec| {
@@ -53,7 +55,7 @@
         spec.map_or(pool.weights_mb, size)
     }
 
-    /// Whether a model, or an adapter, stands here.
+    /// Whether a model or adapter is loaded.
     pub(super) fn is_loaded(&self, model_ref: &ModelRef) -> bool {
         if model_ref.adapter.is_some() {
             self.has_adapter(model_ref)
@@ -66,8 +68,8 @@
         self.inherited_orders != InheritedOrders::NoOrder
     }
 
-    /// Orders that were not answered and may be carried out yet. One for a count that the
-    /// engine has passed may be again once it has started anew, with a count of 0.
+    /// Orders without an answer that the engine may still carry out. The engine has passed the
+    /// count of the others; a restart resets that count to 0 and makes them possible again.
     pub(super) fn live_unconfirmed_orders(&self) -> impl Iterator<Item = &PlannedOrder> {
         let orders = self
             .unconfirmed_orders
@@ -76,14 +78,14 @@
         orders.filter(|order| order.expected_orders >= self.min_orders_taken)
     }
 
-    /// The engine has taken so many orders: what was sent for a lower count was carried out
-    /// by now, or never will be.
+    /// Records that the engine has taken at least this many orders. An order for a lower count has
+    /// been carried out or never will be.
     pub(super) fn raise_orders_taken(&mut self, orders_taken: u64) {
         self.min_orders_taken = self.min_orders_taken.max(orders_taken);
     }
 
-    /// Adapters that take a place here: those that stand, are on their way, or may be yet;
-    /// but for the one that is ordered.
+    /// Adapter slots in use, without `ordered` itself: adapters that are loaded, loading, or may
+    /// still be loaded by unconfirmed orders.
     pub(super) fn used_adapter_slots(&self, ordered: &ModelRef) -> usize {
         let loaded = self.loaded_adapter_count();
         let orders = self.live_unconfirmed_orders();
--- a/crates/serving/src/placement/engine/entry_history.rs
+++ b/crates/serving/src/placement/engine/entry_history.rs
@@ -1,25 +1,25 @@
-//! What an engine's entries have shown of its models, beside what is known of them.
+//! Decides whether an engine's entry shows models that the holder does not know of yet.
 //!
-//! An entry shows the effect of an order at once where a report shows it 200 ms late. But entries
-//! arrive late too, by seconds when the store is slow, and one without a model may be from a time
-//! before that came. They arrive in the order in which they were written, though, and every set of models
-//! that the engine has had is known: so an entry tells something new exactly if it shows none
-//! of the sets that it may still be late with.
+//! An entry shows the effect of an order at once, a report 200 ms later. But entries also arrive
+//! late, by seconds when the store is slow: an entry without a model may be older than the load of
+//! that model. Entries arrive in the order in which they were written, and the holder knows every
+//! set of models that the engine has had. An entry is therefore new exactly if it shows none of the
+//! sets that a late entry may still show.
 
 use crate::upstreams::ResidentModel;
 use passway_types::prelude::*;
 use std::collections::{BTreeSet, VecDeque};
 
-/// The models of an engine at one moment.
+/// The models of an engine at one time.
 type ModelSet = BTreeSet<ModelName>;
 
-/// The sets of models that an engine has had, from the one that its entries showed last to the
-/// one that it has now.
+/// The sets of models that an engine has had, from the set that its entries showed last to the
+/// current set.
 #[derive(Debug, Default)]
 pub(super) struct EntryHistory {
     sets: VecDeque<ModelSet>,
-    /// Whether the first of them was shown by an entry; else entries may show what the engine
-    /// had before any of them.
+    /// Whether an entry has shown the first set. Otherwise entries may still show older sets, which
+    /// are unknown.
     is_first_shown: bool,
 }
 
@@ -28,13 +28,13 @@
 }
 
 impl EntryHistory {
-    /// Nothing is known any more, until the engine reports.
+    /// Forgets all sets; the next report begins a new history.
     pub(super) fn clear(&mut self) {
         self.sets.clear();
         self.is_first_shown = false;
     }
 
-    /// The engine has these models now; `shown` are those of its entry.
+    /// Records the engine's current models; `entry_models` are those of its latest entry.
     pub(super) fn record(&mut self, models: &[ResidentModel], entry_models: &[ResidentModel]) {
         let current = set_of(models);
         if self.sets.is_empty() {
@@ -45,14 +45,15 @@
         }
     }
 
-    /// An entry shows these models: whether that is something that the engine has not had
-    /// before, as far as entries may be late.
+    /// Whether an entry shows models that the engine cannot have had before, even if the entry is
+    /// late.
     pub(super) fn shows_new_models(&mut self, entry_models: &[ResidentModel]) -> bool {
         let entry_set = set_of(entry_models);
         let Some(index) = self.sets.iter().position(|set| *set == entry_set) else {
             return self.is_first_shown;
         };
-        // It shows this set, or the same one later: the earlier leaves more open.
+        // The set may occur more than once in the history. The entry is taken for the earliest
+        // occurrence, which leaves the most sets possible.
         if self.is_first_shown || index + 1 == self.sets.len() {
             self.sets.drain(..index);
             self.is_first_shown = true;
--- a/crates/serving/src/placement/engine/in_flight.rs
+++ b/crates/serving/src/placement/engine/in_flight.rs
@@ -7,9 +7,9 @@
 /// An order whose effect is not known yet.
 #[derive(Debug, Clone)]
 pub(super) enum InFlightOrder {
-    /// It was sent and not answered.
+    /// Sent, without an answer yet.
     Sent(PlannedOrder),
-    /// It was taken and should be done at `due_at`.
+    /// Taken by the engine; the effect is due at `due_at`.
     Taken {
         order: PlannedOrder,
         due_at: Instant,
@@ -24,25 +24,27 @@
     }
 }
 
-/// Whether an order of a holder before may be carried out yet: one that was not answered.
+/// Which orders of the previous holder the engine may still carry out. Only orders without an
+/// answer are possible.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum InheritedOrders {
-    /// None can.
+    /// No order.
     NoOrder,
-    /// One for the count at which this term found the engine, until that moves.
+    /// One order, for the count of taken orders at which this term found the engine. Impossible
+    /// once that count has grown.
     AtCurrentCount,
-    /// One for any count: the engine has started again, and its count with it.
+    /// Orders for any count: the engine has restarted, and its count began again at 0.
     AtAnyCount,
 }
 
-/// An order without an answer, which the engine may carry out yet.
+/// An order without an answer, which the engine may still carry out until `expires_at`.
 #[derive(Debug, Clone)]
 pub(super) struct UnconfirmedOrder {
     pub(super) order: PlannedOrder,
     pub(super) expires_at: Instant,
 }
 
-/// A model that was coming to an engine.
+/// A load that did not complete because its engine terminated.
 #[derive(Debug)]
 pub(in crate::placement) struct InterruptedLoad {
     pub(in crate::placement) service: ServiceName,
--- a/crates/serving/src/placement/engine/orders.rs
+++ b/crates/serving/src/placement/engine/orders.rs
@@ -1,8 +1,8 @@
-//! Orders to one engine: which comes next, and what its answer changes.
+//! Orders to one engine: which order is next, and what the answer changes.
 //!
-//! A model order is under way until the engine shows its effect; meanwhile no other
-//! model order is sent. An answer that leaves open whether the order was run makes
-//! the engine's state unknown, so that it is asked before the next order.
+//! A model order is in flight until the engine shows its effect; no other model order is sent
+//! meanwhile. If an answer does not show whether the order was carried out, the engine's state is
+//! unknown and the holder queries the engine before the next order.
 
 use super::{Engine, InFlightOrder, InheritedOrders, UnconfirmedOrder};
 use crate::placement::store_load_limiter::MAX_ORDER_DELAY;
@@ -13,7 +13,7 @@
 use crate::upstreams::ModelRef;
 use passway_types::prelude::*;
 
-/// Time for an adapter to come; engines take some milliseconds.
+/// Duration of an adapter load; engines take some milliseconds.
 const ADAPTER_LOAD_DURATION: Duration = Duration::from_millis(12);
 
 impl Engine {
@@ -49,8 +49,8 @@
                 self.query_at = Some(now + QUERY_DELAY);
             }
             OrderAnswer::OtherIncarnation => self.mark_terminated(),
-            // One that cannot be reached is asked before it gets another order: while the
-            // store is away its entry stays, and orders to it would follow each other at once.
+            // An unreachable engine is queried before its next order. Its entry stays during an
+            // outage of the store, and orders would otherwise follow each other without pause.
             OrderAnswer::NotSent => {
                 self.model_order = None;
                 self.orders_taken = None;
@@ -63,7 +63,7 @@
         }
     }
 
-    /// One more order was taken.
+    /// Counts one more taken order.
     fn record_taken_order(&mut self) {
         if self.inherited_orders == InheritedOrders::AtCurrentCount {
             self.inherited_orders = InheritedOrders::NoOrder;
@@ -74,8 +74,9 @@
         }
     }
 
-    /// The engine is not in the state for which an order was decided, or may have carried it
-    /// out. Nothing is ordered before a report that cannot be older than that.
+    /// Handles an answer that leaves the engine's state unknown: the engine was not in the state
+    /// that the order was decided for, or may have carried the order out. No order is sent until a
+    /// report arrives that cannot be older than this answer.
     fn mark_unconfirmed(&mut self, order: &PlannedOrder, answer: OrderAnswer, now: Instant) {
         if answer == OrderAnswer::Lost {
             self.unconfirmed_orders.push(UnconfirmedOrder {
@@ -94,7 +95,8 @@
         self.adapter_order = None;
         match answer {
             OrderAnswer::Taken if order.action == OrderAction::Unload => {
-                // A run uses it: it takes its place until a report shows that it went.
+                // A running request uses the adapter, so its slot stays in use until a report shows
+                // the unload.
                 self.orders_taken = None;
                 self.query_at = Some(now + QUERY_DELAY);
             }
@@ -139,8 +141,9 @@
         }
     }
 
-    /// The next order or question, if there is one. Without `can_fetch` nothing is
-    /// loaded from the weight store. `inherits` as long as orders of the term before may come.
+    /// The next order or query, if any. Without `can_fetch` nothing is loaded from the weight
+    /// store. `may_inherit_orders` is true while orders of the previous term may still be carried
+    /// out.
     pub(in crate::placement) fn next_action(
         &mut self,
         pool: &EnginePool,
@@ -181,13 +184,14 @@
         Some(Action::Order(order))
     }
 
-    /// Whether nothing but a new term, or that it was forgotten, is a reason to ask it.
+    /// Whether the only reason to query the engine is that its order count is unknown, as after the
+    /// start of a term.
     pub(in crate::placement) fn needs_first_query(&self) -> bool {
         !self.is_query_in_flight && self.orders_taken.is_none() && self.query_at.is_none()
     }
 
-    /// Forgets orders that cannot be carried out any more. Whether they were is not known, so
-    /// the engine is asked before the next order.
+    /// Drops orders that can no longer be carried out. Whether they were carried out is unknown, so
+    /// the engine is queried before the next order.
     fn expire_unconfirmed(&mut self, may_inherit_orders: bool, now: Instant) {
         let previous = self.unconfirmed_orders.len();
         self.unconfirmed_orders
@@ -219,7 +223,7 @@
         };
         let model_ref = base_model(pending_load);
         if self.free_mb_excluding(pool, Some(&model_ref)) >= self.size_mb(pool, &model_ref.model) {
-            // A model that still stands although it was to go may be used again.
+            // Models that were to be unloaded and are still loaded become usable again.
             self.evicting.clear();
             return Some(self.build_order(OrderAction::Load, model_ref, expected_orders));
         }
@@ -255,8 +259,9 @@
         Some(self.build_order(OrderAction::Unload, victim, expected_orders))
     }
 
-    /// The adapter that was used longest ago, but for those that have just come: what waits
-    /// for them is on its way, and the store may give them later than is thought.
+    /// The least recently used adapter, except for those loaded within [`MIN_RESIDENCY`]: requests
+    /// that waited for a new adapter are still on their way, and the weight store may deliver it
+    /// later than expected.
     fn least_recently_used_adapter(&self, now: Instant) -> Option<ModelRef> {
         let loaded = self.models.iter().flat_map(|model| {
             model.adapters.iter().map(|adapter| ModelRef {
--- a/crates/serving/src/placement/engine/reports.rs
+++ b/crates/serving/src/placement/engine/reports.rs
@@ -1,5 +1,5 @@
-//! What one engine tells of itself: its entry in the directory, and its answer when
-//! it is asked for its state.
+//! What an engine publishes about itself: its entry in the directory, and its report in answer to a
+//! state query.
 
 use super::{Engine, InFlightOrder};
 use crate::placement::{PlannedOrder, QUERY_DELAY};
@@ -8,9 +8,9 @@
 use passway_types::prelude::*;
 use std::collections::BTreeSet;
 
-/// An engine that is busy with an order of before is asked again after this.
+/// Delay before the next query of an engine that is still busy with an earlier order.
 const BUSY_QUERY_DELAY: Duration = Duration::from_millis(250);
-/// The pause between questions without an answer doubles at most so often.
+/// The delay between unanswered queries doubles at most this many times.
 const MAX_DOUBLINGS: u32 = 3;
 
 /// Whether a model order has taken effect on an engine with these models.
@@ -20,18 +20,18 @@
 }
 
 impl Engine {
-    /// The engine has said something of itself.
+    /// Applies a newer entry of the engine.
     pub(in crate::placement) fn update_entry(&mut self, entry: UpstreamEntry, now: Instant) {
         if entry.started_at_ms > self.entry.started_at_ms {
             self.restart(entry);
             return;
         }
         if entry.started_at_ms < self.entry.started_at_ms {
-            // It was said before the engine started again.
+            // The entry was written before the engine restarted.
             return;
         }
         if entry.beat < self.entry.beat {
-            // An older check-in that came late; only leaving is final.
+            // An older check-in that arrived late. Only the signal to leave is final.
             if entry.draining {
                 self.set_leaving();
             }
@@ -54,15 +54,16 @@
         }
     }
 
-    /// It says that it leaves, which is final for its start: nothing is brought to it any more.
+    /// Marks the engine as leaving, which is final for this engine process: nothing more is loaded
+    /// on it.
     pub(in crate::placement) fn set_leaving(&mut self) {
         self.entry.draining = true;
         self.pending_adapters.clear();
-        // Whatever comes to it, that is not why it ends.
+        // The load in progress is not the reason why the engine terminates.
         self.accepted_load = None;
     }
 
-    /// Whether the entry shows the models that stand here after an order and nothing else.
+    /// Whether the entry shows exactly the models that the engine has after the order.
     fn entry_confirms(&self, order: &PlannedOrder) -> bool {
         let others = self
             .models
@@ -74,7 +75,7 @@
         expected == entry_models.collect()
     }
 
-    /// The engine told its state, which is some hundred milliseconds old.
+    /// Applies a report, whose state is some hundred milliseconds old, or a missing answer.
     pub(in crate::placement) fn record_report(
         &mut self,
         report: Option<EngineReport>,
@@ -84,7 +85,8 @@
         let Some(report) = report else {
             self.unanswered_queries += 1;
             if self.is_unreachable() {
-                // What was to come here may come elsewhere; it is asked before any order.
+                // The model may then be loaded elsewhere. The engine is queried before its next
+                // order.
                 self.abandon_swap();
             }
             let delay = QUERY_DELAY * (1 << self.unanswered_queries.min(MAX_DOUBLINGS));
@@ -105,13 +107,13 @@
         let is_outdated = report.started_at_ms < self.entry.started_at_ms
             || report.orders_taken < self.min_orders_taken;
         if is_outdated {
-            // Older than the last answer, or than the engine's start.
+            // The report is older than the last known answer or than the engine's start.
             return;
         }
         self.raise_orders_taken(report.orders_taken);
         if report.busy {
             self.query_at = Some(now + BUSY_QUERY_DELAY);
-            // What an order under way will change is not known: no order may be
+            // The order in progress will change the state in an unknown way: no order may be
             // decided on this state.
             if self.model_order.is_none() {
                 self.orders_taken = None;
@@ -125,7 +127,7 @@
             if has_taken_effect(order, &report.models) {
                 self.complete_model_order(now);
             } else {
-                // It was taken and came to nothing.
+                // The order was taken but had no effect.
                 self.model_order = None;
             }
         }
--- a/crates/serving/src/placement/loading.rs
+++ b/crates/serving/src/placement/loading.rs
@@ -1,5 +1,5 @@
-//! What is loaded on engines: adapters that requests wait for, models by what a replica
-//! is worth to them, and models that nobody waits for yet.
+//! Decides what to load on engines: adapters that requests wait for, models in the order of their
+//! benefit, and prefetches of models that no request waits for.
 
 use super::Planner;
 use super::benefit::Candidate;
@@ -11,33 +11,33 @@
 use crate::upstreams::ModelRef;
 use passway_types::prelude::*;
 
-/// A replica must gain so many times what the models lose that make room for it, so that
-/// two models of like worth do not take turns.
+/// A new replica must gain at least this many times the benefit of the models evicted for it.
+/// Otherwise two models of similar benefit would keep evicting each other.
 const MIN_GAIN_RATIO: f64 = 1.25;
-/// Requests in time that an engine serves by a second of loading for others, which it
-/// cannot do while it loads this one.
+/// Benefit of one second of an engine's loading time to other models, in requests served in time;
+/// lost while the engine loads this model.
 const ENGINE_TIME_BENEFIT_PER_S: f64 = 0.5;
 
-/// While nobody asks for anything, one more load may run at a time for each so many engines.
+/// While the fleet is idle, one more concurrent prefetch is allowed per this many engines.
 const ENGINES_PER_IDLE_PREFETCH: usize = 40;
 
-/// Engines among which the one is chosen that fetches a model from the weight store: enough
-/// that one with little to lose is among them. To weigh all of 256 engines for each of 250
-/// models that wait took 2.5 ms of a pass of 3 ms.
+/// Number of engines considered for fetching a model from the weight store: enough that one with a
+/// low eviction cost is among them. Evaluating all of 256 engines for each of 250 awaited models
+/// took 2.5 ms of a pass of 3 ms.
 const MAX_FETCH_CANDIDATES: usize = 32;
 
-/// A way to load a model on an engine.
+/// A possible load of a model on an engine, with the necessary evictions.
 #[derive(Debug)]
 struct Swap {
     engine: UpstreamId,
-    /// Models that make room for it.
+    /// Models to evict.
     victims: Vec<ModelName>,
-    /// Requests in time that it costs, with the time that it takes.
+    /// Cost in requests served in time, including the duration of the swap.
     cost: f64,
 }
 
 impl Planner {
-    /// Begins to load adapters that requests wait for, where their model stands.
+    /// Plans the loads of adapters that requests wait for, on engines that have their model.
     pub(super) fn place_adapters(&mut self, now: Instant) {
         let waiting = self.demand.waiting().into_iter();
         let adapters = waiting.filter(|awaited| awaited.model_ref.adapter.is_some());
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Loads an adapter on the engine that has its model and most room.
+    /// Plans an adapter on the engine with its model and the fewest adapters; limited engines come
+    /// last.
     fn place_adapter(
         &mut self,
         service: &ServiceName,
@@ -87,19 +88,21 @@
         }
     }
 
-    /// Begins to load models that are worth one more replica, those that gain most first.
+    /// Plans the loads of models that would benefit from one more replica, in descending order of
+    /// gain.
     pub(super) fn place_models(&mut self, now: Instant) {
         for candidate in self.candidates(now) {
-            // Engines that have it near have it by now, or no room for it, and more requests
-            // are turned away each second than a fetch costs its engine.
+            // In both cases the engines that cache the model either serve it already or have no
+            // memory for it, and more requests are refused each second than the fetch costs the
+            // fetching engine.
             let should_fetch_anyway = self.is_out_of_slots(&candidate.service, &candidate.model)
                 || self.has_waited_too_long_for_cached(&candidate, now);
             self.place_model(&candidate, should_fetch_anyway, now);
         }
     }
 
-    /// Whether requests have waited for an engine that has the model near for so long that
-    /// another one had better fetch it.
+    /// Whether requests have waited so long for an engine that caches the model that another engine
+    /// should fetch it.
     fn has_waited_too_long_for_cached(&self, candidate: &Candidate, now: Instant) -> bool {
         let pool = self.pools.get(&candidate.service);
         let spec = pool.and_then(|pool| pool.models.named(&candidate.model));
@@ -110,12 +113,13 @@
         now >= waiting_since + self.policy.max_wait_for_cached(fetch_time)
     }
 
-    /// Fetches models that lie nowhere, while the weight store has nothing else to do.
+    /// Fetches models that are stored on no engine while the weight store is idle.
     pub(super) fn prefetch(&mut self, now: Instant) {
         let mut max_loads = self.policy.max_prefetches();
         if max_loads > 0 && self.demand.is_idle(now) {
-            // Nobody misses an engine that loads, unless traffic comes within its six
-            // seconds: a small fleet would begin without half of its engines.
+            // An idle fleet does not need the engines that are loading, unless traffic starts
+            // within the six seconds of a load: a small fleet would then start without half of its
+            // engines.
             let extra = self.engines.len() / ENGINES_PER_IDLE_PREFETCH;
             max_loads = (max_loads + extra).min(MAX_CONCURRENT_STORE_LOADS);
         }
@@ -136,7 +140,7 @@
                 let candidate = Candidate {
                     service,
                     model,
-                    // Whatever it displaces can come back from near.
+                    // An evicted model can be loaded again from the engine's memory or disk.
                     gain: f64::INFINITY,
                     delay_cost_per_s: 0.0,
                     waiting_since: None,
@@ -146,12 +150,12 @@
         }
     }
 
-    /// Loads from the weight store that are under way or about to begin.
+    /// Loads from the weight store that are in progress or about to begin.
     fn pending_store_loads(&self) -> usize {
         self.replica_counts.pending_store_loads()
     }
 
-    /// Begins to load a model on the engine where that costs least, if it is worth it.
+    /// Plans the load of a model on the engine with the lowest cost, if the gain justifies it.
     fn place_model(&mut self, candidate: &Candidate, can_fetch: bool, now: Instant) {
         let is_refused = self
             .crashing_loads
@@ -171,7 +175,7 @@
         }
     }
 
-    /// The cheapest way to load a model on an engine that does not have it.
+    /// The swap of lowest cost that loads a model on an engine without it.
     fn cheapest_swap(&self, candidate: &Candidate, can_fetch: bool, now: Instant) -> Option<Swap> {
         let (service, model) = (&candidate.service, &candidate.model);
         let pool = self.pools.get(service)?;
@@ -188,7 +192,7 @@
             if engine.entry.service != *service
                 || !engine.can_start_swap()
                 || engine.has(service, model)
-                // What comes there would serve few.
+                // A replica on such an engine would serve few requests.
                 || engine.is_limited()
                 || engine.is_backing_off(now)
             {
@@ -205,8 +209,8 @@
         best
     }
 
-    /// Engines that may fetch a model that they do not have near: [`MAX_FETCH_CANDIDATES`] of them,
-    /// others for each model.
+    /// Engines that may fetch a model that they do not cache: up to [`MAX_FETCH_CANDIDATES`], a
+    /// different selection for each model.
     fn fetch_candidates<'a>(
         &'a self,
         model: &ModelName,
@@ -222,8 +226,8 @@
         others.take(MAX_FETCH_CANDIDATES)
     }
 
-    /// How a model comes to one engine; `None` if nothing may be evicted for it there, or
-    /// what would be evicted is worth more.
+    /// The swap that loads a model on one engine; `None` if the engine cannot free enough memory or
+    /// the gain is too low for the benefit of the evicted models.
     fn evaluate_swap(
         &self,
         engine: &Engine,
@@ -248,8 +252,8 @@
         })
     }
 
-    /// Whether a model may come from the weight store now; `should_fetch_anyway` if that may be
-    /// although an engine has it nearer.
+    /// Whether a model may be fetched from the weight store now. With `should_fetch_anyway`, also
+    /// if a usable engine has it cached.
     fn can_fetch(
         &self,
         service: &ServiceName,
@@ -258,7 +262,7 @@
         should_fetch_anyway: bool,
         now: Instant,
     ) -> bool {
-        // An engine that has it nearer will be free before a load from the store ends.
+        // An engine that caches the model becomes free before a load from the store would end.
         let mut caching = self.engines_caching(service, &spec.name);
         let rate = self.demand.rate(service, &spec.name, now);
         let is_cached_on_usable = caching.any(|engine| {
--- a/crates/serving/src/placement/policy.rs
+++ b/crates/serving/src/placement/policy.rs
@@ -1,34 +1,34 @@
-//! What a placement policy decides, and the policies that ship.
+//! Placement policies: the trait and the implementations that ship.
 //!
-//! The planner keeps memory, adapter places and the weight store's ceiling whatever the
-//! policy says; a policy says what is worth loading. The simple ones are baselines to
-//! measure against, in the model (`passway-experiment`) and on the users' bench.
+//! The planner enforces the limits on memory, adapter slots and loads from the weight store under
+//! any policy; a policy decides which loads are worthwhile. The simple policies are baselines for
+//! comparisons in the fleet model (`passway-experiment`) and on the users' bench.
 
 use super::demand::Usage;
 use passway_types::prelude::*;
 use std::fmt;
 use std::str::FromStr;
 
-/// A model asked for this often has a second replica, against the loss of the first.
+/// From this request rate on a model gets a second replica, in case the first one is lost.
 const SECOND_REPLICA_RATE_PER_S: f64 = 1.5;
-/// Part of an engine's slots that the runs of a busy model may fill: instances see only
-/// their own load, so the spread over engines is uneven.
+/// Maximum ratio of an engine's slots that the running requests of a busy model should fill.
+/// Instances see only their own load, so requests are distributed unevenly over engines.
 const MAX_SLOT_RATIO: f64 = 0.4;
-/// Loads from the weight store that serve nobody yet, at one time: each keeps its
-/// engine from exchanging models.
+/// Concurrent loads from the weight store for models without waiting requests. An engine cannot
+/// swap other models during such a load.
 const MAX_CONCURRENT_PREFETCHES: usize = 2;
-/// Requests a second that one replica takes, for the policy that goes by them.
+/// Request rate that one replica serves, for the policy that scales by rate.
 const REQUESTS_PER_REPLICA_PER_S: f64 = 6.0;
-/// A request waits at least this long for an engine that has its model nearer than the
-/// weight store.
+/// Minimum time that a request waits for an engine that has its model cached in memory or on disk.
 const MIN_CACHED_WAIT: Duration = Duration::from_millis(1_500);
 
-/// What counts in the worth of a place.
+/// How waiting requests count in the benefit of a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WaitScoring {
-    /// Each waiting request, not just that some wait.
+    /// Whether each waiting request counts; otherwise all requests that wait for a model or adapter
+    /// count as one.
     pub should_count_requests: bool,
-    /// How long requests have waited.
+    /// Whether the benefit grows with the time that requests have waited.
     pub should_count_wait_time: bool,
 }
 
@@ -39,48 +39,52 @@
     };
 }
 
-/// What is worth loading on engines.
+/// Decides which loads are worthwhile.
 pub trait PlacementPolicy: fmt::Debug + Send {
-    /// ReplicaTarget that a model is worth, which is asked for `rate_per_s` times a second.
+    /// Target number of replicas of a model with a request rate of `rate_per_s`.
     fn replicas(&self, rate_per_s: f64, usage: Usage) -> usize;
 
-    /// What counts in the worth of a place.
+    /// How waiting requests count in the benefit of a replica.
     fn wait_scoring(&self) -> WaitScoring;
 
-    /// Loads from the weight store that may run at one time although nobody waits for them.
+    /// Maximum number of concurrent loads from the weight store for models without waiting
+    /// requests.
     fn max_prefetches(&self) -> usize;
 
-    /// How long a request waits for an engine that has its model near, before another
-    /// engine fetches it from the weight store, which takes `fetch_time`.
+    /// How long a request waits for an engine that has its model cached before another engine
+    /// fetches the model from the weight store; the fetch takes `fetch_time`.
     fn max_wait_for_cached(&self, fetch_time: Duration) -> Duration;
 }
 
-/// The policies by name.
+/// The policies by name. A "home" in these names is an engine that has the model cached in memory
+/// or on disk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum PolicyName {
-    /// ReplicaTarget by measured demand, prefetch, homes. What ships.
+    /// The default: replicas by measured demand, prefetching, and a wait for engines that have the
+    /// model cached.
     #[default]
     Balanced,
-    /// One replica of what is asked for, when it is asked for.
+    /// One replica of each requested model, loaded when a request arrives.
     OnDemand,
-    /// Two replicas of whatever is asked for at all, no prefetch.
+    /// Two replicas of each requested model, without prefetching.
     FixedReplicas,
-    /// As `balanced`, but any engine fetches what it lacks at once.
+    /// As `balanced`, but any engine fetches a model at once.
     NoHomes,
-    /// As `balanced`, without prefetch.
+    /// As `balanced`, without prefetching.
     NoPrefetch,
-    /// As `balanced`, but a home is waited for 1.5 s, however long a fetch takes.
+    /// As `balanced`, but requests wait 1.5 s for an engine that has the model cached, however long
+    /// a fetch takes.
     ShortHomes,
-    /// As `balanced`, with a replica for every six requests a second.
+    /// As `balanced`, with one replica for every six requests per second.
     ByRate,
-    /// As `balanced`, but requests that wait for one model count as one.
+    /// As `balanced`, but all requests that wait for a model count as one.
     NoCounts,
-    /// As `balanced`, but a long wait counts no more than a short one.
+    /// As `balanced`, but the time that requests have waited does not count.
     NoAgeing,
 }
 
 impl PolicyName {
-    /// All of them.
+    /// All policy names.
     pub const ALL: [Self; 9] = [
         Self::Balanced,
         Self::OnDemand,
@@ -108,7 +112,7 @@
         }
     }
 
-    /// The policy.
+    /// Creates the policy.
     pub fn build(self) -> Box<dyn PlacementPolicy> {
         let balanced = ComposedPolicy {
             replicas: ReplicaTarget::ByDemand,
@@ -173,7 +177,7 @@
     }
 }
 
-/// How many replicas a model is worth.
+/// How the target number of replicas is computed.
 #[derive(Debug, Clone, Copy)]
 enum ReplicaTarget {
     ByDemand,
@@ -181,7 +185,7 @@
     Fixed(usize),
 }
 
-/// Whether a request waits for an engine that has its model near.
+/// How long a request waits for an engine that has its model cached.
 #[derive(Debug, Clone, Copy)]
 enum CachedWait {
     FetchTime,
@@ -189,7 +193,7 @@
     NoWait,
 }
 
-/// A policy put together of its parts.
+/// A policy composed of independent settings.
 #[derive(Debug, Clone, Copy)]
 struct ComposedPolicy {
     replicas: ReplicaTarget,
@@ -215,9 +219,10 @@
         self.max_prefetches
     }
 
-    /// As long as the fetch takes, during which its engine loads nothing else: with 1.5 s,
-    /// four of nine engines fetched for one request each while homes had a queue, and the
-    /// queues grew: 358 of 498 requests for rare models were in time where it is 462.
+    /// `balanced` waits as long as a fetch takes, because the fetching engine loads nothing else
+    /// meanwhile. With 1.5 s, four of nine engines each fetched a model for a single request while
+    /// the engines that had it cached had a growing queue: 358 of 498 requests for rare models were
+    /// in time instead of 462.
     fn max_wait_for_cached(&self, fetch_time: Duration) -> Duration {
         match self.cached_wait {
             CachedWait::FetchTime => MIN_CACHED_WAIT.max(fetch_time),
@@ -227,8 +232,7 @@
     }
 }
 
-/// A replica for every so many requests a second; at least two for a model that is asked
-/// for often.
+/// One replica per [`REQUESTS_PER_REPLICA_PER_S`], and at least two for a busy model.
 fn replicas_by_rate(rate_per_s: f64) -> usize {
     if rate_per_s < SECOND_REPLICA_RATE_PER_S {
         return 1;
@@ -236,10 +240,9 @@
     ceil_to_replicas(rate_per_s / REQUESTS_PER_REPLICA_PER_S).max(2)
 }
 
-/// ReplicaTarget that bear a model's requests; one for a model that is asked for seldom, at
-/// least two for any other. Runs and waiting requests say how many are min_replicas whatever
-/// the model's pace and prompts: a fixed rate for each replica kept a third of all places
-/// from rare models, or starved slow ones.
+/// Enough replicas for a model's running and waiting requests: one for a rare model, at least two
+/// for any other. Counting requests works for any model speed and prompt length; a fixed rate per
+/// replica took a third of all replicas from rare models, or starved slow ones.
 fn replicas_by_demand(rate_per_s: f64, usage: Usage) -> usize {
     if rate_per_s < SECOND_REPLICA_RATE_PER_S {
         return 1;
@@ -248,7 +251,7 @@
     ceil_to_replicas(active / (f64::from(usage.slots.max(1)) * MAX_SLOT_RATIO)).max(2)
 }
 
-/// The next whole number, one at least.
+/// Rounds up to a whole number of replicas, at least one.
 fn ceil_to_replicas(min_replicas: f64) -> usize {
     let mut replicas = 1;
     while f64::from(u32::try_from(replicas).unwrap_or(u32::MAX)) < min_replicas {
--- a/crates/serving/src/placement/query_budget.rs
+++ b/crates/serving/src/placement/query_budget.rs
@@ -1,23 +1,25 @@
-//! How many engines the holder asks for their state.
+//! Limits the rate of state queries to engines.
 //!
-//! A term begins with a question to each engine. A thousand of them at one moment take two seconds of a
-//! quarter of a core, in which the holder's lease runs out; its successor would do the same. So they are spread.
+//! A term begins with a query to each engine. A thousand queries at once take two seconds of a
+//! quarter of a core; meanwhile the holder's lease expires, and its successor would fail in the
+//! same way. A token bucket spreads these queries.
 
 use passway_types::prelude::*;
 
-/// QueryBudget a second: each takes half a millisecond of a core.
+/// Queries per second; each takes half a millisecond of CPU time.
 const QUERIES_PER_S: f64 = 100.0;
-/// QueryBudget at once, so that a small fleet is known at once.
+/// Maximum number of queries at once; lets a small fleet be queried at once.
 const BURST: f64 = 32.0;
-/// Pause after which there is room for another question.
+/// Time after which a token is available again.
 const REFILL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Room for questions that nothing but a new term asks for.
+/// Token bucket for queries whose only reason is an unknown order count, as after the start of a
+/// term.
 #[derive(Debug)]
 pub(super) struct QueryBudget {
     tokens: f64,
     refilled_at: Option<Instant>,
-    /// Whether there was none for an engine when it was looked for last.
+    /// Whether an engine found no token in the current pass.
     was_exhausted: bool,
 }
 
@@ -32,7 +34,7 @@
 }
 
 impl QueryBudget {
-    /// A pass begins.
+    /// Begins a pass and refills the bucket.
     pub(super) fn refill(&mut self, now: Instant) {
         let last_at = self.refilled_at.replace(now).unwrap_or(now);
         let elapsed_s = now.saturating_duration_since(last_at).as_secs_f64();
@@ -40,7 +42,7 @@
         self.was_exhausted = false;
     }
 
-    /// Whether an engine may be asked now.
+    /// Takes a token; returns whether one was available.
     pub(super) fn try_take(&mut self) -> bool {
         let is_available = self.tokens >= 1.0;
         if is_available {
@@ -50,7 +52,7 @@
         is_available
     }
 
-    /// When an engine can be asked that could not be.
+    /// When to try again; `None` if every engine found a token.
     pub(super) fn next_available_at(&self) -> Option<Instant> {
         let refilled_at = self.refilled_at.filter(|_| self.was_exhausted)?;
         Some(refilled_at + REFILL_INTERVAL)
--- a/crates/serving/src/placement/replica_counts.rs
+++ b/crates/serving/src/placement/replica_counts.rs
@@ -1,5 +1,5 @@
-//! Replicas and runs of each model over all engines of its service, counted once for
-//! the many questions of one pass.
+//! Replicas and running requests of each model over all engines of its service, counted once per
+//! pass because one pass reads them many times.
 
 use super::engine::Engine;
 use passway_types::prelude::*;
@@ -7,23 +7,23 @@
 
 #[derive(Debug, Clone, Default)]
 struct Counts {
-    /// Engines on which it stands and stays.
+    /// Engines on which the model is loaded and not about to be unloaded.
     replicas: Vec<UpstreamId>,
     pending_loads: usize,
     running: u32,
 }
 
-/// The counts of one moment. They hold until an engine changes.
+/// The counts at one point in time. They are valid until an engine changes.
 #[derive(Debug, Default)]
 pub(super) struct ReplicaCounts {
-    /// Loads from the weight store that are under way or about to begin.
+    /// Loads from the weight store that are in progress or about to begin.
     store_loads: usize,
     services: HashMap<ServiceName, HashMap<ModelName, Counts>>,
 }
 
 impl ReplicaCounts {
-    /// Counts what engines hold and run. A model on an engine that does not bear its requests has
-    /// no replica there.
+    /// Counts replicas and running requests. A model on an engine does not count as a replica if
+    /// `can_serve` is false for it.
     pub(super) fn count<'a>(
         engines: impl Iterator<Item = &'a Engine>,
         can_serve: impl Fn(&Engine, &ModelName) -> bool,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// A model begins to come to an engine, and others go there.
+    /// Records that a swap begins: one model will be loaded on an engine, and others are evicted.
     pub(super) fn record_swap(
         &mut self,
         service: &ServiceName,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Loads from the weight store that are under way or about to begin.
+    /// Loads from the weight store that are in progress or about to begin.
     pub(super) fn pending_store_loads(&self) -> usize {
         self.store_loads
     }
@@ -81,7 +81,7 @@
         self.services.get(service)?.get(model)
     }
 
-    /// Engines on which a model stands and stays.
+    /// Engines on which a model is loaded and not about to be unloaded.
     pub(super) fn engines_with_replica(
         &self,
         service: &ServiceName,
@@ -91,18 +91,18 @@
         counts.map_or(&[], |counts| &counts.replicas)
     }
 
-    /// How many there are.
+    /// Number of these engines.
     pub(super) fn replica_count(&self, service: &ServiceName, model: &ModelName) -> usize {
         self.engines_with_replica(service, model).len()
     }
 
-    /// Engines on which a model is to be loaded.
+    /// Number of engines that are about to load a model.
     pub(super) fn pending_load_count(&self, service: &ServiceName, model: &ModelName) -> usize {
         self.counts(service, model)
             .map_or(0, |counts| counts.pending_loads)
     }
 
-    /// Requests that run for a model.
+    /// Running requests for a model.
     pub(super) fn running_count(&self, service: &ServiceName, model: &ModelName) -> u32 {
         self.counts(service, model)
             .map_or(0, |counts| counts.running)
--- a/crates/serving/src/placement/store_load_limiter.rs
+++ b/crates/serving/src/placement/store_load_limiter.rs
@@ -1,32 +1,32 @@
-//! The weight store's ceiling: how many loads may begin within a sliding span.
+//! Limits how many loads from the weight store may begin within a sliding window.
 //!
-//! A load whose order was answered began then. One whose answer was lost may begin
-//! seconds later, so it counts until it cannot come any more. What a predecessor
-//! ordered is not known to its successor, which takes the most that it can have begun.
+//! A load whose order was answered began at that time. A load whose answer was lost may begin
+//! seconds later, so it counts until it can no longer begin. A new holder does not know the loads
+//! that its predecessor ordered and assumes the maximum that can have begun.
 
 use crate::routes::EnginePool;
 use passway_types::prelude::*;
 use std::collections::VecDeque;
 
-/// The span over which loads are counted, unless the settings name another (the users'
-/// sheets all have this one).
+/// Window over which loads are counted if the settings name no other (the users' sheets all have
+/// this one).
 pub const DEFAULT_LOAD_WINDOW: Duration = Duration::from_secs(5);
-/// Loads from the weight store at one time that still run at full speed (users' pages).
+/// Number of concurrent loads from the weight store that still run at full speed (users' pages).
 pub(super) const MAX_CONCURRENT_STORE_LOADS: usize = 4;
-/// An order without an answer may be carried out so much later (users' bench: up to 12 s).
+/// An order without an answer may be carried out up to this much later (users' bench: up to 12 s).
 pub(super) const MAX_ORDER_DELAY: Duration = Duration::from_secs(12);
 
-/// A load that has begun, or may begin yet.
+/// A load that has begun or may still begin.
 #[derive(Debug, Clone)]
 struct CountedLoad {
-    /// The engine and the count of orders that the order names; `None` for a load
-    /// that a holder before may have ordered.
+    /// The engine and the order count that the order expects; `None` for a load that the previous
+    /// holder may have ordered.
     order: Option<(UpstreamId, u64)>,
-    /// The last moment at which it can have begun.
+    /// The latest time at which the load can begin or have begun.
     latest_start_at: Instant,
 }
 
-/// Loads from the weight store of one service that count against its ceiling.
+/// Loads from the weight store of one service that count against its limit.
 #[derive(Debug)]
 pub(super) struct StoreLoadLimiter {
     window: Duration,
@@ -34,7 +34,7 @@
 }
 
 impl StoreLoadLimiter {
-    /// No loads, to be counted over a span.
+    /// Creates a limiter that counts loads over `window`.
     pub(super) fn new(window: Duration) -> Self {
         Self {
             window,
@@ -42,7 +42,8 @@
         }
     }
 
-    /// Most loads that may begin within the window; one at least, or nothing ever came.
+    /// Maximum number of loads that may begin within the window. At least one, because otherwise
+    /// nothing could ever be loaded.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
@@ -58,7 +59,7 @@
         self.count_until(now).count() < self.max_loads(pool)
     }
 
-    /// When loads that count now stop counting.
+    /// The times at which the loads that count now stop counting.
     fn count_until(&self, now: Instant) -> impl Iterator<Item = Instant> {
         let count_until = self
             .loads
@@ -67,12 +68,12 @@
         count_until.filter(move |until| *until > now)
     }
 
-    /// When the next load stops counting; `None` if none counts.
+    /// When the next load stops counting; `None` if no load counts.
     pub(super) fn next_capacity_at(&self, now: Instant) -> Option<Instant> {
         self.count_until(now).min()
     }
 
-    /// A load is ordered, for an engine that has taken so many orders.
+    /// Records the order of a load on an engine, which takes it after `expected_orders` others.
     pub(super) fn record_order(&mut self, engine: &UpstreamId, expected_orders: u64, now: Instant) {
         let window = self.window;
         self.loads
@@ -90,22 +91,23 @@
         })
     }
 
-    /// The newest order for an engine has no answer and may be carried out later.
+    /// Marks the newest load on an engine as unconfirmed: its order has no answer and may be
+    /// carried out later.
     pub(super) fn mark_unconfirmed(&mut self, engine: &UpstreamId, now: Instant) {
         if let Some(index) = self.newest_index(engine) {
             self.loads[index].latest_start_at = now + MAX_ORDER_DELAY;
         }
     }
 
-    /// The newest order for an engine came to nothing.
+    /// Removes the newest load on an engine, whose order had no effect.
     pub(super) fn cancel(&mut self, engine: &UpstreamId) {
         if let Some(index) = self.newest_index(engine) {
             self.loads.remove(index);
         }
     }
 
-    /// An engine has taken so many orders: one that names a lower count has begun by
-    /// now, or never will.
+    /// Records that an engine has taken `orders_taken` orders: a load that expects a lower count
+    /// has begun by now or never will.
     pub(super) fn raise_orders_taken(
         &mut self,
         engine: &UpstreamId,
@@ -125,8 +127,8 @@
         }
     }
 
-    /// A term begins: the most that a holder before can have begun within the window
-    /// counts as begun now.
+    /// Begins a term: the maximum number of loads that the previous holder can have begun within
+    /// the window counts as begun now.
     pub(super) fn begin_term(&mut self, pool: &EnginePool, now: Instant) {
         self.loads.clear();
         let load_times = pool.models.iter().map(|model| model.load_ms.max(1));
--- a/crates/serving/src/placement/victims.rs
+++ b/crates/serving/src/placement/victims.rs
@@ -1,27 +1,27 @@
-//! Which models are evicted for another.
+//! Selects the models to evict for another model.
 
 use super::Planner;
 use super::engine::Engine;
 use crate::routes::{EnginePool, ModelSpec};
 use passway_types::prelude::*;
 
-/// Time that an engine takes to unload a model that runs nothing, in seconds: an order
-/// and its effect, as seen in the logs of instances.
+/// Time to unload a model without running requests, in seconds, as seen in the logs of instances:
+/// the order and its effect.
 const IDLE_UNLOAD_S: f64 = 0.08;
-/// Time until the runs of an evicted model have ended, in seconds: an engine
-/// unloads a model when its last run is over.
+/// Time to unload a model with running requests, in seconds: an engine unloads a model when its
+/// last request has ended.
 const BUSY_UNLOAD_S: f64 = 0.8;
-/// A model or adapter that was loaded for somebody stays at least this long: instances hear of it
-/// and send what waits.
+/// Minimum time that a newly loaded model or adapter stays loaded: instances first have to learn of
+/// the load and send the waiting requests.
 pub(super) const MIN_RESIDENCY: Duration = Duration::from_millis(500);
 
-/// Models that make room together.
+/// Models whose eviction frees enough memory.
 #[derive(Debug, Default)]
 pub(super) struct Victims {
     pub(super) models: Vec<ModelName>,
-    /// Requests in time that their going costs.
+    /// Requests in time that the evictions cost.
     pub(super) benefit: f64,
-    /// Time until they are gone, in seconds.
+    /// Time until the models are unloaded, in seconds.
     pub(super) eviction_s: f64,
 }
 
@@ -35,8 +35,8 @@
 }
 
 impl Planner {
-    /// The models of an engine whose going makes room for another at the least cost;
-    /// `None` if there is no room however many go.
+    /// The models of an engine whose eviction frees enough memory for another model at the lowest
+    /// cost; `None` if no eviction frees enough.
     pub(super) fn victims(
         &self,
         engine: &Engine,
@@ -59,7 +59,7 @@
                 model,
             })
             .collect();
-        // One that runs something costs time, which counts like a request or so.
+        // The time to unload a model with running requests costs about as much as one late request.
         let cost = |candidate: &VictimCandidate| {
             candidate.benefit
                 + if candidate.has_running_requests {
@@ -80,7 +80,8 @@
         if missing_mb > 0.0 {
             return None;
         }
-        // What came in for its low worth may have become needless by a larger one.
+        // A model that was chosen for its low benefit may have become unnecessary once a larger one
+        // was chosen.
         for index in (0..chosen.len()).rev() {
             if missing_mb + chosen[index].size_mb <= 0.0 {
                 missing_mb += chosen.remove(index).size_mb;
