--- a/crates/serving/src/placement.rs
+++ b/crates/serving/src/placement.rs
@@ -116,7 +116,8 @@
     pools: BTreeMap<ServiceName, EnginePool>,
     demand: Demand,
     policy: Box<dyn PlacementPolicy>,
-    /// Replicas and running requests, as counted at the beginning of the current pass.
+    /// Replicas and running requests, as counted at the beginning of the current pass and updated by
+    /// its swaps.
     replica_counts: ReplicaCounts,
     /// Engines that have each model's checkpoint in memory or on disk.
     checkpoint_locations: CheckpointLocations,
@@ -124,6 +125,7 @@
     store_load_limiters: BTreeMap<ServiceName, StoreLoadLimiter>,
     /// Sliding window over which these loads are counted.
     load_window: Duration,
+    /// Engines whose placement may have changed since the last announcement.
     changed_engines: BTreeSet<UpstreamId>,
     /// Engines on which each instance has running requests.
     engines_by_instance: HashMap<InstanceId, Vec<UpstreamId>>,
@@ -139,6 +141,7 @@
     /// Start of state queries in this term. By then, a report shows the last order of the previous
     /// holder. `None` until the first decision of the term.
     queries_from: Option<Instant>,
+    /// End of the listening window of this term, in which nothing is placed or evicted.
     listening_until: Option<Instant>,
 }
 
@@ -279,11 +282,11 @@
     }
 
     /// Replaces the running requests of an instance.
-    pub fn set_running(&mut self, instance: &InstanceId, runs: &[RunningRequests]) {
+    pub fn set_running(&mut self, instance: &InstanceId, requests: &[RunningRequests]) {
         let mut by_engine: BTreeMap<&UpstreamId, Vec<(ModelName, u32)>> = BTreeMap::new();
-        for run in runs {
-            let engine_runs = by_engine.entry(&run.engine).or_default();
-            engine_runs.push((run.model.clone(), run.count));
+        for request in requests {
+            let models = by_engine.entry(&request.engine).or_default();
+            models.push((request.model.clone(), request.count));
         }
         // An instance has running requests on only a few of hundreds of engines.
         let engines = by_engine.keys().map(|id| (*id).clone()).collect();
@@ -374,8 +377,8 @@
 
     /// Sets the data halls that operators have evacuated. Models on engines there are loaded
     /// elsewhere.
-    pub fn set_evacuated_halls(&mut self, emptied: BTreeSet<DataHall>) {
-        self.evacuated_halls = emptied;
+    pub fn set_evacuated_halls(&mut self, halls: BTreeSet<DataHall>) {
+        self.evacuated_halls = halls;
         for (id, engine) in &mut self.engines {
             let is_evacuated = self.evacuated_halls.contains(&engine.entry.hall);
             if engine.set_evacuated(is_evacuated) {
@@ -397,8 +400,8 @@
 
     /// Sets the engines that accept nothing from this instance until the given times. The planner
     /// sends them no orders and no queries until then.
-    pub fn set_backing_off(&mut self, resting: BTreeMap<UpstreamId, Instant>) {
-        self.backing_off = resting;
+    pub fn set_backing_off(&mut self, engines: BTreeMap<UpstreamId, Instant>) {
+        self.backing_off = engines;
     }
 
     /// Whether any placement may have changed since the last [`Self::take_changed_placements`].
@@ -487,14 +490,14 @@
     /// Schedules queries of engines that should serve a model for which requests still wait: these
     /// engines may be gone or may have lost the model.
     fn check_silent_engines(&mut self, now: Instant) {
-        for waiting in self.demand.waiting_at_least(now, WAIT_BEFORE_CHECK) {
-            let service = &waiting.service;
-            let holding = self
+        for awaited in self.demand.awaited_for_at_least(now, WAIT_BEFORE_CHECK) {
+            let service = &awaited.service;
+            let engines = self
                 .replica_counts
-                .engines_with_replica(service, &waiting.model_ref.model);
-            for id in holding {
+                .engines_with_replica(service, &awaited.model_ref.model);
+            for id in engines {
                 if let Some(engine) = self.engines.get_mut(id)
-                    && engine.serves(service, &waiting.model_ref)
+                    && engine.can_serve(service, &awaited.model_ref)
                 {
                     engine.schedule_check(now);
                 }
@@ -529,7 +532,7 @@
             if self.backing_off.contains_key(id) {
                 continue;
             }
-            let previous_evicting = engine.evicting.len();
+            let previous_evicting_count = engine.evicting.len();
             let can_fetch = limiter.has_capacity(pool, now);
             // An engine's entry suffices for routing; only orders need a report.
             if engine.needs_first_query() && !self.query_budget.try_take() {
@@ -543,7 +546,7 @@
                 }
                 actions.push(action);
             }
-            if engine.evicting.len() != previous_evicting {
+            if engine.evicting.len() != previous_evicting_count {
                 self.changed_engines.insert(id.clone());
             }
         }
@@ -552,10 +555,10 @@
 
     /// Engines that have a checkpoint in memory or on disk for which requests wait.
     fn awaited_engines(&self) -> BTreeSet<UpstreamId> {
-        let waiting = self.demand.waiting().into_iter();
-        let engines = waiting.flat_map(|waiting| {
+        let awaited_models = self.demand.awaited_models().into_iter();
+        let engines = awaited_models.flat_map(|awaited| {
             self.checkpoint_locations
-                .engines_caching(&waiting.service, &waiting.model_ref.model)
+                .engines_caching(&awaited.service, &awaited.model_ref.model)
         });
         engines.cloned().collect()
     }
@@ -563,8 +566,8 @@
     /// When to call [`Self::decide`] again if nothing changes until then.
     pub fn next_decision_at(&self, now: Instant) -> Instant {
         let engines = self.engines.iter();
-        let reachable = engines.filter(|(id, _)| !self.backing_off.contains_key(*id));
-        let next_actions = reachable.filter_map(|(_, engine)| engine.next_action_at());
+        let available = engines.filter(|(id, _)| !self.backing_off.contains_key(*id));
+        let engine_times = available.filter_map(|(_, engine)| engine.next_action_at());
         let planner_times = [
             self.listening_until,
             self.queries_from,
@@ -575,7 +578,7 @@
         let other_times = other_times.filter(|at| now < *at);
         let limiters = self.store_load_limiters.values();
         let capacity_times = limiters.filter_map(|limiter| limiter.next_capacity_at(now));
-        let next = next_actions.chain(other_times).chain(capacity_times).min();
+        let next = engine_times.chain(other_times).chain(capacity_times).min();
         next.unwrap_or(now + Duration::from_secs(1))
     }
 
--- a/crates/serving/src/placement/announced.rs
+++ b/crates/serving/src/placement/announced.rs
@@ -19,10 +19,10 @@
 const ENGINE_SEED: u64 = 1;
 const MODEL_SEED: u64 = 2;
 const ADAPTER_SEED: u64 = 3;
-const CLOSING_SEED: u64 = 4;
+const EVICTING_SEED: u64 = 4;
 
 /// The digest of an engine's placement. The order of the models and adapters does not matter.
-pub fn digest(engine: &str, models: &[ResidentModel], closing: &[ModelName]) -> PlacementDigest {
+pub fn digest(engine: &str, models: &[ResidentModel], evicting: &[ModelName]) -> PlacementDigest {
     let residents = models.iter().map(|model| {
         let name = fnv1a(MODEL_SEED, &model.name);
         let adapters = model.adapters.iter();
@@ -30,8 +30,8 @@
             .map(|adapter| fnv1a(name ^ ADAPTER_SEED, adapter))
             .fold(name, u64::wrapping_add)
     });
-    let closing = closing.iter().map(|model| fnv1a(CLOSING_SEED, model));
-    let contents = residents.chain(closing).fold(0, u64::wrapping_add);
+    let evicting = evicting.iter().map(|model| fnv1a(EVICTING_SEED, model));
+    let contents = residents.chain(evicting).fold(0, u64::wrapping_add);
     (fnv1a(ENGINE_SEED, engine) << 32) | (contents >> 32)
 }
 
--- a/crates/serving/src/placement/benefit.rs
+++ b/crates/serving/src/placement/benefit.rs
@@ -38,21 +38,21 @@
 impl Planner {
     /// Models that would benefit from one more replica, in descending order of gain.
     pub(super) fn candidates(&self, now: Instant) -> Vec<Candidate> {
-        let waiting = self.demand.waiting();
+        let awaited_models = self.demand.awaited_models();
         let mut models: BTreeMap<(&ServiceName, &ModelName), Vec<&AwaitedModel>> = BTreeMap::new();
         let busy = self.demand.busy_models(now);
         for (service, model) in busy {
             models.entry((service, model)).or_default();
         }
-        for awaited in waiting {
+        for awaited in awaited_models {
             let model = (&awaited.service, &awaited.model_ref.model);
             models.entry(model).or_default().push(awaited);
         }
         let candidates = models
             .into_iter()
-            .filter_map(|((service, model), waiting)| {
+            .filter_map(|((service, model), awaited_models)| {
                 let has_pool = self.pools.contains_key(service);
-                has_pool.then(|| self.candidate(service, model, &waiting, now))?
+                has_pool.then(|| self.candidate(service, model, &awaited_models, now))?
             });
         let mut candidates: Vec<Candidate> = candidates.collect();
         candidates.sort_by(|a, b| b.gain.total_cmp(&a.gain));
@@ -64,7 +64,7 @@
         &self,
         service: &ServiceName,
         model: &ModelName,
-        waiting: &[&AwaitedModel],
+        awaited_models: &[&AwaitedModel],
         now: Instant,
     ) -> Option<Candidate> {
         let replicas = self.replica_count(service, model) + self.pending_load_count(service, model);
@@ -90,15 +90,15 @@
             waiting_since: None,
         };
         if replicas == 0 {
-            let weights = self.policy.wait_scoring();
-            let scores = waiting.iter().map(|awaited| {
-                let count = if weights.should_count_requests {
+            let scoring = self.policy.wait_scoring();
+            let scores = awaited_models.iter().map(|awaited| {
+                let count = if scoring.should_count_requests {
                     awaited.count()
                 } else {
                     1
                 };
                 let wait = now.saturating_duration_since(awaited.waiting_since);
-                let requests_per_s = if weights.should_count_wait_time {
+                let requests_per_s = if scoring.should_count_wait_time {
                     1.0 / WAIT_S_PER_REQUEST
                 } else {
                     0.0
@@ -108,7 +108,10 @@
             let wait_score: f64 = scores.sum();
             candidate.gain = rate * HORIZON_S + wait_score;
             candidate.delay_cost_per_s = rate + wait_score;
-            candidate.waiting_since = waiting.iter().map(|awaited| awaited.waiting_since).min();
+            candidate.waiting_since = awaited_models
+                .iter()
+                .map(|awaited| awaited.waiting_since)
+                .min();
         }
         Some(candidate)
     }
--- a/crates/serving/src/placement/demand.rs
+++ b/crates/serving/src/placement/demand.rs
@@ -7,7 +7,8 @@
 /// Time constant of the average request rates, in seconds: long enough to see a rare model twice,
 /// short enough to follow demand that changes within some seconds.
 const RATE_WINDOW_S: f64 = 4.0;
-/// Models with a lower request rate get one replica at most, under any policy.
+/// Models with a lower request rate are considered for a replica only if requests wait for them: one
+/// replica is enough for them under any policy.
 const BUSY_RATE_PER_S: f64 = 0.5;
 
 /// A model with a lower request rate is forgotten. The rate of a single request falls below this
@@ -111,28 +112,28 @@
             return;
         }
         let (service, model_ref) = key.clone();
-        let model = (service.clone(), model_ref.model.clone());
-        let waiting = self.awaited.entry(key.clone()).or_insert(AwaitedModel {
+        let model_key = (service.clone(), model_ref.model.clone());
+        let awaited = self.awaited.entry(key.clone()).or_insert(AwaitedModel {
             service,
             model_ref,
             waiting_since: now,
             by_instance: BTreeMap::new(),
         });
         let previous = if count == 0 {
-            waiting.by_instance.remove(&instance)
+            awaited.by_instance.remove(&instance)
         } else {
-            waiting
+            awaited
                 .by_instance
                 .insert(instance, (count, latest_deadline))
         };
-        if waiting.by_instance.is_empty() {
+        if awaited.by_instance.is_empty() {
             self.awaited.remove(&key);
         }
         let previous = previous.map_or(0, |(count, _)| count);
-        let waiters = self.waiters_by_model.entry(model.clone()).or_default();
+        let waiters = self.waiters_by_model.entry(model_key.clone()).or_default();
         *waiters = (*waiters + count).saturating_sub(previous);
         if *waiters == 0 {
-            self.waiters_by_model.remove(&model);
+            self.waiters_by_model.remove(&model_key);
         }
     }
 
@@ -153,13 +154,13 @@
 
     fn retain(&mut self, should_stay: impl Fn(&InstanceId, Instant) -> bool) {
         let mut is_changed = false;
-        self.awaited.retain(|_, waiting| {
-            let previous = waiting.by_instance.len();
-            waiting
+        self.awaited.retain(|_, awaited| {
+            let previous = awaited.by_instance.len();
+            awaited
                 .by_instance
                 .retain(|instance, (_, deadline)| should_stay(instance, *deadline));
-            is_changed |= waiting.by_instance.len() != previous;
-            !waiting.by_instance.is_empty()
+            is_changed |= awaited.by_instance.len() != previous;
+            !awaited.by_instance.is_empty()
         });
         if is_changed {
             self.recount();
@@ -168,32 +169,32 @@
 
     fn recount(&mut self) {
         self.waiters_by_model.clear();
-        for waiting in self.awaited.values() {
-            let key = (waiting.service.clone(), waiting.model_ref.model.clone());
-            *self.waiters_by_model.entry(key).or_default() += waiting.count();
+        for awaited in self.awaited.values() {
+            let key = (awaited.service.clone(), awaited.model_ref.model.clone());
+            *self.waiters_by_model.entry(key).or_default() += awaited.count();
         }
     }
 
     /// Models and adapters that requests wait for, the longest wait first.
-    pub(super) fn waiting(&self) -> Vec<&AwaitedModel> {
-        let mut waiting: Vec<&AwaitedModel> = self.awaited.values().collect();
-        waiting.sort_by(|a, b| {
+    pub(super) fn awaited_models(&self) -> Vec<&AwaitedModel> {
+        let mut awaited_models: Vec<&AwaitedModel> = self.awaited.values().collect();
+        awaited_models.sort_by(|a, b| {
             let rank = |awaited: &AwaitedModel| awaited.waiting_since;
             rank(a)
                 .cmp(&rank(b))
                 .then_with(|| a.model_ref.cmp(&b.model_ref))
         });
-        waiting
+        awaited_models
     }
 
     /// Models and adapters that requests have waited for at least `min_wait`.
-    pub(super) fn waiting_at_least(
+    pub(super) fn awaited_for_at_least(
         &self,
         now: Instant,
         min_wait: Duration,
     ) -> impl Iterator<Item = &AwaitedModel> {
-        let waiting = self.awaited.values();
-        waiting.filter(move |waiting| now >= waiting.waiting_since + min_wait)
+        let awaited_models = self.awaited.values();
+        awaited_models.filter(move |awaited| now >= awaited.waiting_since + min_wait)
     }
 
     /// Instances whose requests wait for a model or adapter.
@@ -203,8 +204,8 @@
         model_ref: &ModelRef,
     ) -> impl Iterator<Item = &'a InstanceId> + use<'a> {
         let key = (service.clone(), model_ref.clone());
-        let waiting = self.awaited.get(&key);
-        waiting
+        let awaited_model = self.awaited.get(&key);
+        awaited_model
             .into_iter()
             .flat_map(|awaited| awaited.by_instance.keys())
     }
--- a/crates/serving/src/placement/engine.rs
+++ b/crates/serving/src/placement/engine.rs
@@ -65,6 +65,7 @@
     loading_adapters: Vec<ModelRef>,
     /// Orders without an answer that the engine may still carry out.
     unconfirmed_orders: Vec<UnconfirmedOrder>,
+    /// Orders of the previous holder that the engine may still carry out.
     inherited_orders: InheritedOrders,
     /// Lower bound of the orders taken: a report with a lower count is outdated.
     min_orders_taken: u64,
@@ -74,6 +75,7 @@
     pending_load: Option<ModelName>,
     /// Whether `pending_load` comes from the weight store.
     is_store_fetch: bool,
+    /// Adapters to load, in this order.
     pending_adapters: Vec<ModelRef>,
     /// Last use of loaded and pending adapters, and of some unloaded ones.
     adapter_used_at: HashMap<ModelRef, Instant>,
@@ -83,13 +85,17 @@
     loaded_at: HashMap<ModelName, Instant>,
     /// Load time of adapters that were loaded by orders of this term.
     adapter_loaded_at: HashMap<ModelRef, Instant>,
+    /// Running requests by model, as each instance published them.
     running_by_instance: BTreeMap<InstanceId, Vec<(ModelName, u32)>>,
     /// Number of orders that the engine has taken; `None` until a report shows it.
     orders_taken: Option<u64>,
+    /// The model order in flight.
     model_order: Option<InFlightOrder>,
+    /// The adapter order that has no answer yet.
     adapter_order: Option<PlannedOrder>,
-    /// The order of an adapter that is loading, and when the load is due.
-    loading_adapter: Option<(PlannedOrder, Instant)>,
+    /// The taken order of an adapter load, and when the load is due.
+    accepted_adapter_load: Option<(PlannedOrder, Instant)>,
+    /// When to query the engine next.
     query_at: Option<Instant>,
     is_query_in_flight: bool,
     /// The model whose load order was taken and that is not loaded yet. Kept when the swap is
@@ -129,7 +135,7 @@
             orders_taken: None,
             model_order: None,
             adapter_order: None,
-            loading_adapter: None,
+            accepted_adapter_load: None,
             query_at: None,
             is_query_in_flight: false,
             unanswered_queries: 0,
@@ -181,7 +187,7 @@
         self.orders_taken = None;
         self.model_order = None;
         self.adapter_order = None;
-        self.loading_adapter = None;
+        self.accepted_adapter_load = None;
         self.query_at = None;
         self.is_query_in_flight = false;
     }
@@ -210,6 +216,7 @@
         self.entry.service == *service && loaded_at.is_some_and(|at| *at > after)
     }
 
+    /// Models and adapters loaded since the last call.
     pub(super) fn take_newly_loaded(&mut self) -> Vec<ModelRef> {
         std::mem::take(&mut self.newly_loaded)
     }
@@ -222,17 +229,17 @@
         }
     }
 
-    fn resident(&self, model: &ModelName) -> Option<&ResidentModel> {
+    fn resident_model(&self, model: &ModelName) -> Option<&ResidentModel> {
         self.models.iter().find(|m| m.name == *model)
     }
 
     /// Whether a model is loaded, usable and not about to be unloaded.
-    pub(super) fn has(&self, service: &ServiceName, model: &ModelName) -> bool {
+    pub(super) fn has_model(&self, service: &ServiceName, model: &ModelName) -> bool {
         self.entry.service == *service
             && !self.is_leaving()
             && !self.is_unreachable()
             && !self.evicting.contains(model)
-            && self.resident(model).is_some()
+            && self.resident_model(model).is_some()
     }
 
     /// Whether nothing new may be loaded and the engine's models must be loaded elsewhere: the
@@ -268,14 +275,16 @@
     }
 
     /// Whether requests for a model or adapter can run on this engine.
-    pub(super) fn serves(&self, service: &ServiceName, model_ref: &ModelRef) -> bool {
-        self.has(service, &model_ref.model)
+    pub(super) fn can_serve(&self, service: &ServiceName, model_ref: &ModelRef) -> bool {
+        self.has_model(service, &model_ref.model)
             && (model_ref.adapter.is_none() || self.has_adapter(model_ref))
     }
 
     /// Whether the adapter of `model_ref` is loaded.
     fn has_adapter(&self, model_ref: &ModelRef) -> bool {
-        let adapters = self.resident(&model_ref.model).map(|model| &model.adapters);
+        let adapters = self
+            .resident_model(&model_ref.model)
+            .map(|model| &model.adapters);
         let adapter = model_ref.adapter.as_ref();
         adapters
             .zip(adapter)
@@ -283,7 +292,7 @@
     }
 
     /// Whether a model will be loaded once enough memory is free.
-    pub(super) fn will_load(&self, service: &ServiceName, model: &ModelName) -> bool {
+    pub(super) fn is_load_pending(&self, service: &ServiceName, model: &ModelName) -> bool {
         self.entry.service == *service && self.pending_load.as_ref() == Some(model)
     }
 
@@ -293,15 +302,15 @@
     }
 
     /// Whether the model or adapter, or the model of the adapter, is going to be loaded.
-    pub(super) fn will_have(&self, service: &ServiceName, model_ref: &ModelRef) -> bool {
+    pub(super) fn is_load_planned(&self, service: &ServiceName, model_ref: &ModelRef) -> bool {
         if model_ref.adapter.is_none() {
-            return self.will_load(service, &model_ref.model);
+            return self.is_load_pending(service, &model_ref.model);
         }
         self.entry.service == *service
             && (self.pending_adapters.contains(model_ref)
                 || self.loading_adapters.contains(model_ref)
-                || (self.resident(&model_ref.model).is_none()
-                    && self.will_load(service, &model_ref.model)))
+                || (self.resident_model(&model_ref.model).is_none()
+                    && self.is_load_pending(service, &model_ref.model)))
     }
 
     pub(super) fn model_names(&self) -> Vec<ModelName> {
@@ -341,7 +350,7 @@
 
     pub(super) fn size_mb(&self, pool: &EnginePool, model: &ModelName) -> f64 {
         let spec = pool.models.named(model);
-        let adapters = self.resident(model).map_or(0, |m| m.adapters.len());
+        let adapters = self.resident_model(model).map_or(0, |m| m.adapters.len());
         let adapters = super::demand::as_f64(u64::try_from(adapters).unwrap_or(0));
         // A model that is missing in the configuration is assumed to fill the engine.
         spec.map_or(pool.weights_mb, |s| s.weights_mb + adapters * s.adapter_mb)
@@ -362,7 +371,7 @@
         self.backing_off_until.is_some_and(|until| now < until)
     }
 
-    /// Whether the engine advertises a limit below its number of slots.
+    /// Whether the engine advertises a limit, i.e. accepts fewer requests than its slots allow.
     pub(super) fn is_limited(&self) -> bool {
         self.limit_per_s.is_some()
     }
@@ -500,7 +509,7 @@
         self.accepted_load = None;
         // The effect is known, so the answer to a query in flight is not awaited.
         self.is_query_in_flight = false;
-        self.evicting.retain(|closing| *closing != model);
+        self.evicting.retain(|evicted| *evicted != model);
         self.models.retain(|m| m.name != model);
         if order.action == OrderAction::Load {
             self.models.push(ResidentModel {
@@ -525,7 +534,7 @@
         self.entry.draining = true;
         self.models.clear();
         self.query_at = None;
-        // The address may belong to another engine by now, so it is not queried again.
+        // Prevents further queries, because the address may belong to another engine by now.
         self.is_query_in_flight = true;
     }
 
@@ -562,13 +571,13 @@
 
     pub(super) fn next_action_at(&self) -> Option<Instant> {
         let query_at = self.query_at.filter(|_| !self.is_query_in_flight);
-        let adapter_loaded_at = self.loading_adapter.as_ref().map(|(_, at)| *at);
+        let adapter_loaded_at = self.accepted_adapter_load.as_ref().map(|(_, at)| *at);
         query_at.into_iter().chain(adapter_loaded_at).min()
     }
 
     /// Applies an adapter load that is due. Returns whether there was one.
     pub(super) fn complete_due_adapter(&mut self, now: Instant) -> bool {
-        let due = self.loading_adapter.take_if(|(_, at)| now >= *at);
+        let due = self.accepted_adapter_load.take_if(|(_, at)| now >= *at);
         let Some((order, _)) = due else {
             return false;
         };
--- a/crates/serving/src/placement/engine/capacity.rs
+++ b/crates/serving/src/placement/engine/capacity.rs
@@ -60,7 +60,7 @@
         if model_ref.adapter.is_some() {
             self.has_adapter(model_ref)
         } else {
-            self.resident(&model_ref.model).is_some()
+            self.resident_model(&model_ref.model).is_some()
         }
     }
 
--- a/crates/serving/src/placement/engine/entry_history.rs
+++ b/crates/serving/src/placement/engine/entry_history.rs
@@ -23,7 +23,7 @@
     is_first_shown: bool,
 }
 
-fn set_of(models: &[ResidentModel]) -> ModelSet {
+fn model_set(models: &[ResidentModel]) -> ModelSet {
     models.iter().map(|model| model.name.clone()).collect()
 }
 
@@ -36,9 +36,9 @@
 
     /// Records the engine's current models; `entry_models` are those of its latest entry.
     pub(super) fn record(&mut self, models: &[ResidentModel], entry_models: &[ResidentModel]) {
-        let current = set_of(models);
+        let current = model_set(models);
         if self.sets.is_empty() {
-            self.is_first_shown = current == set_of(entry_models);
+            self.is_first_shown = current == model_set(entry_models);
         }
         if self.sets.back() != Some(&current) {
             self.sets.push_back(current);
@@ -48,7 +48,7 @@
     /// Whether an entry shows models that the engine cannot have had before, even if the entry is
     /// late.
     pub(super) fn shows_new_models(&mut self, entry_models: &[ResidentModel]) -> bool {
-        let entry_set = set_of(entry_models);
+        let entry_set = model_set(entry_models);
         let Some(index) = self.sets.iter().position(|set| *set == entry_set) else {
             return self.is_first_shown;
         };
--- a/crates/serving/src/placement/engine/orders.rs
+++ b/crates/serving/src/placement/engine/orders.rs
@@ -102,7 +102,7 @@
             }
             OrderAnswer::Taken => {
                 self.record_taken_order();
-                self.loading_adapter = Some((order.clone(), now + ADAPTER_LOAD_DURATION));
+                self.accepted_adapter_load = Some((order.clone(), now + ADAPTER_LOAD_DURATION));
             }
             OrderAnswer::Done if order.action == OrderAction::Unload => {
                 self.record_taken_order();
@@ -135,7 +135,7 @@
             engine: self.entry.id.clone(),
             address: self.entry.address,
             action,
-            model_ref: model_ref,
+            model_ref,
             expected_orders,
             started_at_ms: self.entry.started_at_ms,
         }
@@ -165,7 +165,7 @@
             });
         }
         let is_sent = matches!(self.model_order, Some(InFlightOrder::Sent(_)));
-        if is_sent || self.adapter_order.is_some() || self.loading_adapter.is_some() {
+        if is_sent || self.adapter_order.is_some() || self.accepted_adapter_load.is_some() {
             return None;
         }
         let expected_orders = self.orders_taken?;
@@ -241,12 +241,12 @@
         now: Instant,
     ) -> Option<PlannedOrder> {
         let models = &self.models;
-        let closing = &self.evicting;
+        let evicting = &self.evicting;
         self.pending_adapters.retain(|model_ref| {
             let model = models.iter().find(|m| m.name == model_ref.model);
             let is_loaded =
                 model.is_some_and(|m| model_ref.adapter.iter().all(|a| m.adapters.contains(a)));
-            model.is_some() && !is_loaded && !closing.contains(&model_ref.model)
+            model.is_some() && !is_loaded && !evicting.contains(&model_ref.model)
         });
         let adapter = self.pending_adapters.first().cloned()?;
         if self.used_adapter_slots(&adapter) < pool.adapter_slots {
@@ -269,11 +269,11 @@
                 adapter: Some(adapter.clone()),
             })
         });
-        let has_settled = |model_ref: &ModelRef| {
+        let is_past_min_residency = |model_ref: &ModelRef| {
             let loaded_at = self.adapter_loaded_at.get(model_ref);
             loaded_at.is_none_or(|at| now >= *at + MIN_RESIDENCY)
         };
-        let settled = loaded.filter(has_settled);
-        settled.min_by_key(|model_ref| self.adapter_used_at.get(model_ref).copied())
+        let evictable = loaded.filter(is_past_min_residency);
+        evictable.min_by_key(|model_ref| self.adapter_used_at.get(model_ref).copied())
     }
 }
--- a/crates/serving/src/placement/engine/reports.rs
+++ b/crates/serving/src/placement/engine/reports.rs
@@ -139,7 +139,7 @@
         self.entry.in_memory = report.in_memory;
         self.entry.on_disk = report.on_disk;
         let pending_load = self.pending_load.clone();
-        if pending_load.is_some_and(|model| self.resident(&model).is_some()) {
+        if pending_load.is_some_and(|model| self.resident_model(&model).is_some()) {
             self.pending_load = None;
             self.evicting.clear();
         }
--- a/crates/serving/src/placement/loading.rs
+++ b/crates/serving/src/placement/loading.rs
@@ -39,8 +39,8 @@
 impl Planner {
     /// Plans the loads of adapters that requests wait for, on engines that have their model.
     pub(super) fn place_adapters(&mut self, now: Instant) {
-        let waiting = self.demand.waiting().into_iter();
-        let adapters = waiting.filter(|awaited| awaited.model_ref.adapter.is_some());
+        let awaited = self.demand.awaited_models().into_iter();
+        let adapters = awaited.filter(|awaited| awaited.model_ref.adapter.is_some());
         let awaited_adapters: Vec<(ServiceName, ModelRef)> = adapters
             .map(|awaited| (awaited.service.clone(), awaited.model_ref.clone()))
             .collect();
@@ -48,8 +48,8 @@
             let rate = self.demand.rate(&service, &model_ref.model, now);
             let mut engines = self.engines.values();
             let is_satisfied = engines.any(|engine| {
-                (engine.serves(&service, &model_ref) && engine.can_serve_rate(rate))
-                    || engine.will_have(&service, &model_ref)
+                (engine.can_serve(&service, &model_ref) && engine.can_serve_rate(rate))
+                    || engine.is_load_planned(&service, &model_ref)
             });
             if let Some(adapter) = model_ref.adapter.as_ref().filter(|_| !is_satisfied) {
                 self.place_adapter(&service, &model_ref.model, adapter, now);
@@ -75,9 +75,9 @@
             adapter: Some(adapter.clone()),
         };
         let usable = engines.filter(|engine| {
-            engine.has(service, model)
+            engine.has_model(service, model)
                 && engine.can_start_swap()
-                && !engine.serves(service, &model_ref)
+                && !engine.can_serve(service, &model_ref)
         });
         let best = usable.min_by_key(|engine| {
             let id = engine.entry.id.clone();
@@ -129,14 +129,14 @@
         let services: Vec<ServiceName> = self.pools.keys().cloned().collect();
         for service in services {
             let specs = self.pools.get(&service).map(|pool| &pool.models);
-            let is_nowhere = |spec: &&ModelSpec| {
+            let is_missing = |spec: &&ModelSpec| {
                 !self.crashing_loads.is_refused(&service, &spec.name)
                     && self.engines_caching(&service, &spec.name).next().is_none()
                     && self.replica_count(&service, &spec.name) == 0
                     && self.pending_load_count(&service, &spec.name) == 0
             };
-            let missing = specs.into_iter().flatten().find(is_nowhere);
-            if let Some(model) = missing.map(|spec| spec.name.clone()) {
+            let missing_spec = specs.into_iter().flatten().find(is_missing);
+            if let Some(model) = missing_spec.map(|spec| spec.name.clone()) {
                 let candidate = Candidate {
                     service,
                     model,
@@ -156,11 +156,11 @@
     }
 
     /// Plans the load of a model on the engine with the lowest cost, if the gain justifies it.
-    fn place_model(&mut self, candidate: &Candidate, can_fetch: bool, now: Instant) {
+    fn place_model(&mut self, candidate: &Candidate, should_fetch_anyway: bool, now: Instant) {
         let is_refused = self
             .crashing_loads
             .is_refused(&candidate.service, &candidate.model);
-        let swap = self.cheapest_swap(candidate, can_fetch, now);
+        let swap = self.cheapest_swap(candidate, should_fetch_anyway, now);
         let Some(swap) = swap.filter(|_| !is_refused) else {
             return;
         };
@@ -176,11 +176,16 @@
     }
 
     /// The swap of lowest cost that loads a model on an engine without it.
-    fn cheapest_swap(&self, candidate: &Candidate, can_fetch: bool, now: Instant) -> Option<Swap> {
+    fn cheapest_swap(
+        &self,
+        candidate: &Candidate,
+        should_fetch_anyway: bool,
+        now: Instant,
+    ) -> Option<Swap> {
         let (service, model) = (&candidate.service, &candidate.model);
         let pool = self.pools.get(service)?;
         let spec = pool.models.named(model)?;
-        let can_fetch = self.can_fetch(service, pool, spec, can_fetch, now);
+        let can_fetch = self.can_fetch(service, pool, spec, should_fetch_anyway, now);
         let caching: Vec<&Engine> = self.engines_caching(service, model).collect();
         let fetchers = can_fetch.then(|| self.fetch_candidates(model, &caching));
         let engines = caching
@@ -191,7 +196,7 @@
         for engine in engines {
             if engine.entry.service != *service
                 || !engine.can_start_swap()
-                || engine.has(service, model)
+                || engine.has_model(service, model)
                 // A replica on such an engine would serve few requests.
                 || engine.is_limited()
                 || engine.is_backing_off(now)
@@ -218,8 +223,8 @@
     ) -> impl Iterator<Item = &'a Engine> + use<'a> {
         let caching: Vec<UpstreamId> = caching.iter().map(|e| e.entry.id.clone()).collect();
         let count = self.engines.len().max(1);
-        let hash = hash::mixed(0, model) % u64::try_from(count).unwrap_or(1);
-        let start = usize::try_from(hash).unwrap_or(0);
+        let offset = hash::mixed(0, model) % u64::try_from(count).unwrap_or(1);
+        let start = usize::try_from(offset).unwrap_or(0);
         let engines = self.engines.values();
         let rotated = engines.clone().skip(start).chain(engines.take(start));
         let others = rotated.filter(move |engine| !caching.contains(&engine.entry.id));
@@ -237,7 +242,7 @@
         now: Instant,
     ) -> Option<Swap> {
         let victims = self.victims(engine, pool, spec, now)?;
-        if candidate.gain < MIN_GAIN_RATIO * victims.benefit {
+        if candidate.gain < MIN_GAIN_RATIO * victims.lost_benefit {
             return None;
         }
         let load_s = demand::as_f64(engine.tier(&spec.name).load_ms(spec)) / 1_000.0;
@@ -245,7 +250,7 @@
         let delay_s = wait_s + victims.eviction_s + load_s;
         Some(Swap {
             engine: engine.entry.id.clone(),
-            cost: victims.benefit
+            cost: victims.lost_benefit
                 + delay_s * candidate.delay_cost_per_s
                 + (victims.eviction_s + load_s) * ENGINE_TIME_BENEFIT_PER_S,
             victims: victims.models,
@@ -266,7 +271,7 @@
         let mut caching = self.engines_caching(service, &spec.name);
         let rate = self.demand.rate(service, &spec.name, now);
         let is_cached_on_usable = caching.any(|engine| {
-            let can_serve = if engine.has(service, &spec.name) {
+            let can_serve = if engine.has_model(service, &spec.name) {
                 engine.can_serve_rate(rate)
             } else {
                 !engine.is_limited()
--- a/crates/serving/src/placement/policy.rs
+++ b/crates/serving/src/placement/policy.rs
@@ -19,7 +19,8 @@
 const MAX_CONCURRENT_PREFETCHES: usize = 2;
 /// Request rate that one replica serves, for the policy that scales by rate.
 const REQUESTS_PER_REPLICA_PER_S: f64 = 6.0;
-/// Minimum time that a request waits for an engine that has its model cached in memory or on disk.
+/// Minimum time that a request waits for an engine that has its model cached in memory or on disk;
+/// the exact time under `short-homes`.
 const MIN_CACHED_WAIT: Duration = Duration::from_millis(1_500);
 
 /// How waiting requests count in the benefit of a replica.
@@ -172,7 +173,10 @@
         let found = Self::ALL.into_iter().find(|name| name.as_str() == text);
         found.ok_or_else(|| {
             let names = Self::ALL.map(Self::as_str);
-            format!("no placement policy; known are {}", names.join(", "))
+            format!(
+                "unknown placement policy; expected one of {}",
+                names.join(", ")
+            )
         })
     }
 }
@@ -180,7 +184,9 @@
 /// How the target number of replicas is computed.
 #[derive(Debug, Clone, Copy)]
 enum ReplicaTarget {
+    /// By the number of running and waiting requests.
     ByDemand,
+    /// By the request rate.
     ByRate,
     Fixed(usize),
 }
@@ -188,7 +194,9 @@
 /// How long a request waits for an engine that has its model cached.
 #[derive(Debug, Clone, Copy)]
 enum CachedWait {
+    /// As long as a fetch takes, and at least [`MIN_CACHED_WAIT`].
     FetchTime,
+    /// For [`MIN_CACHED_WAIT`].
     FixedTime,
     NoWait,
 }
--- a/crates/serving/src/placement/replica_counts.rs
+++ b/crates/serving/src/placement/replica_counts.rs
@@ -18,7 +18,7 @@
 pub(super) struct ReplicaCounts {
     /// Loads from the weight store that are in progress or about to begin.
     store_loads: usize,
-    services: HashMap<ServiceName, HashMap<ModelName, Counts>>,
+    counts_by_model: HashMap<ServiceName, HashMap<ModelName, Counts>>,
 }
 
 impl ReplicaCounts {
@@ -28,11 +28,13 @@
         engines: impl Iterator<Item = &'a Engine>,
         can_serve: impl Fn(&Engine, &ModelName) -> bool,
     ) -> Self {
-        let mut services: HashMap<ServiceName, HashMap<ModelName, Counts>> = HashMap::new();
+        let mut counts_by_model: HashMap<ServiceName, HashMap<ModelName, Counts>> = HashMap::new();
         let mut store_loads = 0;
         for engine in engines {
             store_loads += usize::from(engine.has_pending_store_load());
-            let counts = services.entry(engine.entry.service.clone()).or_default();
+            let counts = counts_by_model
+                .entry(engine.entry.service.clone())
+                .or_default();
             for model in engine
                 .usable_models()
                 .filter(|model| can_serve(engine, model))
@@ -49,7 +51,7 @@
         }
         Self {
             store_loads,
-            services,
+            counts_by_model,
         }
     }
 
@@ -63,7 +65,7 @@
         is_store_load: bool,
     ) {
         self.store_loads += usize::from(is_store_load);
-        let counts = self.services.entry(service.clone()).or_default();
+        let counts = self.counts_by_model.entry(service.clone()).or_default();
         counts.entry(loading.clone()).or_default().pending_loads += 1;
         for victim in victims {
             if let Some(counts) = counts.get_mut(victim) {
@@ -78,7 +80,7 @@
     }
 
     fn counts(&self, service: &ServiceName, model: &ModelName) -> Option<&Counts> {
-        self.services.get(service)?.get(model)
+        self.counts_by_model.get(service)?.get(model)
     }
 
     /// Engines on which a model is loaded and not about to be unloaded.
--- a/crates/serving/src/placement/store_load_limiter.rs
+++ b/crates/serving/src/placement/store_load_limiter.rs
@@ -56,21 +56,21 @@
 
     /// Whether one more load may begin now.
     pub(super) fn has_capacity(&self, pool: &EnginePool, now: Instant) -> bool {
-        self.count_until(now).count() < self.max_loads(pool)
+        self.expiry_times(now).count() < self.max_loads(pool)
     }
 
     /// The times at which the loads that count now stop counting.
-    fn count_until(&self, now: Instant) -> impl Iterator<Item = Instant> {
-        let count_until = self
+    fn expiry_times(&self, now: Instant) -> impl Iterator<Item = Instant> {
+        let expiry_times = self
             .loads
             .iter()
             .map(|load| load.latest_start_at + self.window);
-        count_until.filter(move |until| *until > now)
+        expiry_times.filter(move |at| *at > now)
     }
 
     /// When the next load stops counting; `None` if no load counts.
     pub(super) fn next_capacity_at(&self, now: Instant) -> Option<Instant> {
-        self.count_until(now).min()
+        self.expiry_times(now).min()
     }
 
     /// Records the order of a load on an engine, which takes it after `expected_orders` others.
--- a/crates/serving/src/placement/victims.rs
+++ b/crates/serving/src/placement/victims.rs
@@ -20,7 +20,7 @@
 pub(super) struct Victims {
     pub(super) models: Vec<ModelName>,
     /// Requests in time that the evictions cost.
-    pub(super) benefit: f64,
+    pub(super) lost_benefit: f64,
     /// Time until the models are unloaded, in seconds.
     pub(super) eviction_s: f64,
 }
@@ -96,7 +96,7 @@
         });
         Some(Victims {
             eviction_s: eviction_s.sum(),
-            benefit: chosen.iter().map(|candidate| candidate.benefit).sum(),
+            lost_benefit: chosen.iter().map(|candidate| candidate.benefit).sum(),
             models: chosen
                 .into_iter()
                 .map(|candidate| candidate.model)
