--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! The decisions that stand on hot paths, at several sizes.
+//! Benchmarks of decisions on hot paths, at several sizes.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use passway_serving::placement::policy::PolicyName;
@@ -19,7 +19,7 @@
     group.finish();
 }
 
-/// One word of an instance that a model was asked for, and the decision after it.
+/// One message of an instance that a model received a request.
 fn place_one(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("placement_request");
     for size in fleet_model::SIZES {
@@ -41,7 +41,7 @@
     group.finish();
 }
 
-/// One pass over all engines, with a request that waits.
+/// One pass over all engines, with a waiting request.
 fn plan_pass(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("placement_pass");
     for size in fleet_model::SIZES {
@@ -58,13 +58,13 @@
                     model: FleetSize::model(number),
                     adapter: None,
                 };
-                let until = now + Duration::from_secs(4);
+                let deadline = now + Duration::from_secs(4);
                 let waiters = Waiters {
                     instance: "one".into(),
                     service: service.clone(),
                     model_ref,
                     count: 1,
-                    latest_deadline: until,
+                    latest_deadline: deadline,
                 };
                 planner.set_waiters(waiters, now);
                 planner.decide(now)
@@ -74,14 +74,14 @@
     group.finish();
 }
 
-/// Hundreds of machines: what 295 instances tell the holder within a tenth of a second, while
-/// requests wait for 250 models, and four passes.
+/// Hundreds of machines: the messages of 295 instances to the holder within a tenth of a second,
+/// while requests wait for 250 models, and four passes.
 fn holder_tenth(criterion: &mut Criterion) {
     const INSTANCES: usize = 295;
-    const WAITING_MODELS: usize = 250;
-    /// Each instance tells what it runs every 400 ms.
+    const AWAITED_MODELS: usize = 250;
+    /// Each instance sends a message about its running requests every 400 ms.
     const MESSAGES: usize = INSTANCES / 4;
-    const RUNS_EACH: usize = 5;
+    const RUNNING_PER_INSTANCE: usize = 5;
     const PASSES: usize = 4;
     let size = FleetSize {
         name: "hundreds",
@@ -109,18 +109,18 @@
             for message in 0..MESSAGES {
                 let number = round * MESSAGES + message;
                 let instance: InstanceId = format!("instance-{}", number % INSTANCES).into();
-                let runs = (0..RUNS_EACH).map(|run| RunningRequests {
+                let running = (0..RUNNING_PER_INSTANCE).map(|run| RunningRequests {
                     engine: format!("e{}", (number * 7 + run * 31) % size.engines).into(),
                     model: FleetSize::model((number + run) % size.busy),
                     count: 1,
                 });
-                let runs: Vec<RunningRequests> = runs.collect();
-                planner.set_running(&instance, &runs);
+                let running: Vec<RunningRequests> = running.collect();
+                planner.set_running(&instance, &running);
                 planner.record_arrivals(&service, &model_ref(number), 1, now);
                 let waiters = Waiters {
                     instance,
                     service: service.clone(),
-                    model_ref: model_ref(size.busy + number % WAITING_MODELS * 5),
+                    model_ref: model_ref(size.busy + number % AWAITED_MODELS * 5),
                     count: u32::from(!number.is_multiple_of(3)),
                     latest_deadline: now + Duration::from_secs(3),
                 };
--- a/tests/all/limited_engines.rs
+++ b/tests/all/limited_engines.rs
@@ -1,4 +1,4 @@
-//! Engines in need and what is loaded where: what they cannot bear comes to others.
+//! Placement with limited engines: another engine loads what a limited one cannot serve.
 
 use crate::test_planner::{TestPlanner, base_model, entry};
 use passway_serving::placement::PlannedOrder;
@@ -6,30 +6,29 @@
 use passway_serving::upstreams::UpstreamEntry;
 use passway_types::prelude::*;
 
-/// Two engines with room for two models each: m0 and m1 stand on the first, m3 on the second, which has
-/// `on_disk` there besides. The first one takes so many requests a second; `asked` ones come for m0, and
-/// one waits for a model.
+/// Orders for two engines with memory for two models each: m0 and m1 are loaded on the first, m3 on
+/// the second, whose disk has `on_disk`. The first engine accepts `limit_per_s` requests per
+/// second, `requests_per_s` arrive for m0, and one request waits for `awaited_model`.
 fn decide_orders(
     limit_per_s: Option<f64>,
     requests_per_s: u32,
     awaited_model: &str,
     on_disk: &[&str],
 ) -> Vec<PlannedOrder> {
-    let mut planned = TestPlanner::new();
-    planned.send_entry_of("i-1", 1, &["m3"], on_disk);
-    planned.orders_within_second(OrderAnswer::Taken);
-    planned.send_report(false, 0, &["m0", "m1"]);
-    planned.send_report_of("i-1", false, 0, &["m3"], on_disk);
-    planned.planner.set_limit(&"i-0".into(), limit_per_s);
+    let mut test = TestPlanner::new();
+    test.send_entry_of("i-1", 1, &["m3"], on_disk);
+    test.orders_within_second(OrderAnswer::Taken);
+    test.send_report(false, 0, &["m0", "m1"]);
+    test.send_report_of("i-1", false, 0, &["m3"], on_disk);
+    test.planner.set_limit(&"i-0".into(), limit_per_s);
     for _ in 0..requests_per_s * 4 {
-        planned.now += Duration::from_millis(1_000 / u64::from(requests_per_s));
+        test.now += Duration::from_millis(1_000 / u64::from(requests_per_s));
         let service = "engines".into();
-        planned
-            .planner
-            .record_arrivals(&service, &base_model("m0"), 1, planned.now);
+        test.planner
+            .record_arrivals(&service, &base_model("m0"), 1, test.now);
     }
-    planned.add_waiter(awaited_model);
-    planned.orders_within_second(OrderAnswer::Taken)
+    test.add_waiter(awaited_model);
+    test.orders_within_second(OrderAnswer::Taken)
 }
 
 fn has_load(orders: &[PlannedOrder], engine: &str, model: &str) -> bool {
@@ -40,11 +39,11 @@
     })
 }
 
-/// A model that is asked for once a second is worth one replica, and the engine that it stands on takes a
-/// request in two seconds.
+/// A model with one request per second gets one replica, and the limited engine accepts one request
+/// in two seconds.
 #[test]
-fn limited_engine_gets_second_replica() {
-    // From its disk, or from the weight store: the engine that has it near does not bear it.
+fn limited_engine_triggers_second_replica() {
+    // From disk or from the weight store: the engine that has m0 cached cannot serve the rate.
     for on_disk in [&["m3", "m0"][..], &["m3"]] {
         assert!(!has_load(
             &decide_orders(None, 1, "m0", on_disk),
@@ -82,30 +81,30 @@
 
 #[test]
 fn removed_limit_allows_loads() {
-    let mut planned = TestPlanner::new();
-    planned.planner.set_limit(&"i-0".into(), Some(1.0));
-    planned.planner.set_limit(&"i-0".into(), None);
-    planned.orders_within_second(OrderAnswer::Taken);
-    planned.send_report(false, 0, &["m0"]);
-    planned.add_waiter("m2");
+    let mut test = TestPlanner::new();
+    test.planner.set_limit(&"i-0".into(), Some(1.0));
+    test.planner.set_limit(&"i-0".into(), None);
+    test.orders_within_second(OrderAnswer::Taken);
+    test.send_report(false, 0, &["m0"]);
+    test.add_waiter("m2");
     assert!(has_load(
-        &planned.orders_within_second(OrderAnswer::Taken),
+        &test.orders_within_second(OrderAnswer::Taken),
         "i-0",
         "m2"
     ));
 }
 
-/// What was said by another start of an engine counts no more.
+/// A limit that another process of the engine advertised no longer counts.
 #[test]
 fn restart_clears_limit() {
-    let mut planned = TestPlanner::new();
-    planned.planner.set_limit(&"i-0".into(), Some(1.0));
+    let mut test = TestPlanner::new();
+    test.planner.set_limit(&"i-0".into(), Some(1.0));
     let restarted = UpstreamEntry {
         started_at_ms: 5,
         ..entry("i-0", 1, &[])
     };
-    planned.planner.update_engine(restarted, planned.now);
-    planned.orders_within_second(OrderAnswer::Taken);
+    test.planner.update_engine(restarted, test.now);
+    test.orders_within_second(OrderAnswer::Taken);
     let report = EngineReport {
         models: Vec::new(),
         busy: false,
@@ -116,54 +115,52 @@
         started_at_ms: 5,
     };
     let engine = UpstreamId::from("i-0");
-    planned
-        .planner
-        .record_report(&engine, Some(report), planned.now);
-    planned.add_waiter("m3");
+    test.planner.record_report(&engine, Some(report), test.now);
+    test.add_waiter("m3");
     assert!(has_load(
-        &planned.orders_within_second(OrderAnswer::Taken),
+        &test.orders_within_second(OrderAnswer::Taken),
         "i-0",
         "m3"
     ));
 }
 
-/// Requests wait for a model that stands only on an engine that wants nothing from their instance.
+/// Requests wait for a model whose only engine accepts nothing from their instance.
 #[test]
-fn backing_off_engine_gets_second_replica() {
-    let mut planned = TestPlanner::new();
-    planned.send_entry_of("i-1", 1, &["m3"], &["m3", "m0"]);
-    planned.orders_within_second(OrderAnswer::Taken);
-    planned.send_report(false, 0, &["m0", "m1"]);
-    planned.send_report_of("i-1", false, 0, &["m3"], &["m3", "m0"]);
-    planned.add_waiter("m0");
+fn backing_off_engine_triggers_second_replica() {
+    let mut test = TestPlanner::new();
+    test.send_entry_of("i-1", 1, &["m3"], &["m3", "m0"]);
+    test.orders_within_second(OrderAnswer::Taken);
+    test.send_report(false, 0, &["m0", "m1"]);
+    test.send_report_of("i-1", false, 0, &["m3"], &["m3", "m0"]);
+    test.add_waiter("m0");
     assert!(!has_load(
-        &planned.orders_within_second(OrderAnswer::Taken),
+        &test.orders_within_second(OrderAnswer::Taken),
         "i-1",
         "m0"
     ));
-    let until = planned.now + Duration::from_secs(3);
-    planned.planner.record_backoff(&"i-0".into(), 0, until);
+    let until = test.now + Duration::from_secs(3);
+    test.planner.record_backoff(&"i-0".into(), 0, until);
     assert!(has_load(
-        &planned.orders_within_second(OrderAnswer::Taken),
+        &test.orders_within_second(OrderAnswer::Taken),
         "i-1",
         "m0"
     ));
 }
 
-/// Nothing is ordered from an engine, or asked, that wants nothing from the holder.
+/// An engine that accepts nothing from the holder gets no orders and no queries.
 #[test]
 fn no_orders_during_backoff() {
-    let mut planned = TestPlanner::new();
-    planned.orders_within_second(OrderAnswer::Taken);
-    planned.send_report(false, 0, &["m0"]);
+    let mut test = TestPlanner::new();
+    test.orders_within_second(OrderAnswer::Taken);
+    test.send_report(false, 0, &["m0"]);
     let engine = UpstreamId::from("i-0");
-    let until = planned.now + Duration::from_secs(3);
-    planned.planner.set_backing_off([(engine, until)].into());
-    planned.add_waiter("m2");
-    assert_eq!(planned.orders_within_second(OrderAnswer::Taken), []);
-    planned.planner.set_backing_off([].into());
+    let until = test.now + Duration::from_secs(3);
+    test.planner.set_backing_off([(engine, until)].into());
+    test.add_waiter("m2");
+    assert_eq!(test.orders_within_second(OrderAnswer::Taken), []);
+    test.planner.set_backing_off([].into());
     assert!(has_load(
-        &planned.orders_within_second(OrderAnswer::Taken),
+        &test.orders_within_second(OrderAnswer::Taken),
         "i-0",
         "m2"
     ));
--- a/tests/all/placement_faults.rs
+++ b/tests/all/placement_faults.rs
@@ -1,8 +1,8 @@
-//! Orders never overfill an engine and loads stay under the weight store's ceiling, under
-//! faults drawn at random against the decisions, in virtual time.
+//! Randomized fault runs of the placement decisions in virtual time. They check that orders never
+//! overfill an engine and that loads stay below the weight store's limit.
 //!
-//! Orders are lost and carried out seconds late, reports lag, older words of engines come
-//! again, engines restart empty, and holders follow one another with orders still on their
+//! Orders are lost and carried out seconds late, reports lag, older entries of engines arrive
+//! again, engines restart empty, and holders succeed each other while orders are still on their
 //! way. `PASSWAY_FAULT_RUNS` sets the number of runs, `PASSWAY_FAULT_SEED` the first seed.
 
 mod engine;
@@ -24,9 +24,10 @@
 const STEPS: u32 = 400;
 const STEP: Duration = Duration::from_millis(50);
 const ENGINES: usize = 3;
-/// The span over which loads from the weight store are counted.
+/// Window over which loads from the weight store are counted.
 const LOAD_WINDOW: Duration = DEFAULT_LOAD_WINDOW;
-/// Most loads that may begin in one such span (users' rules: a tenth and three over).
+/// Maximum number of loads that may begin in one window (users' rules: a tenth plus three above the
+/// limit).
 const MAX_WINDOW_LOADS: usize = 6;
 
 struct Simulation {
@@ -34,19 +35,20 @@
     now: Instant,
     step: u32,
     engines: Vec<Engine>,
-    /// Orders that are carried out later.
+    /// Orders that are carried out later, with their steps.
     delayed_orders: Vec<(u32, PlannedOrder)>,
     planner: Planner,
     started_engines: u32,
-    /// Limits that an order has broken.
+    /// Limits that orders have violated.
     violations: Vec<String>,
     taken_orders: u32,
     scenario: Scenario,
-    /// When loads from the weight store began.
+    /// Start times of loads from the weight store.
     store_load_starts: Vec<Instant>,
-    /// How long engines' words take to the holder.
+    /// Delay of engines' entries on the way to the holder.
     entry_delay_steps: u32,
-    /// Engines to which orders had no answer, as the holder told ahead of its last orders.
+    /// Engines with unconfirmed orders, as the holder published them before it sent its last
+    /// orders.
     unconfirmed: BTreeSet<UpstreamId>,
 }
 
@@ -84,7 +86,7 @@
         self.engines.push(engine);
     }
 
-    /// A successor that knows what lies in the store.
+    /// Replaces the holder by a successor that knows the entries in the store.
     fn replace_holder(&mut self) {
         self.planner = Planner::new(DEFAULT_LOAD_WINDOW, PolicyName::Balanced.build());
         self.planner.set_table(&self.scenario.table());
@@ -97,8 +99,8 @@
             .begin_term(std::iter::empty(), &self.unconfirmed, self.now);
     }
 
-    /// An engine restarts, under its id or another one; its disk stays, unless another
-    /// machine takes its place.
+    /// Restarts an engine under its id or another one. Its disk stays, unless another machine
+    /// replaces the engine.
     fn restart_engine(&mut self, index: usize) {
         if self.rng.random_bool(0.5) {
             let engine = &mut self.engines[index];
@@ -107,7 +109,7 @@
             return;
         }
         let removed = self.engines.remove(index);
-        let is_disk_lost = self.scenario == Scenario::Ceiling && self.rng.random_bool(0.7);
+        let is_disk_lost = self.scenario == Scenario::StoreLimit && self.rng.random_bool(0.7);
         self.add_engine(if is_disk_lost {
             BTreeSet::new()
         } else {
@@ -121,13 +123,13 @@
         self.planner.retain(&ids);
     }
 
-    /// What an engine does with an order.
+    /// Carries an order out on its engine.
     fn execute(&mut self, order: &PlannedOrder) -> OrderAnswer {
         let run_steps = self.rng.random_range(0..30);
         let Some(engine) = self.engines.iter_mut().find(|e| e.id == order.engine) else {
             return OrderAnswer::OtherIncarnation;
         };
-        let effect = engine.state.accept(order, run_steps, self.step);
+        let effect = engine.state.handle_order(order, run_steps, self.step);
         self.taken_orders += u32::from(effect.is_counted);
         if effect.is_store_load {
             self.store_load_starts.push(self.now);
@@ -135,17 +137,19 @@
         effect.answer
     }
 
-    /// An order reaches an engine, which then takes it, refuses it or puts it off.
+    /// Checks an order that arrives at an engine against the engine's limits, whether or not the
+    /// engine then takes the order.
     fn check_limits(&mut self, order: &PlannedOrder) {
         let engine = self.engines.iter().find(|e| e.id == order.engine);
         let violation = engine.and_then(|engine| engine.state.violated_limit(order));
         self.violations.extend(violation);
     }
 
-    /// Ends what is due on the engines; they say so, at times late or twice.
+    /// Completes what is due on the engines. They publish it in entries that may arrive late or
+    /// twice.
     fn advance_engines(&mut self) {
         if self.rng.random_bool(0.02) {
-            // The store is slow, or the holder's watch is.
+            // The store or the holder's watch is slow.
             self.entry_delay_steps = self.rng.random_range(0..60);
         }
         if self.rng.random_bool(0.1) {
@@ -206,7 +210,7 @@
         }
     }
 
-    /// Most loads from the weight store that began in one span.
+    /// Maximum number of loads from the weight store that began within one window.
     fn max_store_loads_in_window(&self) -> usize {
         let counts = self.store_load_starts.iter().map(|begun_at| {
             let until = *begun_at + LOAD_WINDOW;
@@ -235,7 +239,7 @@
         }
     }
 
-    /// A request comes for a model or adapter drawn at random.
+    /// Adds a waiting request for a random model or adapter.
     fn add_request(&mut self) {
         let models = self.scenario.models();
         let model = models[self.rng.random_range(0..models.len())];
@@ -260,10 +264,11 @@
             .record_arrivals(&"engines".into(), &model_ref, 1, self.now);
     }
 
-    /// Holders follow one another and engines restart, at random.
+    /// Replaces the holder or restarts an engine, at random.
     fn inject_faults(&mut self) {
-        // A successor leaves a window free for loads that it does not know of.
-        let handover_probability = if self.scenario == Scenario::Ceiling {
+        // A new holder assumes a full window of unknown loads, so frequent successions would leave
+        // few loads to check.
+        let handover_probability = if self.scenario == Scenario::StoreLimit {
             0.003
         } else {
             0.01
@@ -300,16 +305,16 @@
 }
 
 #[test]
-fn store_ceiling_kept() {
+fn store_limit_respected() {
     let runs = FaultRuns::from_environment(DEFAULT_RUNS);
     let mut loads = 0;
     for seed in runs.seeds() {
-        let mut simulation = Simulation::new(seed, Scenario::Ceiling);
+        let mut simulation = Simulation::new(seed, Scenario::StoreLimit);
         simulation.run();
         let max_loads = simulation.max_store_loads_in_window();
         assert!(
             max_loads <= MAX_WINDOW_LOADS,
-            "seed {seed}: {max_loads} loads at once"
+            "seed {seed}: {max_loads} loads in one window"
         );
         assert!(
             simulation.violations.is_empty(),
@@ -319,10 +324,10 @@
         loads += simulation.store_load_starts.len();
     }
     println!(
-        "{} runs, {loads} loads from the weight store, 0 over its ceiling",
+        "{} runs, {loads} loads from the weight store, 0 over its limit",
         runs.count
     );
-    // Half of what the ceiling allows in 20 s, so that it is not kept by loading nothing.
+    // Half of what the limit allows in 20 s: a planner that loads nothing must not pass.
     let min_loads = usize::try_from(runs.count).unwrap_or(usize::MAX) * 6;
     assert!(
         loads > min_loads,
--- a/tests/all/placement_faults/engine.rs
+++ b/tests/all/placement_faults/engine.rs
@@ -1,7 +1,8 @@
-//! An engine of the fault runs: it takes orders and carries them out step by step.
+//! A simulated engine of the fault runs. It takes orders and carries them out step by step.
 //!
-//! An order counts as over a limit by what it asks for when it is *received*, whether the
-//! engine then takes it or refuses it for its count: callers of the engine are judged so.
+//! An order violates a limit by what it requests at the time when the engine *receives* it, even if
+//! the engine then refuses it because of its order count: the users judge callers of engines in the
+//! same way.
 
 use passway_serving::placement::PlannedOrder;
 use passway_serving::ports::{EngineReport, OrderAction, OrderAnswer};
@@ -9,48 +10,48 @@
 use passway_types::prelude::*;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Models that fit on an engine, and adapters, as `site::configuration` says.
+/// Number of models and of adapters that fit on an engine, as configured in `site::configuration`.
 const MODEL_SLOTS: usize = 2;
 const ADAPTER_SLOTS: usize = 2;
-/// How old a report's state is.
+/// Age of the state in a report.
 const REPORT_LAG_STEPS: usize = 4;
-/// An adapter is in use if its model's requests run for fewer steps than this.
+/// An adapter counts as in use, and its unload is delayed, if the drawn run length is below this.
 const ADAPTER_RUN_STEPS: u32 = 8;
 
-/// What stands on an engine, and what it does.
+/// Loaded models of an engine and its orders in progress.
 #[derive(Debug, Clone, Default)]
 pub(super) struct EngineState {
     models: Vec<ResidentModel>,
     pub(super) on_disk: BTreeSet<ModelName>,
-    /// Orders taken.
+    /// Number of orders taken.
     orders_taken: u64,
-    /// The model order under way and the step at which it is done.
+    /// The model order in progress and the step at which it completes.
     model_order: Option<(PlannedOrder, u32)>,
-    /// Adapters that leave when their run ends.
+    /// Adapters that are unloaded at the end of their last run, with its step.
     unloading_adapters: Vec<(ModelRef, u32)>,
-    /// Adapters on their way, and the step at which they are there.
+    /// Adapters that are loading, and the step at which each load completes.
     loading_adapters: Vec<(ModelRef, u32)>,
-    /// When the engine started, in milliseconds.
+    /// Start time of the engine, in milliseconds.
     started_at_ms: u64,
 }
 
 pub(super) struct Engine {
     pub(super) id: UpstreamId,
     pub(super) state: EngineState,
-    /// The last states, the oldest first.
+    /// The last states, oldest first.
     history: VecDeque<EngineState>,
     beat: u64,
-    /// Its words so far.
+    /// Entries sent so far.
     pub(super) sent_entries: Vec<UpstreamEntry>,
-    /// Its words that have not reached the holder yet, and the steps at which they do.
+    /// Entries that have not reached the holder yet, and the steps at which they arrive.
     entries_in_transit: VecDeque<(u32, UpstreamEntry)>,
 }
 
-/// What came of an order.
+/// Effect of an order.
 #[derive(Debug)]
 pub(super) struct Effect {
     pub(super) answer: OrderAnswer,
-    /// Whether it counts among the orders of the run.
+    /// Whether the order counts among the orders of the run.
     pub(super) is_counted: bool,
     /// Whether a load from the weight store began.
     pub(super) is_store_load: bool,
@@ -79,7 +80,8 @@
         loaded + self.loading_adapters.len()
     }
 
-    /// The limit that an order is over by what it asks for, if it reaches the engine now.
+    /// Describes the limit that an order would violate if it reached the engine now; `None` if
+    /// there is none.
     pub(super) fn violated_limit(&self, order: &PlannedOrder) -> Option<String> {
         if order.action != OrderAction::Load {
             return None;
@@ -104,19 +106,24 @@
         is_over.then(|| format!("adapters: {order:?}, {self:?}"))
     }
 
-    /// Takes an order or refuses it; requests run for `run_steps` yet.
-    pub(super) fn accept(&mut self, order: &PlannedOrder, run_steps: u32, step: u32) -> Effect {
+    /// Takes an order or refuses it; running requests take another `run_steps` steps.
+    pub(super) fn handle_order(
+        &mut self,
+        order: &PlannedOrder,
+        run_steps: u32,
+        step: u32,
+    ) -> Effect {
         if self.orders_taken != order.expected_orders || self.model_order.is_some() {
             return Effect::uncounted(OrderAnswer::Conflict);
         }
         self.orders_taken += 1;
         match &order.model_ref.adapter {
-            Some(adapter) => self.accept_adapter(order, adapter, run_steps, step),
-            None => self.accept_model(order, run_steps, step),
+            Some(adapter) => self.handle_adapter_order(order, adapter, run_steps, step),
+            None => self.handle_model_order(order, run_steps, step),
         }
     }
 
-    fn accept_adapter(
+    fn handle_adapter_order(
         &mut self,
         order: &PlannedOrder,
         adapter: &AdapterName,
@@ -129,12 +136,12 @@
         };
         let is_load = order.action == OrderAction::Load;
         if is_load && model.adapters.contains(adapter) {
-            // It holds already and counts as no order of the engine's.
+            // The adapter is already loaded, so the engine does not count the order.
             self.orders_taken -= 1;
             return Effect::counted(OrderAnswer::Done);
         }
         if is_load {
-            // The weight store gives adapters one after the other: some take long.
+            // The weight store delivers adapters one after the other, so some take long.
             self.loading_adapters
                 .push((order.model_ref.clone(), step + run_steps / 6));
             return Effect::counted(OrderAnswer::Taken);
@@ -148,20 +155,20 @@
         Effect::counted(OrderAnswer::Done)
     }
 
-    fn accept_model(&mut self, order: &PlannedOrder, run_steps: u32, step: u32) -> Effect {
+    fn handle_model_order(&mut self, order: &PlannedOrder, run_steps: u32, step: u32) -> Effect {
         let mut effect = Effect::counted(OrderAnswer::Taken);
         if order.action == OrderAction::Load {
             effect.is_store_load = !self.on_disk.contains(&order.model_ref.model);
             let steps = if effect.is_store_load { 4 } else { 1 };
             self.model_order = Some((order.clone(), step + steps));
         } else {
-            // Runs hold an unload up.
+            // Running requests delay an unload.
             self.model_order = Some((order.clone(), step + 1 + run_steps / 3));
         }
         effect
     }
 
-    /// Ends the model order under way if it is due; whether it did.
+    /// Completes the model order in progress if it is due. Returns whether one completed.
     fn complete_model_order(&mut self, step: u32) -> bool {
         let Some((order, _)) = self.model_order.take_if(|(_, at)| *at <= step) else {
             return false;
@@ -179,7 +186,7 @@
         true
     }
 
-    /// Adapters come that are due, and go whose last run has ended.
+    /// Loads adapters that are due, and unloads adapters whose last run has ended.
     fn complete_adapter_orders(&mut self, step: u32) {
         let models = &mut self.models;
         for (model_ref, _) in self.loading_adapters.extract_if(.., |(_, at)| *at <= step) {
@@ -217,7 +224,7 @@
         }
     }
 
-    /// It starts again under its id: only its disk is as it was.
+    /// Restarts the engine under its id; only its disk is kept.
     pub(super) fn restart(&mut self, step: u32) {
         self.state = EngineState {
             on_disk: std::mem::take(&mut self.state.on_disk),
@@ -228,8 +235,7 @@
         self.sent_entries.clear();
     }
 
-    /// Says something of itself, which reaches the holder after some steps: behind all that it
-    /// said before.
+    /// Sends an entry that arrives after `delay_steps`, but never before an earlier entry.
     pub(super) fn send_entry(&mut self, step: u32, delay_steps: u32) {
         let last_arrival = self.entries_in_transit.back().map_or(0, |(at, _)| *at);
         let entry = self.entry();
@@ -237,7 +243,7 @@
             .push_back((last_arrival.max(step + delay_steps), entry));
     }
 
-    /// What reaches the holder by now.
+    /// Takes the entries that have arrived by now.
     pub(super) fn take_arrived_entries(&mut self, step: u32) -> Vec<UpstreamEntry> {
         let due = self
             .entries_in_transit
@@ -270,7 +276,7 @@
         entry
     }
 
-    /// The state that a report shows: some steps old.
+    /// A report with a state that is some steps old.
     pub(super) fn report(&self) -> EngineReport {
         let state = self.history.front().unwrap_or(&self.state);
         EngineReport {
@@ -288,7 +294,7 @@
         }
     }
 
-    /// Ends what is due; whether a model order has ended.
+    /// Completes what is due. Returns whether a model order completed.
     pub(super) fn advance(&mut self, step: u32) -> bool {
         let is_completed = self.state.complete_model_order(step);
         self.state.complete_adapter_orders(step);
--- a/tests/all/placement_faults/scenario.rs
+++ b/tests/all/placement_faults/scenario.rs
@@ -1,4 +1,4 @@
-//! What a run is about: its models and its configuration.
+//! The limit that a fault run checks, with its models and its configuration.
 
 use crate::site;
 use passway_serving::ports::{Directory, StoredValue};
@@ -6,33 +6,33 @@
 use passway_users_platform::PlatformDirectory;
 
 const MODELS: [&str; 6] = ["m0", "m1", "m2", "m3", "m4", "m5"];
-/// Models of the runs against the weight store's ceiling: more than fit on the disks soon.
+/// Models of the runs that check the weight store's limit: soon more than the disks hold.
 const MANY_MODELS: [&str; 14] = [
     "m0", "m1", "m2", "m3", "m4", "m5", "m6", "m7", "m8", "m9", "m10", "m11", "m12", "m13",
 ];
-/// Loads a second that the ceiling of those runs allows.
+/// Limit of loads per second in these runs.
 const LOADS_PER_S: f64 = 0.6;
 
-/// What a run is about.
+/// The limit that a run checks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Scenario {
-    /// Accelerator memory and adapter places.
+    /// Accelerator memory and adapter slots.
     Memory,
-    /// The weight store's ceiling: loads are short, and disks are lost with their engines.
-    Ceiling,
+    /// The weight store's load limit. Loads are short, and disks may be lost with their engines.
+    StoreLimit,
 }
 
 impl Scenario {
     pub(super) fn models(self) -> &'static [&'static str] {
         match self {
             Self::Memory => &MODELS,
-            Self::Ceiling => &MANY_MODELS,
+            Self::StoreLimit => &MANY_MODELS,
         }
     }
 
     pub(super) fn table(self) -> RouteTable {
         let mut configuration = site::configuration(1, self.models());
-        if self == Self::Ceiling {
+        if self == Self::StoreLimit {
             configuration["services"][1]["engine"]["loads_per_s"] = LOADS_PER_S.into();
         }
         let value = StoredValue {
--- a/tests/all/policy_compare.rs
+++ b/tests/all/policy_compare.rs
@@ -1,4 +1,4 @@
-//! Placement policies in the model of a fleet.
+//! Compares the placement policies in the fleet model.
 
 use passway_serving::placement::policy::PolicyName;
 use passway_standins::fleet_model::{Disks, FleetSize, Outcome, Run};
--- a/tests/all/test_planner.rs
+++ b/tests/all/test_planner.rs
@@ -8,7 +8,7 @@
 use passway_types::prelude::*;
 use passway_users_platform::PlatformDirectory;
 
-/// A model without an adapter, as a request asks for it.
+/// A model without an adapter, as a request names it.
 pub fn base_model(model: &str) -> ModelRef {
     ModelRef {
         model: model.into(),
@@ -16,15 +16,15 @@
     }
 }
 
-/// A planner with one engine that has room for two models.
+/// A planner with one engine that has memory for two models.
 pub struct TestPlanner {
     /// The planner.
     pub planner: Planner,
-    /// The time it is there.
+    /// The current virtual time.
     pub now: Instant,
 }
 
-/// A model without adapters.
+/// A loaded model without adapters.
 pub fn resident(name: &str) -> ResidentModel {
     ResidentModel {
         name: name.into(),
@@ -32,7 +32,7 @@
     }
 }
 
-/// What an engine with eight slots and nothing on its disk says of itself.
+/// An entry of an engine with eight slots and an empty disk.
 pub fn entry(id: &str, beat: u64, models: &[&str]) -> UpstreamEntry {
     UpstreamEntry {
         id: id.into(),
@@ -51,7 +51,7 @@
 }
 
 impl TestPlanner {
-    /// One engine with m0 and m1 on its accelerators and all models on its disk.
+    /// Creates a planner with one engine that has m0 and m1 loaded and all models on its disk.
     pub fn new() -> Self {
         let value = StoredValue {
             key: "op/config".into(),
@@ -74,12 +74,12 @@
         test_planner
     }
 
-    /// The engine says what stands on it.
+    /// Sends an entry of the engine with its loaded models.
     pub fn send_entry(&mut self, beat: u64, models: &[&str]) {
         self.send_entry_of("i-0", beat, models, &["m0", "m1", "m2", "m3"]);
     }
 
-    /// An engine says what stands on it and what lies on its disk.
+    /// Sends an entry of an engine with its loaded models and those on its disk.
     pub fn send_entry_of(&mut self, id: &str, beat: u64, models: &[&str], on_disk: &[&str]) {
         let entry = UpstreamEntry {
             on_disk: on_disk.iter().map(|name| (*name).into()).collect(),
@@ -88,7 +88,7 @@
         self.planner.update_engine(entry, self.now);
     }
 
-    /// An engine says that it leaves.
+    /// Sends an entry by which an engine signals that it leaves.
     pub fn send_leaving(&mut self, id: &str) {
         let entry = UpstreamEntry {
             draining: true,
@@ -97,12 +97,12 @@
         self.planner.update_engine(entry, self.now);
     }
 
-    /// One request waits for a model.
+    /// Adds one request that waits for a model.
     pub fn add_waiter(&mut self, model: &str) {
         self.set_waiters(base_model(model), 1);
     }
 
-    /// So many requests of one instance wait.
+    /// Sets how many requests of one instance wait for a model or adapter.
     pub fn set_waiters(&mut self, model_ref: ModelRef, count: u32) {
         let waiters = Waiters {
             instance: "one".into(),
@@ -114,18 +114,18 @@
         self.planner.set_waiters(waiters, self.now);
     }
 
-    /// The engine tells its state.
+    /// Sends a report of the engine.
     pub fn send_report(&mut self, busy: bool, orders_taken: u64, models: &[&str]) {
         let on_disk = ["m0", "m1", "m2", "m3"];
         self.send_report_of("i-0", busy, orders_taken, models, &on_disk);
     }
 
-    /// An engine that is not busy tells its state; all it has on its disk stands there.
+    /// Sends a report of an engine that is not busy and has exactly its loaded models on its disk.
     pub fn send_idle_report_of(&mut self, id: &str, orders_taken: u64, models: &[&str]) {
         self.send_report_of(id, false, orders_taken, models, models);
     }
 
-    /// An engine tells its state.
+    /// Sends a report of an engine.
     pub fn send_report_of(
         &mut self,
         id: &str,
@@ -147,8 +147,8 @@
             .record_report(&id.into(), Some(report), self.now);
     }
 
-    /// What is decided within so many looks 50 ms apart; the engines answer no question,
-    /// and orders to them are not sent.
+    /// Actions decided in `passes` passes that are 50 ms apart. The engines answer no query, and no
+    /// order reaches them.
     pub fn decide_unanswered(&mut self, passes: u32) -> Vec<Action> {
         let mut actions = Vec::new();
         for _ in 0..passes {
@@ -160,7 +160,7 @@
                         self.planner.record_answer(order, answer, self.now);
                     }
                     Action::Ask { engine, .. } => {
-                        self.planner.record_report(engine, None, self.now)
+                        self.planner.record_report(engine, None, self.now);
                     }
                 }
                 actions.push(action);
@@ -169,7 +169,7 @@
         actions
     }
 
-    /// Orders decided within a second of looks, each answered by `answer`.
+    /// Orders decided in passes over a second, each answered by `answer`.
     pub fn orders_within_second(&mut self, answer: OrderAnswer) -> Vec<PlannedOrder> {
         let mut orders = Vec::new();
         for _ in 0..20 {
