--- a/crates/instance/src/holder.rs
+++ b/crates/instance/src/holder.rs
@@ -237,11 +237,11 @@
                     model:% = order.model_ref.model, adapter:? = order.model_ref.adapter,
                     expected = order.expected_orders, answer:? = answer; "order");
                 self.shared.metrics.order(name_of(answer));
-                self.planner.record_answer(&order, answer, now);
+                self.planner.apply_answer(&order, answer, now);
             }
             Input::Reported(engine, report) => {
                 log::info!(engine:% = engine, report:? = report.as_ref().map(|r| (r.busy, r.orders_taken, r.models.len())); "report");
-                self.planner.record_report(&engine, report, now);
+                self.planner.apply_report(&engine, report, now);
             }
         }
     }
--- a/crates/serving/src/placement.rs
+++ b/crates/serving/src/placement.rs
@@ -313,7 +313,7 @@
     }
 
     /// Applies the answer to an order.
-    pub fn record_answer(&mut self, order: &PlannedOrder, answer: OrderAnswer, now: Instant) {
+    pub fn apply_answer(&mut self, order: &PlannedOrder, answer: OrderAnswer, now: Instant) {
         let Some(engine) = self.engines.get_mut(&order.engine) else {
             return;
         };
@@ -331,12 +331,12 @@
                 _ => limiter.cancel(&order.engine),
             }
         }
-        engine.record_answer(order, answer, now + duration, now);
+        engine.apply_answer(order, answer, now + duration, now);
         self.changed_engines.insert(order.engine.clone());
     }
 
     /// Applies an engine's report of its state; `None` if the query was not answered.
-    pub fn record_report(&mut self, id: &UpstreamId, report: Option<EngineReport>, now: Instant) {
+    pub fn apply_report(&mut self, id: &UpstreamId, report: Option<EngineReport>, now: Instant) {
         if let Some(engine) = self.engines.get_mut(id) {
             let started_at_ms = report.as_ref().map_or(0, |report| report.started_at_ms);
             if started_at_ms > engine.entry.started_at_ms {
@@ -346,7 +346,7 @@
             if let (Some(report), Some(limiter)) = (&report, limiter) {
                 limiter.raise_orders_taken(id, report.orders_taken, now);
             }
-            engine.record_report(report, now);
+            engine.apply_report(report, now);
             self.checkpoint_locations.update(engine);
             self.changed_engines.insert(id.clone());
         }
--- a/crates/serving/src/placement/engine/orders.rs
+++ b/crates/serving/src/placement/engine/orders.rs
@@ -17,7 +17,7 @@
 const ADAPTER_LOAD_DURATION: Duration = Duration::from_millis(12);
 
 impl Engine {
-    pub(in crate::placement) fn record_answer(
+    pub(in crate::placement) fn apply_answer(
         &mut self,
         order: &PlannedOrder,
         answer: OrderAnswer,
--- a/crates/serving/src/placement/engine/reports.rs
+++ b/crates/serving/src/placement/engine/reports.rs
@@ -76,7 +76,7 @@
     }
 
     /// Applies a report, whose state is some hundred milliseconds old, or a missing answer.
-    pub(in crate::placement) fn record_report(
+    pub(in crate::placement) fn apply_report(
         &mut self,
         report: Option<EngineReport>,
         now: Instant,
--- a/crates/standins/src/fleet_model/run.rs
+++ b/crates/standins/src/fleet_model/run.rs
@@ -167,7 +167,7 @@
             match action {
                 Action::Ask { engine, .. } => {
                     let report = self.engines[self.by_id[&engine]].report();
-                    self.planner.record_report(&engine, Some(report), now);
+                    self.planner.apply_report(&engine, Some(report), now);
                 }
                 Action::Order(order) => self.order(&order),
             }
@@ -183,7 +183,7 @@
         let engine = &mut self.engines[self.by_id[&order.engine]];
         let answer = engine.take(order);
         let source = engine.busy.as_ref().map(|busy| busy.source);
-        self.planner.record_answer(order, answer, now);
+        self.planner.apply_answer(order, answer, now);
         self.outcome.orders += 1;
         if order.action == OrderAction::Load {
             let from_store = source == Some(Source::Store);
--- a/crates/standins/src/fleet_model/start.rs
+++ b/crates/standins/src/fleet_model/start.rs
@@ -55,7 +55,7 @@
     planner.set_table(&size.table());
     for engine in &mut first_engines(size, Disks::Filled) {
         planner.update_engine(engine.entry(), now);
-        planner.record_report(&engine.id, Some(engine.report()), now);
+        planner.apply_report(&engine.id, Some(engine.report()), now);
     }
     planner
 }
--- a/tests/all/limited_engines.rs
+++ b/tests/all/limited_engines.rs
@@ -115,7 +115,7 @@
         started_at_ms: 5,
     };
     let engine = UpstreamId::from("i-0");
-    test.planner.record_report(&engine, Some(report), test.now);
+    test.planner.apply_report(&engine, Some(report), test.now);
     test.add_waiter("m3");
     assert!(has_load(
         &test.orders_within_second(OrderAnswer::Taken),
--- a/tests/all/model_orders.rs
+++ b/tests/all/model_orders.rs
@@ -231,7 +231,7 @@
     let engine: UpstreamId = "i-0".into();
     planned
         .planner
-        .record_report(&engine, Some(report(0, &["a1", "a2"])), planned.now);
+        .apply_report(&engine, Some(report(0, &["a1", "a2"])), planned.now);
     let wish = ModelRef {
         model: "m0".into(),
         adapter: Some("a3".into()),
@@ -243,7 +243,7 @@
     assert_eq!(orders[0].action, OrderAction::Unload);
     planned
         .planner
-        .record_report(&engine, Some(report(1, &["a1", "a2"])), planned.now);
+        .apply_report(&engine, Some(report(1, &["a1", "a2"])), planned.now);
     let again = planned.orders_within_second(OrderAnswer::Taken);
     assert!(
         again
@@ -253,7 +253,7 @@
     );
     planned
         .planner
-        .record_report(&engine, Some(report(2, &["a2"])), planned.now);
+        .apply_report(&engine, Some(report(2, &["a2"])), planned.now);
     let loads = planned.orders_within_second(OrderAnswer::Taken);
     assert_eq!(
         loads.first().map(|order| order.action),
@@ -346,7 +346,7 @@
     };
     planned
         .planner
-        .record_report(&"i-9".into(), Some(empty), planned.now);
+        .apply_report(&"i-9".into(), Some(empty), planned.now);
     planned.send_report(true, 0, &["m0"]);
     planned.add_waiter("m2");
     let orders = planned.orders_within_second(OrderAnswer::Taken);
--- a/tests/all/placement_faults.rs
+++ b/tests/all/placement_faults.rs
@@ -198,13 +198,13 @@
                         2 => OrderAnswer::NotSent,
                         _ => self.execute(&order),
                     };
-                    self.planner.record_answer(&order, answer, self.now);
+                    self.planner.apply_answer(&order, answer, self.now);
                 }
                 Action::Ask { engine, .. } => {
                     let is_lost = self.rng.random_bool(0.15);
                     let queried = self.engines.iter().find(|e| e.id == engine);
                     let report = queried.filter(|_| !is_lost).map(Engine::report);
-                    self.planner.record_report(&engine, report, self.now);
+                    self.planner.apply_report(&engine, report, self.now);
                 }
             }
         }
--- a/tests/all/received_orders.rs
+++ b/tests/all/received_orders.rs
@@ -70,7 +70,7 @@
     report.models[0].adapters = vec!["a1".into()];
     report.adapters_coming = vec![adapter("m1", "a2")];
     test.planner
-        .record_report(&"i-0".into(), Some(report), test.now);
+        .apply_report(&"i-0".into(), Some(report), test.now);
     test.set_waiters(adapter("m0", "a3"), 1);
     let orders = test.orders_within_second(OrderAnswer::Taken);
     assert_eq!(
@@ -166,7 +166,7 @@
     test.send_report(false, 7, &["m0", "m1"]);
     let id: UpstreamId = "i-0".into();
     test.planner
-        .record_report(&id, Some(report(0, &[], 500)), test.now);
+        .apply_report(&id, Some(report(0, &[], 500)), test.now);
     test.add_waiter("m2");
     let orders = test.orders_within_second(OrderAnswer::Taken);
     let first = orders.first().expect("a load");
@@ -177,10 +177,10 @@
     assert_eq!(first.started_at_ms, 500);
     // A report and an entry from before the restart change nothing, whatever their counts.
     test.planner
-        .record_report(&id, Some(report(9, &["m0", "m1"], 0)), test.now);
+        .apply_report(&id, Some(report(9, &["m0", "m1"], 0)), test.now);
     test.send_entry(90, &["m0", "m1"]);
     test.planner
-        .record_report(&id, Some(report(1, &["m2"], 500)), test.now);
+        .apply_report(&id, Some(report(1, &["m2"], 500)), test.now);
     let entry = UpstreamEntry {
         started_at_ms: 500,
         ..entry(&id, 1, &["m2"])
--- a/tests/all/term_begin.rs
+++ b/tests/all/term_begin.rs
@@ -52,7 +52,7 @@
                 }
                 Action::Order(order) => {
                     test.planner
-                        .record_answer(&order, OrderAnswer::Taken, test.now);
+                        .apply_answer(&order, OrderAnswer::Taken, test.now);
                     orders.push(order);
                 }
             }
--- a/tests/all/test_planner.rs
+++ b/tests/all/test_planner.rs
@@ -144,7 +144,7 @@
             started_at_ms: 0,
         };
         self.planner
-            .record_report(&id.into(), Some(report), self.now);
+            .apply_report(&id.into(), Some(report), self.now);
     }
 
     /// Actions decided in `passes` passes that are 50 ms apart. The engines answer no query, and no
@@ -157,11 +157,9 @@
                 match &action {
                     Action::Order(order) => {
                         let answer = OrderAnswer::NotSent;
-                        self.planner.record_answer(order, answer, self.now);
-                    }
-                    Action::Ask { engine, .. } => {
-                        self.planner.record_report(engine, None, self.now);
+                        self.planner.apply_answer(order, answer, self.now);
                     }
+                    Action::Ask { engine, .. } => self.planner.apply_report(engine, None, self.now),
                 }
                 actions.push(action);
             }
@@ -176,7 +174,7 @@
             self.now += Duration::from_millis(50);
             for action in self.planner.decide(self.now) {
                 if let Action::Order(order) = action {
-                    self.planner.record_answer(&order, answer, self.now);
+                    self.planner.apply_answer(&order, answer, self.now);
                     orders.push(order);
                 }
             }
