--- a/crates/instance/src/dispatch.rs
+++ b/crates/instance/src/dispatch.rs
@@ -1,11 +1,12 @@
-//! Asking dispatchers for engines, and being one: datagrams on the port for other instances.
+//! Datagram queries to dispatchers for engines, and the dispatcher's side of these queries.
 //!
-//! An answer that does not come within 60 ms is not waited for: the request goes by
-//! what this instance has sent itself, and the next ones ask another dispatcher for a while. So
-//! a dispatcher that dies, freezes or is cut off costs a request that moment and nothing else.
+//! A request waits at most 60 ms for a dispatcher's answer. Without one the instance chooses by the
+//! load that it has sent itself, and the next requests ask another dispatcher for a while. A
+//! dispatcher that crashes, freezes or is disconnected therefore costs a request no more than this
+//! wait.
 
 use crate::keeper;
-use crate::questions::Questions;
+use crate::queries::PendingQueries;
 use crate::shared::Shared;
 use passway_serving::dispatch::{
     Dispatchers, REFRESH_PAUSE, RunBook, RunId, RunKey, Waiter, WaitingLine, counted_load,
@@ -23,85 +24,87 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Dispatchers that are asked for one attempt before it waits.
-const MOST_ASKED: usize = 2;
-/// Largest datagram that is read: what UDP carries.
-const MAX_BYTES: usize = 65_507;
-/// Runs that are told in one: with names of usual length, of some 15 bytes, what goes over any
-/// link in one piece (1,400 bytes); with longer ones it goes in several.
+/// Dispatchers that are queried for one attempt before the request waits.
+const MAX_DISPATCHERS_QUERIED: usize = 2;
+/// Largest datagram that is read: the maximum payload of UDP.
+const MAX_DATAGRAM_BYTES: usize = 65_507;
+/// Runs reported in one datagram. With names of the usual 15 bytes a datagram of this size fits
+/// into one packet on any link (1,400 bytes); with longer names IP fragments it.
 const RUNS_PER_DATAGRAM: usize = 40;
 
-/// Longest time to or since a due moment that is told: far over any request's patience.
-const LONGEST_DUE_MS: u64 = 600_000;
+/// Largest distance between a due time and now that is accepted from another instance: far longer
+/// than any request's time limit.
+const MAX_DUE_MS: u64 = 600_000;
 
-/// A run of this instance that its dispatcher knows, or will hear of.
+/// A run of this instance that its dispatcher knows about or will be informed of.
 #[derive(Debug, Clone)]
-struct OwnRun {
+struct LocalRun {
     engine: UpstreamId,
-    /// Who granted it; `None` if it was sent without asking.
+    /// The dispatcher that granted the run; `None` if the request was sent without a grant.
     granted_by: Option<SocketAddr>,
 }
 
-/// What a request is told.
+/// The dispatchers' answer for a request.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Told {
-    /// Where it goes.
+pub struct DispatchAnswer {
+    /// The engine that was granted, or why there is none.
     pub choice: Choice,
-    /// The number of the run, if it goes.
-    pub run: Option<RunId>,
+    /// The id of the run, if an engine was granted.
+    pub run_id: Option<RunId>,
 }
 
-/// A request's question.
+/// A request's query for an engine.
 #[derive(Debug, Clone, Copy)]
-pub struct Question<'a> {
-    /// The attempt's number, from [`Dispatch::next_run`]; the same when it asks again.
-    pub id: RunId,
+pub struct EngineQuery<'a> {
+    /// The attempt's id, from [`Dispatch::next_run_id`]; a repeated query keeps the id.
+    pub run_id: RunId,
     /// The service.
     pub service: &'a ServiceName,
-    /// What it needs.
+    /// The model, and the adapter if any, that the request needs.
     pub model_ref: &'a ModelRef,
-    /// Engines where it has been.
+    /// Engines that the request does not go to.
     pub tried: &'a [UpstreamId],
-    /// A number of the request's own.
-    pub drawn: u64,
-    /// When it must begin to be in time.
+    /// A number derived from the request's id and its number of runs, for random choices.
+    pub random: u64,
+    /// When the request must begin to run to meet its latency goal.
     pub due_at: Instant,
-    /// Whether engines let it in before all others that wait.
+    /// Whether engines admit the request before all other waiting requests.
     pub is_urgent: bool,
-    /// The regions in which it may be served.
-    pub allowed: &'a AllowedRegions,
+    /// The regions in which the request may be served.
+    pub allowed_regions: &'a AllowedRegions,
 }
 
-/// Time until a moment in milliseconds; below 0 if it is past.
+/// Time until `due_at` in milliseconds; negative if it has passed.
 fn due_in_ms(due_at: Instant, now: Instant) -> i64 {
-    let ms = |time: Duration| i64::try_from(time.as_millis()).unwrap_or(i64::MAX);
-    ms(due_at.saturating_duration_since(now)) - ms(now.saturating_duration_since(due_at))
+    let whole_ms = |duration: Duration| i64::try_from(duration.as_millis()).unwrap_or(i64::MAX);
+    whole_ms(due_at.saturating_duration_since(now))
+        - whole_ms(now.saturating_duration_since(due_at))
 }
 
-/// The moment that is so many milliseconds away.
-fn due_at(due_in_ms: i64, now: Instant) -> Instant {
-    let away = Duration::from_millis(due_in_ms.unsigned_abs().min(LONGEST_DUE_MS));
-    let moment = if due_in_ms < 0 {
-        now.checked_sub(away)
+/// The instant that is `due_in_ms` milliseconds away.
+fn instant_from_due_ms(due_in_ms: i64, now: Instant) -> Instant {
+    let distance = Duration::from_millis(due_in_ms.unsigned_abs().min(MAX_DUE_MS));
+    let instant = if due_in_ms < 0 {
+        now.checked_sub(distance)
     } else {
-        now.checked_add(away)
+        now.checked_add(distance)
     };
-    moment.unwrap_or(now)
+    instant.unwrap_or(now)
 }
 
-/// The instance's part in dispatching.
+/// Client and server of the dispatch protocol.
 #[derive(Debug)]
 pub struct Dispatch {
-    me: SocketAddr,
-    /// `None` if the port is taken: the instance then goes by what it sees itself.
+    own_address: SocketAddr,
+    /// `None` if the port is taken: the instance then chooses engines by its own state.
     socket: Option<UdpSocket>,
     dispatchers: Mutex<Dispatchers>,
-    book: Mutex<RunBook>,
-    line: Mutex<WaitingLine>,
-    /// Attempts that wait for an answer.
-    asking: Questions<Grant>,
-    runs: Mutex<HashMap<RunId, OwnRun>>,
-    next_run: AtomicU64,
+    run_table: Mutex<RunBook>,
+    wait_queue: Mutex<WaitingLine>,
+    /// Queries that wait for an answer.
+    pending_queries: PendingQueries<Grant>,
+    runs: Mutex<HashMap<RunId, LocalRun>>,
+    next_run_id: AtomicU64,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -110,39 +113,39 @@
 
 impl Dispatch {
     /// Binds the address for other instances.
-    pub fn bind(me: SocketAddr) -> Self {
-        let socket = UdpSocket::bind(me);
+    pub fn bind(own_address: SocketAddr) -> Self {
+        let socket = UdpSocket::bind(own_address);
         if let Err(error) = &socket {
-            log::warn!(address:% = me, error:% = error; "no port for dispatching; engines are chosen by what is seen here");
+            log::warn!(address:% = own_address, error:% = error; "cannot bind the port for dispatching; this instance chooses engines by its own state");
         }
         Self {
-            me,
+            own_address,
             socket: socket.ok(),
             dispatchers: Mutex::default(),
-            book: Mutex::default(),
-            line: Mutex::default(),
-            asking: Questions::default(),
+            run_table: Mutex::default(),
+            wait_queue: Mutex::default(),
+            pending_queries: PendingQueries::default(),
             runs: Mutex::default(),
-            // Numbers of a process before this one are not used again.
-            next_run: AtomicU64::new(rand::random()),
+            // A random start avoids reusing ids of an earlier process.
+            next_run_id: AtomicU64::new(rand::random()),
         }
     }
 
-    /// Uses another list of dispatchers.
-    pub fn set(&self, list: Vec<Candidate>) {
-        log::info!(dispatchers = list.len(); "dispatchers");
+    /// Replaces the list of dispatchers.
+    pub fn set_dispatchers(&self, list: Vec<Candidate>) {
+        log::info!(dispatchers = list.len(); "list of dispatchers changed");
         lock(&self.dispatchers).set(list);
-        // The thread that answers looks again.
-        self.send(self.me, None);
+        // Wakes the receiving thread, so that it applies the new list.
+        self.send(self.own_address, None);
     }
 
-    /// Who dispatches for engines.
-    pub fn list(&self) -> Vec<Candidate> {
+    /// The instances that dispatch for engines.
+    pub fn dispatcher_list(&self) -> Vec<Candidate> {
         lock(&self.dispatchers).list().to_vec()
     }
 
-    /// Whether engines have dispatchers.
-    pub fn is_used(&self) -> bool {
+    /// Whether there are dispatchers and this instance can reach them.
+    pub fn is_enabled(&self) -> bool {
         self.socket.is_some() && !lock(&self.dispatchers).is_empty()
     }
 
@@ -150,34 +153,35 @@
         lock(&self.dispatchers).of_engine(engine, clock::now())
     }
 
-    /// Sends a datagram. One that cannot be sent is lost like any other.
+    /// Sends a datagram. One that cannot be sent counts as lost.
     pub fn send(&self, to: SocketAddr, body: impl Into<Option<Body>>) {
         if let Some(socket) = &self.socket
             && let Err(error) = socket.send_to(&Datagram::bytes(body.into()), to)
         {
-            log::debug!(to:% = to, error:% = error; "a datagram was not sent");
+            log::debug!(to:% = to, error:% = error; "cannot send a datagram");
         }
     }
 
-    /// An engine for a request; `None` if nobody tells, so that it goes by what is seen here.
-    pub fn ask(&self, shared: &Shared, question: &Question<'_>) -> Option<Told> {
-        if !self.is_used() {
+    /// Queries dispatchers for an engine. `None` without a usable answer: the request then chooses
+    /// by this instance's own state.
+    pub fn query_engine(&self, shared: &Shared, query: &EngineQuery<'_>) -> Option<DispatchAnswer> {
+        if !self.is_enabled() {
             return None;
         }
         let now = clock::now();
-        let &Question {
+        let &EngineQuery {
             service,
             model_ref,
             tried,
-            drawn,
+            random,
             ..
-        } = question;
+        } = query;
         let wanted = Wanted {
             service,
             model_ref: Some(model_ref),
             hall: &shared.settings.hall,
-            allowed: question.allowed,
-            drawn,
+            allowed: query.allowed_regions,
+            drawn: random,
         };
         let mut engines = shared.upstreams().drawn_engines(wanted, now);
         engines.retain(|id| !tried.contains(id));
@@ -187,83 +191,98 @@
             model: model_ref.model.to_string(),
             adapter: model_ref.adapter.as_deref().unwrap_or_default().to_owned(),
             hall: shared.settings.hall.to_string(),
-            drawn,
-            due_in_ms: due_in_ms(question.due_at, now),
-            is_urgent: question.is_urgent,
+            drawn: random,
+            due_in_ms: due_in_ms(query.due_at, now),
+            is_urgent: query.is_urgent,
             tried: tried.iter().map(ToString::to_string).collect(),
-            regions: question.allowed.names().map(ToString::to_string).collect(),
-            is_bound: question.allowed.bind(),
+            regions: query
+                .allowed_regions
+                .names()
+                .map(ToString::to_string)
+                .collect(),
+            is_bound: query.allowed_regions.bind(),
         };
-        let mut asked = Vec::new();
+        let mut queried = Vec::new();
         let mut choice = Choice::Absent;
         for engine in &engines {
             let dispatcher = self.dispatcher_of(engine)?;
-            if asked.contains(&dispatcher) {
+            if queried.contains(&dispatcher) {
                 continue;
             }
-            if asked.len() >= MOST_ASKED {
+            if queried.len() >= MAX_DISPATCHERS_QUERIED {
                 break;
             }
-            asked.push(dispatcher);
+            queried.push(dispatcher);
             let ask = Ask {
-                id: question.id,
+                id: query.run_id,
                 ..ask.clone()
             };
-            let Some(grant) = self.question(shared, dispatcher, ask) else {
+            let Some(grant) = self.query_dispatcher(shared, dispatcher, ask) else {
                 lock(&self.dispatchers).silent(dispatcher, clock::now());
                 return None;
             };
             match grant.verdict() {
-                Verdict::Go => return self.granted(shared, dispatcher, &grant),
+                Verdict::Go => return self.accept_grant(shared, dispatcher, &grant),
                 Verdict::Full => choice = Choice::Full,
                 Verdict::Absent => {}
             }
         }
-        // That none of them knows what stands there by what is heard here is told soon.
-        let is_told = choice == Choice::Full || engines.is_empty();
-        is_told.then_some(Told { choice, run: None })
+        // If all dispatchers answer `Absent` although this instance knows engines with the model,
+        // the dispatchers have not received the placement yet, and the request chooses by this
+        // instance's state.
+        let is_conclusive = choice == Choice::Full || engines.is_empty();
+        is_conclusive.then_some(DispatchAnswer {
+            choice,
+            run_id: None,
+        })
     }
 
-    /// The engine that was granted, if it is known here.
-    fn granted(&self, shared: &Shared, by: SocketAddr, grant: &Grant) -> Option<Told> {
+    /// Records a granted run; `None` if this instance does not know the engine.
+    fn accept_grant(
+        &self,
+        shared: &Shared,
+        dispatcher: SocketAddr,
+        grant: &Grant,
+    ) -> Option<DispatchAnswer> {
         let engine = UpstreamId::from(grant.engine.as_str());
         let address = shared.upstreams().address_of(&engine)?;
-        let run = OwnRun {
+        let run = LocalRun {
             engine: engine.clone(),
-            granted_by: Some(by),
+            granted_by: Some(dispatcher),
         };
         lock(&self.runs).insert(grant.id, run);
-        Some(Told {
+        Some(DispatchAnswer {
             choice: Choice::Send {
                 id: engine,
                 address,
             },
-            run: Some(grant.id),
+            run_id: Some(grant.id),
         })
     }
 
-    /// One question and its answer; `None` without one.
-    fn question(&self, shared: &Shared, dispatcher: SocketAddr, ask: Ask) -> Option<Grant> {
-        if dispatcher == self.me {
-            return Some(self.answer(shared, self.me, &ask));
+    /// Sends one query to a dispatcher; `None` without an answer.
+    fn query_dispatcher(&self, shared: &Shared, dispatcher: SocketAddr, ask: Ask) -> Option<Grant> {
+        if dispatcher == self.own_address {
+            return Some(self.answer_query(shared, self.own_address, &ask));
         }
         let id = ask.id;
         let body = Body::Ask(ask);
-        self.asking.ask(id, || self.send(dispatcher, body.clone()))
+        self.pending_queries
+            .send_and_wait(id, || self.send(dispatcher, body.clone()))
     }
 
-    /// A number for an attempt.
-    pub fn next_run(&self) -> RunId {
-        self.next_run.fetch_add(1, Ordering::Relaxed)
+    /// The id for a new attempt.
+    pub fn next_run_id(&self) -> RunId {
+        self.next_run_id.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// A request goes to an engine without having asked; the run's number.
-    pub fn unasked(&self, engine: &UpstreamId) -> Option<RunId> {
-        if !self.is_used() {
+    /// Records a run that is sent to an engine without a grant, and returns its id.
+    pub fn record_direct_run(&self, engine: &UpstreamId) -> Option<RunId> {
+        if !self.is_enabled() {
             return None;
         }
-        let id = self.next_run();
-        let run = OwnRun {
+        let id = self.next_run_id();
+        let run = LocalRun {
             engine: engine.clone(),
             granted_by: None,
         };
@@ -271,10 +290,10 @@
         Some(id)
     }
 
-    /// A run of this instance is over.
-    pub fn ended(&self, shared: &Shared, id: RunId, outcome: Outcome) {
+    /// Reports the end of a run of this instance to its dispatcher.
+    pub fn run_ended(&self, shared: &Shared, id: RunId, outcome: Outcome) {
         let run = lock(&self.runs).remove(&id);
-        let Some(OwnRun { engine, granted_by }) = run else {
+        let Some(LocalRun { engine, granted_by }) = run else {
             return;
         };
         let Some(dispatcher) = granted_by.or_else(|| self.dispatcher_of(&engine)) else {
@@ -284,15 +303,15 @@
             id,
             outcome: encode(outcome).into(),
         };
-        if dispatcher == self.me {
-            self.over(shared, self.me, &ended);
+        if dispatcher == self.own_address {
+            self.record_run_end(shared, self.own_address, &ended);
         } else {
             self.send(dispatcher, Body::Ended(ended));
         }
     }
 
-    /// Answers a question, as the dispatcher.
-    fn answer(&self, shared: &Shared, from: SocketAddr, ask: &Ask) -> Grant {
+    /// Answers a query as the dispatcher.
+    fn answer_query(&self, shared: &Shared, from: SocketAddr, ask: &Ask) -> Grant {
         let key = RunKey {
             instance: from,
             id: ask.id,
@@ -303,10 +322,10 @@
             engine: engine.to_owned(),
         };
         let now = clock::now();
-        // The order of locks: the upstreams before the book.
+        // Lock order: the upstreams before the run table.
         let upstreams = shared.upstreams();
-        let mut book = lock(&self.book);
-        if let Some(engine) = book.engine_of(key) {
+        let mut run_table = lock(&self.run_table);
+        if let Some(engine) = run_table.engine_of(key) {
             return grant(Verdict::Go, engine);
         }
         let adapter = Some(ask.adapter.as_str()).filter(|name| !name.is_empty());
@@ -328,84 +347,85 @@
             drawn: ask.drawn,
         };
         let dispatchers = lock(&self.dispatchers);
-        let is_open = |id: &UpstreamId| {
+        let is_eligible = |id: &UpstreamId| {
             !ask.tried.iter().any(|tried| **tried == **id)
-                && dispatchers.of_engine(id, now) == Some(self.me)
+                && dispatchers.of_engine(id, now) == Some(self.own_address)
         };
-        let runs = |id: &UpstreamId| {
+        let load_of = |id: &UpstreamId| {
             let slots = upstreams.slots_of(id);
-            counted_load(book.load(id), slots, ask.is_urgent)
+            counted_load(run_table.load(id), slots, ask.is_urgent)
         };
-        let choice = upstreams.choose_by(wanted, is_open, Some(&runs), now);
-        let mut line = lock(&self.line);
+        let choice = upstreams.choose_by(wanted, is_eligible, Some(&load_of), now);
+        let mut wait_queue = lock(&self.wait_queue);
         let waiter = Waiter {
             model_ref: model_ref.clone(),
-            due_at: due_at(ask.due_in_ms, now),
+            due_at: instant_from_due_ms(ask.due_in_ms, now),
         };
         match choice {
             Choice::Send { id, .. } => {
-                let free = upstreams.slots_of(&id).saturating_sub(runs(&id));
+                let free_slots = upstreams.slots_of(&id).saturating_sub(load_of(&id));
                 let could_use = |other: &ModelRef| upstreams.has(&id, other, now);
-                let before = line.before(key, &waiter, could_use, now);
-                if before >= usize::try_from(free).unwrap_or(usize::MAX) {
-                    line.note(key, waiter, now);
+                let waiters_ahead = wait_queue.before(key, &waiter, could_use, now);
+                if waiters_ahead >= usize::try_from(free_slots).unwrap_or(usize::MAX) {
+                    wait_queue.note(key, waiter, now);
                     return grant(Verdict::Full, "");
                 }
-                line.leave(key);
-                book.note(key, &id, now);
+                wait_queue.leave(key);
+                run_table.note(key, &id, now);
                 grant(Verdict::Go, &id)
             }
             Choice::Full => {
-                line.note(key, waiter, now);
+                wait_queue.note(key, waiter, now);
                 grant(Verdict::Full, "")
             }
             Choice::Absent => grant(Verdict::Absent, ""),
         }
     }
 
-    /// A run is over, as its dispatcher hears.
-    fn over(&self, shared: &Shared, from: SocketAddr, ended: &Ended) {
+    /// Records, as the dispatcher, that a run has ended.
+    fn record_run_end(&self, shared: &Shared, from: SocketAddr, ended: &Ended) {
         let key = RunKey {
             instance: from,
             id: ended.id,
         };
-        let engine = lock(&self.book).end(key);
+        let engine = lock(&self.run_table).end(key);
         if let (Some(engine), Some(outcome)) = (engine, decode(ended.outcome())) {
             shared.upstreams().observed(&engine, outcome, clock::now());
         }
     }
 
-    /// Takes in a datagram.
-    fn take(&self, shared: &Shared, from: SocketAddr, body: Body) {
+    /// Handles a received datagram.
+    fn handle_datagram(&self, shared: &Shared, from: SocketAddr, body: Body) {
         match body {
             Body::Ask(ask) => {
-                let grant = self.answer(shared, from, &ask);
+                let grant = self.answer_query(shared, from, &ask);
                 self.send(from, Body::Grant(grant));
             }
-            // One that comes late, or twice, is of no use: the run ends by not being told.
-            Body::Grant(grant) => self.asking.answered(grant.id, grant),
-            Body::Ended(ended) => self.over(shared, from, &ended),
+            // A late or duplicate grant is dropped. The dispatcher's entry for its run expires,
+            // because this instance does not report the run.
+            Body::Grant(grant) => self.pending_queries.deliver_answer(grant.id, grant),
+            Body::Ended(ended) => self.record_run_end(shared, from, &ended),
             Body::Running(running) => {
                 let now = clock::now();
-                let mut book = lock(&self.book);
+                let mut run_table = lock(&self.run_table);
                 for run in running.runs {
                     let key = RunKey {
                         instance: from,
                         id: run.id,
                     };
-                    book.note(key, &run.engine.as_str().into(), now);
+                    run_table.note(key, &run.engine.as_str().into(), now);
                 }
             }
             Body::VersionAsk(ask) => {
-                let told = shared.configuration_age.told(&ask);
-                self.send(from, Body::VersionTold(told));
+                let answer = shared.configuration_age.told(&ask);
+                self.send(from, Body::VersionTold(answer));
             }
             Body::VersionTold(told) => shared.configuration_age.answered(told),
             Body::UseAsk(ask) => {
-                let told = keeper::rule(shared, from, &ask);
-                self.send(from, Body::UseTold(told));
+                let answer = keeper::rule(shared, from, &ask);
+                self.send(from, Body::UseTold(answer));
             }
-            Body::UseTold(told) => shared.keeper.answered(told),
+            Body::UseTold(told) => shared.coordinator.answered(told),
             Body::UseBack(back) if back.digest.is_empty() => {
                 shared.allotments.take_back(shared, from, &back);
             }
@@ -414,27 +434,27 @@
         }
     }
 
-    /// Tells dispatchers what runs on their engines, so that they know it although they have
-    /// just begun, or an end was lost.
-    fn refresh(&self, shared: &Shared) {
+    /// Reports to dispatchers which runs are on their engines, so that they know them although they
+    /// have just started or an end was lost.
+    fn announce_runs(&self, shared: &Shared) {
         let runs = lock(&self.runs).clone();
         let mut by_dispatcher: HashMap<SocketAddr, Vec<RunHere>> = HashMap::new();
         for (id, run) in runs {
             if let Some(dispatcher) = self.dispatcher_of(&run.engine) {
-                let here = RunHere {
+                let run_here = RunHere {
                     id,
                     engine: run.engine.to_string(),
                 };
-                by_dispatcher.entry(dispatcher).or_default().push(here);
+                by_dispatcher.entry(dispatcher).or_default().push(run_here);
             }
         }
         for (dispatcher, runs) in by_dispatcher {
-            for part in runs.chunks(RUNS_PER_DATAGRAM) {
+            for chunk in runs.chunks(RUNS_PER_DATAGRAM) {
                 let body = Body::Running(Running {
-                    runs: part.to_vec(),
+                    runs: chunk.to_vec(),
                 });
-                if dispatcher == self.me {
-                    self.take(shared, self.me, body);
+                if dispatcher == self.own_address {
+                    self.handle_datagram(shared, self.own_address, body);
                 } else {
                     self.send(dispatcher, body);
                 }
@@ -442,7 +462,7 @@
         }
     }
 
-    /// Hears others for as long as the process lives.
+    /// Starts the thread that receives datagrams for as long as the process runs.
     pub fn start(shared: &Arc<Shared>) {
         let shared = shared.clone();
         std::thread::spawn(move || shared.dispatch.run(&shared));
@@ -452,30 +472,31 @@
         let Some(socket) = &self.socket else {
             return;
         };
-        let mut bytes = vec![0; MAX_BYTES];
+        let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
         let mut refresh_at = clock::now();
         loop {
             let now = clock::now();
-            // Without dispatchers nothing is due by time: a datagram tells when there are some.
-            let pause = self.is_used().then(|| {
+            // Without dispatchers nothing is due periodically: a datagram wakes the thread when the
+            // list changes.
+            let read_timeout = self.is_enabled().then(|| {
                 if now >= refresh_at {
                     refresh_at = now + REFRESH_PAUSE;
-                    self.refresh(shared);
-                    lock(&self.book).expire(now);
-                    lock(&self.line).expire(now);
+                    self.announce_runs(shared);
+                    lock(&self.run_table).expire(now);
+                    lock(&self.wait_queue).expire(now);
                 }
-                let left = refresh_at.saturating_duration_since(now);
-                left.max(Duration::from_millis(1))
+                let remaining = refresh_at.saturating_duration_since(now);
+                remaining.max(Duration::from_millis(1))
             });
-            if let Err(error) = socket.set_read_timeout(pause) {
-                log::warn!(error:% = error; "a time-out cannot be set");
+            if let Err(error) = socket.set_read_timeout(read_timeout) {
+                log::warn!(error:% = error; "cannot set the read timeout");
             }
             let Ok((length, from)) = socket.recv_from(&mut bytes) else {
-                // The time is over, or a datagram of before was refused by a dead port.
+                // The read timed out, or an earlier datagram was refused by a closed port.
                 continue;
             };
             if let Some(body) = Datagram::read(&bytes[..length]) {
-                self.take(shared, from, body);
+                self.handle_datagram(shared, from, body);
             }
         }
     }
--- a/crates/instance/src/forward/exchange.rs
+++ b/crates/instance/src/forward/exchange.rs
@@ -1,18 +1,20 @@
-//! One attempt: sending the request to one upstream, reading its answer, passing it on.
+//! One attempt: sending the request to one upstream, reading its answer, delivering it.
 //!
-//! An answer that is no stream is held back until it is whole, so that another
-//! upstream may still answer. A stream is passed on as its events come; only whole
-//! events go out, so that another upstream can go on behind the last of them.
+//! An answer that is not a stream is buffered until it is complete, so that another upstream may
+//! still answer instead. A stream is delivered as its events arrive. Only complete events are
+//! delivered, so that another upstream can resume after the last of them.
 
-use super::door::Permit;
-use super::{After, Attempt, FailedAnswer, Forwarding, Target, UNREAD, after};
+use super::send_permit::SendPermit;
+use super::{
+    Attempt, ConnectionReuse, FailedAnswer, Forwarding, NOT_TAKEN, Target, connection_reuse,
+};
 use crate::http1::{
-    self, AnswerHead, BodyPart, BodyReader, Connection, HttpError, Wrote, encode_head,
+    self, AnswerHead, BodyPart, BodyReader, Connection, HttpError, WriteOutcome, encode_head,
 };
 use crate::pool;
 use crate::relay;
-use crate::reply::{self, WRITE_TIME};
-use crate::shared::Held;
+use crate::reply::{self, WRITE_TIMEOUT};
+use crate::shared::MemoryReservation;
 use crate::words::{self, Heard};
 use passway_serving::headers::Headers;
 use passway_serving::ports::{AnswerFacts, Stamp};
@@ -23,105 +25,109 @@
 use std::io::ErrorKind;
 
 /// Time to connect to an upstream; a round trip takes a few milliseconds.
-const CONNECT_TIME: Duration = Duration::from_millis(300);
-/// A stream that may go on elsewhere does so after a pause of so many times its goal
-/// for pauses, if nothing else is heard of its upstream either.
-const SILENT_GAPS: u64 = 3;
-/// Shortest such pause.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// A resumable stream moves to another upstream after a silence of this many times its route's goal
+/// for gaps, if the upstream is silent towards all other requests as well.
+const SILENCE_GAP_MULTIPLE: u64 = 3;
+/// Shortest silence after which a stream moves.
 const MIN_SILENCE: Duration = Duration::from_millis(800);
-/// A request that may run once goes over a connection that has rested at most this long.
-const FRESH_REST: Duration = Duration::from_millis(900);
-/// Any other request goes over a connection however long it has rested.
-const ANY_REST: Duration = Duration::from_mins(10);
-/// Largest answer that is held back until it is whole.
-const MAX_WHOLE_BYTES: usize = 1 << 20;
-/// A caller that takes nothing of its answer for so long does not read it: a little less than the connection itself
-/// bears that.
-const UNREAD_TIME: Duration = Duration::from_millis(3_500);
-/// Pause between two looks whether there is room for an answer.
-const ROOM_STEP: Duration = Duration::from_millis(20);
-/// Answers of earlier requests that are left out before a connection is given up.
-const MAX_SURPLUS_ANSWERS: usize = 2;
-/// Status of an upstream that does not have what the request is for (RFC 9110:
-/// Misdirected Request).
+/// Longest idle time of a pooled connection for a request that may run only once.
+const MAX_IDLE_RUN_ONCE: Duration = Duration::from_millis(900);
+/// Longest idle time of a pooled connection for any other request.
+const MAX_IDLE_REPEATABLE: Duration = Duration::from_mins(10);
+/// Largest answer that is buffered whole.
+const MAX_BUFFERED_ANSWER_BYTES: usize = 1 << 20;
+/// A caller that reads nothing of its answer for this long is given up. Slightly shorter than the
+/// user timeout of the connection itself.
+const CALLER_STALL_TIMEOUT: Duration = Duration::from_millis(3_500);
+/// Interval between two checks for memory for an answer.
+const MEMORY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Answers to earlier requests that are skipped before a connection is given up.
+const MAX_STALE_ANSWERS: usize = 2;
+/// Status of an upstream that does not have the model of the request (RFC 9110: Misdirected
+/// Request).
 const MISDIRECTED: u16 = 421;
 
 impl Forwarding<'_> {
-    /// Sends the request over a rested or a new connection.
+    /// Sends the request over a pooled or a new connection.
     pub(super) fn exchange(&mut self, target: &Target) -> Attempt {
-        let longest = if self.route.kind.may_run_again() {
-            ANY_REST
+        let max_idle = if self.route.kind.may_run_again() {
+            MAX_IDLE_REPEATABLE
         } else {
-            FRESH_REST
+            MAX_IDLE_RUN_ONCE
         };
         let now = clock::now();
-        if let Some(kept) = self.shared.pool.take(&target.id, longest, now) {
-            let attempt = self.exchange_over(target, kept);
+        if let Some(pooled) = self.shared.pool.take(&target.id, max_idle, now) {
+            let attempt = self.exchange_over(target, pooled);
             if matches!(attempt, Attempt::Broken | Attempt::TimedOut) {
-                // The others that rest may be as dead as this one was.
-                self.shared.pool.forget(&target.id);
+                // The other idle connections may be as dead as this one.
+                self.shared.pool.close_idle(&target.id);
             }
             if !matches!(attempt, Attempt::NotSent) {
                 return attempt;
             }
         }
-        match Connection::connect(target.address, CONNECT_TIME) {
+        match Connection::connect(target.address, CONNECT_TIMEOUT) {
             Ok(connection) => self.exchange_over(target, connection),
             Err(_) => Attempt::NotSent,
         }
     }
 
-    /// Until when to wait before it is looked whether the upstream is silent. Only a
-    /// stream that may go on elsewhere is looked at; any other ends by its own times.
-    fn step_until(&self) -> Instant {
-        let may_move = self.route.kind == RequestKind::Stream { resumable: true }
+    /// Until when to wait before the next check whether the upstream is silent. Only a stream that
+    /// may move to another upstream is checked; any other request ends by its own deadline.
+    fn next_silence_check_at(&self) -> Instant {
+        let is_movable = self.route.kind == RequestKind::Stream { resumable: true }
             && self.runs + 1 < self.route.attempts;
-        if !may_move {
+        if !is_movable {
             return self.deadline_at;
         }
-        let step = Duration::from_millis(self.route.gap_goal_ms * SILENT_GAPS);
-        self.deadline_at.min(clock::now() + step.max(MIN_SILENCE))
+        let silence = Duration::from_millis(self.route.gap_goal_ms * SILENCE_GAP_MULTIPLE);
+        self.deadline_at
+            .min(clock::now() + silence.max(MIN_SILENCE))
     }
 
-    /// Whether the upstream is silent for longer than is usual and another one can go on: it
-    /// is chosen, and a repeat is left, before this one is given up.
-    fn is_silent(&mut self, target: &Target) -> bool {
+    /// Whether the upstream has been silent for longer than usual and another one can go on. The
+    /// next upstream is chosen, and a retry must be left, before this one is given up.
+    fn can_leave_silent_upstream(&mut self, target: &Target) -> bool {
         let now = clock::now();
         if !self.shared.upstreams().is_silent(&target.id, now)
-            || now < self.usual_until()
-            || !self.shared.retries().has_spare(&self.service, now)
+            || now < self.usual_first_byte_at()
+            || !self.shared.retry_budget().has_spare(&self.service, now)
         {
             return false;
         }
-        self.question = self.shared.dispatch.next_run();
-        let next = self.choose(now).ok();
-        self.next = next.and_then(|next| self.with_turn(next));
-        self.next.is_some()
+        self.run_id = self.shared.dispatch.next_run_id();
+        let next_target = self.choose(now).ok();
+        self.next_target = next_target.and_then(|next| self.with_limit_grant(next));
+        self.next_target.is_some()
     }
 
-    /// Until when it is usual that nothing has come yet; past once something has.
-    fn usual_until(&self) -> Instant {
+    /// By when the first byte usually arrives; in the past once the answer's head was delivered.
+    fn usual_first_byte_at(&self) -> Instant {
         if self.delivered.head_sent {
             return self.attempt_at;
         }
         let goal = Duration::from_millis(self.route.goal_ms);
-        let usual = self.shared.usual_times().longest(&self.route.name, goal);
-        self.attempt_at + usual
+        let usual_time = self
+            .shared
+            .first_byte_times()
+            .longest(&self.route.name, goal);
+        self.attempt_at + usual_time
     }
 
-    fn heard(&self, target: &Target) {
+    fn record_activity(&self, target: &Target) {
         let now = clock::now();
         self.shared.upstreams().heard(&target.id, now);
     }
 
     fn request_bytes(&self, target: &Target) -> Vec<u8> {
-        let left = self.deadline_at.saturating_duration_since(clock::now());
+        let remaining = self.deadline_at.saturating_duration_since(clock::now());
         let stamp = Stamp {
             upstream: target.id.clone(),
-            deadline_ms: relay::millis(left),
+            deadline_ms: relay::millis(remaining),
             workspace: self.access.mark.clone(),
             urgency: self.is_engine.then_some(self.priority().min(9)),
-            last_event: self.delivered.cutter.last_id().map(str::to_owned),
+            last_event: self.delivered.splitter.last_id().map(str::to_owned),
         };
         let mut headers = self.shared.vocabulary.forwarded(&self.head.headers, &stamp);
         let has_body =
@@ -129,132 +135,140 @@
         if has_body {
             headers.push("Content-Length", self.body.len().to_string());
         }
-        let line = format!("{} {} HTTP/1.1", self.head.method, self.head.target);
-        let mut bytes = encode_head(&line, &headers);
+        let first_line = format!("{} {} HTTP/1.1", self.head.method, self.head.target);
+        let mut bytes = encode_head(&first_line, &headers);
         bytes.extend_from_slice(self.body);
         bytes
     }
 
-    /// Sends the request over `upstream` and deals with the answer to it.
+    /// Sends the request over `upstream` and handles the answer.
     fn exchange_over(&mut self, target: &Target, mut upstream: Connection) -> Attempt {
-        if let Err(denied) = self.check_access() {
-            return Attempt::Denied(denied);
+        if let Err(denial) = self.check_access() {
+            return Attempt::Denied(denial);
         }
-        let Some(permit) = self.permit(target) else {
-            return Attempt::Unwanted;
+        let Some(permit) = self.acquire_send_permit(target) else {
+            return Attempt::NotPermitted;
         };
-        let wrote = match self.send(target, permit, &mut upstream) {
-            Ok(wrote) => wrote,
-            Err(ended) => return ended,
+        let write_outcome = match self.send(target, permit, &mut upstream) {
+            Ok(outcome) => outcome,
+            Err(attempt) => return attempt,
         };
-        match self.read_own_head(target, &mut upstream) {
+        match self.read_matching_head(target, &mut upstream) {
             Ok((head, facts)) => {
-                let whole = wrote == Wrote::Whole;
-                self.answered(target, upstream, &head, &facts, whole)
+                let request_whole = write_outcome == WriteOutcome::Whole;
+                self.handle_answer(target, upstream, &head, &facts, request_whole)
             }
-            Err(ended) => ended,
+            Err(attempt) => attempt,
         }
     }
 
-    /// Writes the request; the error says how the attempt ended.
+    /// Writes the request.
+    ///
+    /// # Errors
+    /// The outcome of the attempt, if it cannot be written.
     fn send(
         &mut self,
         target: &Target,
-        _permit: Permit,
+        _permit: SendPermit,
         upstream: &mut Connection,
-    ) -> Result<Wrote, Attempt> {
+    ) -> Result<WriteOutcome, Attempt> {
         let bytes = self.request_bytes(target);
         let until = self.deadline_at;
-        let wrote = http1::write_all(upstream, &bytes, true, Some(self.caller), until);
-        wrote.map_err(|error| match error {
+        let write_outcome = http1::write_all(upstream, &bytes, true, Some(self.caller), until);
+        write_outcome.map_err(|error| match error {
             HttpError::WatchedClosed => Attempt::CallerGone,
             HttpError::TimedOut => Attempt::TimedOut,
-            HttpError::Ending => Attempt::Ending,
+            HttpError::Stopping => Attempt::Stopping,
             HttpError::NothingWritten => Attempt::NotSent,
-            // A part may have arrived; an upstream runs only whole requests, but
-            // what was written last may have been the end of one.
+            // A part may have arrived. An upstream runs only complete requests, but the last bytes
+            // written may have been the end of this one.
             _ => Attempt::Broken,
         })
     }
 
     /// Reads answers until one belongs to this request, and returns its head.
-    fn read_own_head(
+    fn read_matching_head(
         &mut self,
         target: &Target,
         upstream: &mut Connection,
     ) -> Result<(AnswerHead, AnswerFacts), Attempt> {
-        for _ in 0..=MAX_SURPLUS_ANSWERS {
+        for _ in 0..=MAX_STALE_ANSWERS {
             let head = self.read_head(target, upstream)?;
-            self.heard(target);
+            self.record_activity(target);
             let vocabulary = &self.shared.vocabulary;
             let facts = vocabulary.answer(head.status, &head.headers, &target.id);
             if facts.id.as_deref().is_none_or(|id| id == self.facts.id) {
-                self.hear_words(target, &facts);
+                self.apply_signals(target, &facts);
                 if self.route.kind.is_stream() && !facts.not_run {
-                    let after = clock::since(self.attempt_at);
-                    let mut usual = self.shared.usual_times();
-                    usual.observe(&self.route.name, after);
+                    let elapsed = clock::since(self.attempt_at);
+                    let mut first_byte_times = self.shared.first_byte_times();
+                    first_byte_times.observe(&self.route.name, elapsed);
                 }
                 return Ok((head, facts));
             }
-            // An answer to an earlier request: what follows may be ours.
+            // An answer to an earlier request; the next one may belong to this request.
             self.skip_body(upstream, &head)?;
         }
         Err(Attempt::Broken)
     }
 
-    /// Takes in what an answer to this request says of its upstream. One that names no request may be
-    /// anybody's, and one of another incarnation says nothing of the upstream that was asked.
-    fn hear_words(&self, target: &Target, facts: &AnswerFacts) {
+    /// Applies the upstream's signals in an answer to this request. An answer without a request id
+    /// may belong to any request, and one of another incarnation says nothing about the target.
+    fn apply_signals(&self, target: &Target, facts: &AnswerFacts) {
         if facts.other_incarnation || facts.id.is_none() {
             return;
         }
-        let heard = Heard {
+        let received = Heard {
             start: &target.start(),
             words: &facts.words,
             vouched: facts.vouched,
             sent_at: self.attempt_at,
         };
-        words::hear(self.shared, heard);
+        words::hear(self.shared, received);
     }
 
-    /// Reads the next answer's head, for as long as the upstream is not silent.
+    /// Reads the next answer's head, unless the upstream falls silent.
     fn read_head(
         &mut self,
         target: &Target,
         upstream: &mut Connection,
     ) -> Result<AnswerHead, Attempt> {
         loop {
-            let step = self.step_until();
-            match http1::read_answer_head(upstream, Some(self.caller), step) {
+            let until = self.next_silence_check_at();
+            match http1::read_answer_head(upstream, Some(self.caller), until) {
                 Ok(head) => return Ok(head),
                 Err(HttpError::WatchedClosed) => return Err(Attempt::CallerGone),
-                Err(HttpError::Ending) => return Err(Attempt::Ending),
+                Err(HttpError::Stopping) => return Err(Attempt::Stopping),
                 Err(HttpError::TimedOut) if clock::now() >= self.deadline_at => {
                     return Err(Attempt::TimedOut);
                 }
-                Err(HttpError::TimedOut) if !self.is_silent(target) => {}
+                Err(HttpError::TimedOut) if !self.can_leave_silent_upstream(target) => {}
                 Err(_) => return Err(Attempt::Broken),
             }
         }
     }
 
-    /// Reads the body of another request's answer and drops it.
+    /// Reads and drops the body of an answer to another request.
     fn skip_body(&mut self, upstream: &mut Connection, head: &AnswerHead) -> Result<(), Attempt> {
         let Ok(mut body) = BodyReader::of_answer(head, &self.head.method) else {
             return Err(Attempt::Broken);
         };
         let until = self.deadline_at;
-        match body.read_whole(upstream, MAX_WHOLE_BYTES, Some(self.caller), until) {
-            Ok(_) if body.reusable => Ok(()),
+        match body.read_whole(
+            upstream,
+            MAX_BUFFERED_ANSWER_BYTES,
+            Some(self.caller),
+            until,
+        ) {
+            Ok(_) if body.is_reusable => Ok(()),
             Err(HttpError::WatchedClosed) => Err(Attempt::CallerGone),
-            Err(HttpError::Ending) => Err(Attempt::Ending),
+            Err(HttpError::Stopping) => Err(Attempt::Stopping),
             Ok(_) | Err(_) => Err(Attempt::Broken),
         }
     }
 
-    /// Decides what an answer to this request means, and passes it on if it counts.
-    fn answered(
+    /// Decides what an answer to this request means, and delivers it if it is final.
+    fn handle_answer(
         &mut self,
         target: &Target,
         mut upstream: Connection,
@@ -265,36 +279,43 @@
         let Ok(mut body) = BodyReader::of_answer(head, &self.head.method) else {
             return Attempt::Broken;
         };
-        body.reusable &= request_whole;
+        body.is_reusable &= request_whole;
         let is_success = (200..300).contains(&head.status);
-        let encoded = head.headers.has("content-encoding");
-        if is_success && (!facts.vouched || encoded || facts.id.is_none()) {
+        let is_encoded = head.headers.has("content-encoding");
+        if is_success && (!facts.vouched || is_encoded || facts.id.is_none()) {
             return Attempt::Broken;
         }
         if is_success && self.route.kind.is_stream() {
-            return self.pass_stream(target, upstream, head, body);
+            return self.deliver_stream(target, upstream, head, body);
         }
         let until = self.deadline_at;
-        let Some(mut room) = self.room_for_answer(body.announced().min(MAX_WHOLE_BYTES)) else {
+        let Some(mut reservation) =
+            self.reserve_answer_memory(body.announced_bytes().min(MAX_BUFFERED_ANSWER_BYTES))
+        else {
             return Attempt::TimedOut;
         };
-        let read = body.read_whole(&mut upstream, MAX_WHOLE_BYTES, Some(self.caller), until);
+        let read = body.read_whole(
+            &mut upstream,
+            MAX_BUFFERED_ANSWER_BYTES,
+            Some(self.caller),
+            until,
+        );
         let bytes = match read {
             Ok(bytes) => bytes,
             Err(HttpError::WatchedClosed) => return Attempt::CallerGone,
-            Err(HttpError::Ending) if !facts.not_run => return Attempt::Ending,
+            Err(HttpError::Stopping) if !facts.not_run => return Attempt::Stopping,
             Err(HttpError::TimedOut) if !facts.not_run => return Attempt::TimedOut,
             Err(_) if !facts.not_run => return Attempt::Broken,
             Err(_) => Vec::new(),
         };
-        // One without a length counts as it turned out to be, beyond the bound too.
-        room.set_bytes(bytes.len());
-        self.keep(target, upstream, head, &body);
+        // An answer without a length is counted at its actual length, even beyond the bound.
+        reservation.resize(bytes.len());
+        self.return_to_pool(target, upstream, head, &body);
         if facts.not_run {
-            return self.refused(target, head, facts);
+            return self.handle_refusal(target, head, facts);
         }
         if is_success {
-            return Attempt::Answered(self.pass_whole(head, &bytes));
+            return Attempt::Answered(self.deliver_whole(head, &bytes));
         }
         if !facts.vouched {
             return Attempt::Broken;
@@ -305,31 +326,31 @@
         }))
     }
 
-    /// Room for an answer that is held whole, as soon as those that other callers have not read leave any; its upstream
-    /// waits meanwhile. `None` once the request's time is over.
-    fn room_for_answer(&mut self, bytes: usize) -> Option<Held> {
+    /// Waits for memory to buffer an answer; the upstream's connection waits meanwhile. `None` once
+    /// the deadline has passed or the caller has left.
+    fn reserve_answer_memory(&mut self, bytes: usize) -> Option<MemoryReservation> {
         loop {
-            if let Some(room) = self.shared.hold_answer(bytes) {
-                return Some(room);
+            if let Some(reservation) = self.shared.reserve_answer(bytes) {
+                return Some(reservation);
             }
             if clock::now() >= self.deadline_at || self.caller.is_closed() {
                 return None;
             }
-            std::thread::sleep(ROOM_STEP);
+            std::thread::sleep(MEMORY_POLL_INTERVAL);
         }
     }
 
-    /// The upstream has not run the request; what that tells of the upstream.
-    fn refused(&self, target: &Target, head: &AnswerHead, facts: &AnswerFacts) -> Attempt {
+    /// Handles an answer by which the upstream has not run the request.
+    fn handle_refusal(&self, target: &Target, head: &AnswerHead, facts: &AnswerFacts) -> Attempt {
         if facts.other_incarnation {
-            self.shared.pool.forget(&target.id);
+            self.shared.pool.close_idle(&target.id);
             return Attempt::NotRun(Outcome::Unreachable);
         }
         if head.status == MISDIRECTED
-            && let Some(wish) = self.wish()
+            && let Some(model_ref) = self.model_ref()
         {
             let now = clock::now();
-            self.shared.upstreams().absent(&target.id, wish, now);
+            self.shared.upstreams().absent(&target.id, model_ref, now);
             return Attempt::NotRun(Outcome::Unknown);
         }
         if self
@@ -338,78 +359,79 @@
             .closed_until(&target.id, clock::now())
             .is_some()
         {
-            // It has asked for rest, which is no failure, and is not asked again before.
+            // The upstream has asked this instance to back off. That is no failure, and the
+            // instance sends nothing there before the backoff ends.
             return Attempt::NotRun(Outcome::Unknown);
         }
         Attempt::NotRun(Outcome::Shed)
     }
 
-    /// Keeps the upstream's connection if it may carry another request.
-    fn keep(
+    /// Returns the upstream's connection to the pool if it may carry another request.
+    fn return_to_pool(
         &self,
         target: &Target,
         mut upstream: Connection,
         head: &AnswerHead,
         body: &BodyReader,
     ) {
-        if !body.reusable || !body.is_done() || !upstream.is_clean() {
+        if !body.is_reusable || !body.is_done() || !upstream.is_clean() {
             return;
         }
-        let named = head.headers.text("keep-alive").and_then(|text| {
+        let keep_alive_s = head.headers.text("keep-alive").and_then(|text| {
             let parts = text.split(',');
             let mut timeout = parts.filter_map(|part| part.trim().strip_prefix("timeout="));
             timeout.find_map(|seconds| seconds.parse().ok())
         });
-        let rest = pool::rest_time(named);
+        let idle_ttl = pool::idle_ttl(keep_alive_s);
         let now = clock::now();
-        self.shared.pool.put(&target.id, upstream, rest, now);
+        self.shared.pool.put(&target.id, upstream, idle_ttl, now);
     }
 
     fn answer_headers(&self, head: &AnswerHead) -> Headers {
         let mut headers = Headers(head.headers.end_to_end().cloned().collect());
-        if self.close_after {
+        if self.should_close {
             headers.push("Connection", "close");
         }
         headers
     }
 
     fn write(&mut self, bytes: &[u8]) -> Result<(), HttpError> {
-        let first_ms = self.held_ms();
-        self.record.first_ms.get_or_insert(first_ms);
-        // A ready answer is delivered, late too.
-        let until = self.deadline_at.max(clock::now() + WRITE_TIME);
-        let written = http1::write_while_read(self.caller, bytes, UNREAD_TIME, until);
-        self.record.is_unread |= match &written {
+        let first_ms = self.elapsed_ms();
+        self.request_log.first_ms.get_or_insert(first_ms);
+        // A complete answer is delivered even after the deadline.
+        let until = self.deadline_at.max(clock::now() + WRITE_TIMEOUT);
+        let written = http1::write_until_stalled(self.caller, bytes, CALLER_STALL_TIMEOUT, until);
+        self.request_log.is_stalled |= match &written {
             Err(HttpError::TimedOut) => true,
-            // The connection itself has waited for that.
+            // The connection's own user timeout has expired.
             Err(HttpError::Io(error)) => error.kind() == ErrorKind::TimedOut,
             _ => false,
         };
         written
     }
 
-    /// Passes on an answer that is whole.
-    pub(super) fn pass_whole(&mut self, head: &AnswerHead, body: &[u8]) -> After {
+    /// Delivers a complete answer.
+    pub(super) fn deliver_whole(&mut self, head: &AnswerHead, body: &[u8]) -> ConnectionReuse {
         let mut headers = self.answer_headers(head);
-        let bodyless = head.is_bodyless(&self.head.method);
-        if !bodyless {
+        let is_bodyless = head.is_bodyless(&self.head.method);
+        if !is_bodyless {
             headers.push("Content-Length", body.len().to_string());
         }
         let mut bytes = encode_head(&head.status_line(), &headers);
-        if !bodyless {
+        if !is_bodyless {
             bytes.extend_from_slice(body);
         }
-        self.record.status = head.status;
-        self.record.end = "answered";
+        self.request_log.status = head.status;
+        self.request_log.end = "answered";
         let written = self.write(&bytes);
-        if self.record.is_unread {
-            self.record.end = UNREAD;
+        if self.request_log.is_stalled {
+            self.request_log.end = NOT_TAKEN;
         }
-        after(written.is_ok() && !self.close_after)
+        connection_reuse(written.is_ok() && !self.should_close)
     }
 
-    /// Passes on a stream, event by event.
-    fn pass_stream(
+    /// Delivers a stream, event by event.
+    fn deliver_stream(
         &mut self,
         target: &Target,
         mut upstream: Connection,
@@ -420,35 +442,40 @@
         let mut received = Vec::new();
         let mut events = Vec::new();
         loop {
-            let part = self.next_part(target, &mut upstream, &mut body, &mut received);
-            let ended = match part {
+            let part = self.read_stream_part(target, &mut upstream, &mut body, &mut received);
+            let is_ended = match part {
                 Ok(part) => part == BodyPart::End,
-                Err(ended) => return ended,
+                Err(attempt) => return attempt,
             };
-            self.heard(target);
+            self.record_activity(target);
             events.clear();
-            if self.delivered.cutter.add(&received, &mut events).is_err() {
-                self.delivered.cutter.drop_partial();
+            if self
+                .delivered
+                .splitter
+                .push(&received, &mut events)
+                .is_err()
+            {
+                self.delivered.splitter.drop_partial();
                 return Attempt::Broken;
             }
-            if ended {
-                events.extend(self.delivered.cutter.take_rest());
+            if is_ended {
+                events.extend(self.delivered.splitter.take_remainder());
             }
-            let out = self.framed(std::mem::take(&mut opening), &events, ended);
-            if !out.is_empty() {
+            let framed = self.frame_for_caller(std::mem::take(&mut opening), &events, is_ended);
+            if !framed.is_empty() {
                 self.delivered.head_sent = true;
-                // No other answer can be given any more.
-                self.caller.end_with_streams();
-                self.record.status = head.status;
-                if self.write(&out).is_err() {
+                // Once the head is out, no other answer can be sent.
+                self.caller.mark_streaming();
+                self.request_log.status = head.status;
+                if self.write(&framed).is_err() {
                     return Attempt::CallerGone;
                 }
             }
-            if ended {
-                self.record.end = "answered";
-                self.keep(target, upstream, head, &body);
-                let keep = self.delivered.chunked && !self.close_after;
-                return Attempt::Answered(after(keep));
+            if is_ended {
+                self.request_log.end = "answered";
+                self.return_to_pool(target, upstream, head, &body);
+                let can_reuse = self.delivered.chunked && !self.should_close;
+                return Attempt::Answered(connection_reuse(can_reuse));
             }
         }
     }
@@ -466,8 +493,8 @@
         encode_head(&head.status_line(), &headers)
     }
 
-    /// Reads the next part of a stream, for as long as the upstream is not silent.
-    fn next_part(
+    /// Reads the next part of a stream, unless the upstream falls silent.
+    fn read_stream_part(
         &mut self,
         target: &Target,
         upstream: &mut Connection,
@@ -476,17 +503,17 @@
     ) -> Result<BodyPart, Attempt> {
         loop {
             received.clear();
-            let until = self.step_until();
-            match body.next(upstream, received, Some(self.caller), until) {
+            let until = self.next_silence_check_at();
+            match body.read_part(upstream, received, Some(self.caller), until) {
                 Ok(part) => return Ok(part),
                 Err(HttpError::WatchedClosed) => return Err(Attempt::CallerGone),
-                Err(HttpError::Ending) => return Err(Attempt::Ending),
+                Err(HttpError::Stopping) => return Err(Attempt::Stopping),
                 Err(HttpError::TimedOut) if clock::now() >= self.deadline_at => {
                     return Err(Attempt::TimedOut);
                 }
-                Err(HttpError::TimedOut) if !self.is_silent(target) => {}
+                Err(HttpError::TimedOut) if !self.can_leave_silent_upstream(target) => {}
                 Err(_) => {
-                    self.delivered.cutter.drop_partial();
+                    self.delivered.splitter.drop_partial();
                     return Err(Attempt::Broken);
                 }
             }
@@ -494,16 +521,16 @@
     }
 
     /// `opening` followed by `events`, framed for the caller.
-    fn framed(&self, opening: Vec<u8>, events: &[u8], ended: bool) -> Vec<u8> {
-        let mut out = opening;
+    fn frame_for_caller(&self, opening: Vec<u8>, events: &[u8], is_ended: bool) -> Vec<u8> {
+        let mut framed = opening;
         if self.delivered.chunked && !events.is_empty() {
-            out.extend(reply::chunk(events));
+            framed.extend(reply::chunk(events));
         } else {
-            out.extend_from_slice(events);
+            framed.extend_from_slice(events);
         }
-        if ended && self.delivered.chunked {
-            out.extend_from_slice(reply::LAST_CHUNK);
+        if is_ended && self.delivered.chunked {
+            framed.extend_from_slice(reply::LAST_CHUNK);
         }
-        out
+        framed
     }
 }
--- /dev/null
+++ b/crates/instance/src/forward/refusal.rs
@@ -0,0 +1,83 @@
+//! The answer to a request when nothing more can be tried.
+
+use super::access::Denial;
+use super::attempt::FailedAnswer;
+use super::{ConnectionReuse, Forwarding, RETRY_AFTER_MS, connection_reuse, not_run};
+use crate::poison::Trial;
+use crate::relay::millis;
+use crate::reply::{self, Refusal};
+use passway_serving::poison::Standing;
+use passway_types::clock;
+
+/// `Retry-After` of a request that may crash upstreams, in milliseconds. By then an upstream that
+/// broke off has restarted or has proved to be alive.
+const SUSPECT_RETRY_MS: u64 = 2_000;
+
+impl Forwarding<'_> {
+    /// Writes the final answer when nothing more can be tried.
+    pub(super) fn answer_failure(&mut self, failed: Option<Box<FailedAnswer>>) -> ConnectionReuse {
+        if self.delivered.head_sent {
+            // A stream that breaks off must not look complete.
+            self.request_log.end = if self.request_log.cut_by_stop {
+                "stream cut by the stop"
+            } else {
+                "stream broken off"
+            };
+            if !self.delivered.chunked {
+                self.caller.reset_when_closed();
+            }
+            return ConnectionReuse::Close;
+        }
+        if let Some(failed) = failed {
+            return self.deliver_whole(&failed.head, &failed.body);
+        }
+        let refused_for = self.refused_for();
+        let has_permit = self
+            .exclusive_permit
+            .as_ref()
+            .is_some_and(Trial::is_granted);
+        let is_on_hold = self.run_permission != Standing::Free && !has_permit;
+        let refusal = if self.runs == 0 {
+            // A request that crashes engines is not run until its entry expires.
+            let available_ms = self
+                .model_ready_ms
+                .or(self.upstream_available_ms)
+                .unwrap_or(RETRY_AFTER_MS);
+            let retry_ms = if is_on_hold {
+                SUSPECT_RETRY_MS
+            } else {
+                available_ms
+            };
+            not_run(refused_for.map_or(retry_ms, millis))
+        } else if clock::now() >= self.deadline_at {
+            Refusal::TimedOut
+        } else {
+            Refusal::AnswerLost
+        };
+        let end = if self.request_log.cut_by_stop {
+            "refused at the stop"
+        } else if refused_for.is_some() {
+            "refused as crashing upstreams"
+        } else if is_on_hold {
+            "refused, it may crash upstreams"
+        } else if self.model_ready_ms.is_some() {
+            "refused, its model comes too late"
+        } else if self.upstream_available_ms.is_some() {
+            "refused, its upstreams take no more"
+        } else {
+            "refused"
+        };
+        self.refuse(Denial { refusal, end })
+    }
+
+    /// Refuses the request.
+    pub(super) fn refuse(&mut self, denial: Denial) -> ConnectionReuse {
+        let Denial { refusal, end } = denial;
+        self.request_log.status = refusal.code();
+        self.request_log.end = end;
+        let vocabulary = &*self.shared.vocabulary;
+        let close = self.should_close;
+        let written = reply::refuse(self.caller, vocabulary, &self.facts.id, refusal, close);
+        connection_reuse(written.is_ok() && !close)
+    }
+}
--- a/crates/instance/src/http1/head.rs
+++ b/crates/instance/src/http1/head.rs
@@ -6,7 +6,7 @@
 use passway_types::clock;
 use std::time::{Duration, Instant};
 
-/// Most headers of a message.
+/// Largest number of headers in a message.
 const MAX_HEADERS: usize = 128;
 /// Largest head of an answer.
 pub const MAX_ANSWER_HEAD_BYTES: usize = 64 << 10;
@@ -18,7 +18,7 @@
     pub method: String,
     /// Path and query.
     pub target: String,
-    /// Whether the caller speaks HTTP/1.1.
+    /// Whether the caller uses HTTP/1.1.
     pub is_1_1: bool,
     /// The headers.
     pub headers: Headers,
@@ -27,24 +27,24 @@
 /// The head of an answer.
 #[derive(Debug, Clone)]
 pub struct AnswerHead {
-    /// The status.
+    /// The status code.
     pub status: u16,
     /// The reason phrase.
     pub reason: String,
-    /// Whether the upstream speaks HTTP/1.1.
+    /// Whether the upstream uses HTTP/1.1.
     pub is_1_1: bool,
     /// The headers.
     pub headers: Headers,
 }
 
 impl AnswerHead {
-    /// Whether an answer with this head to a request of `method` has no body,
-    /// whatever its headers say.
+    /// Whether an answer with this head to a request of `method` has no body, regardless of its
+    /// headers.
     pub fn is_bodyless(&self, method: &str) -> bool {
         method == "HEAD" || matches!(self.status, 204 | 304)
     }
 
-    /// The first line of the answer when it is passed on.
+    /// The status line for the caller.
     pub fn status_line(&self) -> String {
         format!("HTTP/1.1 {} {}", self.status, self.reason)
     }
@@ -72,7 +72,7 @@
             Ok(Some((head, length)))
         }
         Ok(httparse::Status::Partial) => Ok(None),
-        Err(_) => Err(HttpError::Malformed("not a request")),
+        Err(_) => Err(HttpError::Malformed("an invalid request head")),
     }
 }
 
@@ -90,12 +90,12 @@
             Ok(Some((head, length)))
         }
         Ok(httparse::Status::Partial) => Ok(None),
-        Err(_) => Err(HttpError::Malformed("not an answer")),
+        Err(_) => Err(HttpError::Malformed("an invalid answer head")),
     }
 }
 
-/// Reads a request's head. The time for it begins with its first byte; before that
-/// the connection may rest until `idle_until`. `None` if it was closed at rest.
+/// Reads a request's head. `header_timeout` begins with the first byte; until then the connection
+/// may be idle until `idle_until`. `None` if the connection was closed while idle.
 ///
 /// # Errors
 /// If the head is malformed, too large or late, or the connection breaks.
@@ -103,18 +103,18 @@
     connection: &mut Connection,
     max_bytes: usize,
     idle_until: Instant,
-    header_time: Duration,
+    header_timeout: Duration,
 ) -> Result<Option<RequestHead>, HttpError> {
-    if connection.unused().is_empty() && !read_more(connection, None, idle_until)? {
+    if connection.buffered().is_empty() && !read_more(connection, None, idle_until)? {
         return Ok(None);
     }
-    let until = clock::now() + header_time;
+    let until = clock::now() + header_timeout;
     loop {
-        if let Some((head, length)) = parse_request(connection.unused())? {
-            connection.advance(length);
+        if let Some((head, length)) = parse_request(connection.buffered())? {
+            connection.consume(length);
             return Ok(Some(head));
         }
-        if connection.unused().len() >= max_bytes {
+        if connection.buffered().len() >= max_bytes {
             return Err(HttpError::TooLarge);
         }
         if !read_more(connection, None, until)? {
@@ -123,7 +123,7 @@
     }
 }
 
-/// Reads an answer's head, leaving out interim ones.
+/// Reads an answer's head and skips interim (1xx) answers.
 ///
 /// # Errors
 /// If the head is malformed or late, or a connection breaks.
@@ -133,14 +133,14 @@
     until: Instant,
 ) -> Result<AnswerHead, HttpError> {
     loop {
-        if let Some((head, length)) = parse_answer(connection.unused())? {
-            connection.advance(length);
+        if let Some((head, length)) = parse_answer(connection.buffered())? {
+            connection.consume(length);
             if head.status >= 200 {
                 return Ok(head);
             }
             continue;
         }
-        if connection.unused().len() >= MAX_ANSWER_HEAD_BYTES {
+        if connection.buffered().len() >= MAX_ANSWER_HEAD_BYTES {
             return Err(HttpError::TooLarge);
         }
         if !read_more(connection, watched.as_deref_mut(), until)? {
@@ -149,7 +149,7 @@
     }
 }
 
-/// Writes a message's head into bytes.
+/// Encodes a message's head.
 pub fn encode_head(first_line: &str, headers: &Headers) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(512);
     bytes.extend_from_slice(first_line.as_bytes());
--- a/tests/all/received_orders.rs
+++ b/tests/all/received_orders.rs
@@ -3,7 +3,7 @@
 //! cover the causes one by one. A calm day at 256 engines had one violation, 3.6 s after the
 //! leadership had changed hands.
 
-use crate::site::{self, PATIENCE};
+use crate::cluster::{self, PATIENCE};
 use crate::test_planner::{TestPlanner, base_model, entry, resident};
 use passway_serving::placement::{Action, PlannedOrder};
 use passway_serving::ports::{Directory, EngineReport, OrderAction, OrderAnswer, StoredValue};
@@ -39,7 +39,7 @@
 #[test]
 fn loading_model_uses_memory() {
     let mut test = TestPlanner::new();
-    let mut configuration = site::configuration(1, &["m0", "m1", "m2", "m3"]);
+    let mut configuration = cluster::configuration(1, &["m0", "m1", "m2", "m3"]);
     // With two models loaded, half of the memory for an adapter is left.
     configuration["services"][1]["engine"]["weights_mb"] = 140.5.into();
     let value = StoredValue {
