--- a/crates/serving/src/placement.rs
+++ b/crates/serving/src/placement.rs
@@ -116,8 +116,8 @@
     pools: BTreeMap<ServiceName, EnginePool>,
     demand: Demand,
     policy: Box<dyn PlacementPolicy>,
-    /// Replicas and running requests, as counted at the beginning of the current pass and updated by
-    /// its swaps.
+    /// Replicas and running requests, as counted at the beginning of the current pass and updated
+    /// by its swaps.
     replica_counts: ReplicaCounts,
     /// Engines that have each model's checkpoint in memory or on disk.
     checkpoint_locations: CheckpointLocations,
@@ -598,7 +598,8 @@
         }
     }
 
-    /// Whether requests take all slots of the engines that have a model or are about to load it.
+    /// Whether requests take all slots of the engines that have a model, are loading it or are
+    /// about to load it.
     fn is_out_of_slots(&self, service: &ServiceName, model: &ModelName) -> bool {
         let replicas = self.replica_count(service, model) + self.pending_load_count(service, model);
         let usage = self.usage(service, model);
@@ -611,7 +612,7 @@
         self.replica_counts.replica_count(service, model)
     }
 
-    /// Number of engines that are about to load a model.
+    /// Number of engines that are loading a model or about to load it.
     fn pending_load_count(&self, service: &ServiceName, model: &ModelName) -> usize {
         self.replica_counts.pending_load_count(service, model)
     }
--- a/crates/serving/src/placement/announced.rs
+++ b/crates/serving/src/placement/announced.rs
@@ -1,6 +1,6 @@
 //! The placements that were announced to instances, so that only differences are sent.
 //!
-//! The placements of 256 engines have about 19 kB. Sent to each of 295 instances that connect to a
+//! The placements of 256 engines take about 19 kB. Sent to each of 295 instances that connect to a
 //! new holder, this makes 5.6 MB or 2.2 s of a 20 Mbit/s link, which delays the holder's own calls
 //! to the store. An instance therefore sends digests of the placements that it knows when it
 //! connects, eight bytes per engine, and receives only the placements that differ.
--- a/crates/serving/src/placement/benefit.rs
+++ b/crates/serving/src/placement/benefit.rs
@@ -13,7 +13,7 @@
 /// Remaining ratio of the benefit of a replica beyond the demand. The value stays above 0 so that
 /// the replica with the lowest request rate is evicted first.
 const SPARE_REPLICA_RATIO: f64 = 0.02;
-/// Each wait of this many seconds counts as one more waiting request, so that every model is
+/// This many seconds of waiting count as one more waiting request, so that every model is
 /// eventually loaded, however busy the others are.
 const WAIT_S_PER_REQUEST: f64 = 1.0;
 
--- a/crates/serving/src/placement/demand.rs
+++ b/crates/serving/src/placement/demand.rs
@@ -7,8 +7,8 @@
 /// Time constant of the average request rates, in seconds: long enough to see a rare model twice,
 /// short enough to follow demand that changes within some seconds.
 const RATE_WINDOW_S: f64 = 4.0;
-/// Models with a lower request rate are considered for a replica only if requests wait for them: one
-/// replica is enough for them under any policy.
+/// Models with a lower request rate are considered for a replica only if requests wait for them:
+/// one replica is enough for them under any policy.
 const BUSY_RATE_PER_S: f64 = 0.5;
 
 /// A model with a lower request rate is forgotten. The rate of a single request falls below this
--- a/crates/serving/src/placement/engine.rs
+++ b/crates/serving/src/placement/engine.rs
@@ -71,7 +71,7 @@
     min_orders_taken: u64,
     /// Models that are about to be unloaded, in the order of the unloads.
     pub(super) evicting: Vec<ModelName>,
-    /// The model to load once enough memory is free.
+    /// The model that is loading, or will be loaded once enough memory is free.
     pending_load: Option<ModelName>,
     /// Whether `pending_load` comes from the weight store.
     is_store_fetch: bool,
@@ -291,17 +291,17 @@
             .is_some_and(|(adapters, adapter)| adapters.contains(adapter))
     }
 
-    /// Whether a model will be loaded once enough memory is free.
+    /// Whether a model is loading, or will be loaded once enough memory is free.
     pub(super) fn is_load_pending(&self, service: &ServiceName, model: &ModelName) -> bool {
         self.entry.service == *service && self.pending_load.as_ref() == Some(model)
     }
 
-    /// The model to load once enough memory is free.
+    /// The model that is loading, or will be loaded once enough memory is free.
     pub(super) fn pending_load(&self) -> Option<&ModelName> {
         self.pending_load.as_ref()
     }
 
-    /// Whether the model or adapter, or the model of the adapter, is going to be loaded.
+    /// Whether the model or adapter, or the model of the adapter, is loading or going to be loaded.
     pub(super) fn is_load_planned(&self, service: &ServiceName, model_ref: &ModelRef) -> bool {
         if model_ref.adapter.is_none() {
             return self.is_load_pending(service, &model_ref.model);
--- a/crates/serving/src/placement/loading.rs
+++ b/crates/serving/src/placement/loading.rs
@@ -14,8 +14,8 @@
 /// A new replica must gain at least this many times the benefit of the models evicted for it.
 /// Otherwise two models of similar benefit would keep evicting each other.
 const MIN_GAIN_RATIO: f64 = 1.25;
-/// Benefit of one second of an engine's loading time to other models, in requests served in time;
-/// lost while the engine loads this model.
+/// Requests that an engine serves in time because of one second of loading other models. The engine
+/// cannot load them while it loads this one.
 const ENGINE_TIME_BENEFIT_PER_S: f64 = 0.5;
 
 /// While the fleet is idle, one more concurrent prefetch is allowed per this many engines.
@@ -32,7 +32,7 @@
     engine: UpstreamId,
     /// Models to evict.
     victims: Vec<ModelName>,
-    /// Cost in requests served in time, including the duration of the swap.
+    /// Requests that are not served in time because of the evictions and the duration of the swap.
     cost: f64,
 }
 
--- a/crates/serving/src/placement/policy.rs
+++ b/crates/serving/src/placement/policy.rs
@@ -11,7 +11,7 @@
 
 /// From this request rate on a model gets a second replica, in case the first one is lost.
 const SECOND_REPLICA_RATE_PER_S: f64 = 1.5;
-/// Maximum ratio of an engine's slots that the running requests of a busy model should fill.
+/// Maximum fraction of an engine's slots that the running requests of a busy model should fill.
 /// Instances see only their own load, so requests are distributed unevenly over engines.
 const MAX_SLOT_RATIO: f64 = 0.4;
 /// Concurrent loads from the weight store for models without waiting requests. An engine cannot
--- a/crates/serving/src/placement/query_budget.rs
+++ b/crates/serving/src/placement/query_budget.rs
@@ -1,6 +1,6 @@
 //! Limits the rate of state queries to engines.
 //!
-//! A term begins with a query to each engine. A thousand queries at once take two seconds of a
+//! A term begins with a query to each engine. A thousand queries at once take two seconds on a
 //! quarter of a core; meanwhile the holder's lease expires, and its successor would fail in the
 //! same way. A token bucket spreads these queries.
 
--- a/crates/serving/src/placement/replica_counts.rs
+++ b/crates/serving/src/placement/replica_counts.rs
@@ -93,12 +93,12 @@
         counts.map_or(&[], |counts| &counts.replicas)
     }
 
-    /// Number of these engines.
+    /// Number of engines on which a model is loaded and not about to be unloaded.
     pub(super) fn replica_count(&self, service: &ServiceName, model: &ModelName) -> usize {
         self.engines_with_replica(service, model).len()
     }
 
-    /// Number of engines that are about to load a model.
+    /// Number of engines that are loading a model or about to load it.
     pub(super) fn pending_load_count(&self, service: &ServiceName, model: &ModelName) -> usize {
         self.counts(service, model)
             .map_or(0, |counts| counts.pending_loads)
--- a/crates/serving/src/placement/victims.rs
+++ b/crates/serving/src/placement/victims.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Victims {
     pub(super) models: Vec<ModelName>,
-    /// Requests in time that the evictions cost.
+    /// Requests that are no longer served in time because of the evictions.
     pub(super) lost_benefit: f64,
     /// Time until the models are unloaded, in seconds.
     pub(super) eviction_s: f64,
--- a/tests/all/placement_faults/engine.rs
+++ b/tests/all/placement_faults/engine.rs
@@ -10,7 +10,8 @@
 use passway_types::prelude::*;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Number of models and of adapters that fit on an engine, as configured in `cluster::configuration`.
+/// Number of models and of adapters that fit on an engine, as configured in
+/// `cluster::configuration`.
 const MODEL_SLOTS: usize = 2;
 const ADAPTER_SLOTS: usize = 2;
 /// Age of the state in a report.
