--- a/crates/instance/src/dispatch.rs
+++ b/crates/instance/src/dispatch.rs
@@ -5,7 +5,7 @@
 //! dispatcher that crashes, freezes or is disconnected therefore costs a request no more than this
 //! wait.
 
-use crate::keeper;
+use crate::coordinator;
 use crate::queries::PendingQueries;
 use crate::shared::Shared;
 use passway_serving::dispatch::{
@@ -417,20 +417,20 @@
                 }
             }
             Body::VersionAsk(ask) => {
-                let answer = shared.configuration_age.told(&ask);
+                let answer = shared.configuration_age.answer_query(&ask);
                 self.send(from, Body::VersionTold(answer));
             }
-            Body::VersionTold(told) => shared.configuration_age.answered(told),
+            Body::VersionTold(told) => shared.configuration_age.receive_answer(told),
             Body::UseAsk(ask) => {
-                let answer = keeper::rule(shared, from, &ask);
+                let answer = coordinator::decide(shared, from, &ask);
                 self.send(from, Body::UseTold(answer));
             }
-            Body::UseTold(told) => shared.coordinator.answered(told),
+            Body::UseTold(told) => shared.coordinator.receive_answer(told),
             Body::UseBack(back) if back.digest.is_empty() => {
-                shared.allotments.take_back(shared, from, &back);
+                shared.allotments.record_release(shared, from, &back);
             }
-            Body::UseBack(back) => shared.poison.take_back(from, &back),
-            Body::Suspects(told) => shared.poison.join_from_peer(told),
+            Body::UseBack(back) => shared.poison.release_exclusive_run(from, &back),
+            Body::Suspects(told) => shared.poison.merge_from_peer(told),
         }
     }
 
--- a/crates/instance/src/holder.rs
+++ b/crates/instance/src/holder.rs
@@ -1,23 +1,24 @@
-//! The holder of the right to order: hears what instances need and gives orders.
+//! The holder of leadership: receives what instances need and sends orders to engines.
 //!
-//! Every instance runs this thread; it decides only while [`Right`] says so.
+//! Every instance runs this thread. It makes decisions only while [`LeadershipDriver`] says that
+//! this instance is the holder.
 
 mod order_names;
 mod peers;
-mod telling;
+mod publishing;
 
 pub use peers::{Input, bind};
 
 use crate::candidates::Candidates;
 use crate::control;
-use crate::listeners::Listeners;
-use crate::members::{Addresses, Announcement, KeptAnnouncement, Roster};
-use crate::news::Told;
-use crate::poison::TOLD_CRASHES;
-use crate::relay::{self, HEARTBEAT_PAUSE, Relay};
-use crate::right::Right;
+use crate::leadership::LeadershipDriver;
+use crate::members::{Addresses, Announcement, MemberListTracker, PendingAnnouncement};
+use crate::poison::MIN_BROADCAST_CRASHES;
+use crate::relay::{self, HEARTBEAT_INTERVAL, Relay};
 use crate::shared::Shared;
-use crate::words;
+use crate::signals;
+use crate::subscribers::Subscribers;
+use crate::updates::FeedUpdate;
 use crossbeam::channel::{Receiver, Sender, bounded};
 use order_names::name_of;
 use passway_process::logging::json::DECISION_TARGET;
@@ -33,128 +34,132 @@
 use passway_wire::Body;
 use passway_wire::message::{Needs, Promise, PromiseWanted, Subscribe, Wish, Words};
 use peers::accept;
+use publishing::placements_body;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::TcpListener;
-use telling::placements;
 
-/// What the deciding thread may have to take in besides; whoever has one more waits, and so do
-/// instances that send it. An engine's entry with all that it keeps has some 3 kB, so 3 MB.
-const INPUTS: usize = 1_024;
+/// Maximum number of inputs queued for the holder thread. A thread that sends one more blocks, and
+/// so do the instances whose messages it forwards. An engine's entry takes about 3 kB with all its
+/// allocations, so the queue takes about 3 MB.
+const MAX_QUEUED_INPUTS: usize = 1_024;
 
-/// What is told of one feed, by its number.
-pub type FeedNews = (usize, Told);
+/// An update of one feed with the number of the feed.
+pub type NumberedUpdate = (usize, FeedUpdate);
 
-/// News that wait for the deciding thread; a feed that has one more waits. Each may hold as
-/// much as the store does, and shares it with what is in force.
-const WAITING_NEWS: usize = 2;
+/// Maximum number of feed updates queued for the holder thread; a feed that has one more blocks.
+/// Each may be as large as the store's contents, which it shares with the data in use.
+const MAX_QUEUED_UPDATES: usize = 2;
 
-/// Longest time between two looks while nothing is heard.
-const LOOK_PAUSE: Duration = Duration::from_secs(1);
+/// Longest wait of the holder thread when no input arrives.
+const IDLE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Pause between two looks whether orders may be given, in a term that may not give them now.
-const RIGHT_STEP: Duration = Duration::from_millis(50);
+/// Interval of checks whether orders may be sent, in a term that may not send them now.
+const LEADERSHIP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Pause between two words about placements, for each instance that hears them: 69
-/// instances are told every 34 ms at most, 6 every 3 ms.
-const TELL_PAUSE_PER_PEER: Duration = Duration::from_micros(500);
+/// Minimum interval of placement messages, for each instance that receives them: 69 instances are
+/// sent one every 34 ms at most, 6 instances one every 3 ms.
+const PLACEMENT_INTERVAL_PER_PEER: Duration = Duration::from_micros(500);
 
-/// Longest pause between two passes of the planner for the time that they take.
-const LONGEST_PLAN_PAUSE: Duration = Duration::from_millis(50);
+/// Maximum delay between two passes of the planner that follows from the time a pass takes.
+const MAX_PLAN_DELAY: Duration = Duration::from_millis(50);
 
-/// Starts to listen and to decide.
+/// Starts to accept connections of other instances and to make decisions.
+///
+/// Returns the senders of inputs and of feed updates.
 pub fn start(
     shared: &Arc<Shared>,
-    right: &Arc<Right>,
+    leadership: &Arc<LeadershipDriver>,
     relay: &Arc<Relay>,
     engines: Arc<dyn Engines>,
     listener: TcpListener,
-) -> (Sender<Input>, Sender<FeedNews>) {
-    let (sender, inputs) = bounded(INPUTS);
-    let (news_sender, news) = bounded(WAITING_NEWS);
-    let accepting = sender.clone();
-    std::thread::spawn(move || accept(&listener, &accepting));
-    let holding = Holding {
+) -> (Sender<Input>, Sender<NumberedUpdate>) {
+    let (input_sender, inputs) = bounded(MAX_QUEUED_INPUTS);
+    let (update_sender, updates) = bounded(MAX_QUEUED_UPDATES);
+    let peer_inputs = input_sender.clone();
+    std::thread::spawn(move || accept(&listener, &peer_inputs));
+    let thread = HolderThread {
         shared: shared.clone(),
-        right: right.clone(),
+        leadership: leadership.clone(),
         relay: relay.clone(),
         engines,
-        sender: sender.clone(),
+        input_sender: input_sender.clone(),
         planner: Planner::new(
             shared.bounds.load().load_window,
             shared.settings.placement.build(),
         ),
         peers: BTreeMap::new(),
-        listeners: Listeners::default(),
+        subscribers: Subscribers::default(),
         candidates: Candidates::default(),
-        without_promise: None,
-        doubtful: BTreeSet::new(),
-        told_breaks: BTreeMap::new(),
-        told_limits: BTreeMap::new(),
-        told_leaving: BTreeMap::new(),
+        logged_without_promise: None,
+        published_unconfirmed: BTreeSet::new(),
+        published_breaks: BTreeMap::new(),
+        published_limits: BTreeMap::new(),
+        published_leaving: BTreeMap::new(),
         dispatchers: Vec::new(),
-        roster: Roster::default(),
-        begun_at: clock::now(),
+        member_list: MemberListTracker::default(),
+        clock_origin: clock::now(),
         instances: InstanceCount::begin(clock::now()),
         announcement: None,
-        heard_of: KeptAnnouncement::default(),
+        pending_announcement: PendingAnnouncement::default(),
         heartbeat_at: clock::now(),
-        tell_at: clock::now(),
+        publish_at: clock::now(),
         plan_at: clock::now(),
         fence: None,
         version: None,
-        refused_models: 0,
+        logged_refused_models: 0,
     };
-    std::thread::spawn(move || holding.run(&inputs, &news));
-    (sender, news_sender)
+    std::thread::spawn(move || thread.run(&inputs, &updates));
+    (input_sender, update_sender)
 }
 
-struct Holding {
+struct HolderThread {
     shared: Arc<Shared>,
-    right: Arc<Right>,
-    /// What tells when the store answered this instance last.
+    leadership: Arc<LeadershipDriver>,
+    /// Knows when the store last answered this instance.
     relay: Arc<Relay>,
     engines: Arc<dyn Engines>,
-    sender: Sender<Input>,
+    input_sender: Sender<Input>,
     planner: Planner,
     peers: BTreeMap<u64, Outbox>,
-    /// Instances that hear the store's news from here.
-    listeners: Listeners,
-    /// Who may succeed this instance.
+    /// Instances that receive the store's updates from this instance.
+    subscribers: Subscribers,
+    /// Instances that may succeed this instance as the holder.
     candidates: Candidates,
-    /// Candidates whose promise is lacking while they are asked for it, as was logged last.
-    without_promise: Option<Vec<InstanceId>>,
-    /// Engines to which orders have no answer, as was told last.
-    doubtful: BTreeSet<UpstreamId>,
-    /// Starts of upstreams that broke off, as was told, and until when that is remembered.
-    told_breaks: BTreeMap<UpstreamStart, Instant>,
-    /// Limits of upstreams in need, as was told last.
-    told_limits: BTreeMap<UpstreamId, f64>,
-    /// Starts of upstreams that leave, as was told.
-    told_leaving: BTreeMap<UpstreamId, u64>,
-    /// Who dispatches for engines.
+    /// The candidates without a promise, as last logged while promises were requested.
+    logged_without_promise: Option<Vec<InstanceId>>,
+    /// Engines with unconfirmed orders, as last published.
+    published_unconfirmed: BTreeSet<UpstreamId>,
+    /// Starts of upstreams that broke off, as published, and when each may be forgotten.
+    published_breaks: BTreeMap<UpstreamStart, Instant>,
+    /// Limits of limited upstreams, as last published.
+    published_limits: BTreeMap<UpstreamId, f64>,
+    /// Starts of upstreams that are leaving, as published.
+    published_leaving: BTreeMap<UpstreamId, u64>,
+    /// Instances that dispatch requests to engines.
     dispatchers: Vec<Candidate>,
-    /// Who has been told of which members.
-    roster: Roster,
-    /// What times that are told to others are counted from.
-    begun_at: Instant,
+    /// Which candidates were sent which list of members.
+    member_list: MemberListTracker,
+    /// Origin of the times in messages to other instances.
+    clock_origin: Instant,
     /// How many instances share the fleet's allowances.
     instances: InstanceCount,
-    /// What is left to tell of a term that has begun.
+    /// Connections still to be made to announce a term that has begun.
     announcement: Option<Announcement>,
-    /// What another instance announced of its own term.
-    heard_of: KeptAnnouncement,
+    /// Another instance's announcement of its own term.
+    pending_announcement: PendingAnnouncement,
     heartbeat_at: Instant,
-    /// When changed placements may be told again.
-    tell_at: Instant,
-    /// When it may be planned again.
+    /// When changed placements may be published again.
+    publish_at: Instant,
+    /// When the planner may run again.
     plan_at: Instant,
     fence: Option<Fence>,
     version: Option<Revision>,
-    /// Models that are not loaded since their loads ended engines, as was logged last.
-    refused_models: usize,
+    /// Number of models, as last logged, that are no longer loaded because their loads crashed
+    /// engines.
+    logged_refused_models: usize,
 }
 
-fn wish(wish: &Wish) -> (ServiceName, ModelRef) {
+fn decode_demand(wish: &Wish) -> (ServiceName, ModelRef) {
     let adapter = Some(wish.adapter.as_str()).filter(|name| !name.is_empty());
     let wanted = ModelRef {
         model: wish.model.as_str().into(),
@@ -163,51 +168,51 @@
     (wish.service.as_str().into(), wanted)
 }
 
-impl Holding {
-    fn run(mut self, inputs: &Receiver<Input>, news: &Receiver<FeedNews>) {
+impl HolderThread {
+    fn run(mut self, inputs: &Receiver<Input>, updates: &Receiver<NumberedUpdate>) {
         loop {
             let now = clock::now();
-            let look_at = if self.fence.is_some() {
-                let telling = self
+            let wake_at = if self.fence.is_some() {
+                let publish_at = self
                     .planner
                     .has_changed_placements()
-                    .then_some(self.tell_at);
-                let next = if self.right.fence().is_some() {
+                    .then_some(self.publish_at);
+                let next = if self.leadership.fence().is_some() {
                     self.planner.next_decision_at(now)
                 } else {
-                    now + RIGHT_STEP
+                    now + LEADERSHIP_CHECK_INTERVAL
                 };
                 let next = next.max(self.plan_at).min(self.heartbeat_at);
-                telling.map_or(next, |at| next.min(at))
+                publish_at.map_or(next, |at| next.min(at))
             } else {
-                now + LOOK_PAUSE
+                now + IDLE_INTERVAL
             };
-            let longest = look_at.saturating_duration_since(now).min(LOOK_PAUSE);
-            // The threads that send end only with the process.
+            let timeout = wake_at.saturating_duration_since(now).min(IDLE_INTERVAL);
+            // The sending threads run until the process exits, so the channels stay open.
             crossbeam::select! {
                 recv(inputs) -> input => {
                     if let Ok(input) = input {
-                        self.take(input);
+                        self.handle(input);
                     }
                 }
-                recv(news) -> told => {
-                    if let Ok(told) = told {
-                        self.take_news(&told);
+                recv(updates) -> update => {
+                    if let Ok(update) = update {
+                        self.handle_update(&update);
                     }
                 }
-                default(longest) => {}
+                default(timeout) => {}
             }
             while let Ok(input) = inputs.try_recv() {
-                self.take(input);
+                self.handle(input);
             }
-            while let Ok(told) = news.try_recv() {
-                self.take_news(&told);
+            while let Ok(update) = updates.try_recv() {
+                self.handle_update(&update);
             }
             self.decide();
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle(&mut self, input: Input) {
         let now = clock::now();
         match input {
             Input::Connected(number, outbox) => {
@@ -215,45 +220,45 @@
             }
             Input::Disconnected(number, instance) => {
                 self.peers.remove(&number);
-                if let Some((name, _)) = self.listeners.went(number) {
-                    self.candidates.went(&name, now);
+                if let Some((name, _)) = self.subscribers.remove(number) {
+                    self.candidates.mark_disconnected(&name, now);
                 }
                 if let Some(instance) = instance {
                     self.planner.remove_instance(&instance);
                 }
             }
-            Input::Needs(needs) => self.needs(&needs, now),
+            Input::Needs(needs) => self.handle_needs(&needs, now),
             Input::Subscribe(number, subscribe) => self.subscribe(number, &subscribe),
-            // It is a reason to look, which follows in any case.
+            // The message only wakes the thread; `decide` runs after every input.
             Input::TermBegun => {}
-            Input::Succeeded(holder) => self.heard_of.keep(holder, now),
-            Input::Suspects(told) => self.tell_suspects(told),
-            Input::Words(told) => self.tell_words(told),
-            Input::Promised(promise) => self.promised(&promise),
-            Input::Heard(entry) => self.planner.update_engine(entry, now),
-            Input::Listed(ids) => self.planner.retain(&ids),
-            Input::Answered(order, answer) => {
+            Input::HolderAnnounced(holder) => self.pending_announcement.store(holder, now),
+            Input::Suspects(suspects) => self.merge_and_publish_suspects(suspects),
+            Input::Signals(signals) => self.merge_and_publish_signals(signals),
+            Input::Promised(promise) => self.handle_promise(&promise),
+            Input::UpstreamSeen(entry) => self.planner.update_engine(entry, now),
+            Input::UpstreamsListed(ids) => self.planner.retain(&ids),
+            Input::OrderAnswered(order, answer) => {
                 log::info!(target: DECISION_TARGET, engine:% = order.engine, action:? = order.action,
                     model:% = order.model_ref.model, adapter:? = order.model_ref.adapter,
                     expected = order.expected_orders, answer:? = answer; "order");
                 self.shared.metrics.order(name_of(answer));
                 self.planner.apply_answer(&order, answer, now);
             }
-            Input::Reported(engine, report) => {
-                log::info!(engine:% = engine, report:? = report.as_ref().map(|r| (r.busy, r.orders_taken, r.models.len())); "report");
+            Input::EngineReported(engine, report) => {
+                log::info!(engine:% = engine, report:? = report.as_ref().map(|report| (report.busy, report.orders_taken, report.models.len())); "report");
                 self.planner.apply_report(&engine, report, now);
             }
         }
     }
 
-    /// Takes in what a feed was told, and tells it to those who listen.
-    fn take_news(&mut self, news: &FeedNews) {
-        if self.listeners.add_news(news) {
-            self.listeners.catch_up(&self.peers, false);
+    /// Records a feed update and forwards it to the subscribers.
+    fn handle_update(&mut self, update: &NumberedUpdate) {
+        if self.subscribers.add_update(update) {
+            self.subscribers.send_updates(&self.peers, false);
         }
     }
 
-    /// Tells an instance what it lacks, and from now on what comes.
+    /// Sends an instance everything it lacks, and registers it for later updates.
     fn subscribe(&mut self, number: u64, subscribe: &Subscribe) {
         if self.fence.is_none() || !self.peers.contains_key(&number) {
             return;
@@ -261,119 +266,122 @@
         let address = subscribe.address.parse().ok();
         let member = address.map(|address| (subscribe.instance.as_str().into(), address));
         if let Some((name, address)) = member.clone() {
-            self.candidates.came(name, address, subscribe.is_weak);
+            self.candidates.add(name, address, subscribe.is_weak);
         }
         let known = |feed| subscribe.known.get(feed).copied().unwrap_or(0);
-        let told = std::array::from_fn(known);
-        self.listeners.came(number, member, told);
-        self.tell_term(number);
-        self.listeners.catch_up(&self.peers, true);
+        let sent = std::array::from_fn(known);
+        self.subscribers.add(number, member, sent);
+        self.send_term(number);
+        self.subscribers.send_updates(&self.peers, true);
         self.send_heartbeats([number], 0);
-        let suspects = self.shared.poison.suspects(TOLD_CRASHES);
+        let suspects = self.shared.poison.suspects(MIN_BROADCAST_CRASHES);
         self.send_to(number, &Body::Suspects(suspects));
-        let said = words::encode(&self.shared, None);
-        if said != Words::default() {
-            self.send_to(number, &Body::Words(said));
+        let signals = signals::encode(&self.shared, None);
+        if signals != Words::default() {
+            self.send_to(number, &Body::Words(signals));
         }
         let known = subscribe.placements.iter().copied().collect();
-        let lacking = self.planner.placements_differing_from(&known);
-        if !lacking.is_empty() {
-            self.send_to(number, &placements(lacking));
+        let missing = self.planner.placements_differing_from(&known);
+        if !missing.is_empty() {
+            self.send_to(number, &placements_body(missing));
         }
         if !self.dispatchers.is_empty() {
             self.send_to(number, &self.dispatchers_body());
         }
     }
 
-    /// Follows a holder that was announced, if the store does not answer: else it tells better.
+    /// Follows an announced holder if the store does not answer. Otherwise the store's information
+    /// is better.
     fn follow_announced(&mut self, now: Instant) {
         let is_cut_off =
-            self.shared.store_health.is_failing() || self.right.asks_promises().is_some();
-        if let Some(holder) = self.heard_of.take(is_cut_off, now)
-            && self.right.told(holder.clone())
+            self.shared.store_health.is_failing() || self.leadership.promise_fence().is_some();
+        if let Some(holder) = self.pending_announcement.take(is_cut_off, now)
+            && self.leadership.learn_holder(holder.clone())
         {
             log::info!(target: DECISION_TARGET, holder:% = holder.instance, fence = holder.fence; "heard of a new holder");
         }
     }
 
-    /// A candidate has answered what it was asked in `ask_candidates`.
-    fn promised(&mut self, promise: &Promise) {
+    /// Handles a candidate's answer to `request_promises`.
+    fn handle_promise(&mut self, promise: &Promise) {
         let name = InstanceId::from(promise.instance.as_str());
         if promise.leaves {
-            self.candidates.left(&name);
-            self.right.left(&name, promise.fence);
+            self.candidates.remove(&name);
+            self.leadership.record_departure(&name, promise.fence);
         } else {
-            let asked_at = self.begun_at + Duration::from_millis(promise.asked_ms);
-            self.right.promised(&name, promise.fence, asked_at);
+            let requested_at = self.clock_origin + Duration::from_millis(promise.asked_ms);
+            self.leadership
+                .record_promise(&name, promise.fence, requested_at);
         }
     }
 
-    /// Chooses who may succeed this instance, and asks them for their promises while the
+    /// Chooses the candidates that may succeed this instance, and requests their promises while the
     /// store does not answer.
-    fn ask_candidates(&mut self, now: Instant) {
+    fn request_promises(&mut self, now: Instant) {
         let settings = &self.shared.settings;
-        let me = Candidate {
+        let this_instance = Candidate {
             instance: settings.instance.clone(),
             address: settings.peer_address,
         };
-        if let Some(chosen) = self.candidates.choose(&me, now) {
-            self.right.want_candidates(chosen);
+        if let Some(chosen) = self.candidates.choose(&this_instance, now) {
+            self.leadership.set_desired_candidates(chosen);
         }
-        let Some(fence) = self.right.asks_promises() else {
-            self.without_promise = None;
+        let Some(fence) = self.leadership.promise_fence() else {
+            self.logged_without_promise = None;
             return;
         };
-        let without = self.right.without_promise();
-        if self.without_promise.as_ref() != Some(&without) {
-            log::info!(target: DECISION_TARGET, fence = fence, without_promise:? = without; "asks candidates to carry the right to order");
-            self.without_promise = Some(without);
+        let without_promise = self.leadership.candidates_without_promise();
+        if self.logged_without_promise.as_ref() != Some(&without_promise) {
+            log::info!(target: DECISION_TARGET, fence = fence, without_promise:? = without_promise; "asks candidates to carry the right to order");
+            self.logged_without_promise = Some(without_promise);
         }
         let body = Body::PromiseWanted(PromiseWanted {
             fence,
-            asked_ms: relay::millis_since(self.begun_at, now),
+            asked_ms: relay::millis_since(self.clock_origin, now),
         });
-        for (number, (name, _)) in self.listeners.members() {
-            if self.candidates.contains(name) {
+        for (number, (name, _)) in self.subscribers.members() {
+            if self.candidates.is_candidate(name) {
                 self.send_to(number, &body);
             }
         }
     }
 
-    /// Shows the others that the lease still holds.
-    fn beat(&mut self, now: Instant) {
+    /// Shows the other instances, if that is due, that this instance's lease is still valid.
+    fn send_due_heartbeat(&mut self, now: Instant) {
         if now >= self.heartbeat_at {
-            self.heartbeat_at = now + HEARTBEAT_PAUSE;
-            let instances = self.listeners.count() + 1;
+            self.heartbeat_at = now + HEARTBEAT_INTERVAL;
+            let instances = self.subscribers.count() + 1;
             let instances = self.instances.shared_by(instances, now);
             if let Some(instances) = instances {
                 self.shared.set_instance_count(instances);
             }
-            self.ask_candidates(now);
-            self.tell_members();
-            self.tell_dispatchers(instances);
-            self.listeners.catch_up(&self.peers, true);
-            self.send_heartbeats(self.listeners.numbers(), instances.unwrap_or(0));
-        } else if self.listeners.has_backlog() {
-            self.listeners.catch_up(&self.peers, false);
+            self.request_promises(now);
+            self.publish_members();
+            self.publish_dispatchers(instances);
+            self.subscribers.send_updates(&self.peers, true);
+            self.send_heartbeats(self.subscribers.connections(), instances.unwrap_or(0));
+        } else if self.subscribers.has_backlog() {
+            self.subscribers.send_updates(&self.peers, false);
         }
     }
 
-    /// Tells those of the term that has begun who have not come by themselves.
+    /// Announces a term that has begun to instances that have not connected by themselves.
     fn announce(&mut self, now: Instant) {
         let Some(mut announcement) = self.announcement.take() else {
             return;
         };
-        if !announcement.go_on(&self.shared, &self.members(), now) {
+        if !announcement.advance(&self.shared, &self.members(), now) {
             self.announcement = Some(announcement);
             return;
         }
-        // Whoever did not come in all this time is forgotten, or the list would only grow.
+        // Instances that did not connect in this time are forgotten; otherwise the list would only
+        // grow.
         *self.shared.members() = self.members();
     }
 
-    fn needs(&mut self, needs: &Needs, now: Instant) {
+    fn handle_needs(&mut self, needs: &Needs, now: Instant) {
         for waiting in &needs.waiting {
-            let (service, wanted) = wish(waiting);
+            let (service, wanted) = decode_demand(waiting);
             let waiters = Waiters {
                 instance: needs.instance.as_str().into(),
                 service,
@@ -384,7 +392,7 @@
             self.planner.set_waiters(waiters, now);
         }
         for taken in &needs.taken {
-            let (service, wanted) = wish(taken);
+            let (service, wanted) = decode_demand(taken);
             self.planner
                 .record_arrivals(&service, &wanted, taken.count, now);
         }
@@ -416,25 +424,27 @@
         if let Some(emptied) = emptied {
             self.planner.set_evacuated_halls(emptied);
         }
-        let fence = self.right.term();
+        let fence = self.leadership.term();
         if fence != self.fence {
             self.fence = fence;
             self.candidates = Candidates::default();
-            self.told_limits.clear();
-            self.told_leaving.clear();
-            self.roster = Roster::default();
+            self.published_limits.clear();
+            self.published_leaving.clear();
+            self.member_list = MemberListTracker::default();
             self.dispatchers = self.shared.dispatch.dispatcher_list();
-            // Whoever heard the news from here asks the store now.
-            for number in self.listeners.end() {
+            // Closing the connections makes the previous subscribers query the store.
+            for number in self.subscribers.clear() {
                 if let Some(outbox) = self.peers.remove(&number) {
                     outbox.close();
                 }
             }
-            let urgent = self.right.former_candidates().into_iter();
-            let urgent: Addresses = urgent.map(|one| (one.instance, one.address)).collect();
+            let urgent = self.leadership.previous_candidates().into_iter();
+            let urgent: Addresses = urgent
+                .map(|candidate| (candidate.instance, candidate.address))
+                .collect();
             self.announcement = fence.map(|fence| Announcement::begin(fence, urgent, clock::now()));
             if fence.is_some() {
-                self.count_instances_anew(clock::now());
+                self.reset_instance_count(clock::now());
                 self.begin_term();
             }
         }
@@ -442,71 +452,73 @@
             return;
         };
         let now = clock::now();
-        self.beat(now);
+        self.send_due_heartbeat(now);
         self.announce(now);
-        if self.right.fence() == Some(fence) && now >= self.plan_at {
+        if self.leadership.fence() == Some(fence) && now >= self.plan_at {
             let upstreams = self.shared.upstreams();
-            let resting = upstreams.resting(now);
-            let resting = resting.map(|(id, until)| (id.clone(), until)).collect();
+            let backing_off = upstreams.resting(now);
+            let backing_off = backing_off.map(|(id, until)| (id.clone(), until)).collect();
             drop(upstreams);
-            self.planner.set_backing_off(resting);
+            self.planner.set_backing_off(backing_off);
             let actions = self.planner.decide(now);
-            let took = clock::since(now);
-            // Whatever else it has to do, the thread plans for half of its time at most.
-            self.plan_at = clock::now() + took.clamp(Duration::ZERO, LONGEST_PLAN_PAUSE);
-            self.shared.metrics.planning_pass(took);
+            let pass_duration = clock::since(now);
+            // The planner takes at most half of the thread's time, so that other work is not
+            // starved.
+            self.plan_at = clock::now() + pass_duration.clamp(Duration::ZERO, MAX_PLAN_DELAY);
+            self.shared.metrics.planning_pass(pass_duration);
             self.log_refused_models();
-            self.tell_doubtful(now);
+            self.publish_unconfirmed(now);
             for action in actions {
-                self.act(action, fence);
+                self.execute(action, fence);
             }
         }
-        self.tell_changes(now);
+        self.publish_changes(now);
     }
 
-    /// Tells which models are not loaded any more since their loads ended engines.
+    /// Logs which models are no longer loaded because their loads crashed engines.
     fn log_refused_models(&mut self) {
         let refused: Vec<_> = self.planner.refused_models().collect();
-        if refused.len() != self.refused_models {
-            self.refused_models = refused.len();
+        if refused.len() != self.logged_refused_models {
+            self.logged_refused_models = refused.len();
             log::warn!(target: DECISION_TARGET, models:? = refused; "models whose loads end engines");
         }
     }
 
-    /// A term begins, and the instances come to it one after the other.
-    fn count_instances_anew(&mut self, now: Instant) {
-        if self.right.succeeds_itself() {
+    /// Counts instances anew for a term that begins, because they connect one after the other.
+    fn reset_instance_count(&mut self, now: Instant) {
+        if self.leadership.succeeds_itself() {
             self.instances.resume(now);
         } else {
             self.instances = InstanceCount::begin(now);
         }
     }
 
-    /// The planner begins with what this instance knew as a listener.
+    /// Starts the planner with what this instance learned as a subscriber.
     fn begin_term(&mut self) {
         let mut upstreams = self.shared.upstreams();
         upstreams.forget_closing();
-        self.shared.poison.look();
+        self.shared.poison.notify_writer();
         let entries = upstreams.entries().cloned();
-        let doubtful = self.shared.unconfirmed_engines();
-        self.planner.begin_term(entries, &doubtful, clock::now());
-        for (id, _, word) in upstreams.limit_words() {
-            self.planner.set_limit(id, word.per_s);
+        let unconfirmed = self.shared.unconfirmed_engines();
+        self.planner.begin_term(entries, &unconfirmed, clock::now());
+        for (id, _, limit) in upstreams.limit_words() {
+            self.planner.set_limit(id, limit.per_s);
         }
     }
 
-    fn act(&mut self, action: Action, fence: Fence) {
-        let (engines, right) = (self.engines.clone(), self.right.clone());
-        let (sender, shared) = (self.sender.clone(), self.shared.clone());
-        let unsent = match &action {
-            Action::Order(order) => Input::Answered(order.clone(), OrderAnswer::NotSent),
-            Action::Ask { engine, .. } => Input::Reported(engine.clone(), None),
+    fn execute(&mut self, action: Action, fence: Fence) {
+        let (engines, leadership) = (self.engines.clone(), self.leadership.clone());
+        let (input_sender, shared) = (self.input_sender.clone(), self.shared.clone());
+        let not_sent = match &action {
+            Action::Order(order) => Input::OrderAnswered(order.clone(), OrderAnswer::NotSent),
+            Action::Ask { engine, .. } => Input::EngineReported(engine.clone(), None),
         };
-        let carry_out = move || {
+        let run_action = move || {
             let input = match action {
                 Action::Order(order) => {
-                    let answer = control::send_order(&shared, &*engines, &right, fence, &order);
-                    Input::Answered(order, answer)
+                    let answer =
+                        control::send_order(&shared, &*engines, &leadership, fence, &order);
+                    Input::OrderAnswered(order, answer)
                 }
                 Action::Ask { engine, address } => {
                     let start = UpstreamStart {
@@ -514,15 +526,15 @@
                         upstream: engine.clone(),
                     };
                     let report = control::query_report(&shared, &*engines, &start, address);
-                    Input::Reported(engine, report)
+                    Input::EngineReported(engine, report)
                 }
             };
-            // The deciding thread ends only with the process.
-            let _ = sender.send(input);
+            // The channel closes only when the process exits.
+            let _ = input_sender.send(input);
         };
-        if let Err(error) = std::thread::Builder::new().spawn(carry_out) {
-            log::warn!(error:% = error; "no thread for an order or a question");
-            self.take(unsent);
+        if let Err(error) = std::thread::Builder::new().spawn(run_action) {
+            log::warn!(error:% = error; "cannot start a thread for an order or a query to an engine");
+            self.handle(not_sent);
         }
     }
 }
--- /dev/null
+++ b/crates/instance/src/leadership.rs
@@ -0,0 +1,447 @@
+//! Leadership, i.e. the right to send orders to engines: one key in the store under a lease, held
+//! by one instance at a time.
+//!
+//! [`Tenure`] makes the decisions. This module runs the thread that carries them out against the
+//! store, and the feed that reports the current state of the key.
+
+use crate::allotments;
+use crate::feeds::{Feed, follow};
+use crate::holder::{Input, NumberedUpdate};
+use crate::poison;
+use crate::relay::{RelayReceiver, millis};
+use crate::shared::{ReportEvent, Shared};
+use crossbeam::channel::Sender;
+use passway_process::logging::json::DECISION_TARGET;
+use passway_serving::ports::{
+    ConditionalWrite, LeaseId, Listing, SharedStore, StoreChange, StoreError, StoredValue,
+};
+use passway_serving::tenure::{
+    Candidate, Holder, NoPromise, RecentHolders, Step, Tenure, TenureLimits,
+};
+use passway_types::clock;
+use passway_types::prelude::*;
+use rand::RngExt;
+use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
+
+/// Prefix of passway's own keys in the store.
+const OWN_PREFIX: &str = "passway/";
+/// Key of the current holder; its value is the holder's name and address.
+const HOLDER_KEY: &str = "passway/holder";
+/// Key of the list of recent holders, newest last, and of the current candidates.
+const RECENT_KEY: &str = "passway/holders";
+/// Time-to-live of the holder's lease, unless the shortest lease that the store grants is longer.
+const LEASE_TTL: Duration = Duration::from_millis(1_200);
+/// Instances with fewer processor cores than this let others acquire leadership first. The holder
+/// of a large fleet used 0.135 of a core on a calm day.
+const MIN_HOLDER_CPU_CORES: f64 = 0.2;
+/// How long a candidate keeps checking the store itself after a holder requested a promise: three
+/// heartbeats of the holder.
+const PROMISE_REQUEST_WINDOW: Duration = Duration::from_secs(1);
+
+/// Runs the leadership state machine of this instance with a thread and the store.
+#[derive(Debug)]
+pub struct LeadershipDriver {
+    leadership: Mutex<Tenure>,
+    changed: Condvar,
+    /// When a holder last requested a promise.
+    promise_requested_at: Mutex<Option<Instant>>,
+    /// The last answer to such a request; a changed answer is logged.
+    last_promise_answer: Mutex<Option<Result<(), NoPromise>>>,
+    is_weak: bool,
+}
+
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
+}
+
+fn encode_holder(shared: &Shared) -> Vec<u8> {
+    let settings = &shared.settings;
+    format!("{} {}", settings.instance, settings.peer_address).into_bytes()
+}
+
+fn decode_holder(value: &StoredValue) -> Option<Holder> {
+    let text = std::str::from_utf8(&value.value).ok()?;
+    let (instance, address) = text.split_once(' ')?;
+    Some(Holder {
+        instance: instance.into(),
+        address: address.parse().ok()?,
+        fence: value.revision,
+    })
+}
+
+/// Encodes the names of recent holders in the first line and the candidates with their addresses in
+/// the second.
+fn encode_recent(recent: &RecentHolders) -> Vec<u8> {
+    let candidates = recent.candidates.iter();
+    let candidates =
+        candidates.map(|candidate| format!("{}={}", candidate.instance, candidate.address));
+    let candidates: Vec<String> = candidates.collect();
+    format!("{}\n{}", recent.names.join(" "), candidates.join(" ")).into_bytes()
+}
+
+fn decode_recent(value: &StoredValue) -> RecentHolders {
+    let text = String::from_utf8_lossy(&value.value);
+    let mut lines = text.lines();
+    let names = lines.next().unwrap_or_default().split_whitespace();
+    let candidates = lines.next().unwrap_or_default().split_whitespace();
+    RecentHolders {
+        names: names.map(Into::into).collect(),
+        candidates: candidates.filter_map(decode_candidate).collect(),
+        revision: value.revision,
+    }
+}
+
+/// Returns `None` for a candidate whose address cannot be parsed. That instance does not find
+/// itself on the list and waits like any instance that is not a candidate.
+fn decode_candidate(text: &str) -> Option<Candidate> {
+    let (instance, address) = text.rsplit_once('=')?;
+    Some(Candidate {
+        instance: instance.into(),
+        address: address.parse().ok()?,
+    })
+}
+
+impl LeadershipDriver {
+    /// Creates the state of an instance that does not know any holder yet.
+    pub fn new(shared: &Shared) -> Self {
+        let settings = &shared.settings;
+        let bounds = shared.bounds.load();
+        let is_weak = settings.processor_part < MIN_HOLDER_CPU_CORES;
+        let limits = TenureLimits {
+            lease: LEASE_TTL.max(bounds.shortest_lease),
+            gap: bounds.holder_gap,
+            is_weak,
+        };
+        Self {
+            leadership: Mutex::new(Tenure::new(settings.instance.clone(), limits, clock::now())),
+            changed: Condvar::new(),
+            promise_requested_at: Mutex::default(),
+            last_promise_answer: Mutex::default(),
+            is_weak,
+        }
+    }
+
+    /// Whether this instance has too little processor capacity for the holder's work, so that other
+    /// instances should be preferred as holders.
+    pub fn is_weak(&self) -> bool {
+        self.is_weak
+    }
+
+    /// Starts the thread that acquires leadership whenever nobody holds it, and the feed of
+    /// passway's own keys.
+    pub fn start(
+        self: &Arc<Self>,
+        shared: &Arc<Shared>,
+        store: &Arc<dyn SharedStore>,
+        receiver: RelayReceiver,
+        holder_inputs: Sender<Input>,
+        updates: Sender<NumberedUpdate>,
+    ) {
+        let feed = LeadershipFeed {
+            leadership: self.clone(),
+            shared: shared.clone(),
+        };
+        follow(store.clone(), receiver, updates, feed);
+        let (driver, shared, store) = (self.clone(), shared.clone(), store.clone());
+        std::thread::spawn(move || driver.run(&shared, &*store, &holder_inputs));
+    }
+
+    fn leadership(&self) -> MutexGuard<'_, Tenure> {
+        lock(&self.leadership)
+    }
+
+    /// Changes the leadership state and wakes the thread that acts on it.
+    fn update(&self, change: impl FnOnce(&mut Tenure)) {
+        change(&mut self.leadership());
+        self.changed.notify_all();
+    }
+
+    /// The current holder, if one is known.
+    pub fn holder(&self) -> Option<Holder> {
+        self.leadership().holder().cloned()
+    }
+
+    /// Takes in another instance's message that it is the holder. Returns whether the message
+    /// changed the known holder.
+    pub fn learn_holder(&self, holder: Holder) -> bool {
+        let is_new = self.leadership().told(holder);
+        self.changed.notify_all();
+        is_new
+    }
+
+    /// This instance's fencing number, if it may send orders now.
+    pub fn fence(&self) -> Option<Fence> {
+        self.leadership().fence(clock::now())
+    }
+
+    /// This instance's fencing number while its term lasts, including times when it may not send
+    /// orders.
+    pub fn term(&self) -> Option<Fence> {
+        self.leadership().term(clock::now())
+    }
+
+    /// This instance's fencing number if it needs the candidates' promises not to acquire
+    /// leadership, because the store did not answer the last renewal.
+    pub fn promise_fence(&self) -> Option<Fence> {
+        self.leadership().asks_promises(clock::now())
+    }
+
+    /// Promises another holder not to acquire leadership for a while, if this instance can.
+    ///
+    /// # Errors
+    /// The reason why this instance does not promise.
+    pub fn answer_promise_request(
+        &self,
+        asker: &InstanceId,
+        store_answers: bool,
+    ) -> Result<(), NoPromise> {
+        let now = clock::now();
+        let previous_request_at = lock(&self.promise_requested_at).replace(now);
+        let answer = self.leadership().promise(asker, store_answers, now);
+        let is_first = previous_request_at.is_none_or(|at| now > at + PROMISE_REQUEST_WINDOW);
+        let new_answer = Some(answer);
+        if lock(&self.last_promise_answer).replace(answer) != new_answer || is_first {
+            log::info!(target: DECISION_TARGET, holder:% = asker, answer:? = answer; "asked for a promise not to take the right to order");
+        }
+        answer
+    }
+
+    /// The candidates of the current term whose promise is missing. Without it, the term cannot
+    /// extend beyond its lease.
+    pub fn candidates_without_promise(&self) -> Vec<InstanceId> {
+        self.leadership().without_promise(clock::now())
+    }
+
+    /// Whether a holder requested a promise recently. This instance should then check for itself
+    /// whether the store answers.
+    fn has_recent_promise_request(&self) -> bool {
+        lock(&self.promise_requested_at).is_some_and(|at| clock::since(at) < PROMISE_REQUEST_WINDOW)
+    }
+
+    /// Records a candidate's promise, given in answer to a request sent at `requested_at`.
+    pub fn record_promise(&self, from: &InstanceId, fence: Fence, requested_at: Instant) {
+        self.update(|leadership| leadership.promised(from, fence, requested_at));
+    }
+
+    /// Records that a candidate's process is stopping.
+    pub fn record_departure(&self, from: &InstanceId, fence: Fence) {
+        self.update(|leadership| leadership.left(from, fence));
+    }
+
+    /// Sets the candidates that a term of this instance should have.
+    pub fn set_desired_candidates(&self, candidates: Vec<Candidate>) {
+        self.update(|leadership| leadership.want_candidates(candidates));
+    }
+
+    /// Whether no other instance was the holder between this instance's last two terms.
+    pub fn succeeds_itself(&self) -> bool {
+        self.leadership().succeeds_itself()
+    }
+
+    /// The candidates that the store listed before this instance's term. They may be extending the
+    /// leadership of another holder without the store.
+    pub fn previous_candidates(&self) -> Vec<Candidate> {
+        self.leadership().former_candidates().to_vec()
+    }
+
+    /// Releases leadership, so that another instance can acquire it at once.
+    pub fn release(&self) {
+        self.update(Tenure::release);
+    }
+
+    /// Records how long the store took to answer a call that was sent at `sent_at`.
+    fn record_store_latency<T>(&self, answer: &Result<T, StoreError>, sent_at: Instant) {
+        if answer.is_ok() {
+            self.leadership().answered_within(clock::since(sent_at));
+        }
+    }
+
+    /// Acquires and renews leadership until the process exits.
+    fn run(&self, shared: &Shared, store: &dyn SharedStore, holder_inputs: &Sender<Input>) {
+        let mut held_fence = None;
+        loop {
+            let mut leadership = self.leadership();
+            leadership.set_gap(shared.bounds.load().holder_gap);
+            let random = rand::rng().random_range(0.0..1.0);
+            let store_answers = !shared.store_health.is_failing();
+            let now = clock::now();
+            let step = leadership.step(random, store_answers, now);
+            if matches!(step, Step::End(_))
+                && let Some(fence) = held_fence.take()
+            {
+                log_term_end(fence, &leadership, now);
+            }
+            match step {
+                Step::Wait(until) => {
+                    // The loop checks the state again after a wakeup as well as after the timeout.
+                    let timeout = until.saturating_duration_since(now);
+                    drop(self.changed.wait_timeout(leadership, timeout));
+                }
+                Step::Grant => {
+                    let ttl = leadership.lease_time();
+                    drop(leadership);
+                    let answer = store.grant_lease(ttl);
+                    self.record_store_latency(&answer, now);
+                    self.leadership().granted(answer, now);
+                }
+                Step::Take(lease) => {
+                    let recent = leadership.recent_with_me();
+                    drop(leadership);
+                    let answer = store.write(&acquisition_writes(shared, lease, &recent));
+                    self.record_store_latency(&answer, now);
+                    held_fence = self.leadership().taken(&answer, clock::now());
+                    if let Some(fence) = held_fence {
+                        log::info!(target: DECISION_TARGET, fence = fence; "holds the right to order");
+                        shared.allotments.notify_term_begun();
+                        // The channel closes only when the process exits.
+                        let _ = holder_inputs.send(Input::TermBegun);
+                    }
+                }
+                Step::Renew(lease) => {
+                    let timeout = leadership.renewal_time();
+                    drop(leadership);
+                    let answer = store.renew_lease_within(lease, timeout);
+                    self.record_store_latency(&answer, now);
+                    if answer == Ok(true) {
+                        shared.store_health.record_answer();
+                    }
+                    self.leadership().renewed(answer, now, clock::now());
+                }
+                Step::List => {
+                    let recent = leadership.recent_with_candidates();
+                    drop(leadership);
+                    let answer = store.write(&[recent_holders_write(&recent)]);
+                    log::info!(target: DECISION_TARGET, candidates = recent.candidates.len(), answer:? = answer; "list of candidates");
+                    self.leadership().listed(&answer, recent, clock::now());
+                }
+                Step::End(lease) => {
+                    drop(leadership);
+                    end_lease(store, lease);
+                    self.leadership().ended(clock::now());
+                }
+                Step::Stop => return,
+            }
+        }
+    }
+}
+
+fn log_term_end(fence: Fence, leadership: &Tenure, now: Instant) {
+    let without_promise = leadership.without_promise(now);
+    let last_end = leadership.last_end();
+    let overdue_ms = last_end.map_or(0, |end| millis(end.overdue));
+    log::info!(target: DECISION_TARGET, fence = fence, cause:? = last_end.map(|end| end.cause),
+        unanswered = last_end.map_or(0, |end| end.unanswered), overdue_ms = overdue_ms,
+        without_promise:? = without_promise;
+        "lost the right to order");
+}
+
+/// The writes that acquire the key if no instance holds it and the list of recent holders has not
+/// changed since it was read.
+///
+/// The key comes last: the revision of the whole transaction is then the revision of the key, which
+/// all other instances read as the fencing number.
+fn acquisition_writes(
+    shared: &Shared,
+    lease: LeaseId,
+    recent: &RecentHolders,
+) -> [ConditionalWrite; 2] {
+    [
+        recent_holders_write(recent),
+        ConditionalWrite {
+            key: HOLDER_KEY.to_owned(),
+            expected: 0,
+            value: Some(encode_holder(shared)),
+            lease: Some(lease),
+        },
+    ]
+}
+
+/// The write of the list of recent holders, conditional on the revision that was read.
+fn recent_holders_write(recent: &RecentHolders) -> ConditionalWrite {
+    ConditionalWrite {
+        key: RECENT_KEY.to_owned(),
+        expected: recent.revision,
+        value: Some(encode_recent(recent)),
+        lease: None,
+    }
+}
+
+fn end_lease(store: &dyn SharedStore, lease: LeaseId) {
+    if store.end_lease(lease).is_err() {
+        log::debug!(lease = lease; "cannot end a lease; the lease expires by itself");
+    }
+}
+
+struct LeadershipFeed {
+    leadership: Arc<LeadershipDriver>,
+    shared: Arc<Shared>,
+}
+
+impl Feed for LeadershipFeed {
+    fn prefix(&self) -> String {
+        OWN_PREFIX.to_owned()
+    }
+
+    fn apply_listing(&mut self, listing: &Listing) {
+        let find = |key| listing.values.iter().find(|value| value.key == key);
+        let holder = find(HOLDER_KEY).and_then(decode_holder);
+        let recent = find(RECENT_KEY).map(decode_recent).unwrap_or_default();
+        let refused = find(poison::KEY).map(|value| (value.revision, &*value.value));
+        let (revision, value) = refused.unwrap_or_default();
+        self.shared.poison.apply_stored(revision, value);
+        let half_full = find(allotments::KEY).map(|value| (value.revision, &*value.value));
+        let (revision, value) = half_full.unwrap_or_default();
+        self.shared.allotments.apply_stored(revision, value);
+        self.leadership.update(|leadership| {
+            leadership.seen_recent(recent);
+            leadership.seen(holder);
+        });
+    }
+
+    fn apply_change(&mut self, change: &StoreChange) -> bool {
+        match change {
+            StoreChange::Written(value) if value.key == HOLDER_KEY => {
+                self.leadership
+                    .update(|leadership| leadership.seen(decode_holder(value)));
+            }
+            StoreChange::Written(value) if value.key == RECENT_KEY => {
+                let recent = decode_recent(value);
+                self.leadership
+                    .update(|leadership| leadership.seen_recent(recent));
+            }
+            StoreChange::Written(value) if value.key == poison::KEY => {
+                let poison = &self.shared.poison;
+                poison.apply_stored(value.revision, &value.value);
+            }
+            StoreChange::Written(value) if value.key == allotments::KEY => {
+                let allotments = &self.shared.allotments;
+                allotments.apply_stored(value.revision, &value.value);
+            }
+            StoreChange::Removed { key, .. } if key == allotments::KEY => {
+                self.shared.allotments.apply_stored(0, &[]);
+            }
+            StoreChange::Removed { key, .. } if key == poison::KEY => {
+                for suspect in self.shared.poison.clear_stored() {
+                    self.shared.report(ReportEvent::Suspect(suspect));
+                }
+            }
+            StoreChange::Removed { key, .. } if key == HOLDER_KEY => {
+                self.leadership.update(|leadership| leadership.seen(None));
+            }
+            _ => {}
+        }
+        false
+    }
+
+    fn finish_batch(&mut self) -> Duration {
+        Duration::ZERO
+    }
+
+    fn must_query_store(&self) -> bool {
+        self.leadership.has_recent_promise_request()
+    }
+
+    fn shared(&self) -> &Shared {
+        &self.shared
+    }
+}
--- a/crates/instance/src/lifecycle.rs
+++ b/crates/instance/src/lifecycle.rs
@@ -5,9 +5,9 @@
 use crate::dispatch::Dispatch;
 use crate::feeds::{self, ConfigurationFeed, UpstreamFeed};
 use crate::freshness::ConfigurationAge;
-use crate::poison::Poison;
+use crate::leadership::LeadershipDriver;
+use crate::poison::PoisonTracker;
 use crate::relay::Relay;
-use crate::right::Right;
 use crate::shared::Shared;
 use crate::{callers, holder, ready, report};
 use anyhow::{Context, Result};
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 pub struct Instance {
     shared: Arc<Shared>,
-    leadership: Arc<Right>,
+    leadership: Arc<LeadershipDriver>,
     callers: Callers,
     ready_address: SocketAddr,
 }
@@ -74,7 +74,7 @@
         let (event_sender, event_receiver) = channel::unbounded();
         let shared = Arc::new(Shared::new(settings, surroundings.vocabulary, event_sender));
         let settings = &shared.settings;
-        let leadership = Arc::new(Right::new(&shared));
+        let leadership = Arc::new(LeadershipDriver::new(&shared));
         shared.set_leadership(leadership.clone());
         let ready_address = ready::listen(&shared, &leadership, settings.ready_address)?;
         let callers = callers::listen(&shared, settings.callers_address)?;
@@ -86,7 +86,7 @@
         leadership.start(
             &shared,
             store,
-            relay.resting(),
+            relay.unrelayed_receiver(),
             holder.clone(),
             updates.clone(),
         );
@@ -107,8 +107,8 @@
                 leadership.clone(),
             ),
         );
-        Poison::keep(&shared, &leadership, store);
-        Allotments::keep(&shared, &leadership, store);
+        PoisonTracker::start_writer(&shared, &leadership, store);
+        Allotments::start_writer(&shared, &leadership, store);
         Dispatch::start(&shared);
         ConfigurationAge::start(&shared);
         report::start(&shared, &leadership, &relay, event_receiver);
--- a/crates/instance/src/poison.rs
+++ b/crates/instance/src/poison.rs
@@ -1,18 +1,19 @@
-//! Requests that crash upstreams, as this instance knows them and as they are told and kept.
+//! Requests that crash upstreams: what this instance knows of them, exchanges with other instances
+//! and stores.
 //!
-//! Each instance joins in what it sees itself, what the holder of the right to order tells, and what
-//! lies in the store, where the holder keeps the requests that are refused or may be after the
-//! next crash: a fleet that starts again knows them before it serves.
+//! Each instance merges what it observes, what the holder of leadership publishes, and what is in
+//! the store. The holder stores the requests that are refused, or may be after the next crash, so
+//! that a fleet that restarts knows them before it serves.
 
-mod alone;
-mod watch;
+mod exclusive;
+mod probe;
 
+use crate::leadership::LeadershipDriver;
 use crate::relay::millis_since;
-use crate::right::Right;
 use crate::shared::{ReportEvent, Shared};
-use alone::{Alone, digest_of};
-pub use alone::{Asked, Trial};
 use crossbeam::channel::{Receiver, Sender, TrySendError, bounded};
+pub use exclusive::{ExclusivePermit, PermitAnswer};
+use exclusive::{ExclusiveRuns, decode_digest};
 use passway_process::logging::json::DECISION_TARGET;
 pub use passway_serving::poison::OPEN_TIME;
 use passway_serving::poison::{
@@ -23,67 +24,68 @@
 use passway_types::prelude::*;
 use passway_wire::dispatch::Dispatch as Body;
 use passway_wire::message::{self, Break, Crash, Suspects};
+use probe::ProbedEngines;
+pub use probe::REFUSAL_TIMEOUT;
 use prost::Message;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
-pub use watch::REFUSAL_TIME;
-use watch::Watched;
 
-/// The key under which requests that crash upstreams lie in the store.
+/// Key in the store of the requests that crash upstreams.
 pub const KEY: &str = "passway/poison";
-/// Requests that are told or kept at most, 150 bytes each: what a link of 10 Mbit/s carries in
-/// 60 ms.
-const MAX_TOLD: usize = 512;
-/// From so many crashes on all instances are told of a request: the next one may be the last that is allowed, at
-/// whichever it comes.
-pub const TOLD_CRASHES: usize = 2;
-/// Longest time that a word on a crash takes to another instance: what is told as so long ago is up to so much
-/// longer ago.
-const MOST_TELLING_MS: u64 = 100;
-/// Pause between two writes of the list: two calls a second at most, while engines crash.
-const WRITE_PAUSE: Duration = Duration::from_millis(500);
-
-/// The list as it lies in the store.
+/// Maximum number of requests that are sent or stored, at 150 bytes each. A link of 10 Mbit/s
+/// carries them in 60 ms.
+const MAX_SENT_SUSPECTS: usize = 512;
+/// From this number of crashes on, a request is published to all instances: the next crash may be
+/// the last one allowed, at whichever instance it happens.
+pub const MIN_BROADCAST_CRASHES: usize = 2;
+/// Longest time that a report of a crash takes to another instance. A received age may be too low
+/// by up to this much.
+const MAX_PROPAGATION_MS: u64 = 100;
+/// Interval of writes of the list, which costs the store at most two calls a second while engines
+/// crash.
+const WRITE_INTERVAL: Duration = Duration::from_millis(500);
+
+/// The list as stored.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-struct Kept {
+struct StoredList {
     revision: StoreRevision,
     value: Vec<u8>,
 }
 
 /// What this instance knows of requests that crash upstreams.
 #[derive(Debug)]
-pub struct Poison {
+pub struct PoisonTracker {
     list: Mutex<PoisonList>,
-    /// Whether nothing is known of any request; read on each request, without a lock.
+    /// Whether the list is empty; each request reads this without a lock.
     is_empty: AtomicBool,
     refused: AtomicUsize,
-    /// Whether what the fleet knows was heard of since the process began.
-    is_told: AtomicBool,
-    kept: Mutex<Kept>,
-    /// Which requests run alone among those like them.
-    alone: Alone,
-    /// Engines that broke off and are asked whether they have ended.
-    watched: Watched,
-    /// Wakes the thread that keeps the list in the store.
-    wake: Sender<()>,
-    woken: Receiver<()>,
+    /// Whether the fleet's list was received since the process started.
+    has_fleet_list: AtomicBool,
+    stored: Mutex<StoredList>,
+    /// Requests that must run exclusively among their copies.
+    exclusive_runs: ExclusiveRuns,
+    /// Engines that broke off and are probed to find out whether they crashed.
+    probed_engines: ProbedEngines,
+    /// Wakes the thread that writes the list to the store.
+    wakeup_sender: Sender<()>,
+    wakeup_receiver: Receiver<()>,
 }
 
-impl Default for Poison {
+impl Default for PoisonTracker {
     fn default() -> Self {
-        let (wake, woken) = bounded(1);
+        let (wakeup_sender, wakeup_receiver) = bounded(1);
         Self {
             list: Mutex::default(),
             is_empty: AtomicBool::new(true),
             refused: AtomicUsize::new(0),
-            is_told: AtomicBool::new(false),
-            kept: Mutex::default(),
-            alone: Alone::default(),
-            watched: Watched::default(),
-            wake,
-            woken,
+            has_fleet_list: AtomicBool::new(false),
+            stored: Mutex::default(),
+            exclusive_runs: ExclusiveRuns::default(),
+            probed_engines: ProbedEngines::default(),
+            wakeup_sender,
+            wakeup_receiver,
         }
     }
 }
@@ -92,53 +94,56 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Poison {
+impl PoisonTracker {
     /// Whether nothing is known of any request.
     pub fn is_empty(&self) -> bool {
         self.is_empty.load(Ordering::Acquire)
     }
 
-    /// How many requests are refused.
-    pub fn refused(&self) -> usize {
+    /// Number of requests that are refused.
+    pub fn refused_count(&self) -> usize {
         self.refused.load(Ordering::Acquire)
     }
 
-    /// Whether what the fleet knows was heard of, from the store or from the holder.
-    pub fn is_told(&self) -> bool {
-        self.is_told.load(Ordering::Acquire)
+    /// Whether the fleet's list was received, from the store or from the holder.
+    pub fn has_fleet_list(&self) -> bool {
+        self.has_fleet_list.load(Ordering::Acquire)
     }
 
-    /// For how long a request is refused yet; `None` if it may be run.
+    /// How much longer a request is refused; `None` if it may run.
     pub fn refused_for(&self, digest: RequestDigest) -> Option<Duration> {
         lock(&self.list).refused_for(digest, clock::now())
     }
 
-    /// An upstream has crashed under a request that was sent at a moment. Returns what others are to be told.
-    pub fn crashed(
+    /// Records that an upstream crashed under a request that was sent at `sent_at`. Returns what to
+    /// publish.
+    pub fn record_crash(
         &self,
         digest: RequestDigest,
         crash: UpstreamStart,
         sent_at: Instant,
     ) -> Option<Suspect> {
-        let news = lock(&self.list).crashed_run(digest, crash, sent_at, clock::now());
-        self.changed();
-        news
+        let update = lock(&self.list).crashed_run(digest, crash, sent_at, clock::now());
+        self.update_counts();
+        update
     }
 
-    /// Whether a request may run while it is not known which upstreams have ended that broke off under it.
-    pub fn standing(&self, digest: RequestDigest) -> Standing {
+    /// Whether a request may run while it is unknown whether upstreams that broke off under it have
+    /// crashed.
+    pub fn run_permission(&self, digest: RequestDigest) -> Standing {
         lock(&self.list).standing(digest, clock::now())
     }
 
-    /// An engine broke off under a request, and nothing tells yet whether it has ended.
-    pub fn broke_off(
+    /// Records that an engine broke off under a request, if it is unknown yet whether the engine
+    /// has crashed.
+    pub fn record_break(
         shared: &Arc<Shared>,
         digest: RequestDigest,
         start: &UpstreamStart,
         sent_at: Instant,
         address: SocketAddr,
     ) {
-        Self::doubt(shared, digest, start, sent_at, address);
+        Self::probe_after_break(shared, digest, start, sent_at, address);
         let now = clock::now();
         if lock(&shared.poison.list).note_break(start, now, now) {
             shared.report(ReportEvent::StartBroken(start.clone(), now));
@@ -146,8 +151,8 @@
         }
     }
 
-    /// An engine may have ended under a request, which was sent at a moment: it is asked.
-    pub fn doubt(
+    /// Probes an engine that may have crashed under a request that was sent at `sent_at`.
+    pub fn probe_after_break(
         shared: &Arc<Shared>,
         digest: RequestDigest,
         start: &UpstreamStart,
@@ -156,51 +161,52 @@
     ) {
         let poison = &shared.poison;
         let now = clock::now();
-        let news = lock(&poison.list).broke_off(digest, start.clone(), sent_at, now);
-        poison.changed();
-        if let Some(news) = news {
-            Self::tell(shared, news);
+        let update = lock(&poison.list).broke_off(digest, start.clone(), sent_at, now);
+        poison.update_counts();
+        if let Some(update) = update {
+            Self::publish(shared, update);
         }
-        watch::watch(shared, digest, start, address);
+        probe::start(shared, digest, start, address);
     }
 
-    /// An upstream that broke off under a request runs on. Returns what others are to be told.
-    fn lives(&self, digest: RequestDigest, start: UpstreamStart) -> Option<Suspect> {
-        let news = lock(&self.list).lives(digest, start, clock::now());
-        self.changed();
-        news
+    /// Records that an upstream that broke off under a request is still running. Returns what to
+    /// publish.
+    fn record_alive(&self, digest: RequestDigest, start: UpstreamStart) -> Option<Suspect> {
+        let update = lock(&self.list).lives(digest, start, clock::now());
+        self.update_counts();
+        update
     }
 
-    /// Starts of an upstream before a moment in Unix milliseconds, by its own clock, have ended. Returns
-    /// what others are to be told.
-    pub fn ended(&self, upstream: &str, before_ms: u64) -> Vec<Suspect> {
+    /// Records that all starts of an upstream before `before_ms` have terminated, in Unix
+    /// milliseconds by the upstream's clock. Returns what to publish.
+    pub fn record_ended(&self, upstream: &str, before_ms: u64) -> Vec<Suspect> {
         if self.is_empty() {
             return Vec::new();
         }
-        let news = lock(&self.list).ended(upstream, before_ms, clock::now());
-        self.changed();
-        news
+        let update = lock(&self.list).ended(upstream, before_ms, clock::now());
+        self.update_counts();
+        update
     }
 
-    /// A request has had an answer. Returns what others are to be told.
-    pub fn answered(&self, digest: RequestDigest) -> Option<Suspect> {
-        let news = lock(&self.list).answered(digest);
-        if news.is_some() {
-            self.changed();
+    /// Records that a request was answered. Returns what to publish.
+    pub fn record_answer(&self, digest: RequestDigest) -> Option<Suspect> {
+        let update = lock(&self.list).answered(digest);
+        if update.is_some() {
+            self.update_counts();
         }
-        news
+        update
     }
 
-    /// Takes in which upstreams broke off at other instances. Returns them.
-    pub fn join_breaks(&self, told: &[Break]) -> Vec<(UpstreamStart, Instant)> {
+    /// Merges the upstreams that broke off at other instances, and returns them.
+    pub fn merge_breaks(&self, received: &[Break]) -> Vec<(UpstreamStart, Instant)> {
         let now = clock::now();
         let mut list = lock(&self.list);
-        let breaks = told.iter().map(|told| {
+        let breaks = received.iter().map(|received| {
             let start = UpstreamStart {
-                upstream: told.upstream.as_str().into(),
-                started_at_ms: told.started_at_ms,
+                upstream: received.upstream.as_str().into(),
+                started_at_ms: received.started_at_ms,
             };
-            let at = now.checked_sub(Duration::from_millis(told.ms_ago));
+            let at = now.checked_sub(Duration::from_millis(received.ms_ago));
             (start, at.unwrap_or(now))
         });
         let breaks: Vec<_> = breaks.collect();
@@ -210,87 +216,89 @@
         breaks
     }
 
-    /// Tells others what became known of a request: the holder, which tells all, and from the second crash on all
-    /// instances that are known here as well. The next run may be the last that is allowed, wherever it comes, and the
-    /// holder may be slow or gone.
-    pub fn tell(shared: &Shared, news: Suspect) {
-        if news.crashes.len() >= TOLD_CRASHES {
-            let suspects = encode(vec![news.clone()]);
+    /// Reports an update of a suspect request to the holder, which publishes it to all instances.
+    /// From the second crash on, all known instances receive it directly, too: the next run may be
+    /// the last one allowed, at whichever instance it happens, and the holder may be slow or
+    /// terminated.
+    pub fn publish(shared: &Shared, update: Suspect) {
+        if update.crashes.len() >= MIN_BROADCAST_CRASHES {
+            let suspects = encode(vec![update.clone()]);
             for address in shared.other_instances() {
                 shared
                     .dispatch
                     .send(address, Body::Suspects(suspects.clone()));
             }
         }
-        shared.report(ReportEvent::Suspect(news));
+        shared.report(ReportEvent::Suspect(update));
     }
 
-    /// Joins in what the holder or the store tells. Returns the requests that were told, as they are known now.
-    pub fn join(&self, told: Suspects) -> Vec<Suspect> {
-        self.is_told.store(true, Ordering::Release);
-        self.take_in(told)
+    /// Merges the fleet's list from the holder or the store. Returns the received requests with
+    /// everything known about them.
+    pub fn merge_fleet_list(&self, received: Suspects) -> Vec<Suspect> {
+        self.has_fleet_list.store(true, Ordering::Release);
+        self.merge(received)
     }
 
-    /// Joins in what another instance tells, which is not all that the fleet knows.
-    pub fn join_from_peer(&self, told: Suspects) {
-        self.take_in(told);
+    /// Merges what another instance sent, which is not the fleet's whole list.
+    pub fn merge_from_peer(&self, received: Suspects) {
+        self.merge(received);
     }
 
-    fn take_in(&self, told: Suspects) -> Vec<Suspect> {
-        let told: Vec<Suspect> = told.suspects.into_iter().filter_map(decode).collect();
-        if told.is_empty() {
-            return told;
+    fn merge(&self, received: Suspects) -> Vec<Suspect> {
+        let received: Vec<Suspect> = received.suspects.into_iter().filter_map(decode).collect();
+        if received.is_empty() {
+            return received;
         }
-        let digests: Vec<RequestDigest> = told.iter().map(|suspect| suspect.digest).collect();
+        let digests: Vec<RequestDigest> = received.iter().map(|suspect| suspect.digest).collect();
         let mut list = lock(&self.list);
-        list.join(told, clock::now());
+        list.join(received, clock::now());
         let known = digests.iter().filter_map(|digest| list.get(*digest));
         let known = known.cloned().collect();
         drop(list);
-        self.changed();
+        self.update_counts();
         known
     }
 
-    /// What is known of requests that at least so many crashes tell of, as it is told.
+    /// Encodes the requests with at least `min_crashes` crashes.
     pub fn suspects(&self, min_crashes: usize) -> Suspects {
         encode(lock(&self.list).suspects(min_crashes))
     }
 
-    /// The list lies so in the store; empty if it does not.
-    pub fn seen_in_store(&self, revision: StoreRevision, value: &[u8]) {
-        *lock(&self.kept) = Kept {
+    /// Records the list that is in the store now; empty if the key is missing.
+    pub fn apply_stored(&self, revision: StoreRevision, value: &[u8]) {
+        *lock(&self.stored) = StoredList {
             revision,
             value: value.to_vec(),
         };
         match Suspects::decode(value) {
-            Ok(told) => drop(self.join(told)),
+            Ok(received) => drop(self.merge_fleet_list(received)),
             Err(error) => {
-                log::warn!(error:% = error; "the list of refused requests cannot be read");
+                log::warn!(error:% = error; "cannot decode the stored list of refused requests");
             }
         }
-        self.look();
+        self.notify_writer();
     }
 
-    /// An operator has taken the list out of the store: the requests on it may run again. Returns
-    /// what others are to be told.
-    pub fn removed_from_store(&self) -> Vec<Suspect> {
-        *lock(&self.kept) = Kept::default();
+    /// Clears the list because an operator has removed it from the store: its requests may run
+    /// again. Returns what to publish.
+    pub fn clear_stored(&self) -> Vec<Suspect> {
+        *lock(&self.stored) = StoredList::default();
         let cleared = lock(&self.list).clear_kept();
         log::info!(target: DECISION_TARGET, cleared = cleared.len(); "requests that crash upstreams were cleared");
-        self.changed();
+        self.update_counts();
         cleared
     }
 
-    /// Lets the thread that keeps the list look whether it lies in the store as it is.
-    pub fn look(&self) {
-        match self.wake.try_send(()) {
-            // A look that is due already will do.
+    /// Wakes the thread that writes the list, to check whether the stored list is current.
+    pub fn notify_writer(&self) {
+        match self.wakeup_sender.try_send(()) {
+            // If the channel is full, a wakeup is already pending.
             Ok(()) | Err(TrySendError::Full(())) => {}
-            Err(TrySendError::Disconnected(())) => log::error!("nobody keeps refused requests"),
+            Err(TrySendError::Disconnected(())) => log::error!("refused requests are not stored"),
         }
     }
 
-    fn changed(&self) {
+    fn update_counts(&self) {
         let list = lock(&self.list);
         let refused = list.refused();
         self.is_empty.store(list.is_empty(), Ordering::Release);
@@ -298,60 +306,64 @@
         if self.refused.swap(refused, Ordering::AcqRel) != refused {
             log::info!(target: DECISION_TARGET, refused = refused; "requests that crash upstreams");
         }
-        self.look();
+        self.notify_writer();
     }
 
-    /// The write that makes the store hold what is to be known when all have gone; `None` if it
-    /// does.
-    fn write(&self) -> Option<ConditionalWrite> {
-        let mut kept = lock(&self.list).kept_suspects();
-        // Times that passed would make it another value at each look.
-        for suspect in &mut kept {
+    /// The write that makes the stored list current; `None` if it is.
+    fn pending_write(&self) -> Option<ConditionalWrite> {
+        let mut suspects = lock(&self.list).kept_suspects();
+        // The age of a run would make the value differ at each check.
+        for suspect in &mut suspects {
             suspect.runs.clear();
         }
-        let value = encode(kept).encode_to_vec();
-        let kept = lock(&self.kept);
-        (kept.value != value).then(|| ConditionalWrite {
+        let value = encode(suspects).encode_to_vec();
+        let stored = lock(&self.stored);
+        (stored.value != value).then(|| ConditionalWrite {
             key: KEY.to_owned(),
-            expected: kept.revision,
+            expected: stored.revision,
             value: Some(value),
             lease: None,
         })
     }
 
-    /// Keeps the list in the store while this instance has the right to order.
-    pub fn keep(shared: &Arc<Shared>, right: &Arc<Right>, store: &Arc<dyn SharedStore>) {
-        let (shared, right, store) = (shared.clone(), right.clone(), store.clone());
+    /// Starts the thread that writes the list to the store while this instance is the holder of
+    /// leadership.
+    pub fn start_writer(
+        shared: &Arc<Shared>,
+        leadership: &Arc<LeadershipDriver>,
+        store: &Arc<dyn SharedStore>,
+    ) {
+        let (shared, leadership, store) = (shared.clone(), leadership.clone(), store.clone());
         std::thread::spawn(move || {
             let poison = &shared.poison;
-            while poison.woken.recv().is_ok() {
-                while right.term().is_some()
-                    && let Some(write) = poison.write()
+            while poison.wakeup_receiver.recv().is_ok() {
+                while leadership.term().is_some()
+                    && let Some(write) = poison.pending_write()
                 {
                     let answer = store.write(std::slice::from_ref(&write));
                     if let (Ok(WriteAnswer::Written(revision)), Some(value)) = (answer, write.value)
                     {
-                        *lock(&poison.kept) = Kept { revision, value };
+                        *lock(&poison.stored) = StoredList { revision, value };
                     }
-                    // What more is heard of a crash goes into one write; or the watch tells what
-                    // stands there now, or the store comes back.
-                    std::thread::sleep(WRITE_PAUSE);
+                    // The pause collects further reports of a crash into one write. After a failed
+                    // write, the watch returns the stored list meanwhile, or the store recovers.
+                    std::thread::sleep(WRITE_INTERVAL);
                 }
             }
         });
     }
 }
 
-/// The message about requests, the first ones if there are too many.
+/// Encodes requests; if there are too many, only the first ones.
 pub fn encode(suspects: Vec<Suspect>) -> Suspects {
-    let suspects = suspects.into_iter().take(MAX_TOLD);
+    let suspects = suspects.into_iter().take(MAX_SENT_SUSPECTS);
     Suspects {
         suspects: suspects.map(encode_one).collect(),
         breaks: Vec::new(),
     }
 }
 
-/// Upstreams that broke off, as they are told.
+/// Encodes upstreams that broke off.
 pub fn encode_breaks(breaks: &[(UpstreamStart, Instant)]) -> Vec<Break> {
     let now = clock::now();
     let breaks = breaks.iter().map(|(start, at)| Break {
@@ -385,13 +397,13 @@
     }
 }
 
-/// One whose digest has another length comes from another build and is left out.
-fn decode(told: message::Suspect) -> Option<Suspect> {
-    let digest = digest_of(&told.digest)?;
+/// Decodes a request; `None` if the length of its digest shows that another build sent it.
+fn decode(received: message::Suspect) -> Option<Suspect> {
+    let digest = decode_digest(&received.digest)?;
     let now = clock::now();
     let ago = |ms: u64| now.checked_sub(Duration::from_millis(ms)).unwrap_or(now);
     let mut runs = BTreeMap::new();
-    let crashes = told.crashes.into_iter().map(|crash| {
+    let crashes = received.crashes.into_iter().map(|crash| {
         let times = crash.sent_ms_ago.zip(crash.broke_ms_ago);
         let start = UpstreamStart {
             upstream: crash.upstream.into(),
@@ -406,7 +418,7 @@
         if let Some((sent_ms, broke_ms)) = times {
             let run = RunSpan {
                 sent_at: ago(sent_ms),
-                broke_at: ago(broke_ms.saturating_add(MOST_TELLING_MS)),
+                broke_at: ago(broke_ms.saturating_add(MAX_PROPAGATION_MS)),
             };
             runs.insert(start.clone(), run);
         }
--- /dev/null
+++ b/crates/instance/src/poison/probe.rs
@@ -0,0 +1,155 @@
+//! Finds out whether an upstream that broke off under a request has crashed, if its port does not
+//! show that.
+//!
+//! A supervisor keeps the port open, and a machine that does not respond refuses nothing. The
+//! engine is therefore asked for its report until it names its start. Its entry in the store shows
+//! the same when it disappears or names a later start.
+
+use crate::control;
+use crate::http1::Connection;
+use crate::poison::PoisonTracker;
+use crate::shared::Shared;
+use passway_process::logging::json::DECISION_TARGET;
+use passway_serving::poison::{OPEN_TIME, RequestDigest, UpstreamStart};
+use passway_serving::ports::Engines;
+use passway_types::clock;
+use passway_types::prelude::*;
+use std::collections::{BTreeMap, BTreeSet};
+use std::io::ErrorKind;
+use std::net::SocketAddr;
+use std::sync::{Mutex, MutexGuard, PoisonError};
+
+/// How long the port of an upstream that broke off may take to refuse a connection. The port of a
+/// terminated process refuses within a round trip of a few milliseconds. If the link is cut, the
+/// request waits for this long before it is retried elsewhere.
+pub const REFUSAL_TIMEOUT: Duration = Duration::from_millis(60);
+/// Delay before the first query of an engine. A running engine answers at once after a broken
+/// connection.
+const FIRST_PROBE_DELAY: Duration = Duration::from_millis(50);
+/// Interval of queries of an engine that does not answer.
+const PROBE_INTERVAL: Duration = Duration::from_millis(300);
+/// An engine needs at least this long to restart. If an engine that does not report its start
+/// answers sooner, it did not crash.
+const MIN_RESTART_DURATION: Duration = Duration::from_secs(1);
+/// Maximum number of engines that are probed at the same time. The entries in the store show what
+/// happened to others.
+const MAX_PROBED_ENGINES: usize = 32;
+
+/// Starts of engines that are probed, and the requests that broke off there.
+#[derive(Debug, Default)]
+pub(super) struct ProbedEngines(Mutex<BTreeMap<UpstreamStart, BTreeSet<RequestDigest>>>);
+
+impl ProbedEngines {
+    fn lock(&self) -> MutexGuard<'_, BTreeMap<UpstreamStart, BTreeSet<RequestDigest>>> {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Adds a request. Returns whether the caller must start a probe of the engine.
+    fn add(&self, digest: RequestDigest, start: &UpstreamStart) -> bool {
+        let mut probed = self.lock();
+        if let Some(digests) = probed.get_mut(start) {
+            digests.insert(digest);
+            return false;
+        }
+        let has_capacity = probed.len() < MAX_PROBED_ENGINES;
+        if has_capacity {
+            probed.insert(start.clone(), BTreeSet::from([digest]));
+        }
+        has_capacity
+    }
+
+    /// Removes the start of an engine. Returns the requests that broke off there.
+    fn take(&self, start: &UpstreamStart) -> BTreeSet<RequestDigest> {
+        self.lock().remove(start).unwrap_or_default()
+    }
+}
+
+/// What a report shows about a start of an engine.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Verdict {
+    Lives,
+    /// The engine has terminated; a start at `before_ms` or later answers.
+    Ended {
+        before_ms: u64,
+    },
+}
+
+fn verdict(start: &UpstreamStart, reported_ms: u64, since_break: Duration) -> Option<Verdict> {
+    let known_ms = start.started_at_ms;
+    if reported_ms > known_ms {
+        return Some(Verdict::Ended {
+            before_ms: reported_ms,
+        });
+    }
+    let is_same_start =
+        reported_ms == known_ms && (known_ms > 0 || since_break < MIN_RESTART_DURATION);
+    is_same_start.then_some(Verdict::Lives)
+}
+
+/// Starts to probe an engine that broke off under a request.
+pub(super) fn start(
+    shared: &Arc<Shared>,
+    digest: RequestDigest,
+    start: &UpstreamStart,
+    address: SocketAddr,
+) {
+    let Some(engines) = shared.engines() else {
+        return;
+    };
+    if !shared.poison.probed_engines.add(digest, start) {
+        return;
+    }
+    let thread_shared = shared.clone();
+    let probed_start = start.clone();
+    let run_probe = move || probe(&thread_shared, &*engines, &probed_start, address);
+    if let Err(error) = std::thread::Builder::new().spawn(run_probe) {
+        log::warn!(error:% = error; "cannot start a thread to probe an engine that broke off");
+        shared.poison.probed_engines.take(start);
+    }
+}
+
+/// Whether connections to the address of an engine are refused that did not announce that it
+/// leaves. A port may close a little later than its connections.
+fn refuses_connections(shared: &Shared, start: &UpstreamStart, address: SocketAddr) -> bool {
+    let is_refused = Connection::connect(address, REFUSAL_TIMEOUT)
+        .is_err_and(|error| error.kind() == ErrorKind::ConnectionRefused);
+    is_refused && !shared.upstreams().is_draining(&start.upstream)
+}
+
+fn probe(shared: &Shared, engines: &dyn Engines, start: &UpstreamStart, address: SocketAddr) {
+    let broke_at = clock::now();
+    let mut delay = FIRST_PROBE_DELAY;
+    let mut found = None;
+    while found.is_none() && clock::since(broke_at) < OPEN_TIME {
+        std::thread::sleep(delay);
+        delay = PROBE_INTERVAL;
+        if control::is_backing_off(shared, &start.upstream) {
+            continue;
+        }
+        let since_break = clock::since(broke_at);
+        let report = control::query_report(shared, engines, start, address);
+        found = if let Some(report) = report {
+            verdict(start, report.started_at_ms, since_break)
+        } else {
+            // Requests sent there would break off, too.
+            shared.upstreams().doubt(&start.upstream, clock::now());
+            refuses_connections(shared, start, address).then_some(Verdict::Ended {
+                before_ms: start.started_at_ms + 1,
+            })
+        };
+    }
+    log::info!(target: DECISION_TARGET, upstream:% = start.upstream, found:? = found; "an upstream that broke off was asked");
+    let digests = shared.poison.probed_engines.take(start);
+    match found {
+        Some(Verdict::Lives) => {
+            shared.upstreams().trust(&start.upstream, clock::now());
+            for digest in digests {
+                if let Some(update) = shared.poison.record_alive(digest, start.clone()) {
+                    PoisonTracker::publish(shared, update);
+                }
+            }
+        }
+        Some(Verdict::Ended { before_ms }) => shared.starts_ended(&start.upstream, before_ms),
+        None => {}
+    }
+}
--- a/tests/all/body_memory.rs
+++ b/tests/all/body_memory.rs
@@ -1,6 +1,6 @@
 //! The sum of all requests' bodies is bounded, and a body that does not fit is refused.
 
-use crate::followed::shared;
+use crate::scripted_store::shared;
 use passway_instance::shared::MAX_RESERVED_BYTES;
 
 /// Largest body that callers may send at most sites.
--- a/tests/all/relay_gap.rs
+++ b/tests/all/relay_gap.rs
@@ -1,11 +1,11 @@
-//! What the holder's news leave out is read from the store, however long that takes.
+//! Updates that the holder leaves out are read from the store, however long that takes.
 
 use crate::cluster::until;
-use crate::followed::{ToldStore, beat, followed, shared, word};
+use crate::scripted_store::{ScriptedStore, follow_store, heartbeat, shared, update_message};
 use bytes::Bytes;
 use passway_instance::feed_log::FeedLog;
-use passway_instance::news::Told;
-use passway_instance::relay::{CONFIGURATION, FEEDS, Relay};
+use passway_instance::relay::{CONFIGURATION_FEED, FEED_COUNT, Relay};
+use passway_instance::updates::FeedUpdate;
 use passway_serving::ports::{
     Listing, StoreChange, StoreError, StoreRevision, StoredValue, WatchAnswer,
 };
@@ -27,7 +27,7 @@
     }
 }
 
-/// Tells of a change at 20.
+/// A change at revision 20.
 fn change() -> WatchAnswer {
     WatchAnswer::Changes {
         changes: vec![StoreChange::Written(value(20))],
@@ -37,10 +37,10 @@
 
 #[test]
 fn gap_outlasts_heartbeats() {
-    let (relay, [tap, _]) = Relay::new();
-    let begun_at = Instant::now();
-    relay.heard(beat(begun_at, FEEDS));
-    // Its first watches get no answer.
+    let (relay, [receiver, _]) = Relay::new();
+    let clock_origin = Instant::now();
+    relay.receive(heartbeat(clock_origin, FEED_COUNT));
+    // The store does not answer the first watches.
     let slow = |number| {
         if number < 3 {
             Err(StoreError::Unknown)
@@ -48,57 +48,57 @@
             Ok(change())
         }
     };
-    let store = ToldStore::new(|_| Ok(listing()), slow);
-    let seen = followed(store, tap, &shared());
-    until("the list", || seen.have(10));
-    // The holder tells of what came after 25; what lies between 10 and 25 is missing.
-    relay.heard(word(25, 30));
-    until("what was missing", || {
-        // The holder lives on and says so.
-        relay.heard(beat(begun_at, FEEDS));
-        seen.have(20)
+    let store = ScriptedStore::new(|_| Ok(listing()), slow);
+    let revisions = follow_store(store, receiver, &shared());
+    until("the listing", || revisions.contains(10));
+    // The holder sends what followed revision 25; the changes from 10 to 25 are missing.
+    relay.receive(update_message(25, 30));
+    until("the missing change", || {
+        // The holder keeps sending heartbeats.
+        relay.receive(heartbeat(clock_origin, FEED_COUNT));
+        revisions.contains(20)
     });
 }
 
 #[test]
-fn quiet_revisions_told() {
+fn unchanged_revisions_sent() {
     let mut log = FeedLog::default();
-    assert!(log.add(&Told::Whole(listing())));
-    assert_eq!(log.after(CONFIGURATION, 10), None);
-    let quiet = Told::Changes {
+    assert!(log.apply(&FeedUpdate::Snapshot(listing())));
+    assert_eq!(log.update_after(CONFIGURATION_FEED, 10), None);
+    let unchanged = FeedUpdate::Changes {
         from: 10,
         to: 40,
         changes: Vec::new(),
     };
-    assert!(!log.add(&quiet));
-    assert!(!log.has_news(10));
-    let news = log.after(CONFIGURATION, 10).expect("news");
-    assert_eq!((news.from, news.to, news.values.len()), (10, 40, 0));
-    assert_eq!(log.after(CONFIGURATION, 40), None);
+    assert!(!log.apply(&unchanged));
+    assert!(!log.has_changes_after(10));
+    let update = log.update_after(CONFIGURATION_FEED, 10).expect("an update");
+    assert_eq!((update.from, update.to, update.values.len()), (10, 40, 0));
+    assert_eq!(log.update_after(CONFIGURATION_FEED, 40), None);
 }
 
-/// An instance that is cut off from the store and follows the holder: an entry that the
-/// holder tells as gone is gone, and not only missing for as long as the cut lasts.
+/// An instance that is cut off from the store follows the holder. An entry whose removal the holder
+/// relays counts as removed at once, not only as missing while the cut lasts.
 #[test]
-fn told_entries_go() {
-    let (relay, [tap, _]) = Relay::new();
+fn relayed_removals_count_at_once() {
+    let (relay, [receiver, _]) = Relay::new();
     let shared = shared();
-    let silent = ToldStore::new(|_| Ok(listing()), |_| Err(StoreError::Unknown));
-    followed(silent, tap, &shared);
-    let is_gone_at_once = || {
+    let silent = ScriptedStore::new(|_| Ok(listing()), |_| Err(StoreError::Unknown));
+    follow_store(silent, receiver, &shared);
+    let expires_at_once = || {
         let now = Instant::now();
-        shared.store_health.gone_at(now) == now
+        shared.store_health.missing_entry_expires_at(now) == now
     };
-    until("an outage", || !is_gone_at_once());
+    until("an outage", || !expires_at_once());
     let mut to = 10;
-    until("the holder's word for the store's", || {
+    until("the holder's update to count", || {
         to += 1;
-        relay.heard(News {
-            feed: u32::try_from(CONFIGURATION).expect("small"),
+        relay.receive(News {
+            feed: u32::try_from(CONFIGURATION_FEED).expect("small"),
             from: 10,
             to,
             ..News::default()
         });
-        is_gone_at_once()
+        expires_at_once()
     });
 }
