--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -58,13 +58,13 @@
                     model: FleetSize::model(number),
                     adapter: None,
                 };
-                let deadline = now + Duration::from_secs(4);
+                let latest_deadline = now + Duration::from_secs(4);
                 let waiters = Waiters {
                     instance: "one".into(),
                     service: service.clone(),
                     model_ref,
                     count: 1,
-                    latest_deadline: deadline,
+                    latest_deadline,
                 };
                 planner.set_waiters(waiters, now);
                 planner.decide(now)
--- a/crates/standins/src/fleet_model/requests.rs
+++ b/crates/standins/src/fleet_model/requests.rs
@@ -140,7 +140,7 @@
     /// Tells the planner how many requests wait for each model that stands nowhere.
     pub(super) fn tell_needs(&mut self) {
         let now = self.now();
-        let until = now + Duration::from_millis(RARE_WAIT_MS);
+        let latest_deadline = now + Duration::from_millis(RARE_WAIT_MS);
         let waiting = self.waiting.iter().filter(|(number, _)| {
             let model = FleetSize::model(**number);
             !self.engines.iter().any(|engine| self.stays(engine, &model))
@@ -159,7 +159,7 @@
                 service: FleetSize::service(),
                 model_ref: wish(FleetSize::model(number)),
                 count,
-                latest_deadline: until,
+                latest_deadline,
             };
             self.planner.set_waiters(waiters, now);
         }
--- a/tests/all/placement_faults.rs
+++ b/tests/all/placement_faults.rs
@@ -251,13 +251,13 @@
             model: model.into(),
             adapter,
         };
-        let deadline = self.now + Duration::from_secs(4);
+        let latest_deadline = self.now + Duration::from_secs(4);
         let waiters = Waiters {
             instance: "one".into(),
             service: "engines".into(),
             model_ref: model_ref.clone(),
             count: 1,
-            latest_deadline: deadline,
+            latest_deadline,
         };
         self.planner.set_waiters(waiters, self.now);
         self.planner
