--- a/crates/decide/src/cell/demand.rs
+++ b/crates/decide/src/cell/demand.rs
@@ -1,29 +1,29 @@
-//! Demands of routers for models, coalesced per model.
+//! Demands of routers for models, merged per model.
 
 use crate::messages::{Demand, DemandVerdict};
 use passway_types::prelude::*;
 use std::collections::{BTreeMap, HashMap};
 
-/// A change of the expected time below this is not told again.
-const TELL_AGAIN: Duration = Duration::from_millis(500);
+/// A router is notified again if the expected ready time changes by at least this.
+const MIN_READY_CHANGE: Duration = Duration::from_millis(500);
 
-/// What one router asked and was told.
+/// The demand of one router for a model, and the verdict last sent in answer.
 #[derive(Debug)]
 struct Entry {
     demand: Demand,
-    told: Option<DemandVerdict>,
+    sent_verdict: Option<DemandVerdict>,
 }
 
-/// All demands for one model as one.
+/// The demands of all routers for one model, merged.
 #[derive(Debug, Clone)]
 pub struct ModelDemand {
     /// The model or adapter.
     pub model: ModelName,
-    /// Requests that wait at all routers.
+    /// Number of waiting requests at all routers.
     pub waiting: u32,
-    /// The earliest deadline among them.
+    /// The earliest deadline of the waiting requests.
     pub earliest_deadline_at: Instant,
-    /// The best priority among them.
+    /// The most urgent (lowest) priority among the routers' demands.
     pub priority: u32,
     /// The workspace of the request with the earliest deadline.
     pub workspace: WorkspaceName,
@@ -31,24 +31,31 @@
 
 /// The demands of all routers.
 #[derive(Debug, Default)]
-pub struct DemandBook {
+pub struct DemandTable {
     entries: HashMap<ModelName, BTreeMap<Incarnation, Entry>>,
 }
 
-impl DemandBook {
-    /// Records a demand; one with nothing waiting is taken back.
+impl DemandTable {
+    /// Records a demand. A demand with 0 waiting requests withdraws the previous one.
     pub fn set(&mut self, demand: Demand) {
         let by_router = self.entries.entry(demand.model.clone()).or_default();
         if demand.waiting == 0 {
             by_router.remove(&demand.router);
         } else {
-            // A repeated demand is answered again: the router may have missed the answer.
-            by_router.insert(demand.router, Entry { demand, told: None });
+            // Clearing the sent verdict makes the controller answer a repeated demand again,
+            // because the router may have missed the first answer.
+            by_router.insert(
+                demand.router,
+                Entry {
+                    demand,
+                    sent_verdict: None,
+                },
+            );
         }
         self.entries.retain(|_, by_router| !by_router.is_empty());
     }
 
-    /// Forgets a router.
+    /// Removes the demands of a router.
     pub fn remove_router(&mut self, router: Incarnation) {
         for by_router in self.entries.values_mut() {
             by_router.remove(&router);
@@ -56,7 +63,7 @@
         self.entries.retain(|_, by_router| !by_router.is_empty());
     }
 
-    /// Forgets demands whose deadline has passed.
+    /// Removes demands whose earliest deadline has passed.
     pub fn expire(&mut self, now: Instant) {
         for by_router in self.entries.values_mut() {
             by_router.retain(|_, entry| entry.demand.earliest_deadline_at > now);
@@ -64,12 +71,12 @@
         self.entries.retain(|_, by_router| !by_router.is_empty());
     }
 
-    /// Whether any request waits for the model.
+    /// Whether requests wait for the model at any router.
     pub fn contains(&self, model: &str) -> bool {
         self.entries.contains_key(model)
     }
 
-    /// The coalesced demand for one model.
+    /// Returns the merged demand for one model.
     pub fn get(&self, model: &str) -> Option<ModelDemand> {
         let by_router = self.entries.get(model)?;
         let first = by_router
@@ -87,32 +94,35 @@
         })
     }
 
-    /// All coalesced demands, most pressing first: by priority, then deadline.
-    pub fn in_order(&self) -> Vec<ModelDemand> {
+    /// Returns all merged demands, most urgent first: by priority, then by deadline.
+    pub fn by_urgency(&self) -> Vec<ModelDemand> {
         let mut all: Vec<ModelDemand> = self
             .entries
             .keys()
             .filter_map(|model| self.get(model))
             .collect();
         all.sort_by(|a, b| {
-            let pressing = |d: &ModelDemand| (d.priority, d.earliest_deadline_at);
-            pressing(a)
-                .cmp(&pressing(b))
+            let urgency = |d: &ModelDemand| (d.priority, d.earliest_deadline_at);
+            urgency(a)
+                .cmp(&urgency(b))
                 .then_with(|| a.model.cmp(&b.model))
         });
         all
     }
 
-    /// The routers that have not been told `verdict` about the model yet, and
-    /// marks them as told. A refusal ends the demand.
-    pub fn tell(&mut self, model: &str, verdict: DemandVerdict) -> Vec<Incarnation> {
+    /// Returns the routers that need to receive `verdict` about the model, and records it as sent
+    /// to them. A refusal removes the demand.
+    pub fn mark_sent(&mut self, model: &str, verdict: DemandVerdict) -> Vec<Incarnation> {
         let Some(by_router) = self.entries.get_mut(model) else {
             return Vec::new();
         };
         let mut routers = Vec::new();
         for (router, entry) in by_router.iter_mut() {
-            if entry.told.is_none_or(|told| is_news(told, verdict)) {
-                entry.told = Some(verdict);
+            if entry
+                .sent_verdict
+                .is_none_or(|sent| should_resend(sent, verdict))
+            {
+                entry.sent_verdict = Some(verdict);
                 routers.push(*router);
             }
         }
@@ -123,11 +133,11 @@
     }
 }
 
-fn is_news(told: DemandVerdict, verdict: DemandVerdict) -> bool {
-    match (told, verdict) {
-        (DemandVerdict::ReadyAt(before), DemandVerdict::ReadyAt(after)) => {
-            let moved = before.max(after).duration_since(before.min(after));
-            moved >= TELL_AGAIN
+fn should_resend(sent: DemandVerdict, verdict: DemandVerdict) -> bool {
+    match (sent, verdict) {
+        (DemandVerdict::ReadyAt(previous), DemandVerdict::ReadyAt(current)) => {
+            let change = previous.max(current).duration_since(previous.min(current));
+            change >= MIN_READY_CHANGE
         }
         _ => true,
     }
--- a/crates/decide/src/cell/ordering.rs
+++ b/crates/decide/src/cell/orders.rs
@@ -1,27 +1,27 @@
-//! Which orders go to upstreams, and when memory is free again.
+//! Orders to upstreams, and the release of memory.
 
 use super::term::{Stage, Term};
 use super::upstreams::{OrderInFlight, UpstreamView, Upstreams};
 use super::{Action, Decision};
-use crate::messages::{Order, OrderKind, fence_of};
+use crate::messages::{Order, OrderKind, fencing_number};
 use crate::plan::{Placement, PlacementState};
 use passway_config::Catalog;
 use passway_config::document::Fencing;
 use passway_types::prelude::*;
 
-/// An upstream that the list no longer has is given this much of the term to answer.
-const GONE_PATIENCE: Duration = Duration::from_secs(2);
-/// Time for routers to hear that a replica gets nothing new.
+/// The holder must have led for this long before a missing status answer of a removed upstream
+/// counts.
+const REMOVED_UPSTREAM_GRACE: Duration = Duration::from_secs(2);
+/// Time for routers to receive the withdrawal of a route.
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
 
-/// Frees placements that are absent for good.
+/// Frees leaving placements whose model is known to stay absent.
 ///
-/// An upstream that keeps fencing numbers refuses whatever is older than the
-/// unload order that it answered. Any other upstream must have answered
-/// "absent" to an order sent after every older order had settled, those of
-/// former holders included. One that forgets its number at a restart counts
-/// among the others: a holder that was paused before it sent may wake after
-/// the restart.
+/// An upstream that keeps its fencing number across restarts rejects every order older than the
+/// unload order it answered. Any other upstream must have answered "absent" to an order that was
+/// sent after all older orders had settled, including those of previous holders. This includes
+/// upstreams that forget the fencing number at a restart: a holder that was paused before sending
+/// an order may resume after the restart.
 pub(super) fn free_absent(term: &mut Term, upstreams: &Upstreams, actions: &mut Vec<Action>) {
     let leaving: Vec<(PlacementId, UpstreamId)> = term
         .draft
@@ -36,55 +36,68 @@
         let Stage::Absent { ordered_at } = term.stage(id) else {
             continue;
         };
-        let fenced = view.entry.fencing == Fencing::Keeps;
-        if !fenced && !was_settled(term, view, id, ordered_at) {
+        let is_fenced = view.entry.fencing == Fencing::Keeps;
+        if !is_fenced && !older_orders_settled(term, view, id, ordered_at) {
             continue;
         }
-        if term.draft.free(id, fenced).is_ok() {
-            term.forget(id);
+        if term.draft.free(id, is_fenced).is_ok() {
+            term.forget_placement(id);
             actions.push(Action::Audit(Decision::Freed { placement: id }));
         }
     }
 }
 
-/// Frees what stood on upstreams that are gone for good.
+/// Frees the placements on upstreams that are removed for good.
 ///
-/// Another machine may come back under the same id and address, so an older
-/// order must not be able to reach it either: the same rules hold as for an
-/// upstream that ignores fencing, with its silence for an "absent".
-pub(super) fn free_gone(term: &mut Term, upstreams: &Upstreams, actions: &mut Vec<Action>) {
-    let since = term.started_at + GONE_PATIENCE;
+/// Another machine may start under the same id and address, and an older order must not reach that
+/// machine either. So the rules for upstreams without fencing apply, with an unanswered poll in
+/// place of the answer "absent".
+pub(super) fn free_removed_upstreams(
+    term: &mut Term,
+    upstreams: &Upstreams,
+    actions: &mut Vec<Action>,
+) {
+    let since = term.started_at + REMOVED_UPSTREAM_GRACE;
     for view in upstreams
         .iter()
-        .filter(|view| view.is_gone(since) && view.order.is_none())
+        .filter(|view| view.is_removed(since) && view.order.is_none())
     {
-        let Some(silent_at) = view.silent_at else {
+        let Some(unanswered_poll_at) = view.unanswered_poll_at else {
             continue;
         };
-        let lost: Vec<PlacementId> = term
+        let removed: Vec<PlacementId> = term
             .draft
             .on_upstream(&view.entry.id)
             .map(|placement| placement.id)
             .collect();
-        for id in lost {
-            if was_settled(term, view, id, silent_at) && term.draft.free(id, false).is_ok() {
-                term.forget(id);
+        for id in removed {
+            if older_orders_settled(term, view, id, unanswered_poll_at)
+                && term.draft.free(id, false).is_ok()
+            {
+                term.forget_placement(id);
                 actions.push(Action::Audit(Decision::Freed { placement: id }));
             }
         }
     }
 }
 
-/// Whether nothing that was sent before `ordered_at` could arrive after it.
-fn was_settled(term: &Term, view: &UpstreamView, id: PlacementId, ordered_at: Instant) -> bool {
-    let former_cleared = term
-        .former
-        .cleared_at()
-        .is_none_or(|cleared| ordered_at >= cleared);
-    view.is_settled(ordered_at) && former_cleared && !term.draft.former_may_order(id)
+/// Whether every order sent before `ordered_at` had settled by then, so that none can arrive later.
+fn older_orders_settled(
+    term: &Term,
+    view: &UpstreamView,
+    id: PlacementId,
+    ordered_at: Instant,
+) -> bool {
+    let previous_holders_cleared = term
+        .previous_holders
+        .last_cleared_at()
+        .is_none_or(|last_cleared_at| ordered_at >= last_cleared_at);
+    view.is_settled(ordered_at)
+        && previous_holders_cleared
+        && !term.draft.previous_holder_may_order(id)
 }
 
-/// Hands at most one order to each upstream that can take one.
+/// Hands at most one order to the sender of each upstream that can accept one.
 pub(super) fn send_orders(
     term: &mut Term,
     now: Instant,
@@ -93,17 +106,17 @@
     actions: &mut Vec<Action>,
 ) {
     send_unloads(term, now, catalog, upstreams, actions);
-    let most = catalog.weight_store.max_loads as usize;
-    let mut loads = term.loads_in_flight(upstreams);
-    for placement in loads_wanted(term, catalog) {
-        if loads >= most {
+    let max_loads = catalog.weight_store.max_loads as usize;
+    let mut load_count = term.loads_in_flight(upstreams);
+    for placement in pending_loads(term, catalog) {
+        if load_count >= max_loads {
             return;
         }
-        let takes = upstreams
+        let can_send = upstreams
             .get(&placement.upstream)
-            .is_some_and(|view| view.takes_order(now));
-        if takes {
-            send(
+            .is_some_and(|view| view.accepts_order(now));
+        if can_send {
+            send_order(
                 term,
                 now,
                 catalog,
@@ -112,7 +125,7 @@
                 upstreams,
                 actions,
             );
-            loads += 1;
+            load_count += 1;
         }
     }
 }
@@ -134,8 +147,8 @@
         let Some(view) = upstreams.get(&placement.upstream) else {
             continue;
         };
-        if view.takes_order(now) && wants_unload(term, now, view, &placement) {
-            send(
+        if view.accepts_order(now) && needs_unload(term, now, view, &placement) {
+            send_order(
                 term,
                 now,
                 catalog,
@@ -148,50 +161,50 @@
     }
 }
 
-fn wants_unload(term: &Term, now: Instant, view: &UpstreamView, placement: &Placement) -> bool {
+fn needs_unload(term: &Term, now: Instant, view: &UpstreamView, placement: &Placement) -> bool {
     match term.stage(placement.id) {
-        // Absent, but an older order could still have arrived after: ask again
-        // once everything has settled.
+        // The model is absent, but an older order may have arrived since. Unload again once all
+        // older orders have settled.
         Stage::Absent { ordered_at } => {
             view.entry.fencing != Fencing::Keeps
                 && term.draft.placement(placement.id).is_some()
-                && !was_settled(term, view, placement.id, ordered_at)
-                && was_settled(term, view, placement.id, now)
+                && !older_orders_settled(term, view, placement.id, ordered_at)
+                && older_orders_settled(term, view, placement.id, now)
         }
         Stage::Ready => is_drained(term, now, view, placement),
         Stage::Unknown | Stage::Loading => true,
     }
 }
 
-/// Whether routers have stopped sending and nothing runs any more.
+/// Whether routers have stopped sending requests to the replica and none is running.
 fn is_drained(term: &Term, now: Instant, view: &UpstreamView, placement: &Placement) -> bool {
-    let Some(withdrawn_at) = term.progress.withdrawn_at(placement.id) else {
+    let Some(routes_withdrawn_at) = term.progress.routes_withdrawn_at(placement.id) else {
         return true;
     };
-    let quiet_at = withdrawn_at + DRAIN_GRACE;
-    let asked_since = view
+    let drained_from = routes_withdrawn_at + DRAIN_GRACE;
+    let has_report_since = view
         .status
         .as_ref()
-        .is_some_and(|(asked_at, _)| *asked_at >= quiet_at);
+        .is_some_and(|(polled_at, _)| *polled_at >= drained_from);
     let running = view
-        .reported(&placement.model)
+        .reported_model(&placement.model)
         .map_or(0, |loaded| loaded.running);
-    now >= quiet_at && asked_since && running == 0
+    now >= drained_from && has_report_since && running == 0
 }
 
-/// Held placements that need a load order, most pressing first.
-fn loads_wanted(term: &Term, catalog: &Catalog) -> Vec<Placement> {
-    let base_ready = |placement: &Placement| {
+/// Returns the held placements that need a load order, most urgent first.
+fn pending_loads(term: &Term, catalog: &Catalog) -> Vec<Placement> {
+    let is_base_ready = |placement: &Placement| {
         let base = catalog
             .models
             .get(&placement.model)
             .and_then(|model| model.base.as_ref());
         base.is_none_or(|base| {
-            let beside = term.plan().find(base, &placement.upstream);
-            beside.is_some_and(|p| term.stage(p.id) == Stage::Ready)
+            let base_placement = term.plan().find(base, &placement.upstream);
+            base_placement.is_some_and(|p| term.stage(p.id) == Stage::Ready)
         })
     };
-    let mut wanted: Vec<Placement> = term
+    let mut pending: Vec<Placement> = term
         .plan()
         .placements()
         .filter(|p| p.state == PlacementState::Held && term.stage(p.id) == Stage::Unknown)
@@ -200,22 +213,22 @@
                 .placement(p.id)
                 .is_some_and(|d| d.state == PlacementState::Held)
         })
-        .filter(|p| base_ready(p))
+        .filter(|p| is_base_ready(p))
         .cloned()
         .collect();
-    wanted.sort_by_key(|p| urgency(term, catalog, p));
-    wanted
+    pending.sort_by_key(|p| load_urgency(term, catalog, p));
+    pending
 }
 
-/// Order of loads: those that are waited for by priority and deadline, then the rest.
-pub(super) fn urgency(
+/// Sort key for loads: demanded models first, by priority and deadline, then all others.
+pub(super) fn load_urgency(
     term: &Term,
     catalog: &Catalog,
     placement: &Placement,
 ) -> (bool, u32, Option<Instant>, PlacementId) {
-    let own = term.demands.get(&placement.model);
-    // A base is as pressing as the adapter that waits for it.
-    let dependent = term.plan().on_upstream(&placement.upstream).find_map(|p| {
+    let own_demand = term.demands.get(&placement.model);
+    // A base is as urgent as the adapter that needs it.
+    let adapter_demand = term.plan().on_upstream(&placement.upstream).find_map(|p| {
         let model = catalog.models.get(&p.model)?;
         let is_adapter_of = model.base.as_ref() == Some(&placement.model);
         if is_adapter_of {
@@ -224,14 +237,14 @@
             None
         }
     });
-    let demand = own.or(dependent);
+    let demand = own_demand.or(adapter_demand);
     let priority = demand.as_ref().map_or(u32::MAX, |d| d.priority);
     let deadline_at = demand.as_ref().map(|d| d.earliest_deadline_at);
     (demand.is_none(), priority, deadline_at, placement.id)
 }
 
 /// Hands one order to the sender.
-fn send(
+fn send_order(
     term: &mut Term,
     now: Instant,
     catalog: &Catalog,
@@ -243,10 +256,10 @@
     let Some(view) = upstreams.get_mut(&placement.upstream) else {
         return;
     };
-    term.orders_made += 1;
+    term.order_count += 1;
     let order = Order {
         kind,
-        fence: fence_of(term.epoch(), term.orders_made),
+        fence: fencing_number(term.epoch(), term.order_count),
         placement: placement.id,
         model: placement.model.clone(),
         base: catalog
