--- a/crates/serving/src/placement/demand.rs
+++ b/crates/serving/src/placement/demand.rs
@@ -1,32 +1,34 @@
-//! What is asked for: requests that wait, and how often each model is asked for.
+//! The demand for models: waiting requests, and the request rate of each model.
 
 use crate::upstreams::ModelRef;
 use passway_types::prelude::*;
 use std::collections::{BTreeMap, HashMap};
 
-/// Time over which requests are averaged, in seconds: long enough to see a rare
-/// model twice, short enough to follow demand that moves within some seconds.
-const RATE_TIME_S: f64 = 4.0;
-/// Models asked for less often are worth one replica whatever the policy.
-const BUSY_RATE_S: f64 = 0.5;
+/// Time constant of the average request rates, in seconds: long enough to see a rare model twice,
+/// short enough to follow demand that changes within some seconds.
+const RATE_WINDOW_S: f64 = 4.0;
+/// Models with a lower request rate are considered for a replica only if requests wait for them:
+/// one replica is enough for them under any policy.
+const BUSY_RATE_PER_S: f64 = 0.5;
 
-/// A model asked for less often is forgotten: one request is after 31 s. All 730 models of a
-/// large fleet together stay below [`QUIET_RATE_S`] then, so forgetting them changes no decision.
-const FORGOTTEN_RATE_S: f64 = 0.000_1;
-/// Pause between two looks for models to forget: the time over which rates are averaged.
-const FORGET_PAUSE: Duration = Duration::from_secs(4);
+/// A model with a lower request rate is forgotten. The rate of a single request falls below this
+/// value after 31 s. All 730 models of a large fleet together then stay below [`IDLE_RATE_PER_S`],
+/// so that forgetting them changes no decision.
+const FORGOTTEN_RATE_PER_S: f64 = 0.000_1;
+/// Interval between two searches for models to forget; equals the time constant of the rates.
+const FORGET_INTERVAL: Duration = Duration::from_secs(4);
 
-/// So few requests a second for all models together count as none.
-const QUIET_RATE_S: f64 = 0.5;
+/// The fleet counts as idle if the rate of all models together is lower.
+const IDLE_RATE_PER_S: f64 = 0.5;
 
-/// How much a model is used now.
+/// Current usage of a model.
 #[derive(Debug, Clone, Copy)]
 pub struct Usage {
-    /// Requests that run, over all engines.
-    pub runs: u32,
-    /// Requests that wait since no engine takes them.
+    /// Running requests, over all engines.
+    pub running: u32,
+    /// Requests that wait because no engine accepts them.
     pub waiters: u32,
-    /// Requests that an engine runs at one time.
+    /// Requests that one engine runs concurrently.
     pub slots: u32,
 }
 
@@ -37,15 +39,15 @@
     pub instance: InstanceId,
     /// The service.
     pub service: ServiceName,
-    /// What they need.
-    pub wish: ModelRef,
-    /// How many there are; 0 if none waits any more.
+    /// The model or adapter that the requests wait for.
+    pub model_ref: ModelRef,
+    /// Number of waiting requests; 0 if no request waits any more.
     pub count: u32,
-    /// When the last of them gives up.
-    pub until: Instant,
+    /// The latest deadline of these requests.
+    pub latest_deadline: Instant,
 }
 
-/// A number as a floating point one; times and counts here are far below 2^52.
+/// A number as a floating-point number; times and counts in this module are far below 2^52.
 #[expect(clippy::cast_precision_loss, reason = "far below 2^52")]
 pub(super) fn as_f64(number: u64) -> f64 {
     number as f64
@@ -53,144 +55,146 @@
 
 /// A model or adapter that requests wait for.
 #[derive(Debug, Clone)]
-pub(super) struct Waiting {
+pub(super) struct AwaitedModel {
     pub(super) service: ServiceName,
     pub(super) model_ref: ModelRef,
-    /// Since when requests have waited for it without a break.
-    pub(super) since: Instant,
-    /// Requests of each instance, and when the last of them gives up.
+    /// Since when at least one request has been waiting at all times.
+    pub(super) waiting_since: Instant,
+    /// Number of waiting requests and their latest deadline, by instance.
     by_instance: BTreeMap<InstanceId, (u32, Instant)>,
 }
 
-impl Waiting {
-    /// Requests that wait.
+impl AwaitedModel {
+    /// Number of waiting requests, over all instances.
     pub(super) fn count(&self) -> u32 {
         self.by_instance.values().map(|(count, _)| count).sum()
     }
 }
 
-/// Requests a second, as an average that fades.
+/// Requests per second, as an exponentially decaying average.
 #[derive(Debug, Clone, Copy)]
 struct Rate {
     per_s: f64,
-    at: Instant,
+    updated_at: Instant,
 }
 
 impl Rate {
-    fn now(self, now: Instant) -> f64 {
-        let quiet_s = now.saturating_duration_since(self.at).as_secs_f64();
-        self.per_s * (-quiet_s / RATE_TIME_S).exp()
+    fn at(self, now: Instant) -> f64 {
+        let elapsed_s = now.saturating_duration_since(self.updated_at).as_secs_f64();
+        self.per_s * (-elapsed_s / RATE_WINDOW_S).exp()
     }
 }
 
-/// What waits, and how often each model is asked for.
+/// Waiting requests and request rates.
 #[derive(Debug, Default)]
 pub(super) struct Demand {
-    waiting: HashMap<(ServiceName, ModelRef), Waiting>,
-    /// Requests that wait for each model, with any adapter or none.
-    waiters: HashMap<(ServiceName, ModelName), u32>,
-    /// Names come from callers, so those that are not asked for any more must go.
+    awaited: HashMap<(ServiceName, ModelRef), AwaitedModel>,
+    /// Waiting requests by model, including requests for its adapters.
+    waiters_by_model: HashMap<(ServiceName, ModelName), u32>,
+    /// Names come from callers, so models without recent requests must be dropped.
     rates: HashMap<(ServiceName, ModelName), Rate>,
-    /// When faded rates are looked for again.
+    /// When to drop decayed rates next.
     forget_at: Option<Instant>,
 }
 
 impl Demand {
-    /// So many requests of an instance wait for a model or adapter now.
+    /// Sets how many requests of an instance currently wait for a model or adapter.
     pub(super) fn set_waiters(&mut self, waiters: Waiters, now: Instant) {
         let Waiters {
             instance,
             service,
-            wish: model_ref,
+            model_ref,
             count,
-            until,
+            latest_deadline,
         } = waiters;
         let key = (service, model_ref);
-        if count == 0 && !self.waiting.contains_key(&key) {
+        if count == 0 && !self.awaited.contains_key(&key) {
             return;
         }
         let (service, model_ref) = key.clone();
-        let model = (service.clone(), model_ref.model.clone());
-        let waiting = self.waiting.entry(key.clone()).or_insert(Waiting {
+        let model_key = (service.clone(), model_ref.model.clone());
+        let awaited = self.awaited.entry(key.clone()).or_insert(AwaitedModel {
             service,
             model_ref,
-            since: now,
+            waiting_since: now,
             by_instance: BTreeMap::new(),
         });
-        let before = if count == 0 {
-            waiting.by_instance.remove(&instance)
+        let previous = if count == 0 {
+            awaited.by_instance.remove(&instance)
         } else {
-            waiting.by_instance.insert(instance, (count, until))
+            awaited
+                .by_instance
+                .insert(instance, (count, latest_deadline))
         };
-        if waiting.by_instance.is_empty() {
-            self.waiting.remove(&key);
+        if awaited.by_instance.is_empty() {
+            self.awaited.remove(&key);
         }
-        let before = before.map_or(0, |(count, _)| count);
-        let waiters = self.waiters.entry(model.clone()).or_default();
-        *waiters = (*waiters + count).saturating_sub(before);
+        let previous = previous.map_or(0, |(count, _)| count);
+        let waiters = self.waiters_by_model.entry(model_key.clone()).or_default();
+        *waiters = (*waiters + count).saturating_sub(previous);
         if *waiters == 0 {
-            self.waiters.remove(&model);
+            self.waiters_by_model.remove(&model_key);
         }
     }
 
-    /// An instance is gone, and what waited there.
-    pub(super) fn instance_gone(&mut self, instance: &InstanceId) {
-        self.retain(|named, _| named != instance);
+    /// Removes the waiting requests of an instance.
+    pub(super) fn remove_instance(&mut self, instance: &InstanceId) {
+        self.retain(|waiting_instance, _| waiting_instance != instance);
     }
 
-    /// Drops requests whose time is over, and models that are not asked for any more.
+    /// Drops waiting requests past their deadline, and the rates of models without recent requests.
     pub(super) fn expire(&mut self, now: Instant) {
-        self.retain(|_, until| now < until);
+        self.retain(|_, deadline| now < deadline);
         if self.forget_at.is_none_or(|at| now >= at) {
-            self.forget_at = Some(now + FORGET_PAUSE);
+            self.forget_at = Some(now + FORGET_INTERVAL);
             self.rates
-                .retain(|_, rate| rate.now(now) >= FORGOTTEN_RATE_S);
+                .retain(|_, rate| rate.at(now) >= FORGOTTEN_RATE_PER_S);
         }
     }
 
-    fn retain(&mut self, stays: impl Fn(&InstanceId, Instant) -> bool) {
-        let mut has_changed = false;
-        self.waiting.retain(|_, waiting| {
-            let before = waiting.by_instance.len();
-            waiting
+    fn retain(&mut self, should_stay: impl Fn(&InstanceId, Instant) -> bool) {
+        let mut is_changed = false;
+        self.awaited.retain(|_, awaited| {
+            let previous = awaited.by_instance.len();
+            awaited
                 .by_instance
-                .retain(|instance, (_, until)| stays(instance, *until));
-            has_changed |= waiting.by_instance.len() != before;
-            !waiting.by_instance.is_empty()
+                .retain(|instance, (_, deadline)| should_stay(instance, *deadline));
+            is_changed |= awaited.by_instance.len() != previous;
+            !awaited.by_instance.is_empty()
         });
-        if has_changed {
-            self.count();
+        if is_changed {
+            self.recount();
         }
     }
 
-    fn count(&mut self) {
-        self.waiters.clear();
-        for waiting in self.waiting.values() {
-            let key = (waiting.service.clone(), waiting.model_ref.model.clone());
-            *self.waiters.entry(key).or_default() += waiting.count();
+    fn recount(&mut self) {
+        self.waiters_by_model.clear();
+        for awaited in self.awaited.values() {
+            let key = (awaited.service.clone(), awaited.model_ref.model.clone());
+            *self.waiters_by_model.entry(key).or_default() += awaited.count();
         }
     }
 
-    /// What waits, the longest wait first.
-    pub(super) fn waiting(&self) -> Vec<&Waiting> {
-        let mut waiting: Vec<&Waiting> = self.waiting.values().collect();
-        waiting.sort_by(|one, other| {
-            let rank = |w: &Waiting| w.since;
-            rank(one)
-                .cmp(&rank(other))
-                .then_with(|| one.model_ref.cmp(&other.model_ref))
+    /// Models and adapters that requests wait for, the longest wait first.
+    pub(super) fn awaited_models(&self) -> Vec<&AwaitedModel> {
+        let mut awaited_models: Vec<&AwaitedModel> = self.awaited.values().collect();
+        awaited_models.sort_by(|a, b| {
+            let rank = |awaited: &AwaitedModel| awaited.waiting_since;
+            rank(a)
+                .cmp(&rank(b))
+                .then_with(|| a.model_ref.cmp(&b.model_ref))
         });
-        waiting
+        awaited_models
     }
 
-    /// What has waited for so long.
-    pub(super) fn waiting_since(
+    /// Models and adapters that requests have waited for at least `min_wait`.
+    pub(super) fn awaited_for_at_least(
         &self,
         now: Instant,
-        wait: Duration,
-    ) -> impl Iterator<Item = &Waiting> {
-        let waiting = self.waiting.values();
-        waiting.filter(move |waiting| now >= waiting.since + wait)
+        min_wait: Duration,
+    ) -> impl Iterator<Item = &AwaitedModel> {
+        let awaited_models = self.awaited.values();
+        awaited_models.filter(move |awaited| now >= awaited.waiting_since + min_wait)
     }
 
     /// Instances whose requests wait for a model or adapter.
@@ -200,20 +204,22 @@
         model_ref: &ModelRef,
     ) -> impl Iterator<Item = &'a InstanceId> + use<'a> {
         let key = (service.clone(), model_ref.clone());
-        let waiting = self.waiting.get(&key);
-        waiting.into_iter().flat_map(|w| w.by_instance.keys())
+        let awaited_model = self.awaited.get(&key);
+        awaited_model
+            .into_iter()
+            .flat_map(|awaited| awaited.by_instance.keys())
     }
 
-    /// Requests that wait for a model, with any adapter or none.
+    /// Requests that wait for a model, including requests for its adapters.
     pub(super) fn waiters(&self, service: &ServiceName, model: &ModelName) -> u32 {
-        if self.waiters.is_empty() {
+        if self.waiters_by_model.is_empty() {
             return 0;
         }
         let key = (service.clone(), model.clone());
-        self.waiters.get(&key).copied().unwrap_or(0)
+        self.waiters_by_model.get(&key).copied().unwrap_or(0)
     }
 
-    /// So many requests came for a model.
+    /// Records that `count` requests for a model arrived.
     pub(super) fn record_arrivals(
         &mut self,
         service: &ServiceName,
@@ -224,25 +230,25 @@
         let key = (service.clone(), model_ref.model.clone());
         let rate = self.rates.entry(key).or_insert(Rate {
             per_s: 0.0,
-            at: now,
+            updated_at: now,
         });
-        rate.per_s = rate.now(now) + f64::from(count) / RATE_TIME_S;
-        rate.at = now;
+        rate.per_s = rate.at(now) + f64::from(count) / RATE_WINDOW_S;
+        rate.updated_at = now;
     }
 
-    /// Requests a second for a model.
+    /// Requests per second for a model.
     pub(super) fn rate(&self, service: &ServiceName, model: &ModelName, now: Instant) -> f64 {
         let key = (service.clone(), model.clone());
-        self.rates.get(&key).map_or(0.0, |rate| rate.now(now))
+        self.rates.get(&key).map_or(0.0, |rate| rate.at(now))
     }
 
-    /// Whether nothing is asked for, as before traffic comes.
-    pub(super) fn is_quiet(&self, now: Instant) -> bool {
-        let per_s = self.rates.values().map(|rate| rate.now(now)).sum::<f64>();
-        self.waiting.is_empty() && per_s < QUIET_RATE_S
+    /// Whether there is no demand, for example before traffic starts.
+    pub(super) fn is_idle(&self, now: Instant) -> bool {
+        let total_per_s = self.rates.values().map(|rate| rate.at(now)).sum::<f64>();
+        self.awaited.is_empty() && total_per_s < IDLE_RATE_PER_S
     }
 
-    /// Models that may be worth more than one replica.
+    /// Models whose request rate may justify more than one replica.
     pub(super) fn busy_models(
         &self,
         now: Instant,
@@ -250,7 +256,7 @@
         let busy = self
             .rates
             .iter()
-            .filter(move |(_, rate)| rate.now(now) >= BUSY_RATE_S);
+            .filter(move |(_, rate)| rate.at(now) >= BUSY_RATE_PER_S);
         busy.map(|((service, model), _)| (service, model))
     }
 }
--- /dev/null
+++ b/crates/serving/src/placement/replica_counts.rs
@@ -0,0 +1,112 @@
+//! Replicas and running requests of each model over all engines of its service, counted once per
+//! pass because one pass reads them many times.
+
+use super::engine::Engine;
+use passway_types::prelude::*;
+use std::collections::HashMap;
+
+#[derive(Debug, Clone, Default)]
+struct Counts {
+    /// Engines on which the model is loaded and not about to be unloaded.
+    replicas: Vec<UpstreamId>,
+    pending_loads: usize,
+    running: u32,
+}
+
+/// The counts at one point in time. They are valid until an engine changes.
+#[derive(Debug, Default)]
+pub(super) struct ReplicaCounts {
+    /// Loads from the weight store that are in progress or about to begin.
+    store_loads: usize,
+    counts_by_model: HashMap<ServiceName, HashMap<ModelName, Counts>>,
+}
+
+impl ReplicaCounts {
+    /// Counts replicas and running requests. A model on an engine does not count as a replica if
+    /// `can_serve` is false for it.
+    pub(super) fn count<'a>(
+        engines: impl Iterator<Item = &'a Engine>,
+        can_serve: impl Fn(&Engine, &ModelName) -> bool,
+    ) -> Self {
+        let mut counts_by_model: HashMap<ServiceName, HashMap<ModelName, Counts>> = HashMap::new();
+        let mut store_loads = 0;
+        for engine in engines {
+            store_loads += usize::from(engine.has_pending_store_load());
+            let counts = counts_by_model
+                .entry(engine.entry.service.clone())
+                .or_default();
+            for model in engine
+                .usable_models()
+                .filter(|model| can_serve(engine, model))
+            {
+                let counts = counts.entry(model.clone()).or_default();
+                counts.replicas.push(engine.entry.id.clone());
+            }
+            if let Some(model) = engine.pending_load() {
+                counts.entry(model.clone()).or_default().pending_loads += 1;
+            }
+            for (model, running) in engine.running_requests() {
+                counts.entry(model.clone()).or_default().running += running;
+            }
+        }
+        Self {
+            store_loads,
+            counts_by_model,
+        }
+    }
+
+    /// Records that a swap begins: one model will be loaded on an engine, and others are evicted.
+    pub(super) fn record_swap(
+        &mut self,
+        service: &ServiceName,
+        engine: &UpstreamId,
+        loading: &ModelName,
+        victims: &[ModelName],
+        is_store_load: bool,
+    ) {
+        self.store_loads += usize::from(is_store_load);
+        let counts = self.counts_by_model.entry(service.clone()).or_default();
+        counts.entry(loading.clone()).or_default().pending_loads += 1;
+        for victim in victims {
+            if let Some(counts) = counts.get_mut(victim) {
+                counts.replicas.retain(|id| id != engine);
+            }
+        }
+    }
+
+    /// Loads from the weight store that are in progress or about to begin.
+    pub(super) fn pending_store_loads(&self) -> usize {
+        self.store_loads
+    }
+
+    fn counts(&self, service: &ServiceName, model: &ModelName) -> Option<&Counts> {
+        self.counts_by_model.get(service)?.get(model)
+    }
+
+    /// Engines on which a model is loaded and not about to be unloaded.
+    pub(super) fn engines_with_replica(
+        &self,
+        service: &ServiceName,
+        model: &ModelName,
+    ) -> &[UpstreamId] {
+        let counts = self.counts(service, model);
+        counts.map_or(&[], |counts| &counts.replicas)
+    }
+
+    /// Number of engines on which a model is loaded and not about to be unloaded.
+    pub(super) fn replica_count(&self, service: &ServiceName, model: &ModelName) -> usize {
+        self.engines_with_replica(service, model).len()
+    }
+
+    /// Number of engines that are loading a model or about to load it.
+    pub(super) fn pending_load_count(&self, service: &ServiceName, model: &ModelName) -> usize {
+        self.counts(service, model)
+            .map_or(0, |counts| counts.pending_loads)
+    }
+
+    /// Running requests for a model.
+    pub(super) fn running_count(&self, service: &ServiceName, model: &ModelName) -> u32 {
+        self.counts(service, model)
+            .map_or(0, |counts| counts.running)
+    }
+}
