--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -1,8 +1,8 @@
-//! The decisions that stand on hot paths, at several sizes.
+//! Benchmarks of decisions on hot paths, at several sizes.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use passway_serving::placement::policy::PolicyName;
-use passway_serving::placement::{ModelRuns, Waiters};
+use passway_serving::placement::{RunningRequests, Waiters};
 use passway_serving::upstreams::ModelRef;
 use passway_standins::fleet_model::{self, FleetSize, warm_planner};
 use passway_standins::sizes::{SIZES, WarmRouter};
@@ -10,23 +10,23 @@
 
 /// Admission and choice of a replica.
 fn serve_one(criterion: &mut Criterion) {
-    let mut workspace = criterion.benchmark_group("arrive_choose_end");
+    let mut group = criterion.benchmark_group("arrive_choose_end");
     for size in SIZES {
         let mut router = WarmRouter::new(size);
         let id = BenchmarkId::from_parameter(size.models + size.adapters);
-        workspace.bench_function(id, |bencher| bencher.iter(|| router.serve_one()));
+        group.bench_function(id, |bencher| bencher.iter(|| router.serve_one()));
     }
-    workspace.finish();
+    group.finish();
 }
 
-/// One word of an instance that a model was asked for, and the decision after it.
+/// One message of an instance that a model received a request.
 fn place_one(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("placement_request");
     for size in fleet_model::SIZES {
         let begun_at = Instant::now();
         let mut planner = warm_planner(&size, PolicyName::Balanced, begun_at);
         let service = FleetSize::service();
-        let wish = ModelRef {
+        let model_ref = ModelRef {
             model: FleetSize::model(size.models - 1),
             adapter: None,
         };
@@ -34,14 +34,14 @@
         group.bench_function(size.name, |bencher| {
             bencher.iter(|| {
                 now += Duration::from_micros(10);
-                planner.taken(&service, &wish, 1, now);
+                planner.record_arrivals(&service, &model_ref, 1, now);
             });
         });
     }
     group.finish();
 }
 
-/// One pass over all engines, with a request that waits.
+/// One pass over all engines, with a waiting request.
 fn plan_pass(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("placement_pass");
     for size in fleet_model::SIZES {
@@ -54,19 +54,19 @@
             bencher.iter(|| {
                 now += Duration::from_millis(1);
                 number = (number + 7) % size.models;
-                let wish = ModelRef {
+                let model_ref = ModelRef {
                     model: FleetSize::model(number),
                     adapter: None,
                 };
-                let until = now + Duration::from_secs(4);
+                let latest_deadline = now + Duration::from_secs(4);
                 let waiters = Waiters {
                     instance: "one".into(),
                     service: service.clone(),
-                    wish,
+                    model_ref,
                     count: 1,
-                    until,
+                    latest_deadline,
                 };
-                planner.waiting(waiters, now);
+                planner.set_waiters(waiters, now);
                 planner.decide(now)
             });
         });
@@ -74,14 +74,14 @@
     group.finish();
 }
 
-/// Hundreds of machines: what 295 instances tell the holder within a tenth of a second, while
-/// requests wait for 250 models, and four passes.
+/// Hundreds of machines: the messages of 295 instances to the holder within a tenth of a second,
+/// while requests wait for 250 models, and four passes.
 fn holder_tenth(criterion: &mut Criterion) {
     const INSTANCES: usize = 295;
-    const WAITING_MODELS: usize = 250;
-    /// Each instance tells what it runs every 400 ms.
-    const WORDS: usize = INSTANCES / 4;
-    const RUNS_EACH: usize = 5;
+    const AWAITED_MODELS: usize = 250;
+    /// Each instance sends a message about its running requests every 400 ms.
+    const MESSAGES: usize = INSTANCES / 4;
+    const RUNNING_PER_INSTANCE: usize = 5;
     const PASSES: usize = 4;
     let size = FleetSize {
         name: "hundreds",
@@ -96,7 +96,7 @@
     let begun_at = Instant::now();
     let mut planner = warm_planner(&size, PolicyName::Balanced, begun_at);
     let service = FleetSize::service();
-    let wish = |number: usize| ModelRef {
+    let model_ref = |number: usize| ModelRef {
         model: FleetSize::model(number % size.models),
         adapter: None,
     };
@@ -106,32 +106,32 @@
         bencher.iter(|| {
             now += Duration::from_millis(100);
             round += 1;
-            for word in 0..WORDS {
-                let number = round * WORDS + word;
+            for message in 0..MESSAGES {
+                let number = round * MESSAGES + message;
                 let instance: InstanceId = format!("instance-{}", number % INSTANCES).into();
-                let runs = (0..RUNS_EACH).map(|run| ModelRuns {
+                let running = (0..RUNNING_PER_INSTANCE).map(|run| RunningRequests {
                     engine: format!("e{}", (number * 7 + run * 31) % size.engines).into(),
                     model: FleetSize::model((number + run) % size.busy),
                     count: 1,
                 });
-                let runs: Vec<ModelRuns> = runs.collect();
-                planner.running(&instance, &runs);
-                planner.taken(&service, &wish(number), 1, now);
+                let running: Vec<RunningRequests> = running.collect();
+                planner.set_running(&instance, &running);
+                planner.record_arrivals(&service, &model_ref(number), 1, now);
                 let waiters = Waiters {
                     instance,
                     service: service.clone(),
-                    wish: wish(size.busy + number % WAITING_MODELS * 5),
+                    model_ref: model_ref(size.busy + number % AWAITED_MODELS * 5),
                     count: u32::from(!number.is_multiple_of(3)),
-                    until: now + Duration::from_secs(3),
+                    latest_deadline: now + Duration::from_secs(3),
                 };
-                planner.waiting(waiters, now);
+                planner.set_waiters(waiters, now);
             }
             let mut orders = 0;
             for _ in 0..PASSES {
                 now += Duration::from_millis(1);
                 orders += planner.decide(now).len();
-                planner.take_awaited();
-                planner.take_changed();
+                planner.take_awaited_placements();
+                planner.take_changed_placements();
             }
             orders
         });
--- a/crates/instance/src/holder/publishing.rs
+++ b/crates/instance/src/holder/publishing.rs
@@ -29,7 +29,7 @@
     EnginePlacement {
         engine: placement.engine.to_string(),
         models: models.collect(),
-        evicting: placement.closing.iter().map(ToString::to_string).collect(),
+        evicting: placement.evicting.iter().map(ToString::to_string).collect(),
     }
 }
 
@@ -81,7 +81,8 @@
     /// Sends the candidates the engines with unconfirmed orders, before the orders are sent. Once
     /// the answer to an order is lost, it is too late to publish that.
     pub(super) fn publish_unconfirmed(&mut self, now: Instant) {
-        let unconfirmed: BTreeSet<UpstreamId> = self.planner.doubtful(now).cloned().collect();
+        let unconfirmed: BTreeSet<UpstreamId> =
+            self.planner.unconfirmed_engines(now).cloned().collect();
         if unconfirmed == self.published_unconfirmed {
             return;
         }
@@ -127,7 +128,7 @@
             let until = now + Duration::from_millis(backoff.remaining_ms.min(MAX_BACKOFF_MS));
             let engine = UpstreamId::from(backoff.upstream.as_str());
             self.planner
-                .note_rest(&engine, backoff.started_at_ms, until);
+                .record_backoff(&engine, backoff.started_at_ms, until);
         }
         let mut changed = signals::merge(&self.shared, received);
         changed.retain(|id| {
@@ -179,7 +180,7 @@
         let Some(instances) = instances else {
             return;
         };
-        let wanted = dispatch::required_dispatchers(instances, self.planner.engines());
+        let wanted = dispatch::required_dispatchers(instances, self.planner.engine_count());
         let this_instance = &self.shared.settings.instance;
         let chosen = self
             .candidates
@@ -210,7 +211,7 @@
             confirmed_at_ms: self.relay.store_answered_ms(self.clock_origin),
             unconfirmed: self
                 .planner
-                .doubtful(now)
+                .unconfirmed_engines(now)
                 .map(ToString::to_string)
                 .collect(),
             ..Updates::default()
@@ -257,14 +258,14 @@
 
     /// Sends changed placements to all instances, less often the more instances there are.
     pub(super) fn publish_changes(&mut self, now: Instant) {
-        let awaited = self.planner.take_awaited();
+        let awaited = self.planner.take_awaited_placements();
         self.publish_awaited(awaited);
-        if now < self.publish_at || !self.planner.has_changed() {
+        if now < self.publish_at || !self.planner.has_changed_placements() {
             return;
         }
         let peers = u32::try_from(self.peers.len()).unwrap_or(u32::MAX);
         self.publish_at = now + PLACEMENT_INTERVAL_PER_PEER * peers;
-        let changed = self.planner.take_changed();
+        let changed = self.planner.take_changed_placements();
         if !changed.is_empty() {
             send_to_all(self.peers.values(), placements_body(changed));
         }
--- a/crates/serving/src/placement/engine.rs
+++ b/crates/serving/src/placement/engine.rs
@@ -1,35 +1,36 @@
-//! One engine as the holder knows it: what stands on it and which order is under way.
-//! Orders and their answers are in `orders`, what it tells of itself in `reports`.
+//! The holder's knowledge of one engine: its loaded models and the orders in flight. Module
+//! `orders` handles orders and their answers, `reports` the engine's entries and reports.
 
+mod capacity;
+mod entry_history;
+mod in_flight;
 mod orders;
-mod pending;
 mod reports;
-mod room;
-mod shown;
 
 use super::{Placement, PlannedOrder};
 use crate::poison::UpstreamStart;
 use crate::ports::OrderAction;
 use crate::routes::{EnginePool, ModelSpec};
 use crate::upstreams::{ModelRef, ResidentModel, UpstreamEntry};
+use entry_history::EntryHistory;
+pub(super) use in_flight::InterruptedLoad;
+use in_flight::{InFlightOrder, InheritedOrders, UnconfirmedOrder};
 use passway_types::prelude::*;
-pub(super) use pending::Loading;
-use pending::{Inherited, UnderWay, Unresolved};
-use shown::ShownModels;
 use std::collections::{BTreeMap, HashMap};
 
-/// An engine that leaves so many questions in a row unanswered counts as gone.
-const UNREACHABLE_AFTER: u32 = 2;
-/// Times of adapters' use that are kept beyond twice those that count: so few that 600 engines
-/// keep below 5 MB, so many that they are seldom looked through.
+/// An engine that leaves this many consecutive queries unanswered counts as unreachable.
+const UNREACHABLE_AFTER_QUERIES: u32 = 2;
+/// Adapter use times kept beyond twice the number of loaded and pending adapters. The number keeps
+/// 600 engines below 5 MB and makes the map's cleanup rare.
 const SPARE_ADAPTER_USES: usize = 32;
-/// An engine whose entry has no higher number than this has started within the time in which
-/// an order without an answer may be carried out (12 s): it checks in about every 1.2 s.
-const RECENT_BEATS: u64 = 10;
-/// Pause between two questions to an engine that should have what requests wait for.
-const DOUBT_PAUSE: Duration = Duration::from_secs(1);
-
-/// Where an engine finds a model's weights.
+/// An engine whose entry has at most this many heartbeats has started within the time in which an
+/// unconfirmed order may still be carried out (12 s): an engine checks in about every 1.2 s.
+const RECENT_HEARTBEATS: u64 = 10;
+/// Minimum interval between two checks of an engine that should serve a model for which requests
+/// wait.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Storage tier from which an engine loads a model's weights.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Tier {
     Memory,
@@ -47,60 +48,69 @@
     }
 }
 
-/// What the holder knows of one engine, and its orders to it.
+/// The holder's knowledge of one engine, and its orders to that engine.
 ///
-/// An order must fit whatever the engine's true state is when it arrives: that the engine can
-/// refuse it by its count does not make it right. So room is kept for what is loading, for
-/// what may be loaded yet, and until it is sure that something has gone.
+/// An order must fit whatever the engine's true state is when the order arrives; the engine's check
+/// of the order count does not excuse an order that would not fit. Memory therefore stays reserved
+/// for loads in flight, for loads that may still begin, and for models until their unload is
+/// certain.
 #[derive(Debug)]
 pub(super) struct Engine {
     pub(super) entry: UpstreamEntry,
     models: Vec<ResidentModel>,
-    /// What its entries have shown of its models.
-    shown: ShownModels,
-    /// Adapters that were on their way by the last report, whoever ordered them.
+    /// Model sets that the engine's entries have shown or may still show.
+    entry_history: EntryHistory,
+    /// Adapters that were loading as of the last report, including those ordered by a previous
+    /// holder.
     adapters_loading: Vec<ModelRef>,
-    /// Orders whose answers were lost lately.
-    unresolved: Vec<Unresolved>,
-    inherited: Inherited,
-    /// Orders that it has taken at least: a report with fewer is older than that.
-    least_orders: u64,
-    /// Models that are to make room, in the order in which they go.
-    pub(super) closing: Vec<ModelName>,
-    /// The model that comes when there is room.
-    coming: Option<ModelName>,
-    /// Whether that comes from the weight store.
-    fetches: bool,
-    adapters_wanted: Vec<ModelRef>,
-    /// For adapters that stand here or are wanted, and some that went.
+    /// Orders without an answer that the engine may still carry out.
+    unconfirmed_orders: Vec<UnconfirmedOrder>,
+    /// Orders of the previous holder that the engine may still carry out.
+    inherited_orders: InheritedOrders,
+    /// Lower bound of the orders taken: a report with a lower count is outdated.
+    min_orders_taken: u64,
+    /// Models that are about to be unloaded, in the order of the unloads.
+    pub(super) evicting: Vec<ModelName>,
+    /// The model that is loading, or will be loaded once enough memory is free.
+    pending_load: Option<ModelName>,
+    /// Whether `pending_load` comes from the weight store.
+    is_store_fetch: bool,
+    /// Adapters to load, in this order.
+    pending_adapters: Vec<ModelRef>,
+    /// Last use of loaded and pending adapters, and of some unloaded ones.
     adapter_used_at: HashMap<ModelRef, Instant>,
-    /// Models and adapters that have come since this was asked last.
-    just_came: Vec<ModelRef>,
-    /// For models that stand here.
+    /// Models and adapters loaded since the last [`Self::take_newly_loaded`].
+    newly_loaded: Vec<ModelRef>,
+    /// Load time of loaded models.
     loaded_at: HashMap<ModelName, Instant>,
-    /// For adapters that stand here and were loaded by orders of this term.
+    /// Load time of adapters that were loaded by orders of this term.
     adapter_loaded_at: HashMap<ModelRef, Instant>,
-    running: BTreeMap<InstanceId, Vec<(ModelName, u32)>>,
-    /// Orders that it has taken; `None` until it was asked.
+    /// Running requests by model, as each instance published them.
+    running_by_instance: BTreeMap<InstanceId, Vec<(ModelName, u32)>>,
+    /// Number of orders that the engine has taken; `None` until a report shows it.
     orders_taken: Option<u64>,
-    under_way: Option<UnderWay>,
+    /// The model order in flight.
+    model_order: Option<InFlightOrder>,
+    /// The adapter order that has no answer yet.
     adapter_order: Option<PlannedOrder>,
-    /// An adapter that is on its way and there at the moment given.
-    adapter_due: Option<(PlannedOrder, Instant)>,
-    ask_at: Option<Instant>,
-    asked: bool,
-    /// The model whose load was taken and that has not come yet, also once that is given up.
-    loading: Option<ModelName>,
-    /// Questions in a row without an answer.
-    unanswered: u32,
-    /// When it was asked last since requests wait for what it should have.
-    doubted_at: Option<Instant>,
-    /// Requests a second that it takes while it is in need.
+    /// The taken order of an adapter load, and when the load is due.
+    accepted_adapter_load: Option<(PlannedOrder, Instant)>,
+    /// When to query the engine next.
+    query_at: Option<Instant>,
+    is_query_in_flight: bool,
+    /// The model whose load order was taken and that is not loaded yet. Kept when the swap is
+    /// abandoned.
+    accepted_load: Option<ModelName>,
+    /// Consecutive queries without an answer.
+    unanswered_queries: u32,
+    /// When the engine was last queried because requests waited for a model that it should serve.
+    last_checked_at: Option<Instant>,
+    /// Requests per second that a limited engine accepts.
     limit_per_s: Option<f64>,
-    /// Until when it wants nothing from some instance.
-    rests_until: Option<Instant>,
-    /// Whether operators have emptied its hall.
-    is_emptied: bool,
+    /// Until when the engine accepts no requests from some instance.
+    backing_off_until: Option<Instant>,
+    /// Whether operators have evacuated the engine's hall.
+    is_evacuated: bool,
 }
 
 impl Engine {
@@ -108,82 +118,86 @@
         Self {
             models: entry.models.clone(),
             entry,
-            shown: ShownModels::default(),
+            entry_history: EntryHistory::default(),
             adapters_loading: Vec::new(),
-            unresolved: Vec::new(),
-            inherited: Inherited::Nothing,
-            least_orders: 0,
-            closing: Vec::new(),
-            coming: None,
-            fetches: false,
-            adapters_wanted: Vec::new(),
+            unconfirmed_orders: Vec::new(),
+            inherited_orders: InheritedOrders::NoOrder,
+            min_orders_taken: 0,
+            evicting: Vec::new(),
+            pending_load: None,
+            is_store_fetch: false,
+            pending_adapters: Vec::new(),
             adapter_used_at: HashMap::new(),
-            just_came: Vec::new(),
+            newly_loaded: Vec::new(),
             loaded_at: HashMap::new(),
             adapter_loaded_at: HashMap::new(),
-            running: BTreeMap::new(),
+            running_by_instance: BTreeMap::new(),
             orders_taken: None,
-            under_way: None,
+            model_order: None,
             adapter_order: None,
-            adapter_due: None,
-            ask_at: None,
-            asked: false,
-            unanswered: 0,
-            loading: None,
-            doubted_at: None,
+            accepted_adapter_load: None,
+            query_at: None,
+            is_query_in_flight: false,
+            unanswered_queries: 0,
+            accepted_load: None,
+            last_checked_at: None,
             limit_per_s: None,
-            rests_until: None,
-            is_emptied: false,
+            backing_off_until: None,
+            is_evacuated: false,
         }
     }
 
-    /// It has started again under its id, and holds and knows nothing of before. An order
-    /// that it has not answered may reach it yet.
+    /// Resets the state after the engine has restarted under its id. The engine may still receive
+    /// an unconfirmed order.
     fn restart(&mut self, entry: UpstreamEntry) {
-        let unresolved = std::mem::take(&mut self.unresolved);
-        let inherits = self.inherits();
-        let is_emptied = self.is_emptied;
+        let unconfirmed_orders = std::mem::take(&mut self.unconfirmed_orders);
+        let had_inherited_orders = self.has_inherited_orders();
+        let is_evacuated = self.is_evacuated;
         *self = Self::new(entry);
-        self.is_emptied = is_emptied;
-        self.unresolved = unresolved;
-        if inherits {
-            self.inherited = Inherited::AtAnyCount;
+        self.is_evacuated = is_evacuated;
+        self.unconfirmed_orders = unconfirmed_orders;
+        if had_inherited_orders {
+            self.inherited_orders = InheritedOrders::AtAnyCount;
         }
     }
 
-    /// Whether an order to it has no answer and may be carried out yet.
-    pub(super) fn is_doubtful(&self, now: Instant) -> bool {
-        matches!(self.under_way, Some(UnderWay::Sent(_)))
+    /// Whether the engine may still carry out an order that has no answer.
+    pub(super) fn has_unconfirmed_orders(&self, now: Instant) -> bool {
+        matches!(self.model_order, Some(InFlightOrder::Sent(_)))
             || self.adapter_order.is_some()
-            || self.inherits()
-            || self.unresolved.iter().any(|pending| now < pending.until)
-    }
-
-    /// A term begins. In a `doubtful` engine an order of the holder before may be carried out yet.
-    pub(super) fn forget_orders(&mut self, doubtful: bool) {
-        self.shown.clear();
-        self.inherited = match doubtful {
-            false => Inherited::Nothing,
-            true if self.entry.heartbeat <= RECENT_BEATS => Inherited::AtAnyCount,
-            true => Inherited::AtThisCount,
+            || self.has_inherited_orders()
+            || self
+                .unconfirmed_orders
+                .iter()
+                .any(|unconfirmed| now < unconfirmed.expires_at)
+    }
+
+    /// Begins a term. With `has_unconfirmed`, the engine may still carry out an order of the
+    /// previous holder.
+    pub(super) fn begin_term(&mut self, has_unconfirmed: bool) {
+        self.entry_history.clear();
+        self.inherited_orders = match has_unconfirmed {
+            false => InheritedOrders::NoOrder,
+            true if self.entry.heartbeat <= RECENT_HEARTBEATS => InheritedOrders::AtAnyCount,
+            true => InheritedOrders::AtCurrentCount,
         };
-        self.closing.clear();
-        self.coming = None;
-        self.adapters_wanted.clear();
+        self.evicting.clear();
+        self.pending_load = None;
+        self.pending_adapters.clear();
         self.orders_taken = None;
-        self.under_way = None;
+        self.model_order = None;
         self.adapter_order = None;
-        self.adapter_due = None;
-        self.ask_at = None;
-        self.asked = false;
+        self.accepted_adapter_load = None;
+        self.query_at = None;
+        self.is_query_in_flight = false;
     }
 
-    /// Models and adapters that have come since the last call.
-    /// The model that was coming to it, if it has ended now without having said that it leaves.
-    pub(super) fn loading(&self) -> Option<Loading> {
-        Some(Loading {
+    /// The load that is lost if this engine process has just terminated; `None` if no load was in
+    /// progress or the engine had signalled that it leaves.
+    pub(super) fn interrupted_load(&self) -> Option<InterruptedLoad> {
+        Some(InterruptedLoad {
             service: self.entry.service.clone(),
-            model: self.loading.clone()?,
+            model: self.accepted_load.clone()?,
             start: UpstreamStart {
                 upstream: self.entry.id.clone(),
                 started_at_ms: self.entry.started_at_ms,
@@ -191,7 +205,7 @@
         })
     }
 
-    /// Whether a model has come to it by an order after a moment.
+    /// Whether an order has loaded a model after `after`.
     pub(super) fn has_loaded(
         &self,
         service: &ServiceName,
@@ -202,93 +216,101 @@
         self.entry.service == *service && loaded_at.is_some_and(|at| *at > after)
     }
 
-    pub(super) fn take_just_came(&mut self) -> Vec<ModelRef> {
-        std::mem::take(&mut self.just_came)
+    /// Models and adapters loaded since the last call.
+    pub(super) fn take_newly_loaded(&mut self) -> Vec<ModelRef> {
+        std::mem::take(&mut self.newly_loaded)
     }
 
     pub(super) fn placement(&self) -> Placement {
         Placement {
             engine: self.entry.id.clone(),
             models: self.models.clone(),
-            closing: self.closing.clone(),
+            evicting: self.evicting.clone(),
         }
     }
 
-    fn resident(&self, model: &ModelName) -> Option<&ResidentModel> {
+    fn resident_model(&self, model: &ModelName) -> Option<&ResidentModel> {
         self.models.iter().find(|m| m.name == *model)
     }
 
-    /// Whether a model stands here and stays.
-    pub(super) fn has(&self, service: &ServiceName, model: &ModelName) -> bool {
+    /// Whether a model is loaded, usable and not about to be unloaded.
+    pub(super) fn has_model(&self, service: &ServiceName, model: &ModelName) -> bool {
         self.entry.service == *service
-            && !self.is_going()
+            && !self.is_leaving()
             && !self.is_unreachable()
-            && !self.closing.contains(model)
-            && self.resident(model).is_some()
+            && !self.evicting.contains(model)
+            && self.resident_model(model).is_some()
     }
 
-    /// Whether nothing new goes to it, so that what it has must come elsewhere: it leaves, or its hall was
-    /// emptied.
-    pub(super) fn is_going(&self) -> bool {
-        self.entry.draining || self.is_emptied
+    /// Whether nothing new may be loaded and the engine's models must be loaded elsewhere: the
+    /// engine is draining or its hall is evacuated.
+    pub(super) fn is_leaving(&self) -> bool {
+        self.entry.draining || self.is_evacuated
     }
 
-    /// Whether operators have emptied its hall; returns whether that is news.
-    pub(super) fn set_emptied(&mut self, is_emptied: bool) -> bool {
-        std::mem::replace(&mut self.is_emptied, is_emptied) != is_emptied
+    /// Sets whether operators have evacuated the engine's hall. Returns whether this is a change.
+    pub(super) fn set_evacuated(&mut self, is_evacuated: bool) -> bool {
+        std::mem::replace(&mut self.is_evacuated, is_evacuated) != is_evacuated
     }
 
-    /// Whether it left the last questions unanswered. Its entry goes seconds after its end,
-    /// and not at all while the store is away; meanwhile what stands on it serves nobody.
+    /// Whether the engine left the last queries unanswered. The entry of a terminated engine stays
+    /// for seconds, and indefinitely during an outage of the store; meanwhile its models serve no
+    /// request.
     fn is_unreachable(&self) -> bool {
-        self.unanswered >= UNREACHABLE_AFTER
-    }
-
-    /// Requests wait for what it should have: it is asked, once in a while.
-    pub(super) fn doubt(&mut self, now: Instant) {
-        let is_asked = self.asked || self.ask_at.is_some() || self.under_way.is_some();
-        let pause_is_over = self.doubted_at.is_none_or(|at| now >= at + DOUBT_PAUSE);
-        if !is_asked && pause_is_over {
-            self.doubted_at = Some(now);
-            self.ask_at = Some(now);
+        self.unanswered_queries >= UNREACHABLE_AFTER_QUERIES
+    }
+
+    /// Schedules a query because requests wait for a model that this engine should serve, at most
+    /// once per [`CHECK_INTERVAL`].
+    pub(super) fn schedule_check(&mut self, now: Instant) {
+        let is_query_planned =
+            self.is_query_in_flight || self.query_at.is_some() || self.model_order.is_some();
+        let is_check_due = self
+            .last_checked_at
+            .is_none_or(|at| now >= at + CHECK_INTERVAL);
+        if !is_query_planned && is_check_due {
+            self.last_checked_at = Some(now);
+            self.query_at = Some(now);
         }
     }
 
-    /// Whether requests for a model or adapter can run here.
-    pub(super) fn serves(&self, service: &ServiceName, model_ref: &ModelRef) -> bool {
-        self.has(service, &model_ref.model)
+    /// Whether requests for a model or adapter can run on this engine.
+    pub(super) fn can_serve(&self, service: &ServiceName, model_ref: &ModelRef) -> bool {
+        self.has_model(service, &model_ref.model)
             && (model_ref.adapter.is_none() || self.has_adapter(model_ref))
     }
 
-    /// Whether the adapter that a request needs stands here.
+    /// Whether the adapter of `model_ref` is loaded.
     fn has_adapter(&self, model_ref: &ModelRef) -> bool {
-        let adapters = self.resident(&model_ref.model).map(|model| &model.adapters);
+        let adapters = self
+            .resident_model(&model_ref.model)
+            .map(|model| &model.adapters);
         let adapter = model_ref.adapter.as_ref();
         adapters
             .zip(adapter)
             .is_some_and(|(adapters, adapter)| adapters.contains(adapter))
     }
 
-    /// Whether a model is to be loaded here, once there is room.
-    pub(super) fn will_load(&self, service: &ServiceName, model: &ModelName) -> bool {
-        self.entry.service == *service && self.coming.as_ref() == Some(model)
+    /// Whether a model is loading, or will be loaded once enough memory is free.
+    pub(super) fn is_load_pending(&self, service: &ServiceName, model: &ModelName) -> bool {
+        self.entry.service == *service && self.pending_load.as_ref() == Some(model)
     }
 
-    /// The model that comes, if one does.
-    pub(super) fn coming(&self) -> Option<&ModelName> {
-        self.coming.as_ref()
+    /// The model that is loading, or will be loaded once enough memory is free.
+    pub(super) fn pending_load(&self) -> Option<&ModelName> {
+        self.pending_load.as_ref()
     }
 
-    /// Whether a model, or an adapter or the model it belongs to, is still to be loaded here.
-    pub(super) fn will_have(&self, service: &ServiceName, model_ref: &ModelRef) -> bool {
+    /// Whether the model or adapter, or the model of the adapter, is loading or going to be loaded.
+    pub(super) fn is_load_planned(&self, service: &ServiceName, model_ref: &ModelRef) -> bool {
         if model_ref.adapter.is_none() {
-            return self.will_load(service, &model_ref.model);
+            return self.is_load_pending(service, &model_ref.model);
         }
         self.entry.service == *service
-            && (self.adapters_wanted.contains(model_ref)
+            && (self.pending_adapters.contains(model_ref)
                 || self.adapters_loading.contains(model_ref)
-                || (self.resident(&model_ref.model).is_none()
-                    && self.will_load(service, &model_ref.model)))
+                || (self.resident_model(&model_ref.model).is_none()
+                    && self.is_load_pending(service, &model_ref.model)))
     }
 
     pub(super) fn model_names(&self) -> Vec<ModelName> {
@@ -305,7 +327,7 @@
         }
     }
 
-    pub(super) fn load_time(
+    pub(super) fn load_duration(
         &self,
         pools: &BTreeMap<ServiceName, EnginePool>,
         model: &ModelName,
@@ -315,137 +337,150 @@
         Duration::from_millis(spec.map_or(0, |spec| self.tier(model).load_ms(spec)))
     }
 
-    /// Whether what comes was to be loaded from the weight store when that was decided.
-    pub(super) fn loads_from_store(&self) -> bool {
-        self.coming.is_some() && self.fetches
+    /// Whether the pending load was from the weight store when it was decided.
+    pub(super) fn has_pending_store_load(&self) -> bool {
+        self.pending_load.is_some() && self.is_store_fetch
     }
 
     /// Whether an order loads a model from the weight store.
     pub(super) fn is_store_load(&self, order: &PlannedOrder) -> bool {
-        let is_load = order.action == OrderAction::Load && order.wish.adapter.is_none();
-        is_load && self.tier(&order.wish.model) == Tier::Store
+        let is_load = order.action == OrderAction::Load && order.model_ref.adapter.is_none();
+        is_load && self.tier(&order.model_ref.model) == Tier::Store
     }
 
     pub(super) fn size_mb(&self, pool: &EnginePool, model: &ModelName) -> f64 {
         let spec = pool.models.named(model);
-        let adapters = self.resident(model).map_or(0, |m| m.adapters.len());
+        let adapters = self.resident_model(model).map_or(0, |m| m.adapters.len());
         let adapters = super::demand::as_f64(u64::try_from(adapters).unwrap_or(0));
-        // A model that the configuration does not name is taken to fill the engine.
+        // A model that is missing in the configuration is assumed to fill the engine.
         spec.map_or(pool.weights_mb, |s| s.weights_mb + adapters * s.adapter_mb)
     }
 
-    /// It says how much it takes; `None` once it is in no need any more.
+    /// Sets the limit that the engine advertises; `None` if the engine is no longer limited.
     pub(super) fn set_limit(&mut self, per_s: Option<f64>) {
         self.limit_per_s = per_s;
     }
 
-    /// It wants nothing from some instance until a moment.
-    pub(super) fn note_rest(&mut self, until: Instant) {
-        self.rests_until = self.rests_until.max(Some(until));
+    /// Records that the engine accepts no requests from some instance until `until`.
+    pub(super) fn record_backoff(&mut self, until: Instant) {
+        self.backing_off_until = self.backing_off_until.max(Some(until));
     }
 
-    /// Whether it wants nothing from some instance.
-    pub(super) fn rests(&self, now: Instant) -> bool {
-        self.rests_until.is_some_and(|until| now < until)
+    /// Whether the engine accepts no requests from some instance.
+    pub(super) fn is_backing_off(&self, now: Instant) -> bool {
+        self.backing_off_until.is_some_and(|until| now < until)
     }
 
-    /// Whether it says that it takes less than it has slots for.
-    pub(super) fn is_in_need(&self) -> bool {
+    /// Whether the engine advertises a limit, i.e. accepts fewer requests than its slots allow.
+    pub(super) fn is_limited(&self) -> bool {
         self.limit_per_s.is_some()
     }
 
-    /// Whether it takes what one of its models is asked for, if the others are asked for as often.
-    pub(super) fn bears(&self, asked_per_s: f64) -> bool {
-        let models = u64::try_from(self.models.len()).unwrap_or(u64::MAX);
+    /// Whether the engine's limit allows this request rate for one of its models, if each of its
+    /// other models receives the same rate.
+    pub(super) fn can_serve_rate(&self, requests_per_s: f64) -> bool {
+        let model_count = u64::try_from(self.models.len()).unwrap_or(u64::MAX);
         let limit = self.limit_per_s;
-        limit.is_none_or(|per_s| asked_per_s * super::demand::as_f64(models) <= per_s)
+        limit.is_none_or(|per_s| requests_per_s * super::demand::as_f64(model_count) <= per_s)
     }
 
-    /// Whether a new swap may begin here.
-    pub(super) fn takes_orders(&self) -> bool {
-        !self.is_going() && self.coming.is_none() && self.orders_taken.is_some()
+    /// Whether a new swap of models may begin.
+    pub(super) fn can_start_swap(&self) -> bool {
+        !self.is_leaving() && self.pending_load.is_none() && self.orders_taken.is_some()
     }
 
-    /// Time until the order under way is done, in milliseconds.
-    pub(super) fn wait_ms(&self, now: Instant) -> f64 {
-        match &self.under_way {
-            Some(UnderWay::Taken { due_at, .. }) => {
+    /// Time until the model order in flight is due, in milliseconds.
+    pub(super) fn order_remaining_ms(&self, now: Instant) -> f64 {
+        match &self.model_order {
+            Some(InFlightOrder::Taken { due_at, .. }) => {
                 due_at.saturating_duration_since(now).as_secs_f64() * 1_000.0
             }
             _ => 0.0,
         }
     }
 
-    pub(super) fn swap(&mut self, model: ModelName, victims: Vec<ModelName>) {
-        self.closing = victims;
-        self.fetches = self.tier(&model) == Tier::Store;
-        self.coming = Some(model);
+    pub(super) fn start_swap(&mut self, model: ModelName, victims: Vec<ModelName>) {
+        self.evicting = victims;
+        self.is_store_fetch = self.tier(&model) == Tier::Store;
+        self.pending_load = Some(model);
     }
 
-    pub(super) fn loaded_within(&self, model: &ModelName, time: Duration, now: Instant) -> bool {
-        self.loaded_at.get(model).is_some_and(|at| now < *at + time)
+    pub(super) fn was_loaded_within(
+        &self,
+        model: &ModelName,
+        duration: Duration,
+        now: Instant,
+    ) -> bool {
+        self.loaded_at
+            .get(model)
+            .is_some_and(|at| now < *at + duration)
     }
 
-    pub(super) fn set_running(&mut self, instance: &InstanceId, runs: Vec<(ModelName, u32)>) {
-        if runs.is_empty() {
-            self.running.remove(instance);
+    pub(super) fn set_running(&mut self, instance: &InstanceId, running: Vec<(ModelName, u32)>) {
+        if running.is_empty() {
+            self.running_by_instance.remove(instance);
         } else {
-            self.running.insert(instance.clone(), runs);
+            self.running_by_instance.insert(instance.clone(), running);
         }
     }
 
-    /// Models that stand here and stay.
-    pub(super) fn staying(&self) -> impl Iterator<Item = &ModelName> {
-        let is_usable = !self.is_going() && !self.is_unreachable();
-        let stays = move |name: &&ModelName| is_usable && !self.closing.contains(name);
-        self.models.iter().map(|model| &model.name).filter(stays)
+    /// Models that are loaded, usable and not about to be unloaded.
+    pub(super) fn usable_models(&self) -> impl Iterator<Item = &ModelName> {
+        let is_engine_usable = !self.is_leaving() && !self.is_unreachable();
+        let is_usable = move |name: &&ModelName| is_engine_usable && !self.evicting.contains(name);
+        self.models
+            .iter()
+            .map(|model| &model.name)
+            .filter(is_usable)
     }
 
-    /// Runs by model, as each instance told them.
-    pub(super) fn all_runs(&self) -> impl Iterator<Item = (&ModelName, u32)> {
-        let runs = self.running.values().flatten();
-        runs.map(|(model, count)| (model, *count))
+    /// Running requests by model, one entry for each instance.
+    pub(super) fn running_requests(&self) -> impl Iterator<Item = (&ModelName, u32)> {
+        let running = self.running_by_instance.values().flatten();
+        running.map(|(model, count)| (model, *count))
     }
 
-    /// Runs of a model, over all instances.
-    pub(super) fn runs(&self, model: &ModelName) -> u32 {
-        let runs = self.running.values().flatten();
-        runs.filter(|(named, _)| named == model)
+    /// Running requests for a model, over all instances.
+    pub(super) fn running_count(&self, model: &ModelName) -> u32 {
+        let running = self.running_by_instance.values().flatten();
+        running
+            .filter(|(running_model, _)| running_model == model)
             .map(|(_, count)| count)
             .sum()
     }
 
-    /// Requests for a model or adapter came; the adapter that was used last is unloaded last.
-    pub(super) fn record_use(&mut self, model_ref: &ModelRef, now: Instant) {
-        // One that stands elsewhere takes no place here, and names come from callers.
+    /// Records the use of a loaded adapter. The most recently used adapter is unloaded last.
+    pub(super) fn record_adapter_use(&mut self, model_ref: &ModelRef, now: Instant) {
+        // Ignores adapters that are not loaded: names come from callers, and the map must stay
+        // small.
         if self.has_adapter(model_ref) {
-            self.note_use(model_ref, now);
+            self.touch_adapter(model_ref, now);
         }
     }
 
-    /// Notes a use, and forgets those of adapters that neither stand here nor are wanted
-    /// whenever they are as many as those that do.
-    fn note_use(&mut self, model_ref: &ModelRef, now: Instant) {
-        let most = 2 * self.adapter_count() + SPARE_ADAPTER_USES;
-        if self.adapter_used_at.len() >= most {
+    /// Records a use. Drops the uses of adapters that are neither loaded nor pending once the map
+    /// has grown beyond its limit.
+    fn touch_adapter(&mut self, model_ref: &ModelRef, now: Instant) {
+        let max_uses = 2 * self.adapter_count() + SPARE_ADAPTER_USES;
+        if self.adapter_used_at.len() >= max_uses {
             let mut uses = std::mem::take(&mut self.adapter_used_at);
-            uses.retain(|used, _| self.has_adapter(used) || self.adapters_wanted.contains(used));
+            uses.retain(|used, _| self.has_adapter(used) || self.pending_adapters.contains(used));
             self.adapter_used_at = uses;
         }
         self.adapter_used_at.insert(model_ref.clone(), now);
     }
 
-    /// Adapters that stand here.
-    fn standing_adapters(&self) -> usize {
+    /// Number of loaded adapters.
+    fn loaded_adapter_count(&self) -> usize {
         self.models.iter().map(|m| m.adapters.len()).sum()
     }
 
-    /// Adapters that stand here or are wanted.
+    /// Number of loaded and pending adapters.
     pub(super) fn adapter_count(&self) -> usize {
-        self.standing_adapters() + self.adapters_wanted.len()
+        self.loaded_adapter_count() + self.pending_adapters.len()
     }
 
-    pub(super) fn want_adapter(
+    pub(super) fn plan_adapter(
         &mut self,
         pool: &EnginePool,
         model: &ModelName,
@@ -456,25 +491,25 @@
             model: model.clone(),
             adapter: Some(adapter.clone()),
         };
-        if pool.adapter_slots == 0 || self.adapters_wanted.contains(&model_ref) {
+        if pool.adapter_slots == 0 || self.pending_adapters.contains(&model_ref) {
             return;
         }
-        self.note_use(&model_ref, now);
-        self.adapters_wanted.push(model_ref);
+        self.touch_adapter(&model_ref, now);
+        self.pending_adapters.push(model_ref);
     }
 
-    /// The model order under way has taken effect.
-    fn model_order_done(&mut self, now: Instant) {
-        let Some(under_way) = self.under_way.take() else {
+    /// Applies the effect of the model order in flight.
+    fn complete_model_order(&mut self, now: Instant) {
+        let Some(in_flight) = self.model_order.take() else {
             return;
         };
-        let order = under_way.order();
-        let model = order.wish.model.clone();
-        self.ask_at = None;
-        self.loading = None;
-        // An answer that is still on its way is not waited for.
-        self.asked = false;
-        self.closing.retain(|closing| *closing != model);
+        let order = in_flight.order();
+        let model = order.model_ref.model.clone();
+        self.query_at = None;
+        self.accepted_load = None;
+        // The effect is known, so the answer to a query in flight is not awaited.
+        self.is_query_in_flight = false;
+        self.evicting.retain(|evicted| *evicted != model);
         self.models.retain(|m| m.name != model);
         if order.action == OrderAction::Load {
             self.models.push(ResidentModel {
@@ -485,44 +520,47 @@
             self.loaded_at
                 .retain(|loaded, _| models.iter().any(|m| m.name == *loaded));
             self.loaded_at.insert(model.clone(), now);
-            self.just_came.push(order.wish.clone());
-            if self.coming.as_ref() == Some(&model) {
-                self.coming = None;
+            self.newly_loaded.push(order.model_ref.clone());
+            if self.pending_load.as_ref() == Some(&model) {
+                self.pending_load = None;
             }
         }
-        self.shown.has(&self.models, &self.entry.models);
+        self.entry_history.record(&self.models, &self.entry.models);
     }
 
-    /// This incarnation has ended; its entry goes later.
-    fn ended(&mut self) {
-        self.abandon();
+    /// Marks this engine process as terminated; its entry disappears later.
+    fn mark_terminated(&mut self) {
+        self.abandon_swap();
         self.entry.draining = true;
         self.models.clear();
-        self.ask_at = None;
-        // Nothing more is asked at an address that belongs to another one now.
-        self.asked = true;
+        self.query_at = None;
+        // Prevents further queries, because the address may belong to another engine by now.
+        self.is_query_in_flight = true;
     }
 
-    /// Gives the swap up.
-    fn abandon(&mut self) {
-        self.under_way = None;
-        self.coming = None;
-        self.closing.clear();
+    /// Abandons the swap.
+    fn abandon_swap(&mut self) {
+        self.model_order = None;
+        self.pending_load = None;
+        self.evicting.clear();
         self.orders_taken = None;
     }
 
-    fn adapter_done(&mut self, order: &PlannedOrder, now: Instant) {
+    fn complete_adapter_order(&mut self, order: &PlannedOrder, now: Instant) {
         let mut loaded_at = std::mem::take(&mut self.adapter_loaded_at);
-        loaded_at.retain(|loaded, _| self.has_adapter(loaded) && *loaded != order.wish);
+        loaded_at.retain(|loaded, _| self.has_adapter(loaded) && *loaded != order.model_ref);
         if order.action == OrderAction::Load {
-            loaded_at.insert(order.wish.clone(), now);
-            self.just_came.push(order.wish.clone());
+            loaded_at.insert(order.model_ref.clone(), now);
+            self.newly_loaded.push(order.model_ref.clone());
         }
         self.adapter_loaded_at = loaded_at;
-        self.adapters_wanted
-            .retain(|model_ref| *model_ref != order.wish);
-        let model = self.models.iter_mut().find(|m| m.name == order.wish.model);
-        let (Some(model), Some(adapter)) = (model, &order.wish.adapter) else {
+        self.pending_adapters
+            .retain(|model_ref| *model_ref != order.model_ref);
+        let model = self
+            .models
+            .iter_mut()
+            .find(|m| m.name == order.model_ref.model);
+        let (Some(model), Some(adapter)) = (model, &order.model_ref.adapter) else {
             return;
         };
         model.adapters.retain(|name| name != adapter);
@@ -531,19 +569,19 @@
         }
     }
 
-    pub(super) fn look_at(&self) -> Option<Instant> {
-        let ask_at = self.ask_at.filter(|_| !self.asked);
-        let adapter_at = self.adapter_due.as_ref().map(|(_, at)| *at);
-        ask_at.into_iter().chain(adapter_at).min()
+    pub(super) fn next_action_at(&self) -> Option<Instant> {
+        let query_at = self.query_at.filter(|_| !self.is_query_in_flight);
+        let adapter_loaded_at = self.accepted_adapter_load.as_ref().map(|(_, at)| *at);
+        query_at.into_iter().chain(adapter_loaded_at).min()
     }
 
-    /// Takes in an adapter that has come by now; true if one has.
-    pub(super) fn settle_adapter(&mut self, now: Instant) -> bool {
-        let due = self.adapter_due.take_if(|(_, at)| now >= *at);
+    /// Applies an adapter load that is due. Returns whether there was one.
+    pub(super) fn complete_due_adapter(&mut self, now: Instant) -> bool {
+        let due = self.accepted_adapter_load.take_if(|(_, at)| now >= *at);
         let Some((order, _)) = due else {
             return false;
         };
-        self.adapter_done(&order, now);
+        self.complete_adapter_order(&order, now);
         true
     }
 }
