--- a/crates/decide/src/cell/idle.rs
+++ b/crates/decide/src/cell/idle.rs
@@ -84,7 +84,7 @@
         return;
     }
     term.idle_check_at = now + IDLE_CHECK_INTERVAL;
-    let policy = retention_policy(&catalog.keep);
+    let policy = retention_policy(&catalog.retention);
     let no_history = IdleHistory::default();
     let held_placements: Vec<Placement> = term
         .draft
--- a/crates/decide/src/cell/placing.rs
+++ b/crates/decide/src/cell/placing.rs
@@ -9,7 +9,7 @@
 use crate::plan::{DesiredPlacement, Placement, PlacementState, PlanError, Reason};
 use passway_config::Catalog;
 use passway_config::catalog::Model;
-use passway_config::policy::Attributes;
+use passway_config::policy::RequestAttributes;
 use passway_types::prelude::*;
 
 /// The inputs of every decision, besides the term.
@@ -196,7 +196,7 @@
     demand: &ModelDemand,
     reason: Reason,
 ) -> DesiredPlacement {
-    let attributes = Attributes {
+    let attributes = RequestAttributes {
         workspace: &demand.workspace,
         model,
         kind: "",
@@ -207,7 +207,7 @@
         upstream: upstream.clone(),
         workspace: demand.workspace.clone(),
         reason,
-        max_held_bytes: catalog.policy.rule(&attributes).max_held_bytes,
+        max_held_bytes: catalog.policy.evaluate(&attributes).max_held_bytes,
     }
 }
 
--- a/crates/decide/src/router/admission.rs
+++ b/crates/decide/src/router/admission.rs
@@ -2,7 +2,7 @@
 
 use super::queue::WaitingRequest;
 use super::{Arrival, BUSY_RETRY_AFTER, DEADLINE_MARGIN, DEFAULT_PRIORITY, RouterCore};
-use passway_config::policy::Attributes;
+use passway_config::policy::RequestAttributes;
 use passway_types::prelude::*;
 
 impl RouterCore {
@@ -53,7 +53,7 @@
             .retry_after(BUSY_RETRY_AFTER));
         }
         let requested_priority = arrival.priority.unwrap_or(DEFAULT_PRIORITY);
-        let decision = self.catalog.policy.rule(&Attributes {
+        let decision = self.catalog.policy.evaluate(&RequestAttributes {
             workspace: &workspace.name,
             model: &model,
             kind: &arrival.kind,
--- a/crates/instance/src/allotments.rs
+++ b/crates/instance/src/allotments.rs
@@ -16,7 +16,7 @@
 use passway_types::clock;
 use passway_types::prelude::*;
 use passway_wire::dispatch::Dispatch as Body;
-use passway_wire::permits::{UseAsk, UseBack, UseTold, UseVerdict};
+use passway_wire::permits::{PermitRelease, PermitReply, PermitRequest, UseVerdict};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -84,14 +84,14 @@
             return Decision::Granted;
         };
         let now = clock::now();
-        let request = UseAsk {
+        let request = PermitRequest {
             id: rand::random(),
             workspace: workspace.name.to_string(),
             cost,
             rate_per_s: allotment.rate_per_s,
             burst: allotment.burst,
             upstream: String::new(),
-            ..UseAsk::default()
+            ..PermitRequest::default()
         };
         let answer = shared.coordinator.request(shared, &request);
         let window = shared.bounds.load().quota.window;
@@ -120,10 +120,10 @@
         else {
             return;
         };
-        let released = UseBack {
+        let released = PermitRelease {
             workspace: workspace.name.to_string(),
             cost,
-            ..UseBack::default()
+            ..PermitRelease::default()
         };
         let settings = &shared.settings;
         if holder.instance == settings.instance {
@@ -131,7 +131,7 @@
         } else {
             shared
                 .dispatch
-                .send(holder.address, Body::UseBack(released));
+                .send(holder.address, Body::PermitRelease(released));
         }
     }
 
@@ -141,8 +141,8 @@
         shared: &Shared,
         fence: Fence,
         from: SocketAddr,
-        request: &UseAsk,
-    ) -> UseTold {
+        request: &PermitRequest,
+    ) -> PermitReply {
         let name = WorkspaceName::from(request.workspace.as_str());
         let requested = Allotment {
             rate_per_s: request.rate_per_s,
@@ -159,7 +159,7 @@
     }
 
     /// Returns the cost of a request that this instance granted to the bucket of its workspace.
-    pub fn record_release(&self, shared: &Shared, from: SocketAddr, released: &UseBack) {
+    pub fn record_release(&self, shared: &Shared, from: SocketAddr, released: &PermitRelease) {
         let routes = shared.routes.load();
         let Some(allotment) = allotment_of(routes.as_deref(), &released.workspace) else {
             return;
--- a/crates/instance/src/coordinator.rs
+++ b/crates/instance/src/coordinator.rs
@@ -12,7 +12,7 @@
 use passway_types::clock;
 use passway_types::prelude::*;
 use passway_wire::dispatch::Dispatch as Body;
-use passway_wire::permits::{UseAsk, UseTold, UseVerdict};
+use passway_wire::permits::{PermitReply, PermitRequest, UseVerdict};
 use std::fmt;
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -67,7 +67,7 @@
 /// Sends this instance's requests to the coordinator.
 #[derive(Debug, Default)]
 pub struct CoordinatorClient {
-    pending: PendingQueries<UseTold>,
+    pending: PendingQueries<PermitReply>,
     backoff: Mutex<Option<BackoffState>>,
 }
 
@@ -76,7 +76,11 @@
     ///
     /// # Errors
     /// Why there is no decision.
-    pub fn request(&self, shared: &Shared, request: &UseAsk) -> Result<UseTold, NoDecision> {
+    pub fn request(
+        &self,
+        shared: &Shared,
+        request: &PermitRequest,
+    ) -> Result<PermitReply, NoDecision> {
         let decision = self.try_request(shared, request);
         if let Err(reason) = decision {
             shared.metrics.unanswered_query(reason);
@@ -84,7 +88,11 @@
         decision
     }
 
-    fn try_request(&self, shared: &Shared, request: &UseAsk) -> Result<UseTold, NoDecision> {
+    fn try_request(
+        &self,
+        shared: &Shared,
+        request: &PermitRequest,
+    ) -> Result<PermitReply, NoDecision> {
         let holder = shared
             .leadership()
             .and_then(|leadership| leadership.holder());
@@ -99,7 +107,7 @@
         if let Some(backoff) = lock(&self.backoff).as_ref().filter(is_backing_off) {
             return Err(backoff.cause);
         }
-        let body = Body::UseAsk(request.clone());
+        let body = Body::PermitRequest(request.clone());
         let address = holder.address;
         let answer = self
             .pending
@@ -120,25 +128,25 @@
     }
 
     /// Receives the answer to a request of this instance.
-    pub fn receive_answer(&self, answer: UseTold) {
+    pub fn receive_answer(&self, answer: PermitReply) {
         self.pending.deliver_answer(answer.id, answer);
     }
 }
 
 /// The answer, unless its sender is not the coordinator.
-fn checked_answer(answer: UseTold) -> Result<UseTold, NoDecision> {
-    if answer.verdict() == UseVerdict::NotKeeper {
+fn checked_answer(answer: PermitReply) -> Result<PermitReply, NoDecision> {
+    if answer.verdict() == UseVerdict::NotCoordinator {
         return Err(NoDecision::NotCoordinator);
     }
     Ok(answer)
 }
 
 /// Answers an instance's request. Only the coordinator makes a decision.
-pub fn decide(shared: &Shared, from: SocketAddr, request: &UseAsk) -> UseTold {
+pub fn decide(shared: &Shared, from: SocketAddr, request: &PermitRequest) -> PermitReply {
     let Some(fence) = shared.leadership().and_then(|leadership| leadership.term()) else {
-        return UseTold {
+        return PermitReply {
             id: request.id,
-            ..UseTold::default()
+            ..PermitReply::default()
         };
     };
     if !request.digest.is_empty() {
@@ -151,10 +159,10 @@
 }
 
 /// Encodes a decision as the answer to a request.
-pub fn encode_decision(request: &UseAsk, decision: QuotaDecision) -> UseTold {
-    let mut answer = UseTold {
+pub fn encode_decision(request: &PermitRequest, decision: QuotaDecision) -> PermitReply {
+    let mut answer = PermitReply {
         id: request.id,
-        ..UseTold::default()
+        ..PermitReply::default()
     };
     match decision {
         QuotaDecision::Granted {
--- a/crates/instance/src/dispatch.rs
+++ b/crates/instance/src/dispatch.rs
@@ -17,7 +17,8 @@
 use passway_types::clock;
 use passway_types::prelude::*;
 use passway_wire::dispatch::{
-    Ask, Datagram, Dispatch as Body, Ended, Grant, RunHere, RunOutcome, Running, Verdict,
+    Datagram, Dispatch as Body, DispatchReply, DispatchRequest, EngineRun, RunEnded, RunOutcome,
+    RunSnapshot, Verdict,
 };
 use std::collections::HashMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -102,7 +103,7 @@
     run_table: Mutex<RunTable>,
     wait_queue: Mutex<WaitQueue>,
     /// Queries that wait for an answer.
-    pending_queries: PendingQueries<Grant>,
+    pending_queries: PendingQueries<DispatchReply>,
     runs: Mutex<HashMap<RunId, LocalRun>>,
     next_run_id: AtomicU64,
 }
@@ -156,7 +157,7 @@
     /// Sends a datagram. One that cannot be sent counts as lost.
     pub fn send(&self, to: SocketAddr, body: impl Into<Option<Body>>) {
         if let Some(socket) = &self.socket
-            && let Err(error) = socket.send_to(&Datagram::bytes(body.into()), to)
+            && let Err(error) = socket.send_to(&Datagram::encode_body(body.into()), to)
         {
             log::debug!(to:% = to, error:% = error; "cannot send a datagram");
         }
@@ -185,22 +186,22 @@
         };
         let mut engines = shared.upstreams().shuffled_engines(wanted, now);
         engines.retain(|id| !tried.contains(id));
-        let ask = Ask {
+        let ask = DispatchRequest {
             id: 0,
             service: service.to_string(),
             model: model_ref.model.to_string(),
             adapter: model_ref.adapter.as_deref().unwrap_or_default().to_owned(),
             hall: shared.settings.hall.to_string(),
-            drawn: random,
+            random,
             due_in_ms: due_in_ms(query.due_at, now),
             is_urgent: query.is_urgent,
-            tried: tried.iter().map(ToString::to_string).collect(),
+            tried_engines: tried.iter().map(ToString::to_string).collect(),
             regions: query
                 .allowed_regions
                 .regions()
                 .map(ToString::to_string)
                 .collect(),
-            is_bound: query.allowed_regions.is_restricted(),
+            is_restricted: query.allowed_regions.is_restricted(),
         };
         let mut queried = Vec::new();
         let mut choice = Choice::Absent;
@@ -213,7 +214,7 @@
                 break;
             }
             queried.push(dispatcher);
-            let ask = Ask {
+            let ask = DispatchRequest {
                 id: query.run_id,
                 ..ask.clone()
             };
@@ -242,7 +243,7 @@
         &self,
         shared: &Shared,
         dispatcher: SocketAddr,
-        grant: &Grant,
+        grant: &DispatchReply,
     ) -> Option<DispatchAnswer> {
         let engine = UpstreamId::from(grant.engine.as_str());
         let address = shared.upstreams().address_of(&engine)?;
@@ -261,12 +262,17 @@
     }
 
     /// Sends one query to a dispatcher; `None` without an answer.
-    fn query_dispatcher(&self, shared: &Shared, dispatcher: SocketAddr, ask: Ask) -> Option<Grant> {
+    fn query_dispatcher(
+        &self,
+        shared: &Shared,
+        dispatcher: SocketAddr,
+        ask: DispatchRequest,
+    ) -> Option<DispatchReply> {
         if dispatcher == self.own_address {
             return Some(self.answer_query(shared, self.own_address, &ask));
         }
         let id = ask.id;
-        let body = Body::Ask(ask);
+        let body = Body::DispatchRequest(ask);
         self.pending_queries
             .send_and_wait(id, || self.send(dispatcher, body.clone()))
     }
@@ -299,24 +305,29 @@
         let Some(dispatcher) = granted_by.or_else(|| self.dispatcher_of(&engine)) else {
             return;
         };
-        let ended = Ended {
+        let ended = RunEnded {
             id,
             outcome: encode(outcome).into(),
         };
         if dispatcher == self.own_address {
             self.record_run_end(shared, self.own_address, &ended);
         } else {
-            self.send(dispatcher, Body::Ended(ended));
+            self.send(dispatcher, Body::RunEnded(ended));
         }
     }
 
     /// Answers a query as the dispatcher.
-    fn answer_query(&self, shared: &Shared, from: SocketAddr, ask: &Ask) -> Grant {
+    fn answer_query(
+        &self,
+        shared: &Shared,
+        from: SocketAddr,
+        ask: &DispatchRequest,
+    ) -> DispatchReply {
         let key = RunKey {
             instance: from,
             id: ask.id,
         };
-        let grant = |verdict: Verdict, engine: &str| Grant {
+        let grant = |verdict: Verdict, engine: &str| DispatchReply {
             id: ask.id,
             verdict: verdict.into(),
             engine: engine.to_owned(),
@@ -333,7 +344,7 @@
             model: ask.model.as_str().into(),
             adapter: adapter.map(Into::into),
         };
-        let allowed = if ask.is_bound {
+        let allowed = if ask.is_restricted {
             AllowedRegions::only(ask.regions.iter().map(|region| region.as_str().into()))
         } else {
             AllowedRegions::ANY
@@ -344,11 +355,11 @@
             model_ref: Some(&model_ref),
             hall: &hall,
             allowed: &allowed,
-            random: ask.drawn,
+            random: ask.random,
         };
         let dispatchers = lock(&self.dispatchers);
         let is_eligible = |id: &UpstreamId| {
-            !ask.tried.iter().any(|tried| **tried == **id)
+            !ask.tried_engines.iter().any(|tried| **tried == **id)
                 && dispatchers.of_engine(id, now) == Some(self.own_address)
         };
         let load_of = |id: &UpstreamId| {
@@ -383,7 +394,7 @@
     }
 
     /// Records, as the dispatcher, that a run has ended.
-    fn record_run_end(&self, shared: &Shared, from: SocketAddr, ended: &Ended) {
+    fn record_run_end(&self, shared: &Shared, from: SocketAddr, ended: &RunEnded) {
         let key = RunKey {
             instance: from,
             id: ended.id,
@@ -399,15 +410,15 @@
     /// Handles a received datagram.
     fn handle_datagram(&self, shared: &Shared, from: SocketAddr, body: Body) {
         match body {
-            Body::Ask(ask) => {
+            Body::DispatchRequest(ask) => {
                 let grant = self.answer_query(shared, from, &ask);
-                self.send(from, Body::Grant(grant));
+                self.send(from, Body::DispatchReply(grant));
             }
             // A late or duplicate grant is dropped. The dispatcher's entry for its run expires,
             // because this instance does not report the run.
-            Body::Grant(grant) => self.pending_queries.deliver_answer(grant.id, grant),
-            Body::Ended(ended) => self.record_run_end(shared, from, &ended),
-            Body::Running(running) => {
+            Body::DispatchReply(grant) => self.pending_queries.deliver_answer(grant.id, grant),
+            Body::RunEnded(ended) => self.record_run_end(shared, from, &ended),
+            Body::RunSnapshot(running) => {
                 let now = clock::now();
                 let mut run_table = lock(&self.run_table);
                 for run in running.runs {
@@ -418,20 +429,20 @@
                     run_table.record(key, &run.engine.as_str().into(), now);
                 }
             }
-            Body::VersionAsk(ask) => {
+            Body::VersionQuery(ask) => {
                 let answer = shared.configuration_age.answer_query(&ask);
-                self.send(from, Body::VersionTold(answer));
+                self.send(from, Body::VersionAnswer(answer));
             }
-            Body::VersionTold(told) => shared.configuration_age.receive_answer(told),
-            Body::UseAsk(ask) => {
+            Body::VersionAnswer(told) => shared.configuration_age.receive_answer(told),
+            Body::PermitRequest(ask) => {
                 let answer = coordinator::decide(shared, from, &ask);
-                self.send(from, Body::UseTold(answer));
+                self.send(from, Body::PermitReply(answer));
             }
-            Body::UseTold(told) => shared.coordinator.receive_answer(told),
-            Body::UseBack(back) if back.digest.is_empty() => {
+            Body::PermitReply(told) => shared.coordinator.receive_answer(told),
+            Body::PermitRelease(back) if back.digest.is_empty() => {
                 shared.allotments.record_release(shared, from, &back);
             }
-            Body::UseBack(back) => shared.poison.release_exclusive_run(from, &back),
+            Body::PermitRelease(back) => shared.poison.release_exclusive_run(from, &back),
             Body::Suspects(told) => shared.poison.merge_from_peer(told),
         }
     }
@@ -440,10 +451,10 @@
     /// have just started or an end was lost.
     fn announce_runs(&self, shared: &Shared) {
         let runs = lock(&self.runs).clone();
-        let mut by_dispatcher: HashMap<SocketAddr, Vec<RunHere>> = HashMap::new();
+        let mut by_dispatcher: HashMap<SocketAddr, Vec<EngineRun>> = HashMap::new();
         for (id, run) in runs {
             if let Some(dispatcher) = self.dispatcher_of(&run.engine) {
-                let run_here = RunHere {
+                let run_here = EngineRun {
                     id,
                     engine: run.engine.to_string(),
                 };
@@ -452,7 +463,7 @@
         }
         for (dispatcher, runs) in by_dispatcher {
             for chunk in runs.chunks(RUNS_PER_DATAGRAM) {
-                let body = Body::Running(Running {
+                let body = Body::RunSnapshot(RunSnapshot {
                     runs: chunk.to_vec(),
                 });
                 if dispatcher == self.own_address {
@@ -497,7 +508,7 @@
                 // The read timed out, or an earlier datagram was refused by a closed port.
                 continue;
             };
-            if let Some(body) = Datagram::read(&bytes[..length]) {
+            if let Some(body) = Datagram::decode_body(&bytes[..length]) {
                 self.handle_datagram(shared, from, body);
             }
         }
--- a/crates/instance/src/feed_log.rs
+++ b/crates/instance/src/feed_log.rs
@@ -3,7 +3,7 @@
 use crate::compression::{self, MIN_COMPRESSED_BYTES};
 use crate::updates::FeedUpdate;
 use passway_serving::ports::{Listing, StoreChange, StoreRevision, StoredValue};
-use passway_wire::message::{News, NewsValue};
+use passway_wire::message::{StoreValue, Updates};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Maximum number of removed keys that are remembered for instances that connect. An instance that
@@ -119,7 +119,7 @@
     }
 
     /// What an instance lacks that knows the feed up to a revision; `None` if it lacks nothing.
-    pub fn update_after(&self, feed: usize, known: StoreRevision) -> Option<News> {
+    pub fn update_after(&self, feed: usize, known: StoreRevision) -> Option<Updates> {
         if known >= self.to {
             return None;
         }
@@ -127,46 +127,49 @@
         let is_complete = known == 0
             || known < self.removals_complete_since
             || self.unseen_spans.iter().any(is_inside);
-        let from = if is_complete { 0 } else { known };
-        let values = self.values.values().filter(|value| value.revision > from);
-        let mut values: Vec<NewsValue> = values
+        let from_revision = if is_complete { 0 } else { known };
+        let values = self
+            .values
+            .values()
+            .filter(|value| value.revision > from_revision);
+        let mut values: Vec<StoreValue> = values
             .map(|value| self.encode_value(value, known))
             .collect();
         if !is_complete {
             let removals = self.removals.iter().filter(|(at, _)| *at > known);
-            values.extend(removals.map(|(revision, key)| NewsValue {
+            values.extend(removals.map(|(revision, key)| StoreValue {
                 key: key.clone(),
                 revision: *revision,
-                ..NewsValue::default()
+                ..StoreValue::default()
             }));
             values.sort_by_key(|value| value.revision);
         }
-        Some(News {
+        Some(Updates {
             feed: u32::try_from(feed).unwrap_or(u32::MAX),
-            from,
-            to: self.to,
+            from_revision,
+            to_revision: self.to,
             values,
-            ..News::default()
+            ..Updates::default()
         })
     }
 
     /// The message that a receiver lacks a change too large to send, so that it queries the store.
-    pub fn gap_marker(&self, feed: usize) -> News {
-        News {
+    pub fn gap_marker(&self, feed: usize) -> Updates {
+        Updates {
             feed: u32::try_from(feed).unwrap_or(u32::MAX),
-            from: self.to,
-            to: self.to,
-            ..News::default()
+            from_revision: self.to,
+            to_revision: self.to,
+            ..Updates::default()
         }
     }
 
     /// Encodes a value for an instance that knows the feed up to a revision.
-    fn encode_value(&self, value: &StoredValue, known: StoreRevision) -> NewsValue {
-        let plain = NewsValue {
+    fn encode_value(&self, value: &StoredValue, known: StoreRevision) -> StoreValue {
+        let plain = StoreValue {
             key: value.key.clone(),
             value: Some(value.value.clone()),
             revision: value.revision,
-            ..NewsValue::default()
+            ..StoreValue::default()
         };
         if value.value.len() < MIN_COMPRESSED_BYTES {
             return plain;
@@ -174,10 +177,10 @@
         let base = self.previous_values.get(&value.key);
         let base = base.filter(|base| base.revision <= known);
         match compression::compress(&value.value, base.map(|base| &*base.value)) {
-            Ok(compressed) => NewsValue {
+            Ok(compressed) => StoreValue {
                 value: Some(compressed.into()),
-                plain_bytes: value.value.len() as u64,
-                base: base.map_or(0, |base| base.revision),
+                uncompressed_bytes: value.value.len() as u64,
+                base_revision: base.map_or(0, |base| base.revision),
                 ..plain
             },
             Err(error) => {
--- a/crates/instance/src/freshness.rs
+++ b/crates/instance/src/freshness.rs
@@ -13,7 +13,7 @@
 use passway_types::clock;
 use passway_types::prelude::*;
 use passway_wire::dispatch::Dispatch as Body;
-use passway_wire::permits::{VersionAsk, VersionTold};
+use passway_wire::permits::{VersionAnswer, VersionQuery};
 use rand::seq::IndexedRandom;
 use std::net::SocketAddr;
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
@@ -41,7 +41,7 @@
     proof_updated: Condvar,
     /// Notified when a request needs a proof.
     proof_wanted: Condvar,
-    pending: PendingQueries<VersionTold>,
+    pending: PendingQueries<VersionAnswer>,
     /// When the holder of leadership last answered.
     holder_answered_at: Mutex<Option<Instant>>,
 }
@@ -111,9 +111,9 @@
     }
 
     /// Answers another instance's query.
-    pub fn answer_query(&self, query: &VersionAsk) -> VersionTold {
+    pub fn answer_query(&self, query: &VersionQuery) -> VersionAnswer {
         let proof = self.state().proof();
-        VersionTold {
+        VersionAnswer {
             id: query.id,
             version: proof.map_or(0, |proof| proof.version),
             age_ms: proof.map_or(0, |proof| millis_since(proof.sent_at, clock::now()) + 1),
@@ -121,7 +121,7 @@
     }
 
     /// Receives the answer to a query of this instance.
-    pub fn receive_answer(&self, answer: VersionTold) {
+    pub fn receive_answer(&self, answer: VersionAnswer) {
         self.pending.deliver_answer(answer.id, answer);
     }
 
@@ -129,7 +129,7 @@
     fn query(&self, shared: &Shared, address: SocketAddr) -> bool {
         let id = rand::random();
         let sent_at = clock::now();
-        let query = Body::VersionAsk(VersionAsk { id });
+        let query = Body::VersionQuery(VersionQuery { id });
         let answer = self
             .pending
             .send_and_wait(id, || shared.dispatch.send(address, query.clone()));
--- a/crates/instance/src/holder.rs
+++ b/crates/instance/src/holder.rs
@@ -32,7 +32,9 @@
 use passway_types::clock;
 use passway_types::prelude::*;
 use passway_wire::Body;
-use passway_wire::message::{Needs, Promise, PromiseWanted, Subscribe, Wish, Words};
+use passway_wire::message::{
+    InstanceReport, KnownSignals, ModelRequests, Promise, PromiseRequest, Subscribe,
+};
 use peers::accept;
 use publishing::placements_body;
 use std::collections::{BTreeMap, BTreeSet};
@@ -159,7 +161,7 @@
     logged_refused_models: usize,
 }
 
-fn decode_demand(wish: &Wish) -> (ServiceName, ModelRef) {
+fn decode_demand(wish: &ModelRequests) -> (ServiceName, ModelRef) {
     let adapter = Some(wish.adapter.as_str()).filter(|name| !name.is_empty());
     let wanted = ModelRef {
         model: wish.model.as_str().into(),
@@ -268,7 +270,7 @@
         if let Some((name, address)) = member.clone() {
             self.candidates.add(name, address, subscribe.is_weak);
         }
-        let known = |feed| subscribe.known.get(feed).copied().unwrap_or(0);
+        let known = |feed| subscribe.known_revisions.get(feed).copied().unwrap_or(0);
         let sent = std::array::from_fn(known);
         self.subscribers.add(number, member, sent);
         self.send_term(number);
@@ -277,10 +279,10 @@
         let suspects = self.shared.poison.suspects(MIN_BROADCAST_CRASHES);
         self.send_to(number, &Body::Suspects(suspects));
         let signals = signals::encode(&self.shared, None);
-        if signals != Words::default() {
-            self.send_to(number, &Body::Words(signals));
+        if signals != KnownSignals::default() {
+            self.send_to(number, &Body::KnownSignals(signals));
         }
-        let known = subscribe.placements.iter().copied().collect();
+        let known = subscribe.placement_digests.iter().copied().collect();
         let missing = self.planner.placements_differing_from(&known);
         if !missing.is_empty() {
             self.send_to(number, &placements_body(missing));
@@ -305,11 +307,11 @@
     /// Handles a candidate's answer to `request_promises`.
     fn handle_promise(&mut self, promise: &Promise) {
         let name = InstanceId::from(promise.instance.as_str());
-        if promise.leaves {
+        if promise.is_leaving {
             self.candidates.remove(&name);
             self.leadership.record_departure(&name, promise.fence);
         } else {
-            let requested_at = self.clock_origin + Duration::from_millis(promise.asked_ms);
+            let requested_at = self.clock_origin + Duration::from_millis(promise.asked_at_ms);
             self.leadership
                 .record_promise(&name, promise.fence, requested_at);
         }
@@ -335,9 +337,9 @@
             log::info!(target: DECISION_TARGET, fence = fence, without_promise:? = without_promise; "asks candidates to carry the right to order");
             self.logged_without_promise = Some(without_promise);
         }
-        let body = Body::PromiseWanted(PromiseWanted {
+        let body = Body::PromiseRequest(PromiseRequest {
             fence,
-            asked_ms: relay::millis_since(self.clock_origin, now),
+            asked_at_ms: relay::millis_since(self.clock_origin, now),
         });
         for (number, (name, _)) in self.subscribers.members() {
             if self.candidates.is_candidate(name) {
@@ -379,7 +381,7 @@
         *self.shared.members() = self.members();
     }
 
-    fn handle_needs(&mut self, needs: &Needs, now: Instant) {
+    fn handle_needs(&mut self, needs: &InstanceReport, now: Instant) {
         for waiting in &needs.waiting {
             let (service, wanted) = decode_demand(waiting);
             let waiters = Waiters {
@@ -387,11 +389,11 @@
                 service,
                 model_ref: wanted,
                 count: waiting.count,
-                latest_deadline: now + Duration::from_millis(waiting.wait_ms.into()),
+                latest_deadline: now + Duration::from_millis(waiting.remaining_wait_ms.into()),
             };
             self.planner.set_waiters(waiters, now);
         }
-        for taken in &needs.taken {
+        for taken in &needs.accepted {
             let (service, wanted) = decode_demand(taken);
             self.planner
                 .record_arrivals(&service, &wanted, taken.count, now);
--- a/crates/instance/src/holder/peers.rs
+++ b/crates/instance/src/holder/peers.rs
@@ -9,7 +9,7 @@
 use passway_serving::ports::{EngineReport, OrderAnswer};
 use passway_serving::upstreams::UpstreamEntry;
 use passway_types::prelude::*;
-use passway_wire::message::{Needs, Promise, Subscribe, Suspects, Words};
+use passway_wire::message::{InstanceReport, KnownSignals, Promise, Subscribe, Suspects};
 use passway_wire::{Body, Link, LinkReader};
 use std::collections::BTreeSet;
 use std::net::{SocketAddr, TcpListener};
@@ -22,7 +22,7 @@
     /// The connection of an instance has ended; with the instance's name, if known.
     Disconnected(u64, Option<InstanceId>),
     /// What an instance needs.
-    Needs(Needs),
+    Needs(InstanceReport),
     /// An instance subscribes to the store's updates.
     Subscribe(u64, Subscribe),
     /// A term of this instance has begun.
@@ -32,7 +32,7 @@
     /// An instance reports requests under which upstreams crashed.
     Suspects(Suspects),
     /// An instance reports signals of upstreams.
-    Signals(Words),
+    Signals(KnownSignals),
     /// A candidate promises not to acquire leadership.
     Promised(Promise),
     /// The store has a new or changed entry of an upstream.
@@ -75,18 +75,18 @@
     let _ = inputs.send(Input::Connected(number, Outbox::start(link)));
     while let Ok(Some(body)) = reader.receive() {
         let input = match body {
-            Body::Needs(needs) => {
+            Body::InstanceReport(needs) => {
                 instance = Some(InstanceId::from(needs.instance.as_str()));
                 Input::Needs(needs)
             }
             Body::Subscribe(subscribe) => Input::Subscribe(number, subscribe),
-            Body::Successor(announced) => match members::decode_holder(&announced) {
+            Body::NewHolder(announced) => match members::decode_holder(&announced) {
                 Some(holder) => Input::HolderAnnounced(holder),
                 None => continue,
             },
             Body::Promise(promise) => Input::Promised(promise),
             Body::Suspects(suspects) => Input::Suspects(suspects),
-            Body::Words(signals) => Input::Signals(signals),
+            Body::KnownSignals(signals) => Input::Signals(signals),
             _ => continue,
         };
         let _ = inputs.send(input);
--- a/crates/instance/src/holder/publishing.rs
+++ b/crates/instance/src/holder/publishing.rs
@@ -12,7 +12,7 @@
 use passway_types::clock;
 use passway_types::prelude::*;
 use passway_wire::message::{
-    EnginePlacement, News, Placements, Resident, Successor, Suspects, Words,
+    EnginePlacement, KnownSignals, NewHolder, PlacedModel, Placements, Suspects, Updates,
 };
 use passway_wire::{Body, Frame};
 use std::collections::BTreeSet;
@@ -22,14 +22,14 @@
 const MIN_PUBLISHED_CHANGE_RATIO: f64 = 0.1;
 
 fn encode_placement(placement: Placement) -> EnginePlacement {
-    let models = placement.models.into_iter().map(|model| Resident {
+    let models = placement.models.into_iter().map(|model| PlacedModel {
         model: model.name.to_string(),
         adapters: model.adapters.iter().map(ToString::to_string).collect(),
     });
     EnginePlacement {
         engine: placement.engine.to_string(),
         models: models.collect(),
-        closing: placement.evicting.iter().map(ToString::to_string).collect(),
+        evicting: placement.evicting.iter().map(ToString::to_string).collect(),
     }
 }
 
@@ -50,12 +50,12 @@
             return;
         };
         let settings = &self.shared.settings;
-        let term = Successor {
+        let term = NewHolder {
             instance: settings.instance.to_string(),
             address: settings.peer_address.to_string(),
             fence,
         };
-        self.send_to(number, &Body::Successor(term));
+        self.send_to(number, &Body::NewHolder(term));
     }
 
     /// Sends the list of members to those candidates that lack it. A member whose connection ended
@@ -87,32 +87,32 @@
             return;
         }
         self.published_unconfirmed = unconfirmed;
-        let message = News {
-            confirmed_ms: Vec::new(),
+        let message = Updates {
+            confirmed_at_ms: Vec::new(),
             ..self.heartbeat(0, now)
         };
         let members = self.subscribers.members();
         let candidates = members.filter(|(_, (name, _))| self.candidates.is_candidate(name));
         let outboxes = candidates.filter_map(|(number, _)| self.peers.get(&number));
-        send_to_all(outboxes, Body::News(message));
+        send_to_all(outboxes, Body::Updates(message));
     }
 
     /// Merges what an instance reports of requests that crash upstreams, and publishes the result.
     pub(super) fn merge_and_publish_suspects(&mut self, received: Suspects) {
         let now = clock::now();
-        let mut breaks = self.shared.poison.merge_breaks(&received.breaks);
+        let mut breaks = self.shared.poison.merge_breaks(&received.disconnects);
         // Many instances see the same upstream break off; it is published once.
         self.published_breaks.retain(|_, until| now < *until);
         breaks.retain(|(start, _)| !self.published_breaks.contains_key(start));
         let until = now + poison::UNCONFIRMED_TIMEOUT;
         let published = breaks.iter().map(|(start, _)| (start.clone(), until));
         self.published_breaks.extend(published);
-        let breaks = poison::encode_breaks(&breaks);
+        let disconnects = poison::encode_breaks(&breaks);
         let mut known = self.shared.poison.merge_fleet_list(received);
         known.retain(|suspect| suspect.crashes.len() >= MIN_BROADCAST_CRASHES);
-        if self.fence.is_some() && !(known.is_empty() && breaks.is_empty()) {
+        if self.fence.is_some() && !(known.is_empty() && disconnects.is_empty()) {
             let suspects = Suspects {
-                breaks,
+                disconnects,
                 ..poison::encode(known)
             };
             send_to_all(self.peers.values(), Body::Suspects(suspects));
@@ -122,10 +122,10 @@
     /// Merges the upstreams' signals that an instance received, and publishes what changed. An
     /// instance that has not received a signal from the upstream itself would otherwise keep
     /// sending there.
-    pub(super) fn merge_and_publish_signals(&mut self, received: Words) {
+    pub(super) fn merge_and_publish_signals(&mut self, received: KnownSignals) {
         let now = clock::now();
-        for backoff in &received.resting {
-            let until = now + Duration::from_millis(backoff.left_ms.min(MAX_BACKOFF_MS));
+        for backoff in &received.backing_off {
+            let until = now + Duration::from_millis(backoff.remaining_ms.min(MAX_BACKOFF_MS));
             let engine = UpstreamId::from(backoff.upstream.as_str());
             self.planner
                 .record_backoff(&engine, backoff.started_at_ms, until);
@@ -138,7 +138,7 @@
             limit_changed || leaving_changed
         });
         if self.fence.is_some() && !changed.is_empty() {
-            let body = Body::Words(signals::encode(&self.shared, Some(&changed)));
+            let body = Body::KnownSignals(signals::encode(&self.shared, Some(&changed)));
             send_to_all(self.peers.values(), body);
         }
     }
@@ -204,17 +204,17 @@
     }
 
     /// The message that the holder is alive, and up to when it knows the feeds.
-    pub(super) fn heartbeat(&self, instances: usize, now: Instant) -> News {
-        News {
+    pub(super) fn heartbeat(&self, instances: usize, now: Instant) -> Updates {
+        Updates {
             instances: u32::try_from(instances).unwrap_or(u32::MAX),
-            sent_ms: relay::millis_since(self.clock_origin, now).max(1),
-            confirmed_ms: self.relay.store_answered_ms(self.clock_origin),
-            doubtful: self
+            queued_at_ms: relay::millis_since(self.clock_origin, now).max(1),
+            confirmed_at_ms: self.relay.store_answered_ms(self.clock_origin),
+            unconfirmed: self
                 .planner
                 .unconfirmed_engines(now)
                 .map(ToString::to_string)
                 .collect(),
-            ..News::default()
+            ..Updates::default()
         }
     }
 
@@ -228,13 +228,13 @@
         let is_behind = |number: &u64| self.subscribers.is_behind(*number);
         let (behind, current): (Vec<u64>, Vec<u64>) = subscribers.into_iter().partition(is_behind);
         let heartbeat = self.heartbeat(instances, clock::now());
-        let alive_only = News {
-            confirmed_ms: Vec::new(),
+        let alive_only = Updates {
+            confirmed_at_ms: Vec::new(),
             ..heartbeat.clone()
         };
         for (numbers, message) in [(current, heartbeat), (behind, alive_only)] {
             let outboxes = numbers.iter().filter_map(|number| self.peers.get(number));
-            send_to_all(outboxes, Body::News(message));
+            send_to_all(outboxes, Body::Updates(message));
         }
     }
 
--- a/crates/instance/src/limits.rs
+++ b/crates/instance/src/limits.rs
@@ -9,7 +9,7 @@
 use passway_serving::limits::{self, FallbackLimits, NO_OVERAGE};
 use passway_types::clock;
 use passway_types::prelude::*;
-use passway_wire::permits::{UseAsk, UseTold, UseVerdict};
+use passway_wire::permits::{PermitReply, PermitRequest, UseVerdict};
 use std::net::SocketAddr;
 use std::sync::{Mutex, PoisonError};
 
@@ -39,12 +39,12 @@
         upstream: &UpstreamId,
         per_s: f64,
     ) -> LimitDecision {
-        let ask = UseAsk {
+        let ask = PermitRequest {
             id: rand::random(),
             upstream: upstream.to_string(),
             cost: 1.0,
             rate_per_s: per_s,
-            ..UseAsk::default()
+            ..PermitRequest::default()
         };
         match shared.coordinator.request(shared, &ask) {
             Ok(answer) if answer.verdict() == UseVerdict::Granted => LimitDecision::Granted,
@@ -72,7 +72,13 @@
     }
 
     /// Decides, as the coordinator in the term `fence`, on another instance's request.
-    pub fn decide(&self, shared: &Shared, fence: Fence, from: SocketAddr, ask: &UseAsk) -> UseTold {
+    pub fn decide(
+        &self,
+        shared: &Shared,
+        fence: Fence,
+        from: SocketAddr,
+        ask: &PermitRequest,
+    ) -> PermitReply {
         let upstream = UpstreamId::from(ask.upstream.as_str());
         // If the two instances know different limits, one of them has not received the newer signal
         // yet. Which one is unknown, so the lower limit applies.
--- a/crates/instance/src/members.rs
+++ b/crates/instance/src/members.rs
@@ -8,12 +8,12 @@
 //! subscribers, and a new holder connects to those that did not connect by themselves.
 
 use crate::shared::Shared;
-use passway_process::dial::{Dialed, Dialer};
+use passway_process::dial::{DialEvent, Dialer};
 use passway_process::outbox::Outbox;
 use passway_serving::leadership::Holder;
 use passway_types::prelude::*;
 use passway_wire::Body;
-use passway_wire::message::{Member, Members, Successor};
+use passway_wire::message::{Member, Members, NewHolder};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -47,7 +47,7 @@
 }
 
 /// The holder that a message names; `None` if its address is unreadable.
-pub fn decode_holder(message: &Successor) -> Option<Holder> {
+pub fn decode_holder(message: &NewHolder) -> Option<Holder> {
     Some(Holder {
         instance: message.instance.as_str().into(),
         address: message.address.parse().ok()?,
@@ -152,7 +152,7 @@
         drop(members);
         self.dialers.retain(|name, _| missing.contains_key(name));
         for (name, address) in missing {
-            let message = Body::Successor(Successor {
+            let message = Body::NewHolder(NewHolder {
                 instance: this_instance.to_string(),
                 address: shared.settings.peer_address.to_string(),
                 fence: self.fence,
@@ -161,13 +161,13 @@
             dialer.or_insert_with(|| {
                 let mut connection: Option<Outbox> = None;
                 Dialer::start(address, move |dialed| match dialed {
-                    Dialed::Connected(outbox) => {
+                    DialEvent::Connected(outbox) => {
                         outbox.send(message.clone());
                         // Keeps the connection open until the peer has read the message.
                         connection.replace(outbox);
                     }
-                    Dialed::Disconnected => drop(connection.take()),
-                    Dialed::Received(_) => {}
+                    DialEvent::Disconnected => drop(connection.take()),
+                    DialEvent::Received(_) => {}
                 })
             });
         }
--- a/crates/instance/src/poison.rs
+++ b/crates/instance/src/poison.rs
@@ -23,7 +23,7 @@
 use passway_types::clock;
 use passway_types::prelude::*;
 use passway_wire::dispatch::Dispatch as Body;
-use passway_wire::message::{self, Break, Crash, Suspects};
+use passway_wire::message::{self, Crash, Suspects, UpstreamDisconnect};
 use probe::ProbedEngines;
 pub use probe::REFUSAL_TIMEOUT;
 use prost::Message;
@@ -198,7 +198,7 @@
     }
 
     /// Merges the upstreams that broke off at other instances, and returns them.
-    pub fn merge_breaks(&self, received: &[Break]) -> Vec<(UpstreamStart, Instant)> {
+    pub fn merge_breaks(&self, received: &[UpstreamDisconnect]) -> Vec<(UpstreamStart, Instant)> {
         let now = clock::now();
         let mut list = lock(&self.list);
         let breaks = received.iter().map(|received| {
@@ -359,14 +359,14 @@
     let suspects = suspects.into_iter().take(MAX_SENT_SUSPECTS);
     Suspects {
         suspects: suspects.map(encode_one).collect(),
-        breaks: Vec::new(),
+        disconnects: Vec::new(),
     }
 }
 
 /// Encodes upstreams that broke off.
-pub fn encode_breaks(breaks: &[(UpstreamStart, Instant)]) -> Vec<Break> {
+pub fn encode_breaks(breaks: &[(UpstreamStart, Instant)]) -> Vec<UpstreamDisconnect> {
     let now = clock::now();
-    let breaks = breaks.iter().map(|(start, at)| Break {
+    let breaks = breaks.iter().map(|(start, at)| UpstreamDisconnect {
         upstream: start.upstream.to_string(),
         started_at_ms: start.started_at_ms,
         ms_ago: millis_since(*at, now),
@@ -381,14 +381,14 @@
         Crash {
             upstream: crash.upstream.to_string(),
             started_at_ms: crash.started_at_ms,
-            blame: match blame {
+            status: match blame {
                 CrashStatus::Counted => 0,
                 CrashStatus::Explained => 1,
                 CrashStatus::Cleared => 2,
                 CrashStatus::Unconfirmed => 3,
             },
             sent_ms_ago: run.map(|run| millis_since(run.sent_at, now)),
-            broke_ms_ago: run.map(|run| millis_since(run.disconnected_at, now)),
+            disconnected_ms_ago: run.map(|run| millis_since(run.disconnected_at, now)),
         }
     });
     message::Suspect {
@@ -404,12 +404,12 @@
     let ago = |ms: u64| now.checked_sub(Duration::from_millis(ms)).unwrap_or(now);
     let mut runs = BTreeMap::new();
     let crashes = received.crashes.into_iter().map(|crash| {
-        let times = crash.sent_ms_ago.zip(crash.broke_ms_ago);
+        let times = crash.sent_ms_ago.zip(crash.disconnected_ms_ago);
         let start = UpstreamStart {
             upstream: crash.upstream.into(),
             started_at_ms: crash.started_at_ms,
         };
-        let blame = match crash.blame {
+        let blame = match crash.status {
             0 => CrashStatus::Counted,
             1 => CrashStatus::Explained,
             3 => CrashStatus::Unconfirmed,
--- a/crates/instance/src/poison/exclusive.rs
+++ b/crates/instance/src/poison/exclusive.rs
@@ -14,7 +14,7 @@
 use passway_types::clock;
 use passway_types::prelude::*;
 use passway_wire::dispatch::Dispatch as Body;
-use passway_wire::permits::{UseAsk, UseBack, UseTold, UseVerdict};
+use passway_wire::permits::{PermitRelease, PermitReply, PermitRequest, UseVerdict};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -93,11 +93,11 @@
     }
 
     fn request_from_coordinator(&mut self, max_run: Duration) -> PermitAnswer {
-        let request = UseAsk {
+        let request = PermitRequest {
             id: self.id,
             digest: self.digest.0.to_vec(),
             run_ms: millis(max_run),
-            ..UseAsk::default()
+            ..PermitRequest::default()
         };
         match self.shared.coordinator.request(&self.shared, &request) {
             Ok(answer) if answer.verdict() == UseVerdict::Granted => PermitAnswer::Granted,
@@ -130,10 +130,10 @@
         else {
             return;
         };
-        let released = UseBack {
+        let released = PermitRelease {
             digest: self.digest.0.to_vec(),
             id: self.id,
-            ..UseBack::default()
+            ..PermitRelease::default()
         };
         if holder.instance == shared.settings.instance {
             shared
@@ -142,7 +142,7 @@
         } else {
             shared
                 .dispatch
-                .send(holder.address, Body::UseBack(released));
+                .send(holder.address, Body::PermitRelease(released));
         }
     }
 }
@@ -169,11 +169,11 @@
         &self,
         fence: Fence,
         from: SocketAddr,
-        request: &UseAsk,
-    ) -> UseTold {
-        let mut answer = UseTold {
+        request: &PermitRequest,
+    ) -> PermitReply {
+        let mut answer = PermitReply {
             id: request.id,
-            ..UseTold::default()
+            ..PermitReply::default()
         };
         let Some(digest) = decode_digest(&request.digest) else {
             return answer;
@@ -196,7 +196,7 @@
     }
 
     /// Releases the permit of a run that ended without a crash.
-    pub fn release_exclusive_run(&self, from: SocketAddr, released: &UseBack) {
+    pub fn release_exclusive_run(&self, from: SocketAddr, released: &PermitRelease) {
         if let Some(digest) = decode_digest(&released.digest) {
             lock(&self.exclusive_runs.granted).release(digest, (from, released.id));
         }
--- a/crates/instance/src/relay.rs
+++ b/crates/instance/src/relay.rs
@@ -10,7 +10,7 @@
 use passway_serving::ports::StoreRevision;
 use passway_types::clock;
 use passway_types::prelude::*;
-use passway_wire::message::News;
+use passway_wire::message::Updates;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 /// Number of the configuration's feed.
@@ -50,19 +50,20 @@
 
 impl State {
     /// Records up to when the holder knew the feeds, according to a message that just arrived.
-    fn record_times(&mut self, message: &News, now: Instant) {
+    fn record_times(&mut self, message: &Updates, now: Instant) {
         self.last_received_at = Some(now);
-        if message.sent_ms == 0 {
+        if message.queued_at_ms == 0 {
             return;
         }
-        let Some(clock_origin) = now.checked_sub(Duration::from_millis(message.sent_ms)) else {
+        let Some(clock_origin) = now.checked_sub(Duration::from_millis(message.queued_at_ms))
+        else {
             return;
         };
         let clock_origin = self
             .holder_clock_origin
             .map_or(clock_origin, |at| at.min(clock_origin));
         self.holder_clock_origin = Some(clock_origin);
-        for (known, ms) in self.confirmed_at.iter_mut().zip(&message.confirmed_ms) {
+        for (known, ms) in self.confirmed_at.iter_mut().zip(&message.confirmed_at_ms) {
             if *ms > 0 {
                 *known = Some(clock_origin + Duration::from_millis(*ms));
             }
@@ -195,14 +196,14 @@
     }
 
     /// Takes in a message from the holder.
-    pub fn receive(&self, message: News) {
+    pub fn receive(&self, message: Updates) {
         let mut state = self.state();
         state.record_times(&message, clock::now());
         let feed = usize::try_from(message.feed).unwrap_or(FEED_COUNT);
-        if message.to == 0 || feed >= FEED_COUNT {
+        if message.to_revision == 0 || feed >= FEED_COUNT {
             return;
         }
-        let to = message.to;
+        let to = message.to_revision;
         match state.bases[feed].decode(message) {
             Ok(update) => {
                 let previous = state.pending[feed].take();
--- a/crates/instance/src/report.rs
+++ b/crates/instance/src/report.rs
@@ -8,7 +8,7 @@
 use crate::shared::{ReportEvent, Shared};
 use crate::signals;
 use crossbeam::channel::{Receiver, RecvTimeoutError};
-use passway_process::dial::{Dialed, Dialer};
+use passway_process::dial::{DialEvent, Dialer};
 use passway_process::outbox::Outbox;
 use passway_serving::leadership::{Candidate, Holder};
 use passway_serving::poison::{Suspect, UpstreamStart};
@@ -17,7 +17,8 @@
 use passway_types::prelude::*;
 use passway_wire::Body;
 use passway_wire::message::{
-    EnginePlacement, Needs, Promise, PromiseWanted, Running, Subscribe, Wish, Words,
+    EnginePlacement, InstanceReport, KnownSignals, ModelRequests, Promise, PromiseRequest,
+    RunCount, Subscribe,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -67,7 +68,7 @@
     relay: Arc<Relay>,
     link: Link,
     subscribed_at: Option<Instant>,
-    last_running: Vec<Running>,
+    last_running: Vec<RunCount>,
     dialed: Option<(Holder, Dialer)>,
     taken: TakenCounts,
     /// Requests of this instance that wait for a model or adapter.
@@ -104,12 +105,16 @@
     (service, wish.model, wish.adapter)
 }
 
-fn encode_demand((service, model, adapter): &DemandKey, count: u32, timeout: Duration) -> Wish {
-    Wish {
+fn encode_demand(
+    (service, model, adapter): &DemandKey,
+    count: u32,
+    timeout: Duration,
+) -> ModelRequests {
+    ModelRequests {
         service: service.to_string(),
         model: model.to_string(),
         adapter: adapter.as_deref().unwrap_or_default().to_owned(),
-        wait_ms: u32::try_from(timeout.as_millis()).unwrap_or(u32::MAX),
+        remaining_wait_ms: u32::try_from(timeout.as_millis()).unwrap_or(u32::MAX),
         count,
     }
 }
@@ -251,34 +256,34 @@
                 return;
             }
             match dialed {
-                Dialed::Connected(outbox) => {
+                DialEvent::Connected(outbox) => {
                     *link = Some(outbox);
                     is_new_connection.store(true, Ordering::Release);
                     drop(link);
                     shared.report(ReportEvent::HolderConnected);
                 }
-                Dialed::Disconnected => {
+                DialEvent::Disconnected => {
                     *link = None;
                     relay.holder_disconnected();
                 }
-                Dialed::Received(Body::News(message)) => {
+                DialEvent::Received(Body::Updates(message)) => {
                     if let Some(instances) =
                         usize::try_from(message.instances).ok().filter(|n| *n > 0)
                     {
                         shared.set_instance_count(instances);
                     }
-                    if message.sent_ms > 0 {
-                        let unconfirmed = message.doubtful.iter().map(|id| id.as_str().into());
+                    if message.queued_at_ms > 0 {
+                        let unconfirmed = message.unconfirmed.iter().map(|id| id.as_str().into());
                         shared.set_unconfirmed_engines(unconfirmed.collect());
                     }
                     relay.receive(message);
                     drop(link);
                 }
-                Dialed::Received(Body::Members(members)) => {
+                DialEvent::Received(Body::Members(members)) => {
                     drop(link);
                     *shared.members() = members::decode(&members);
                 }
-                Dialed::Received(Body::Successor(term)) => {
+                DialEvent::Received(Body::NewHolder(term)) => {
                     // Like any message about leadership, it only counts while the store does not
                     // answer.
                     drop(link);
@@ -291,31 +296,31 @@
                         log::info!(fence = term.fence; "a new term of the same holder");
                     }
                 }
-                Dialed::Received(Body::Dispatchers(dispatchers)) => {
+                DialEvent::Received(Body::Dispatchers(dispatchers)) => {
                     drop(link);
                     let list = members::decode(&dispatchers).into_iter();
                     let list = list.map(|(instance, address)| Candidate { instance, address });
                     shared.dispatch.set_dispatchers(list.collect());
                 }
-                Dialed::Received(Body::Suspects(suspects)) => {
+                DialEvent::Received(Body::Suspects(suspects)) => {
                     drop(link);
-                    for (start, at) in shared.poison.merge_breaks(&suspects.breaks) {
+                    for (start, at) in shared.poison.merge_breaks(&suspects.disconnects) {
                         shared.upstreams().mark_unreachable(&start.upstream, at);
                     }
                     // Only a message about requests shows that the fleet's list was received.
-                    if !suspects.suspects.is_empty() || suspects.breaks.is_empty() {
+                    if !suspects.suspects.is_empty() || suspects.disconnects.is_empty() {
                         shared.poison.merge_fleet_list(suspects);
                     }
                 }
-                Dialed::Received(Body::Words(signals)) => {
+                DialEvent::Received(Body::KnownSignals(signals)) => {
                     drop(link);
                     signals::merge(&shared, signals);
                 }
-                Dialed::Received(Body::Placements(placements)) => {
+                DialEvent::Received(Body::Placements(placements)) => {
                     drop(link);
                     apply_placements(&shared, placements.engines);
                 }
-                Dialed::Received(Body::PromiseWanted(wanted)) => {
+                DialEvent::Received(Body::PromiseRequest(wanted)) => {
                     if let Some(promise) =
                         answer_promise_request(&shared, &leadership, &dialed_holder, wanted)
                         && let Some(outbox) = link.as_ref()
@@ -323,7 +328,7 @@
                         outbox.send(Body::Promise(promise));
                     }
                 }
-                Dialed::Received(_) => {}
+                DialEvent::Received(_) => {}
             }
         });
         self.dialed = Some((holder, dialer));
@@ -364,11 +369,11 @@
             return;
         }
         outbox.send(Body::Subscribe(Subscribe {
-            known: known.to_vec(),
+            known_revisions: known.to_vec(),
             instance: self.shared.settings.instance.to_string(),
             address: self.shared.settings.peer_address.to_string(),
             is_weak: self.leadership.has_low_cpu(),
-            placements: self.shared.upstreams().placement_digests().collect(),
+            placement_digests: self.shared.upstreams().placement_digests().collect(),
         }));
         self.subscribed_at = Some(clock::now());
     }
@@ -399,11 +404,11 @@
             suspects = self.shared.poison.suspects(1);
             signals = signals::encode_for_holder(&self.shared, None);
         }
-        if signals != Words::default() {
-            outbox.send(Body::Words(signals));
+        if signals != KnownSignals::default() {
+            outbox.send(Body::KnownSignals(signals));
         }
-        suspects.breaks = poison::encode_breaks(&std::mem::take(&mut self.breaks));
-        if !suspects.suspects.is_empty() || !suspects.breaks.is_empty() {
+        suspects.disconnects = poison::encode_breaks(&std::mem::take(&mut self.breaks));
+        if !suspects.suspects.is_empty() || !suspects.disconnects.is_empty() {
             outbox.send(Body::Suspects(suspects));
         }
         let now = clock::now();
@@ -415,30 +420,30 @@
             ),
             None => encode_demand(key, 0, Duration::ZERO),
         });
-        let waiting: Vec<Wish> = waiting.collect();
+        let waiting: Vec<ModelRequests> = waiting.collect();
         let taken = taken
             .iter()
             .map(|(key, count)| encode_demand(key, *count, Duration::ZERO));
-        let taken: Vec<Wish> = taken.collect();
+        let accepted: Vec<ModelRequests> = taken.collect();
         let upstreams = self.shared.upstreams();
         let running = upstreams
             .in_flight_by_model()
-            .map(|(engine, model, count)| Running {
+            .map(|(engine, model, count)| RunCount {
                 engine: engine.to_string(),
                 model: model.to_string(),
                 count,
             });
-        let mut running: Vec<Running> = running.collect();
+        let mut running: Vec<RunCount> = running.collect();
         running
             .sort_by(|left, right| (&left.engine, &left.model).cmp(&(&right.engine, &right.model)));
-        if waiting.is_empty() && taken.is_empty() && running == self.last_running {
+        if waiting.is_empty() && accepted.is_empty() && running == self.last_running {
             return;
         }
         self.last_running.clone_from(&running);
-        outbox.send(Body::Needs(Needs {
+        outbox.send(Body::InstanceReport(InstanceReport {
             instance: self.shared.settings.instance.to_string(),
             waiting,
-            taken,
+            accepted,
             running,
         }));
     }
@@ -450,7 +455,7 @@
     shared: &Shared,
     leadership: &LeadershipDriver,
     asker: &Holder,
-    wanted: PromiseWanted,
+    wanted: PromiseRequest,
 ) -> Option<Promise> {
     let is_stopping = shared.is_stopping();
     let store_answers = !shared.store_health.is_failing();
@@ -461,8 +466,8 @@
     promises.then(|| Promise {
         instance: shared.settings.instance.to_string(),
         fence: wanted.fence,
-        asked_ms: wanted.asked_ms,
-        leaves: is_stopping,
+        asked_at_ms: wanted.asked_at_ms,
+        is_leaving: is_stopping,
     })
 }
 
@@ -482,7 +487,7 @@
             name: model.model.into(),
             adapters: model.adapters.into_iter().map(Into::into).collect(),
         });
-        let closing = placement.closing.into_iter().map(Into::into);
+        let closing = placement.evicting.into_iter().map(Into::into);
         upstreams.set_placement(&placement.engine, models.collect(), closing.collect());
     }
     drop(upstreams);
--- a/crates/instance/src/signals.rs
+++ b/crates/instance/src/signals.rs
@@ -13,7 +13,7 @@
 use passway_serving::signals::{BackoffSignal, LeavingSignal, UpstreamSignals};
 use passway_types::clock;
 use passway_types::prelude::*;
-use passway_wire::message::{LeavingUpstream, RestingUpstream, UpstreamLimit, Words};
+use passway_wire::message::{BackingOffUpstream, KnownSignals, LeavingUpstream, UpstreamLimit};
 
 /// Longest accepted backoff. After this time, a request finds out whether the upstream still wants
 /// the backoff, so that a wrong value does not exclude an upstream for good.
@@ -125,9 +125,9 @@
 }
 
 /// Encodes the limits and leaving state of the named upstreams, or of all that sent signals.
-pub fn encode(shared: &Shared, named: Option<&[UpstreamId]>) -> Words {
+pub fn encode(shared: &Shared, named: Option<&[UpstreamId]>) -> KnownSignals {
     if named.is_some_and(<[UpstreamId]>::is_empty) {
-        return Words::default();
+        return KnownSignals::default();
     }
     let now = clock::now();
     let upstreams = shared.upstreams();
@@ -136,41 +136,41 @@
     let limits = limits.map(|(id, started_at_ms, limit)| UpstreamLimit {
         upstream: id.to_string(),
         started_at_ms,
-        per_s: limit.per_s,
+        requests_per_s: limit.per_s,
         sent_ms_ago: millis_since(limit.sent_at, now),
-        heard_ms_ago: millis_since(limit.received_at, now),
+        received_ms_ago: millis_since(limit.received_at, now),
     });
     let leaving = upstreams.leaving().filter(|(id, _)| is_named(id));
     let leaving = leaving.map(|(id, started_at_ms)| LeavingUpstream {
         upstream: id.to_string(),
         started_at_ms,
     });
-    Words {
+    KnownSignals {
         limits: limits.collect(),
         leaving: leaving.collect(),
-        resting: Vec::new(),
+        backing_off: Vec::new(),
     }
 }
 
 /// Encodes what this instance reports to the holder about the named upstreams, or about all:
 /// limits, leaving state, and which of them asked this instance to back off.
-pub fn encode_for_holder(shared: &Shared, named: Option<&[UpstreamId]>) -> Words {
+pub fn encode_for_holder(shared: &Shared, named: Option<&[UpstreamId]>) -> KnownSignals {
     let now = clock::now();
     let mut message = encode(shared, named);
     let upstreams = shared.upstreams();
     let is_named = |id: &UpstreamId| named.is_none_or(|named| named.contains(id));
     let backing_off = upstreams.backing_off(now).filter(|(id, _)| is_named(id));
-    let backing_off = backing_off.map(|(id, until)| RestingUpstream {
+    let backing_off = backing_off.map(|(id, until)| BackingOffUpstream {
         upstream: id.to_string(),
         started_at_ms: upstreams.started_at_ms(id),
-        left_ms: millis(until.saturating_duration_since(now)),
+        remaining_ms: millis(until.saturating_duration_since(now)),
     });
-    message.resting = backing_off.collect();
+    message.backing_off = backing_off.collect();
     message
 }
 
 /// Merges what another instance sent. Returns the upstreams that are concerned.
-pub fn merge(shared: &Shared, received: Words) -> Vec<UpstreamId> {
+pub fn merge(shared: &Shared, received: KnownSignals) -> Vec<UpstreamId> {
     let now = clock::now();
     let ago = |ms: u64| now.checked_sub(Duration::from_millis(ms)).unwrap_or(now);
     let mut concerned = Vec::new();
@@ -184,10 +184,10 @@
         }
         let limit = ObservedLimit {
             per_s: received_limit
-                .per_s
+                .requests_per_s
                 .filter(|per_s| per_s.is_finite() && *per_s >= 0.0),
             sent_at: ago(received_limit.sent_ms_ago),
-            received_at: ago(received_limit.heard_ms_ago),
+            received_at: ago(received_limit.received_ms_ago),
         };
         record_limit(shared, &start, limit);
         concerned.push(start.upstream);
--- a/crates/instance/src/subscribers.rs
+++ b/crates/instance/src/subscribers.rs
@@ -133,10 +133,10 @@
 /// The encoded update for an instance that knows a feed up to a revision. If the update is too
 /// large, a gap marker takes its place, so that the instance queries the store.
 fn update_frame(log: &FeedLog, feed: usize, known: StoreRevision) -> Option<Frame> {
-    let frame = Frame::new(Body::News(log.update_after(feed, known)?));
+    let frame = Frame::new(Body::Updates(log.update_after(feed, known)?));
     let frame = frame.or_else(|error| {
         log::error!(feed = feed, error:% = error; "cannot encode an update");
-        Frame::new(Body::News(log.gap_marker(feed)))
+        Frame::new(Body::Updates(log.gap_marker(feed)))
     });
     frame.ok()
 }
--- a/crates/instance/src/updates.rs
+++ b/crates/instance/src/updates.rs
@@ -4,7 +4,7 @@
 use crate::compression::{self, MIN_COMPRESSED_BYTES};
 use anyhow::{Context, Result};
 use passway_serving::ports::{Listing, StoreChange, StoreRevision, StoredValue};
-use passway_wire::message::{News, NewsValue};
+use passway_wire::message::{StoreValue, Updates};
 use std::collections::BTreeMap;
 
 /// An update of one feed.
@@ -170,46 +170,46 @@
     ///
     /// # Errors
     /// If a value was compressed against an unknown base.
-    pub fn decode(&mut self, message: News) -> Result<FeedUpdate> {
+    pub fn decode(&mut self, message: Updates) -> Result<FeedUpdate> {
         let changes: Result<Vec<StoreChange>> = message
             .values
             .into_iter()
             .map(|value| self.decode_change(value))
             .collect();
         let changes = changes?;
-        let update = if message.from > 0 {
+        let update = if message.from_revision > 0 {
             FeedUpdate::Changes {
-                from: message.from,
-                to: message.to,
+                from: message.from_revision,
+                to: message.to_revision,
                 changes,
             }
         } else {
             FeedUpdate::Snapshot(Listing {
                 values: apply_changes(Vec::new(), changes),
-                revision: message.to,
+                revision: message.to_revision,
             })
         };
         self.record(&update);
         Ok(update)
     }
 
-    fn decode_change(&self, received: NewsValue) -> Result<StoreChange> {
+    fn decode_change(&self, received: StoreValue) -> Result<StoreChange> {
         let (key, revision) = (received.key, received.revision);
         let Some(mut value) = received.value else {
             return Ok(StoreChange::Removed { key, revision });
         };
-        if received.plain_bytes > 0 {
+        if received.uncompressed_bytes > 0 {
             if let Some(known) = self.newest(&key).filter(|known| known.revision >= revision) {
                 // The store already supplied this value, and its base may have been dropped.
                 return Ok(StoreChange::Written(known.clone()));
             }
             let base = self
-                .at_revision(&key, received.base)
+                .at_revision(&key, received.base_revision)
                 .map(|known| &*known.value);
-            let plain_bytes = usize::try_from(received.plain_bytes)?;
+            let plain_bytes = usize::try_from(received.uncompressed_bytes)?;
             let plain = compression::decompress(&value, base, plain_bytes);
             value = plain
-                .with_context(|| format!("decompressing {key} against {}", received.base))?
+                .with_context(|| format!("decompressing {key} against {}", received.base_revision))?
                 .into();
         }
         Ok(StoreChange::Written(StoredValue {
--- a/tests/all/config_memory.rs
+++ b/tests/all/config_memory.rs
@@ -10,7 +10,7 @@
 use crate::cluster::{self, configuration, until};
 use passway_instance::Instance;
 use passway_standins::platform::caller::HOST;
-use passway_wire::message::{News, Subscribe};
+use passway_wire::message::{Subscribe, Updates};
 use passway_wire::{Body, Link, LinkReader};
 use prost::Message;
 use serde_json::{Value, json};
@@ -50,11 +50,11 @@
     let (link, reader) = Link::connect(address, Duration::from_secs(5)).expect("a link");
     let send_subscription = || {
         link.send(Body::Subscribe(Subscribe {
-            known: vec![1, 1],
+            known_revisions: vec![1, 1],
             instance: name.into(),
             address: "127.0.0.1:1".into(),
             is_weak: false,
-            placements: Vec::new(),
+            placement_digests: Vec::new(),
         }))
     };
     until("the subscriber to be known", || {
@@ -73,10 +73,10 @@
         let Ok(Some(body)) = reader.receive() else {
             return (bytes, false);
         };
-        let Body::News(update) = body else { continue };
-        bytes += update.encoded_len();
-        let has_key = |update: &News| update.values.iter().any(|value| value.key == key);
-        if has_key(&update) {
+        let Body::Updates(delta) = body else { continue };
+        bytes += delta.encoded_len();
+        let has_key = |delta: &Updates| delta.values.iter().any(|value| value.key == key);
+        if has_key(&delta) {
             return (bytes, true);
         }
     }
--- a/tests/all/config_paths.rs
+++ b/tests/all/config_paths.rs
@@ -12,7 +12,7 @@
 use passway_instance::relay::{CONFIGURATION_FEED, FEED_COUNT, Relay, RelayReceiver};
 use passway_serving::ports::{Listing, StoreChange, StoreError, StoredValue, WatchAnswer};
 use passway_types::prelude::*;
-use passway_wire::message::{News, NewsValue};
+use passway_wire::message::{StoreValue, Updates};
 
 fn empty_list() -> Listing {
     Listing {
@@ -48,12 +48,12 @@
     let revisions = follow_store(store, receiver, &shared());
     until("the listing", || revisions.contains(10));
     until("the holder's update", || {
-        relay.receive(News {
-            values: vec![NewsValue {
+        relay.receive(Updates {
+            values: vec![StoreValue {
                 key: "op/config".into(),
                 value: Some(Bytes::new()),
                 revision: 20,
-                ..NewsValue::default()
+                ..StoreValue::default()
             }],
             ..update_message(10, 20)
         });
@@ -64,12 +64,12 @@
 /// A feed queries the store although the holder is alive, because the holder has no confirmation
 /// from the store.
 fn queries_store_despite_heartbeats(relay: &Relay, receiver: RelayReceiver) {
-    relay.receive(News::default());
+    relay.receive(Updates::default());
     let store = ScriptedStore::new(|_| Ok(empty_list()), |_| Ok(change()));
     let revisions = follow_store(store, receiver, &shared());
     until("the listing", || revisions.contains(10));
     until("the store's change", || {
-        relay.receive(News::default());
+        relay.receive(Updates::default());
         revisions.contains(20)
     });
 }
--- a/tests/all/dispatcher_queries.rs
+++ b/tests/all/dispatcher_queries.rs
@@ -7,7 +7,9 @@
 use passway_instance::Instance;
 use passway_standins::platform::model_server::{Faults, ModelServer};
 use passway_standins::platform::store::MetadataStandIn;
-use passway_wire::dispatch::{Ask, Datagram, Dispatch, Ended, Grant, RunOutcome, Running, Verdict};
+use passway_wire::dispatch::{
+    Datagram, Dispatch, DispatchReply, DispatchRequest, RunEnded, RunOutcome, RunSnapshot, Verdict,
+};
 use passway_wire::message::{Member, Members};
 use passway_wire::{Body, Link};
 use std::net::{SocketAddr, UdpSocket};
@@ -61,7 +63,7 @@
 
 impl TestBed {
     fn send(&self, body: Dispatch) {
-        let bytes = Datagram::bytes(Some(body));
+        let bytes = Datagram::encode_body(Some(body));
         self.socket.send_to(&bytes, self.address).expect("sent");
     }
 
@@ -69,31 +71,31 @@
         let mut bytes = [0; 1_500];
         loop {
             let (length, _) = self.socket.recv_from(&mut bytes).expect("a datagram");
-            if let Some(body) = Datagram::read(&bytes[..length]) {
+            if let Some(body) = Datagram::decode_body(&bytes[..length]) {
                 return body;
             }
         }
     }
 
     /// The instance's answer to a query.
-    fn query(&self, id: u64) -> Grant {
-        self.send(Dispatch::Ask(Ask {
+    fn query(&self, id: u64) -> DispatchReply {
+        self.send(Dispatch::DispatchRequest(DispatchRequest {
             id,
             service: "engines".into(),
             model: "m0".into(),
             hall: "hall0".into(),
-            drawn: id,
-            ..Ask::default()
+            random: id,
+            ..DispatchRequest::default()
         }));
         match self.receive() {
-            Dispatch::Grant(grant) => grant,
+            Dispatch::DispatchReply(grant) => grant,
             other => panic!("{other:?}"),
         }
     }
 }
 
 /// Queries until the instance, as the dispatcher, has granted all slots.
-fn fill_all_slots(test_bed: &TestBed) -> Vec<Grant> {
+fn fill_all_slots(test_bed: &TestBed) -> Vec<DispatchReply> {
     let grants = (0..100).map(|id| test_bed.query(id));
     grants
         .take_while(|grant| grant.verdict() == Verdict::Go)
@@ -114,7 +116,7 @@
     assert_eq!(test_bed.query(0), grants[0]);
     // A slot is free again once its run has ended.
     assert_eq!(test_bed.query(500).verdict(), Verdict::Full);
-    test_bed.send(Dispatch::Ended(Ended {
+    test_bed.send(Dispatch::RunEnded(RunEnded {
         id: 0,
         outcome: RunOutcome::Answered.into(),
     }));
@@ -124,13 +126,13 @@
         (Verdict::Go, &grants[0].engine)
     );
     // A model without an engine is not granted.
-    test_bed.send(Dispatch::Ask(Ask {
+    test_bed.send(Dispatch::DispatchRequest(DispatchRequest {
         id: 502,
         service: "engines".into(),
         model: "m9".into(),
-        ..Ask::default()
+        ..DispatchRequest::default()
     }));
-    let Dispatch::Grant(grant) = test_bed.receive() else {
+    let Dispatch::DispatchReply(grant) = test_bed.receive() else {
         panic!("no answer");
     };
     assert_eq!(grant.verdict(), Verdict::Absent);
@@ -159,15 +161,15 @@
     let test_bed = test_bed(&[None]);
     let slot_count = fill_all_slots(&test_bed).len();
     let slots = u64::try_from(slot_count / 2).expect("small");
-    let runs = (0..slots).map(|id| passway_wire::dispatch::RunHere {
+    let runs = (0..slots).map(|id| passway_wire::dispatch::EngineRun {
         id,
         engine: "i-0".into(),
     });
-    let running = Running {
+    let running = RunSnapshot {
         runs: runs.collect(),
     };
     // The instance's own grants expire, because nobody reports their runs.
-    let bytes = Datagram::bytes(Some(Dispatch::Running(running)));
+    let bytes = Datagram::encode_body(Some(Dispatch::RunSnapshot(running)));
     wait_until_only_second_granted(&test_bed, &bytes);
 }
 
@@ -177,17 +179,17 @@
     let test_bed = test_bed(&[None]);
     let slot_count = fill_all_slots(&test_bed).len();
     let slots = u64::try_from(slot_count / 2).expect("small");
-    let run = |id, engine: &str| passway_wire::dispatch::RunHere {
+    let run = |id, engine: &str| passway_wire::dispatch::EngineRun {
         id,
         engine: engine.to_owned(),
     };
     let long = "e".repeat(200);
     let other_runs = (1_000..1_032).map(|id| run(id, &long));
     let runs = other_runs.chain((0..slots).map(|id| run(id, "i-0")));
-    let running = Running {
+    let running = RunSnapshot {
         runs: runs.collect(),
     };
-    let bytes = Datagram::bytes(Some(Dispatch::Running(running)));
+    let bytes = Datagram::encode_body(Some(Dispatch::RunSnapshot(running)));
     assert!(bytes.len() > 4_096);
     wait_until_only_second_granted(&test_bed, &bytes);
 }
@@ -202,28 +204,28 @@
     let mut bytes = [0; 1_500];
     let mut next_message = || loop {
         let (length, from) = socket.recv_from(&mut bytes).expect("a datagram");
-        match Datagram::read(&bytes[..length]) {
-            Some(Dispatch::Running(_)) | None => {}
+        match Datagram::decode_body(&bytes[..length]) {
+            Some(Dispatch::RunSnapshot(_)) | None => {}
             Some(body) => return (body, from),
         }
     };
-    let (Dispatch::Ask(ask), from) = next_message() else {
+    let (Dispatch::DispatchRequest(ask), from) = next_message() else {
         panic!("no query");
     };
     assert_eq!((&*ask.model, &*ask.hall), ("m0", "hall0"));
-    let grant = Grant {
+    let grant = DispatchReply {
         id: ask.id,
         verdict: Verdict::Go.into(),
         engine: "i-1".into(),
     };
-    let bytes = Datagram::bytes(Some(Dispatch::Grant(grant)));
+    let bytes = Datagram::encode_body(Some(Dispatch::DispatchReply(grant)));
     socket.send_to(&bytes, from).expect("sent");
     let answer = caller_thread.join().expect("a caller");
     assert_eq!((answer.status, answer.whole), (200, true));
     assert_eq!(test_bed.servers[1].runs(), ["c1"]);
     // The end is reported. (The query may have been sent twice before.)
     let ended = std::iter::repeat_with(&mut next_message).find_map(|(body, _)| match body {
-        Dispatch::Ended(ended) => Some(ended),
+        Dispatch::RunEnded(ended) => Some(ended),
         _ => None,
     });
     let ended = ended.expect("the end");
@@ -292,13 +294,13 @@
     std::thread::spawn(move || {
         let mut bytes = [0; 1_500];
         while let Ok((length, from)) = socket.recv_from(&mut bytes) {
-            if let Some(Dispatch::Ask(ask)) = Datagram::read(&bytes[..length]) {
-                let grant = Grant {
+            if let Some(Dispatch::DispatchRequest(ask)) = Datagram::decode_body(&bytes[..length]) {
+                let grant = DispatchReply {
                     id: ask.id,
                     verdict: Verdict::Go.into(),
                     engine: "i-0".into(),
                 };
-                let bytes = Datagram::bytes(Some(Dispatch::Grant(grant)));
+                let bytes = Datagram::encode_body(Some(Dispatch::DispatchReply(grant)));
                 socket.send_to(&bytes, from).expect("sent");
             }
         }
--- a/tests/all/feed_log.rs
+++ b/tests/all/feed_log.rs
@@ -83,7 +83,14 @@
         waiting = waiting.merged_with(written(revision));
     }
     let update = log.update_after(CONFIGURATION_FEED, 10).expect("an update");
-    assert_eq!((update.from, update.to, update.values.len()), (10, 499, 1));
+    assert_eq!(
+        (
+            update.from_revision,
+            update.to_revision,
+            update.values.len()
+        ),
+        (10, 499, 1)
+    );
     let newest = StoreChange::Written(large("a", 499));
     let expected = FeedUpdate::Changes {
         from: 10,
@@ -182,7 +189,7 @@
     });
     let update = log.update_after(CONFIGURATION_FEED, 15).expect("an update");
     let keys: Vec<_> = update.values.iter().map(|value| &*value.key).collect();
-    assert_eq!(keys, ["b"], "complete up to {}", update.to);
+    assert_eq!(keys, ["b"], "complete up to {}", update.to_revision);
 }
 
 /// The holder does not know what was written and removed between two listings.
@@ -193,7 +200,7 @@
     log.apply(&whole(&["a"], 30, 10));
     let start_of_update = |known| {
         log.update_after(CONFIGURATION_FEED, known)
-            .map(|update| update.from)
+            .map(|update| update.from_revision)
     };
     assert_eq!(start_of_update(10), Some(10));
     assert_eq!(start_of_update(20), Some(0));
@@ -232,9 +239,9 @@
     }
     // A receiver whose known revision is too old gets everything.
     let update = log.update_after(CONFIGURATION_FEED, 10).expect("an update");
-    assert_eq!((update.from, update.values.len()), (0, 0));
+    assert_eq!((update.from_revision, update.values.len()), (0, 0));
     let update = log
         .update_after(CONFIGURATION_FEED, 3_000)
         .expect("an update");
-    assert_eq!((update.from, update.values.len()), (3_000, 5));
+    assert_eq!((update.from_revision, update.values.len()), (3_000, 5));
 }
--- a/tests/all/holder_link.rs
+++ b/tests/all/holder_link.rs
@@ -10,7 +10,7 @@
 use passway_instance::relay::{CONFIGURATION_FEED, FEED_COUNT, Relay};
 use passway_standins::platform::store::{Faults, MetadataStandIn};
 use passway_types::prelude::*;
-use passway_wire::message::{News, NewsValue, Subscribe};
+use passway_wire::message::{StoreValue, Subscribe, Updates};
 use passway_wire::{Body, Link, LinkReader};
 use std::net::TcpListener;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -47,7 +47,7 @@
     /// Sends a heartbeat that confirms all feeds.
     fn send_heartbeat(&self, link: &Link) {
         // The subscriber may have closed the link, which the test notices by reading.
-        let _ = link.send(Body::News(heartbeat(self.clock_origin, FEED_COUNT)));
+        let _ = link.send(Body::Updates(heartbeat(self.clock_origin, FEED_COUNT)));
     }
 }
 
@@ -89,21 +89,21 @@
     let (_store, holder, _instance) = listener();
     let (link, mut reader) = holder.accept();
     let first = subscription(&mut reader).expect("a subscription");
-    let known = first.known[CONFIGURATION_FEED];
+    let known = first.known_revisions[CONFIGURATION_FEED];
     assert!(known > 0);
-    let compressed = NewsValue {
+    let compressed = StoreValue {
         key: "op/config".into(),
         value: Some(vec![1; 100].into()),
         revision: known + 5,
-        plain_bytes: 10_000,
-        base: known + 4,
+        uncompressed_bytes: 10_000,
+        base_revision: known + 4,
     };
     holder.send_heartbeat(&link);
-    let update = News {
+    let update = Updates {
         values: vec![compressed],
         ..update_message(known, known + 5)
     };
-    link.send(Body::News(update)).expect("sent");
+    link.send(Body::Updates(update)).expect("sent");
     let is_resubscribed = AtomicBool::new(false);
     let resubscription = std::thread::scope(|scope| {
         scope.spawn(|| {
@@ -117,17 +117,17 @@
         resubscription
     });
     let resubscription = resubscription.expect("another subscription");
-    assert_eq!(resubscription.known[CONFIGURATION_FEED], 0);
+    assert_eq!(resubscription.known_revisions[CONFIGURATION_FEED], 0);
 }
 
 /// A delayed message confirms what was known when it was sent.
 #[test]
 fn delayed_message_counts_as_old() {
     let (relay, _) = Relay::new();
-    let heartbeat = |sent_ms, confirmed_ms| News {
-        sent_ms,
-        confirmed_ms: vec![confirmed_ms; FEED_COUNT],
-        ..News::default()
+    let heartbeat = |queued_at_ms, confirmed_ms| Updates {
+        queued_at_ms,
+        confirmed_at_ms: vec![confirmed_ms; FEED_COUNT],
+        ..Updates::default()
     };
     let is_trusted = || relay.trusted_until(CONFIGURATION_FEED).is_some();
     relay.receive(heartbeat(9_000, 9_000));
@@ -160,23 +160,25 @@
     let holder = PlayedHolder::begin(&store);
     let instance = cluster::start_at("one", proxy.address());
     let (link, mut reader) = holder.accept();
-    let known = subscription(&mut reader).expect("a subscription").known;
+    let known = subscription(&mut reader)
+        .expect("a subscription")
+        .known_revisions;
     assert!(known.iter().all(|revision| *revision > 0));
     proxy.set_faults(Faults {
         refuses: Some(503),
         ..Faults::default()
     });
     let value = cluster::configuration(9, &["m0"]).to_string();
-    let update = News {
-        values: vec![NewsValue {
+    let update = Updates {
+        values: vec![StoreValue {
             key: "op/config".into(),
             value: Some(value.into()),
             revision: known[CONFIGURATION_FEED] + 100,
-            ..NewsValue::default()
+            ..StoreValue::default()
         }],
         ..update_message(known[CONFIGURATION_FEED], known[CONFIGURATION_FEED] + 100)
     };
-    link.send(Body::News(update)).expect("sent");
+    link.send(Body::Updates(update)).expect("sent");
     until("the version", || instance.config_version() == Some(9));
 }
 
--- a/tests/all/poison_turns.rs
+++ b/tests/all/poison_turns.rs
@@ -9,7 +9,7 @@
 use passway_wire::Body;
 use passway_wire::dispatch::{Datagram, Dispatch};
 use passway_wire::message::{Member, Members};
-use passway_wire::permits::{UseAsk, UseTold, UseVerdict, VersionAsk};
+use passway_wire::permits::{PermitReply, PermitRequest, UseVerdict, VersionQuery};
 use std::net::UdpSocket;
 
 /// Body of the requests that crash engines.
@@ -85,11 +85,12 @@
     }
 
     /// The next request for a permit, and the address of its sender.
-    fn next_permit_request(&self) -> (UseAsk, std::net::SocketAddr) {
+    fn next_permit_request(&self) -> (PermitRequest, std::net::SocketAddr) {
         let mut bytes = [0; 1_500];
         loop {
             let (length, from) = self.coordinator.recv_from(&mut bytes).expect("a question");
-            if let Some(Dispatch::UseAsk(permit_request)) = Datagram::read(&bytes[..length])
+            if let Some(Dispatch::PermitRequest(permit_request)) =
+                Datagram::decode_body(&bytes[..length])
                 && !permit_request.digest.is_empty()
             {
                 return (permit_request, from);
@@ -128,12 +129,12 @@
             }
         };
         assert_eq!(repeated.id, first.id);
-        let mut answer = UseTold {
+        let mut answer = PermitReply {
             id: repeated.id,
-            ..UseTold::default()
+            ..PermitReply::default()
         };
         answer.set_verdict(UseVerdict::Granted);
-        let bytes = Datagram::bytes(Some(Dispatch::UseTold(answer)));
+        let bytes = Datagram::encode_body(Some(Dispatch::PermitReply(answer)));
         cluster.coordinator.send_to(&bytes, from).expect("sent");
         assert_eq!(caller.join().expect("a caller"), 502);
     });
@@ -172,7 +173,7 @@
     // Datagrams are processed in order, so the report of the crashes arrives before this query.
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
     socket.set_read_timeout(Some(PATIENCE)).expect("a timeout");
-    let question = Datagram::bytes(Some(Dispatch::VersionAsk(VersionAsk { id: 1 })));
+    let question = Datagram::encode_body(Some(Dispatch::VersionQuery(VersionQuery { id: 1 })));
     socket.send_to(&question, &address).expect("sent");
     socket.recv_from(&mut [0; 1_500]).expect("an answer");
     assert!(refuses_suspect(&send(&two, "p2")));
--- a/tests/all/relay_gap.rs
+++ b/tests/all/relay_gap.rs
@@ -10,7 +10,7 @@
     Listing, StoreChange, StoreError, StoreRevision, StoredValue, WatchAnswer,
 };
 use passway_types::prelude::*;
-use passway_wire::message::News;
+use passway_wire::message::Updates;
 
 fn value(revision: StoreRevision) -> StoredValue {
     StoredValue {
@@ -73,7 +73,14 @@
     assert!(!log.apply(&unchanged));
     assert!(!log.has_changes_after(10));
     let update = log.update_after(CONFIGURATION_FEED, 10).expect("an update");
-    assert_eq!((update.from, update.to, update.values.len()), (10, 40, 0));
+    assert_eq!(
+        (
+            update.from_revision,
+            update.to_revision,
+            update.values.len()
+        ),
+        (10, 40, 0)
+    );
     assert_eq!(log.update_after(CONFIGURATION_FEED, 40), None);
 }
 
@@ -90,14 +97,14 @@
         shared.store_health.missing_entry_expires_at(now) == now
     };
     until("an outage", || !expires_at_once());
-    let mut to = 10;
+    let mut to_revision = 10;
     until("the holder's update to count", || {
-        to += 1;
-        relay.receive(News {
+        to_revision += 1;
+        relay.receive(Updates {
             feed: u32::try_from(CONFIGURATION_FEED).expect("small"),
-            from: 10,
-            to,
-            ..News::default()
+            from_revision: 10,
+            to_revision,
+            ..Updates::default()
         });
         expires_at_once()
     });
--- a/tests/all/scripted_store.rs
+++ b/tests/all/scripted_store.rs
@@ -11,7 +11,7 @@
 };
 use passway_types::prelude::*;
 use passway_users_platform::PlatformHeaders;
-use passway_wire::message::News;
+use passway_wire::message::Updates;
 use std::net::SocketAddr;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -161,24 +161,24 @@
 }
 
 /// A holder's update of the configuration between two revisions, without a value.
-pub fn update_message(from: StoreRevision, to: StoreRevision) -> News {
-    News {
+pub fn update_message(from_revision: StoreRevision, to_revision: StoreRevision) -> Updates {
+    Updates {
         feed: u32::try_from(CONFIGURATION_FEED).expect("small"),
-        from,
-        to,
-        ..News::default()
+        from_revision,
+        to_revision,
+        ..Updates::default()
     }
 }
 
 /// A heartbeat of a holder whose clock started at `begun_at` and to which the store has just
 /// confirmed the first `feeds` feeds.
-pub fn heartbeat(begun_at: Instant, feeds: usize) -> News {
+pub fn heartbeat(begun_at: Instant, feeds: usize) -> Updates {
     let elapsed_ms = begun_at.elapsed().as_millis();
     let now_ms = u64::try_from(elapsed_ms).expect("small") + 1;
     let confirmed_ms = |feed| if feed < feeds { now_ms } else { 0 };
-    News {
-        sent_ms: now_ms,
-        confirmed_ms: (0..FEED_COUNT).map(confirmed_ms).collect(),
-        ..News::default()
+    Updates {
+        queued_at_ms: now_ms,
+        confirmed_at_ms: (0..FEED_COUNT).map(confirmed_ms).collect(),
+        ..Updates::default()
     }
 }
--- a/tests/suspended/caller.rs
+++ b/tests/suspended/caller.rs
@@ -29,7 +29,7 @@
     until("the request to be forwarded", || {
         !silent.received().is_empty()
     });
-    clock::play_suspension(hour);
+    clock::simulate_suspension(hour);
     let answer = caller.receive().expect("an answer");
     assert_eq!(answer.status, 504);
 }
@@ -49,7 +49,7 @@
         assert_eq!(ask(address, &pay).map(|answer| answer.status), Some(200));
         let answer = stream(address, "chat", &format!("s{number}"), "m0");
         assert_eq!((answer.status, answer.whole), (200, true));
-        clock::play_suspension(Duration::from_secs(10));
+        clock::simulate_suspension(Duration::from_secs(10));
     }
     until("leadership", || instance.fence().is_some());
 }
--- a/tests/suspended/keys.rs
+++ b/tests/suspended/keys.rs
@@ -27,7 +27,7 @@
         refuses: Some(503),
         ..Faults::default()
     });
-    clock::play_suspension(Duration::from_secs(6));
+    clock::simulate_suspension(Duration::from_secs(6));
     assert_eq!(status_with_key(&instance, "/read/", "id2").0, 503);
     assert_eq!(server.received().len(), 1);
     store.set_faults(Faults::default());
