--- a/crates/controller/src/audit.rs
+++ b/crates/controller/src/audit.rs
@@ -7,7 +7,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// Entries kept; older ones are in the logs.
-const CAPACITY: usize = 1_000;
+const MAX_ENTRIES: usize = 1_000;
 
 /// One decision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -39,13 +39,13 @@
 impl AuditTrail {
     /// Records a decision and logs it.
     pub fn record(&mut self, instance: &str, cell: &str, decision: &Decision) {
-        let entry = entry_of(instance, cell, decision);
+        let entry = audit_entry(instance, cell, decision);
         log::info!(
             cell = entry.cell, event = entry.event, number = entry.number, model = entry.model,
             upstream = entry.upstream, reason = entry.reason;
             "decision"
         );
-        if self.entries.len() == CAPACITY {
+        if self.entries.len() == MAX_ENTRIES {
             self.entries.pop_front();
         }
         self.entries.push_back(entry);
@@ -57,12 +57,12 @@
     }
 }
 
-fn entry_of(instance: &str, cell: &str, decision: &Decision) -> AuditEntry {
-    let elapsed = SystemTime::now()
+fn audit_entry(instance: &str, cell: &str, decision: &Decision) -> AuditEntry {
+    let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
     let mut entry = AuditEntry {
-        at_unix_ms: u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX),
+        at_unix_ms: u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX),
         instance: instance.to_owned(),
         cell: cell.to_owned(),
         event: String::new(),
@@ -71,22 +71,22 @@
         upstream: String::new(),
         reason: String::new(),
     };
-    let mut place = |event: &str, number: PlacementId, model: &str, upstream: &str| {
+    let mut set_fields = |event: &str, number: PlacementId, model: &str, upstream: &str| {
         event.clone_into(&mut entry.event);
         entry.number = number;
         model.clone_into(&mut entry.model);
         upstream.clone_into(&mut entry.upstream);
     };
     match decision {
-        Decision::TookOver { epoch } => place("took_over", *epoch, "", ""),
-        Decision::StoodDown { epoch } => place("stood_down", *epoch, "", ""),
+        Decision::TookOver { epoch } => set_fields("took_over", *epoch, "", ""),
+        Decision::StoodDown { epoch } => set_fields("stood_down", *epoch, "", ""),
         Decision::Placed {
             placement,
             model,
             upstream,
             reason,
         } => {
-            place("placed", *placement, model, upstream);
+            set_fields("placed", *placement, model, upstream);
             entry.reason.clone_from(reason);
         }
         Decision::Unloading {
@@ -95,10 +95,10 @@
             upstream,
             reason,
         } => {
-            place("unloading", *placement, model, upstream);
+            set_fields("unloading", *placement, model, upstream);
             (*reason).clone_into(&mut entry.reason);
         }
-        Decision::Freed { placement } => place("freed", *placement, "", ""),
+        Decision::Freed { placement } => set_fields("freed", *placement, "", ""),
     }
     entry
 }
--- a/crates/controller/src/config_feed.rs
+++ b/crates/controller/src/config_feed.rs
@@ -13,69 +13,78 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 /// Pause between two looks at whether a read is due.
-const LOOK_PAUSE: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time for which the service is asked to wait for a change; well below the
 /// time-out of a call.
-const WATCH_WAIT: Duration = Duration::from_millis(600);
+const WATCH_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Tells the reading thread how old the confirmation may become before it reads.
 #[derive(Debug)]
-pub struct ReadPace {
-    age_ms: AtomicU64,
-    limit_ms: AtomicU64,
+pub struct ReadSchedule {
+    confirmation_age_ms: AtomicU64,
+    max_age_ms: AtomicU64,
 }
 
-impl ReadPace {
+impl ReadSchedule {
     /// A pace that reads at once.
-    pub fn new(limit: Duration) -> Arc<Self> {
-        let limit_ms = AtomicU64::new(millis(limit));
+    pub fn new(max_age: Duration) -> Arc<Self> {
+        let max_age_ms = AtomicU64::new(millis(max_age));
         Arc::new(Self {
-            age_ms: AtomicU64::new(u64::MAX),
-            limit_ms,
+            confirmation_age_ms: AtomicU64::new(u64::MAX),
+            max_age_ms,
         })
     }
 
     /// Sets the age of the last confirmation and the age at which to read.
-    pub fn set(&self, age: Duration, limit: Duration) {
-        self.age_ms.store(millis(age), Ordering::Relaxed);
-        self.limit_ms.store(millis(limit), Ordering::Relaxed);
+    pub fn set(&self, confirmation_age: Duration, max_age: Duration) {
+        self.confirmation_age_ms
+            .store(millis(confirmation_age), Ordering::Relaxed);
+        self.max_age_ms.store(millis(max_age), Ordering::Relaxed);
     }
 
     fn is_due(&self) -> bool {
-        self.age_ms.load(Ordering::Relaxed) >= self.limit_ms.load(Ordering::Relaxed)
+        self.confirmation_age_ms.load(Ordering::Relaxed) >= self.max_age_ms.load(Ordering::Relaxed)
     }
 }
 
 /// Starts the reading thread.
-pub(crate) fn start(key_value: Arc<dyn KeyValue>, pace: Arc<ReadPace>, inputs: Sender<Input>) {
+pub(crate) fn start(
+    key_value: Arc<dyn KeyValue>,
+    schedule: Arc<ReadSchedule>,
+    inputs: Sender<Input>,
+) {
     std::thread::spawn(move || {
-        let mut known = 0;
+        let mut known_version = 0;
         loop {
-            if pace.is_due() && inputs.send(read(&*key_value, &mut known)).is_err() {
+            if schedule.is_due()
+                && inputs
+                    .send(read_config(&*key_value, &mut known_version))
+                    .is_err()
+            {
                 return;
             }
-            std::thread::sleep(LOOK_PAUSE);
+            std::thread::sleep(POLL_INTERVAL);
         }
     });
 }
 
 /// Waits a while for another version than `known`. Where nothing changes, the
 /// configuration does not travel, and what is known is confirmed.
-fn read(key_value: &dyn KeyValue, known: &mut Version) -> Input {
-    let asked_at = clock::now();
-    let Ok(found) = key_value.watch(CURRENT_KEY, *known, WATCH_WAIT) else {
+fn read_config(key_value: &dyn KeyValue, known_version: &mut Version) -> Input {
+    let requested_at = clock::now();
+    let Ok(found) = key_value.watch(CURRENT_KEY, *known_version, WATCH_TIMEOUT) else {
         return Input::ConfigUnavailable;
     };
     let Some(found) = found else {
-        return Input::ConfigConfirmed { asked_at };
+        return Input::ConfigConfirmed { requested_at };
     };
     match KeptRevision::from_bytes(&found.value) {
-        Ok(kept) => {
-            *known = found.version;
+        Ok(revision) => {
+            *known_version = found.version;
             Input::ConfigRead {
-                asked_at,
-                kept: Arc::new(kept),
+                requested_at,
+                revision: Arc::new(revision),
             }
         }
         Err(error) => {
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -27,7 +27,7 @@
 use std::time::Duration;
 
 /// Longest time for leases to be given back at a stop.
-const STOP_LIMIT: Duration = Duration::from_secs(2);
+const STOP_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A running controller.
 #[derive(Debug)]
@@ -54,12 +54,12 @@
     /// If the settings name an address that cannot be parsed.
     pub fn start_on(listener: TcpListener, settings: ControllerSettings) -> Result<Self> {
         let address = listener.local_addr().context("local address")?;
-        let (inputs, receiver) = unbounded();
+        let (inputs, input_receiver) = unbounded();
         listener::start(listener, inputs.clone());
         let node = Node::new(settings, address, inputs.clone())?;
         let thread = std::thread::Builder::new()
             .name("decide".into())
-            .spawn(move || node.run(&receiver))
+            .spawn(move || node.run(&input_receiver))
             .context("starting the deciding thread")?;
         Ok(Self {
             address,
@@ -75,10 +75,10 @@
 
     /// Gives leases back and stops.
     pub fn stop(self) {
-        let (done, stopped) = bounded(1);
-        if self.inputs.send(Input::Stop(done)).is_ok() {
+        let (stopped_sender, stopped_receiver) = bounded(1);
+        if self.inputs.send(Input::Stop(stopped_sender)).is_ok() {
             // A stop that takes too long is cut; leases then lapse by themselves.
-            let _ = stopped.recv_timeout(STOP_LIMIT);
+            let _ = stopped_receiver.recv_timeout(STOP_TIMEOUT);
         }
         drop(self.thread);
     }
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -3,22 +3,22 @@
 mod answers;
 mod cell_shell;
 mod configuration;
+mod connections;
 mod fleet;
 mod input;
-mod links;
 mod peers;
 
 use crate::audit::AuditTrail;
-use crate::config_feed::{self, ReadPace};
+use crate::config_feed::{self, ReadSchedule};
 use crate::gossip::Gossip;
 use crate::{translate, workers};
 use anyhow::{Context, Result};
 use cell_shell::{CellShell, Services};
-use configuration::HOLDER_READ_AGE;
+use configuration::HOLDER_MAX_CONFIG_AGE;
+use connections::Connections;
 use crossbeam::channel::{Receiver, RecvTimeoutError, Sender};
 use fleet::Fleet;
-pub use input::{Input, LinkId};
-use links::Links;
+pub use input::{ConnectionId, Input};
 use passway_config::Catalog;
 use passway_config::revision::KeptRevision;
 use passway_config::settings::ControllerSettings;
@@ -40,31 +40,31 @@
 /// Longest time for an upstream to answer a question for its status.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pause between two ticks of the decisions.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// Pause between two ticks of cells that others lead.
-const STANDBY_TICK: Duration = Duration::from_millis(200);
+const STANDBY_TICK_INTERVAL: Duration = Duration::from_millis(200);
 /// Pause between two heartbeats.
-const HEARTBEAT: Duration = Duration::from_millis(500);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// Connections that share one pause between heartbeats; with more connections
 /// the pause grows, so that heartbeats cost the same however many listen.
-const LINKS_PER_PAUSE: usize = 16;
+const CONNECTIONS_PER_INTERVAL: usize = 16;
 /// Longest pause between two heartbeats.
-const MAX_HEARTBEAT: Duration = Duration::from_secs(5);
+const MAX_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The state of the deciding thread.
 #[derive(Debug)]
 pub struct Node {
-    me: Holder,
+    identity: Holder,
     data_hall: String,
     services: Services,
     cells: BTreeMap<CellName, CellShell>,
-    links: Links,
-    kept: Option<Arc<KeptRevision>>,
+    connections: Connections,
+    current_revision: Option<Arc<KeptRevision>>,
     /// The revision that this controller read last from the service itself.
-    read_revision: Revision,
+    last_read_revision: Revision,
     catalog: Arc<Catalog>,
     gossip: Gossip,
-    pace: Arc<ReadPace>,
+    read_schedule: Arc<ReadSchedule>,
     audit: AuditTrail,
     fleet: Fleet,
     rank: u32,
@@ -73,7 +73,7 @@
     standby_tick_at: Instant,
     heartbeat_at: Instant,
     peers: Peers,
-    config_asked_at: Option<Instant>,
+    config_requested_at: Option<Instant>,
 }
 
 impl Node {
@@ -88,7 +88,7 @@
     ) -> Result<Self> {
         let key_value = settings.key_value.parse().context("key_value")?;
         let list = settings.instance_list.parse().context("instance_list")?;
-        let me = Holder {
+        let identity = Holder {
             instance: settings.instance.as_str().into(),
             incarnation: passway_process::draw_incarnation(),
             address,
@@ -97,28 +97,32 @@
         let services = Services {
             key_value: Arc::new(HttpKeyValue::new(key_value, call_timeout)),
             engines: Arc::new(HttpEngineControl::new(ORDER_TIMEOUT, STATUS_TIMEOUT)),
-            lease: Duration::from_millis(settings.lease_ms),
+            lease_duration: Duration::from_millis(settings.lease_ms),
             order_settle: Duration::from_millis(settings.order_settle_ms),
             write_patience: Duration::from_millis(settings.write_patience_ms),
             inputs: inputs.clone(),
         };
-        let pace = ReadPace::new(HOLDER_READ_AGE);
-        config_feed::start(services.key_value.clone(), pace.clone(), inputs.clone());
+        let read_schedule = ReadSchedule::new(HOLDER_MAX_CONFIG_AGE);
+        config_feed::start(
+            services.key_value.clone(),
+            read_schedule.clone(),
+            inputs.clone(),
+        );
         let list = Arc::new(HttpInstanceList::new(list, call_timeout));
-        workers::start_list(list, inputs.clone());
-        let peers = Peers::dial(&settings.peers, &me, &inputs)?;
+        workers::start_list_thread(list, inputs.clone());
+        let peers = Peers::connect(&settings.peers, &identity, &inputs)?;
         let now = clock::now();
         Ok(Self {
             gossip: Gossip::new(now, !settings.peers.is_empty()),
-            me,
+            identity,
             data_hall: settings.data_hall,
             services,
             cells: BTreeMap::new(),
-            links: Links::default(),
-            kept: None,
-            read_revision: 0,
+            connections: Connections::default(),
+            current_revision: None,
+            last_read_revision: 0,
             catalog: Arc::new(Catalog::default()),
-            pace,
+            read_schedule,
             audit: AuditTrail::default(),
             fleet: Fleet::default(),
             rank: 0,
@@ -127,93 +131,100 @@
             standby_tick_at: now,
             heartbeat_at: now,
             peers,
-            config_asked_at: None,
+            config_requested_at: None,
         })
     }
 
     /// Decides until the process stops.
     pub fn run(mut self, inputs: &Receiver<Input>) {
-        log::info!(instance = &*self.me.instance, address:% = self.me.address,
+        log::info!(instance = &*self.identity.instance, address:% = self.identity.address,
             data_hall = self.data_hall; "controller started");
         loop {
-            let left = self.tick_at.saturating_duration_since(clock::now());
-            match inputs.recv_timeout(left) {
-                Ok(Input::Stop(done)) => {
+            let until_tick = self.tick_at.saturating_duration_since(clock::now());
+            match inputs.recv_timeout(until_tick) {
+                Ok(Input::Stop(stopped_sender)) => {
                     self.stop();
                     // Nobody waits if the stop was cut.
-                    let _ = done.send(());
+                    let _ = stopped_sender.send(());
                     return;
                 }
-                Ok(input) => self.take(clock::now(), input),
+                Ok(input) => self.handle_input(clock::now(), input),
                 Err(RecvTimeoutError::Timeout) => self.tick(clock::now()),
                 Err(RecvTimeoutError::Disconnected) => return,
             }
         }
     }
 
-    fn take(&mut self, now: Instant, input: Input) {
+    fn handle_input(&mut self, now: Instant, input: Input) {
         match input {
-            Input::Cell { cell, event } => self.cell_event(now, &cell, event),
-            Input::Linked { id, outbox } => self.links.add(id, outbox),
-            Input::Heard { id, body } => self.heard(now, id, body),
-            Input::Unlinked { id } => self.unlinked(now, id),
-            Input::FromPeer { peer, body } => self.heard_from_peer(now, peer, body),
+            Input::Cell { cell, event } => self.handle_cell_event(now, &cell, event),
+            Input::Connected { id, outbox } => self.connections.add(id, outbox),
+            Input::Received { id, body } => self.handle_message(now, id, body),
+            Input::Disconnected { id } => self.handle_disconnect(now, id),
+            Input::FromPeer { peer, body } => self.handle_peer_message(now, peer, body),
             Input::ServiceReached => self.gossip.service_reached(now),
-            Input::ConfigRead { asked_at, kept } => {
+            Input::ConfigRead {
+                requested_at,
+                revision,
+            } => {
                 self.gossip.service_reached(now);
-                self.read_revision = kept.stored.revision;
-                self.gossip.confirm(self.read_revision, asked_at);
-                self.adopt(now, kept);
-                self.set_pace(now);
+                self.last_read_revision = revision.stored.revision;
+                self.gossip.confirm(self.last_read_revision, requested_at);
+                self.adopt_revision(now, revision);
+                self.update_read_schedule(now);
             }
-            Input::ConfigConfirmed { asked_at } => {
+            Input::ConfigConfirmed { requested_at } => {
                 self.gossip.service_reached(now);
-                if self.read_revision > 0 {
-                    self.gossip.confirm(self.read_revision, asked_at);
+                if self.last_read_revision > 0 {
+                    self.gossip.confirm(self.last_read_revision, requested_at);
                 }
-                self.set_pace(now);
+                self.update_read_schedule(now);
             }
-            Input::Listed(listed) => self.listed(now, &listed),
+            Input::Listed(instances) => self.handle_instance_list(now, &instances),
             Input::ConfigUnavailable | Input::Stop(_) => {}
         }
     }
 
     fn tick(&mut self, now: Instant) {
-        self.tick_at = now + TICK;
-        let all_due = now >= self.standby_tick_at;
-        if all_due {
-            self.standby_tick_at = now + STANDBY_TICK;
+        self.tick_at = now + TICK_INTERVAL;
+        let standby_due = now >= self.standby_tick_at;
+        if standby_due {
+            self.standby_tick_at = now + STANDBY_TICK_INTERVAL;
         }
         let due = self
             .cells
             .iter()
-            .filter(|(_, shell)| all_due || shell.is_active());
+            .filter(|(_, shell)| standby_due || shell.is_active());
         let due: Vec<CellName> = due.map(|(cell, _)| cell.clone()).collect();
         for cell in due {
-            self.cell_event(now, &cell, Event::Tick);
+            self.handle_cell_event(now, &cell, Event::Tick);
         }
         if now >= self.heartbeat_at {
-            let pauses = u32::try_from(self.links.len() / LINKS_PER_PAUSE).unwrap_or(u32::MAX);
-            self.heartbeat_at = now + HEARTBEAT.saturating_mul(pauses.max(1)).min(MAX_HEARTBEAT);
+            let interval_factor = u32::try_from(self.connections.len() / CONNECTIONS_PER_INTERVAL)
+                .unwrap_or(u32::MAX);
+            self.heartbeat_at = now
+                + HEARTBEAT_INTERVAL
+                    .saturating_mul(interval_factor.max(1))
+                    .min(MAX_HEARTBEAT_INTERVAL);
             self.send_heartbeats(now);
         }
-        self.set_pace(now);
+        self.update_read_schedule(now);
     }
 
     fn stop(&mut self) {
         let now = clock::now();
         let cells: Vec<CellName> = self.cells.keys().cloned().collect();
         for cell in cells {
-            self.cell_event(now, &cell, Event::Shutdown);
+            self.handle_cell_event(now, &cell, Event::Shutdown);
         }
         // Dropping the cells ends their job queues; the threads finish what is queued.
         for (_, shell) in std::mem::take(&mut self.cells) {
-            shell.finish();
+            shell.shut_down();
         }
-        log::info!(instance = &*self.me.instance; "controller stopped");
+        log::info!(instance = &*self.identity.instance; "controller stopped");
     }
 
-    fn cell_event(&mut self, now: Instant, cell: &CellName, event: Event) {
+    fn handle_cell_event(&mut self, now: Instant, cell: &CellName, event: Event) {
         let Some(shell) = self.cells.get_mut(cell) else {
             return;
         };
@@ -232,8 +243,8 @@
         let Some(epoch) = self.cells.get(cell).map(CellShell::epoch) else {
             return;
         };
-        let address = self.me.address.to_string();
-        self.gossip.learn(CellHolder {
+        let address = self.identity.address.to_string();
+        self.gossip.learn_holder(CellHolder {
             cell: cell.to_string(),
             epoch,
             address,
@@ -249,17 +260,18 @@
                 verdict,
             } => {
                 let verdict = translate::verdict(now, &model, verdict);
-                self.links.send_to_router(router, &Body::Verdict(verdict));
+                self.connections
+                    .send_to_router(router, &Body::Verdict(verdict));
             }
             Action::Publish(change) => {
                 let Some(shell) = self.cells.get_mut(cell) else {
                     return;
                 };
-                let routes = shell.publish(&change);
-                self.links.send_to_routers(&Body::Routes(routes));
+                let routes = shell.apply_route_change(&change);
+                self.connections.send_to_routers(&Body::Routes(routes));
             }
-            Action::Audit(decision) => self.audit.record(&self.me.instance, cell, &decision),
-            Action::ProbeFormer { epoch, holder } if self.fleet.is_gone(&holder.instance) => {
+            Action::Audit(decision) => self.audit.record(&self.identity.instance, cell, &decision),
+            Action::ProbeFormer { epoch, holder } if self.fleet.was_removed(&holder.instance) => {
                 let event = Event::FormerGone(epoch);
                 // Taken with the next input, not inside this decision.
                 let _ = self.inputs.send(Input::Cell {
@@ -276,32 +288,32 @@
         }
     }
 
-    fn heard(&mut self, now: Instant, id: LinkId, body: Body) {
+    fn handle_message(&mut self, now: Instant, id: ConnectionId, body: Body) {
         match body {
-            Body::Hello(hello) => self.hello(now, id, hello),
+            Body::Hello(hello) => self.handle_hello(now, id, hello),
             Body::Demand(demand) => {
-                let Some(router) = self.links.incarnation_of(id) else {
+                let Some(router) = self.connections.incarnation_of(id) else {
                     return;
                 };
                 let demand = translate::demand(now, router, demand);
-                if let Some(cell) = self.cell_of(&demand.model) {
-                    self.cell_event(now, &cell, Event::Demand(demand));
+                if let Some(cell) = self.cell_of_model(&demand.model) {
+                    self.handle_cell_event(now, &cell, Event::Demand(demand));
                 }
             }
             Body::Usage(usage) => {
-                let Some(router) = self.links.incarnation_of(id) else {
+                let Some(router) = self.connections.incarnation_of(id) else {
                     return;
                 };
                 let usage = translate::usage(now, router, usage);
-                if let Some(cell) = self.cell_of(&usage.model) {
-                    self.cell_event(now, &cell, Event::Usage(usage));
+                if let Some(cell) = self.cell_of_model(&usage.model) {
+                    self.handle_cell_event(now, &cell, Event::Usage(usage));
                 }
             }
             Body::Probe(probe) => {
                 let shell = self.cells.get(probe.cell.as_str());
-                let may_order = shell.is_some_and(|shell| shell.may_order(probe.epoch));
-                let incarnation = self.me.incarnation;
-                self.links.send_to(
+                let may_order = shell.is_some_and(|shell| shell.can_send_orders(probe.epoch));
+                let incarnation = self.identity.incarnation;
+                self.connections.send_to(
                     id,
                     Body::ProbeAnswer(ProbeAnswer {
                         incarnation,
@@ -311,12 +323,12 @@
             }
             Body::ConfigWanted(wanted) if wanted.have_revision < self.revision() => {
                 if let Some(config) = self.config_message() {
-                    self.links.send_to(id, config);
+                    self.connections.send_to(id, config);
                 }
             }
             Body::Query(query) => {
-                let json = self.answer(now, &query.what);
-                self.links
+                let json = self.answer_query(now, &query.what);
+                self.connections
                     .send_to(id, Body::QueryAnswer(QueryAnswer { json }));
             }
             Body::ConfigWanted(_)
@@ -340,89 +352,89 @@
         }
     }
 
-    fn hello(&mut self, now: Instant, id: LinkId, hello: Hello) {
+    fn handle_hello(&mut self, now: Instant, id: ConnectionId, hello: Hello) {
         // Of the time before: a router that connects is not yet counted.
-        let heartbeat = self.heartbeat(now);
-        let is_router = links::is_router(&hello);
-        if !self.links.greeted(id, hello) {
+        let heartbeat = self.build_heartbeat(now);
+        let is_router = connections::is_router(&hello);
+        if !self.connections.record_hello(id, hello) {
             return;
         }
         let version = self.gossip.holders_version();
-        self.links.send_heartbeat(id, heartbeat, version);
+        self.connections.send_heartbeat(id, heartbeat, version);
         if is_router {
-            for routes in self.cells.values().filter_map(CellShell::whole_table) {
-                self.links.send_to(id, Body::Routes(routes));
+            for routes in self.cells.values().filter_map(CellShell::full_route_table) {
+                self.connections.send_to(id, Body::Routes(routes));
             }
         }
     }
 
-    fn unlinked(&mut self, now: Instant, id: LinkId) {
-        let Some(hello) = self.links.remove(id).filter(links::is_router) else {
+    fn handle_disconnect(&mut self, now: Instant, id: ConnectionId) {
+        let Some(hello) = self.connections.remove(id).filter(connections::is_router) else {
             return;
         };
         let cells: Vec<CellName> = self.cells.keys().cloned().collect();
         for cell in cells {
-            self.cell_event(now, &cell, Event::RouterGone(hello.incarnation));
+            self.handle_cell_event(now, &cell, Event::RouterGone(hello.incarnation));
         }
     }
 
-    fn heartbeat(&self, now: Instant) -> Heartbeat {
+    fn build_heartbeat(&self, now: Instant) -> Heartbeat {
         Heartbeat {
-            instance: self.me.instance.to_string(),
-            incarnation: self.me.incarnation,
+            instance: self.identity.instance.to_string(),
+            incarnation: self.identity.incarnation,
             config_revision: self.revision(),
             config_age_ms: config_feed::millis(self.gossip.config_age(now, self.revision())),
             isolated: self.gossip.is_isolated(now),
-            routers: self.links.router_count(),
+            routers: self.connections.router_count(),
             cells: self.gossip.holders(),
         }
     }
 
     fn send_heartbeats(&mut self, now: Instant) {
-        let heartbeat = self.heartbeat(now);
+        let heartbeat = self.build_heartbeat(now);
         let version = self.gossip.holders_version();
-        self.links.send_heartbeats(&heartbeat, version);
+        self.connections.send_heartbeats(&heartbeat, version);
     }
 
-    fn heard_from_peer(&mut self, now: Instant, peer: SocketAddr, body: Body) {
+    fn handle_peer_message(&mut self, now: Instant, peer: SocketAddr, body: Body) {
         match body {
             Body::Heartbeat(heartbeat) => {
-                let news = self.gossip.heard(now, &heartbeat);
-                if news {
+                let has_new_holder = self.gossip.receive_heartbeat(now, &heartbeat);
+                if has_new_holder {
                     self.send_heartbeats(now);
                 }
-                self.want_config(now, peer, heartbeat.config_revision);
+                self.request_config(now, peer, heartbeat.config_revision);
             }
             Body::Config(config) => match KeptRevision::from_bytes(&config.encoded) {
-                Ok(kept) => self.adopt(now, Arc::new(kept)),
+                Ok(revision) => self.adopt_revision(now, Arc::new(revision)),
                 Err(error) => log::error!(error:% = error; "a peer's configuration cannot be read"),
             },
             _ => {}
         }
     }
 
-    fn listed(&mut self, now: Instant, list: &[ListedInstance]) {
+    fn handle_instance_list(&mut self, now: Instant, instances: &[ListedInstance]) {
         let catalog = self.catalog.clone();
-        for (upstream, standing) in self.fleet.update(list, &catalog) {
+        for (upstream, standing) in self.fleet.update(instances, &catalog) {
             let event = Event::UpstreamStanding {
                 upstream: upstream.clone(),
                 standing,
             };
-            self.upstream_event(now, &upstream, event);
+            self.handle_upstream_event(now, &upstream, event);
         }
-        if self.fleet.begin_ranking(self.revision()) {
+        if self.fleet.start_ranking_if_due(self.revision()) {
             self.update_ranks(now);
         }
     }
 
-    fn upstream_event(&mut self, now: Instant, id: &str, event: Event) {
+    fn handle_upstream_event(&mut self, now: Instant, id: &str, event: Event) {
         let cell = self
             .catalog
             .upstreams
             .get(id)
             .map(|upstream| upstream.cell.clone());
         if let Some(cell) = cell {
-            self.cell_event(now, &cell, event);
+            self.handle_cell_event(now, &cell, event);
         }
     }
 
@@ -430,12 +442,14 @@
     fn update_ranks(&mut self, now: Instant) {
         let cells: Vec<CellName> = self.cells.keys().cloned().collect();
         for cell in cells {
-            self.rank = self.fleet.rank(&self.me.instance, &cell, &self.catalog);
-            self.cell_event(now, &cell, Event::Rank(self.rank));
+            self.rank = self
+                .fleet
+                .rank(&self.identity.instance, &cell, &self.catalog);
+            self.handle_cell_event(now, &cell, Event::Rank(self.rank));
         }
     }
 
-    fn cell_of(&self, model: &str) -> Option<CellName> {
+    fn cell_of_model(&self, model: &str) -> Option<CellName> {
         self.catalog
             .models
             .get(model)
--- a/crates/controller/src/node/answers.rs
+++ b/crates/controller/src/node/answers.rs
@@ -7,8 +7,8 @@
 use passway_types::prelude::*;
 
 impl Node {
-    pub(super) fn answer(&self, now: Instant, what: &str) -> String {
-        let answer = match what {
+    pub(super) fn answer_query(&self, now: Instant, query: &str) -> String {
+        let answer = match query {
             "status" => serde_json::to_string(&self.status(now)),
             "audit" => serde_json::to_string(&self.audit.entries()),
             _ => return "null".into(),
@@ -17,15 +17,15 @@
     }
 
     fn status(&self, now: Instant) -> NodeStatus {
-        let routers = self.links.routers().map(|hello| RouterStatus {
+        let routers = self.connections.routers().map(|hello| RouterStatus {
             instance: hello.instance.clone(),
             config_revision: hello.config_revision,
             in_progress: hello.in_progress,
             leaving: hello.leaving,
         });
         NodeStatus {
-            instance: self.me.instance.to_string(),
-            incarnation: self.me.incarnation,
+            instance: self.identity.instance.to_string(),
+            incarnation: self.identity.incarnation,
             config_revision: self.revision(),
             config_age_ms: millis(self.gossip.config_age(now, self.revision())),
             isolated: self.gossip.is_isolated(now),
--- a/crates/controller/src/node/cell_shell.rs
+++ b/crates/controller/src/node/cell_shell.rs
@@ -3,7 +3,7 @@
 use super::Input;
 use crate::status::{CellStatus, PlacementStatus};
 use crate::translate;
-use crate::workers::{self, LeaseJob, PlanJob, Reply, StatusPace};
+use crate::workers::{self, LeaseJob, PlanJob, ReplySender, StatusPolling};
 use crossbeam::channel::Sender;
 use passway_config::Catalog;
 use passway_decide::cell::{Action, CellController, CellLimits, Event};
@@ -27,7 +27,7 @@
 pub(crate) struct Services {
     pub(crate) key_value: Arc<dyn KeyValue>,
     pub(crate) engines: Arc<dyn EngineControl>,
-    pub(crate) lease: Duration,
+    pub(crate) lease_duration: Duration,
     pub(crate) order_settle: Duration,
     pub(crate) write_patience: Duration,
     pub(crate) inputs: Sender<Input>,
@@ -36,7 +36,7 @@
 impl fmt::Debug for Services {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Services")
-            .field("lease", &self.lease)
+            .field("lease", &self.lease_duration)
             .finish_non_exhaustive()
     }
 }
@@ -46,25 +46,25 @@
 struct UpstreamThreads {
     address: SocketAddr,
     orders: Sender<Order>,
-    pace: Arc<StatusPace>,
+    polling: Arc<StatusPolling>,
 }
 
 /// One cell.
 pub(super) struct CellShell {
     cell: CellName,
-    me: Holder,
+    identity: Holder,
     controller: CellController,
-    reply: Reply,
-    lease: Sender<LeaseJob>,
+    reply: ReplySender,
+    lease_jobs: Sender<LeaseJob>,
     lease_thread: JoinHandle<()>,
-    plan: Sender<PlanJob>,
+    plan_jobs: Sender<PlanJob>,
     catalog: Arc<Catalog>,
     engines: Arc<dyn EngineControl>,
     upstreams: HashMap<UpstreamId, UpstreamThreads>,
     /// Orders handed to a sender and not answered, by epoch.
-    in_hand: BTreeMap<Epoch, u32>,
+    unanswered_orders: BTreeMap<Epoch, u32>,
     routes: BTreeSet<(ModelName, UpstreamId)>,
-    published: bool,
+    has_published_routes: bool,
 }
 
 impl fmt::Debug for CellShell {
@@ -79,36 +79,46 @@
     pub(super) fn new(
         now: Instant,
         cell: CellName,
-        me: &Holder,
+        identity: &Holder,
         catalog: Arc<Catalog>,
         services: &Services,
     ) -> Self {
-        let reply = Reply {
+        let reply = ReplySender {
             cell: cell.clone(),
             inputs: services.inputs.clone(),
         };
         let limits = CellLimits {
-            standby_poll: services.lease / STANDBY_POLL_DIVISOR,
+            standby_poll: services.lease_duration / STANDBY_POLL_DIVISOR,
             order_settle: services.order_settle,
             write_patience: services.write_patience,
         };
         let key_value = &services.key_value;
-        let (lease, lease_thread) =
-            workers::start_lease(key_value.clone(), me, services.lease, reply.clone());
+        let (lease_jobs, lease_thread) = workers::start_lease_thread(
+            key_value.clone(),
+            identity,
+            services.lease_duration,
+            reply.clone(),
+        );
         Self {
-            controller: CellController::new(cell.clone(), me.clone(), limits, catalog.clone(), now),
-            lease,
+            controller: CellController::new(
+                cell.clone(),
+                identity.clone(),
+                limits,
+                catalog.clone(),
+                now,
+            ),
+            lease_jobs,
             lease_thread,
-            plan: workers::start_plan(key_value.clone(), reply.clone()),
+            plan_jobs: workers::start_plan_thread(key_value.clone(), reply.clone()),
             cell,
-            me: me.clone(),
+            identity: identity.clone(),
             reply,
             catalog,
             engines: services.engines.clone(),
             upstreams: HashMap::new(),
-            in_hand: BTreeMap::new(),
+            unanswered_orders: BTreeMap::new(),
             routes: BTreeSet::new(),
-            published: false,
+            has_published_routes: false,
         }
     }
 
@@ -124,71 +134,78 @@
     /// that never led the cell has none.
     fn start_threads(&mut self) {
         for entry in self.catalog.upstreams_of(&self.cell) {
-            let known = self.upstreams.get(&entry.id);
-            if known.is_some_and(|known| known.address == entry.address) {
+            let existing = self.upstreams.get(&entry.id);
+            if existing.is_some_and(|existing| existing.address == entry.address) {
                 continue;
             }
-            let pace = Arc::new(StatusPace::default());
+            let polling = Arc::new(StatusPolling::default());
             let engines = self.engines.clone();
-            let orders = workers::start_orders(engines, entry.address, self.reply.clone());
-            workers::start_status(
+            let orders = workers::start_order_thread(engines, entry.address, self.reply.clone());
+            workers::start_status_thread(
                 self.engines.clone(),
                 entry.id.clone(),
                 entry.address,
-                pace.clone(),
+                polling.clone(),
                 self.reply.clone(),
             );
             let threads = UpstreamThreads {
                 address: entry.address,
                 orders,
-                pace,
+                polling,
             };
-            if let Some(old) = self.upstreams.insert(entry.id.clone(), threads) {
-                old.pace.ended.store(true, Ordering::Relaxed);
+            if let Some(replaced) = self.upstreams.insert(entry.id.clone(), threads) {
+                replaced.polling.should_stop.store(true, Ordering::Relaxed);
             }
         }
     }
 
     pub(super) fn handle(&mut self, now: Instant, event: Event) -> Vec<Action> {
         if let Event::Order { fence, .. } = &event {
-            self.answered(epoch_of(*fence));
+            self.order_answered(epoch_of(*fence));
         }
         let was_active = self.is_active();
         let actions = self.controller.handle(now, event);
         if self.is_active() && !was_active {
             self.start_threads();
         }
-        self.set_paces();
+        self.update_status_polling();
         actions
     }
 
-    fn answered(&mut self, epoch: Epoch) {
-        if let Some(count) = self.in_hand.get_mut(&epoch) {
+    fn order_answered(&mut self, epoch: Epoch) {
+        if let Some(count) = self.unanswered_orders.get_mut(&epoch) {
             *count -= 1;
             if *count == 0 {
-                self.in_hand.remove(&epoch);
+                self.unanswered_orders.remove(&epoch);
             }
         }
     }
 
     /// Upstreams are asked while this controller leads, more often where
     /// something changes.
-    fn set_paces(&mut self) {
+    fn update_status_polling(&mut self) {
         let term = self.controller.term();
         let changing: HashSet<&UpstreamId> = term
             .into_iter()
-            .flat_map(|term| term.plan().placements().map(move |p| (term, p)))
-            .filter(|(term, p)| {
-                p.state == PlacementState::Leaving
-                    || term.stage(p.id) != passway_decide::cell::term::Stage::Ready
+            .flat_map(|term| {
+                term.plan()
+                    .placements()
+                    .map(move |placement| (term, placement))
             })
-            .map(|(_, p)| &p.upstream)
+            .filter(|(term, placement)| {
+                placement.state == PlacementState::Leaving
+                    || term.stage(placement.id) != passway_decide::cell::term::Stage::Ready
+            })
+            .map(|(_, placement)| &placement.upstream)
             .collect();
         for (id, threads) in &self.upstreams {
-            threads.pace.active.store(term.is_some(), Ordering::Relaxed);
             threads
-                .pace
-                .busy
+                .polling
+                .is_leading
+                .store(term.is_some(), Ordering::Relaxed);
+            threads
+                .polling
+                .is_busy
                 .store(changing.contains(id), Ordering::Relaxed);
         }
     }
@@ -204,12 +221,12 @@
     }
 
     /// Whether an order of `epoch` may still leave this process.
-    pub(super) fn may_order(&self, epoch: Epoch) -> bool {
-        self.epoch() == epoch || self.in_hand.contains_key(&epoch)
+    pub(super) fn can_send_orders(&self, epoch: Epoch) -> bool {
+        self.epoch() == epoch || self.unanswered_orders.contains_key(&epoch)
     }
 
     /// Applies a change of routes and returns it as it travels.
-    pub(super) fn publish(&mut self, change: &RouteChange) -> Routes {
+    pub(super) fn apply_route_change(&mut self, change: &RouteChange) -> Routes {
         if change.whole {
             self.routes.clear();
         }
@@ -217,14 +234,14 @@
             self.routes.remove(route);
         }
         self.routes.extend(change.added.iter().cloned());
-        self.published = true;
+        self.has_published_routes = true;
         translate::routes(&self.cell, self.epoch(), change)
     }
 
     /// The whole table, for a router that connects; `None` if this controller
     /// does not lead or has not published.
-    pub(super) fn whole_table(&self) -> Option<Routes> {
-        if !self.published || !self.is_active() {
+    pub(super) fn full_route_table(&self) -> Option<Routes> {
+        if !self.has_published_routes || !self.is_active() {
             return None;
         }
         let added = self.routes.iter().cloned().collect();
@@ -240,26 +257,29 @@
     pub(super) fn perform(&mut self, action: Action) {
         // The threads' queues end only with this shell, so sending does not fail.
         match action {
-            Action::AcquireLease => drop(self.lease.send(LeaseJob::Acquire)),
-            Action::RenewLease => drop(self.lease.send(LeaseJob::Renew)),
-            Action::ReleaseLease => drop(self.lease.send(LeaseJob::Release)),
-            Action::ReadPlan => drop(self.plan.send(PlanJob::Read)),
+            Action::AcquireLease => drop(self.lease_jobs.send(LeaseJob::Acquire)),
+            Action::RenewLease => drop(self.lease_jobs.send(LeaseJob::Renew)),
+            Action::ReleaseLease => drop(self.lease_jobs.send(LeaseJob::Release)),
+            Action::ReadPlan => drop(self.plan_jobs.send(PlanJob::Read)),
             Action::WritePlan { expected, plan } => {
-                drop(self.plan.send(PlanJob::Write { expected, plan }));
+                drop(self.plan_jobs.send(PlanJob::Write { expected, plan }));
             }
             Action::SendOrder(order) => self.send_order(order),
             Action::ProbeFormer { epoch, holder } => {
-                workers::probe(&self.me, epoch, holder, self.reply.clone());
+                workers::start_probe_thread(&self.identity, epoch, holder, self.reply.clone());
             }
             Action::AnswerDemand { .. } | Action::Publish(_) | Action::Audit(_) => {}
         }
     }
 
     fn send_order(&mut self, order: Order) {
-        *self.in_hand.entry(epoch_of(order.fence)).or_default() += 1;
+        *self
+            .unanswered_orders
+            .entry(epoch_of(order.fence))
+            .or_default() += 1;
         match self.upstreams.get(&order.upstream) {
             Some(threads) => drop(threads.orders.send(order)),
-            None => self.reply.event(Event::Order {
+            None => self.reply.send_event(Event::Order {
                 upstream: order.upstream,
                 fence: order.fence,
                 answer: passway_decide::messages::OrderAnswer::NotSent,
@@ -268,11 +288,11 @@
     }
 
     /// Ends the threads and waits until the lease is given back.
-    pub(super) fn finish(self) {
+    pub(super) fn shut_down(self) {
         for threads in self.upstreams.values() {
-            threads.pace.ended.store(true, Ordering::Relaxed);
+            threads.polling.should_stop.store(true, Ordering::Relaxed);
         }
-        drop(self.lease);
+        drop(self.lease_jobs);
         if self.lease_thread.join().is_err() {
             log::error!(cell = &*self.cell; "the lease thread panicked");
         }
@@ -280,7 +300,7 @@
 
     pub(super) fn status(&self) -> Option<CellStatus> {
         let term = self.controller.term()?;
-        let status = |placement: &Placement| PlacementStatus {
+        let placement_status = |placement: &Placement| PlacementStatus {
             id: placement.id,
             model: placement.model.to_string(),
             upstream: placement.upstream.to_string(),
@@ -291,7 +311,7 @@
         Some(CellStatus {
             cell: self.cell.to_string(),
             epoch: term.epoch(),
-            placements: term.plan().placements().map(status).collect(),
+            placements: term.plan().placements().map(placement_status).collect(),
         })
     }
 }
--- a/crates/controller/src/node/configuration.rs
+++ b/crates/controller/src/node/configuration.rs
@@ -10,35 +10,37 @@
 use std::net::SocketAddr;
 
 /// Another peer is asked for a revision after this time.
-const CONFIG_PATIENCE: Duration = Duration::from_millis(700);
+const CONFIG_REQUEST_TIMEOUT: Duration = Duration::from_millis(700);
 /// Age of the confirmation at which a holder reads the configuration.
-pub(super) const HOLDER_READ_AGE: Duration = Duration::from_secs(1);
+pub(super) const HOLDER_MAX_CONFIG_AGE: Duration = Duration::from_secs(1);
 /// Age at which the first controller that leads nothing reads it; more for the next.
-const STANDBY_READ_AGE: Duration = Duration::from_secs(2);
+const STANDBY_MAX_CONFIG_AGE: Duration = Duration::from_secs(2);
 
 impl Node {
     /// The revision in force; 0 if there is none yet.
     pub(super) fn revision(&self) -> Revision {
-        self.kept.as_ref().map_or(0, |kept| kept.stored.revision)
+        self.current_revision
+            .as_ref()
+            .map_or(0, |revision| revision.stored.revision)
     }
 
     /// Tells the reader of the configuration how old it may become here.
-    pub(super) fn set_pace(&self, now: Instant) {
-        let leads = self.cells.values().any(CellShell::is_active);
-        let limit = if leads {
-            HOLDER_READ_AGE
+    pub(super) fn update_read_schedule(&self, now: Instant) {
+        let is_leading = self.cells.values().any(CellShell::is_active);
+        let max_age = if is_leading {
+            HOLDER_MAX_CONFIG_AGE
         } else {
-            STANDBY_READ_AGE * (self.rank + 1)
+            STANDBY_MAX_CONFIG_AGE * (self.rank + 1)
         };
         let unconfirmed = self.gossip.is_unconfirmed();
         let age = self.gossip.config_age(now, self.revision());
-        self.pace
-            .set(if unconfirmed { Duration::MAX } else { age }, limit);
+        self.read_schedule
+            .set(if unconfirmed { Duration::MAX } else { age }, max_age);
     }
 
     /// Puts a revision in force if it is newer than the one that is.
-    pub(super) fn adopt(&mut self, now: Instant, kept: Arc<KeptRevision>) {
-        let stored = &kept.stored;
+    pub(super) fn adopt_revision(&mut self, now: Instant, encoded_revision: Arc<KeptRevision>) {
+        let stored = &encoded_revision.stored;
         if stored.revision <= self.revision() {
             return;
         }
@@ -51,12 +53,17 @@
             }
         };
         log::info!(revision = stored.revision, author = stored.author.as_str(); "configuration in force");
-        self.kept = Some(kept);
+        self.current_revision = Some(encoded_revision);
         self.catalog = catalog.clone();
         for cell in &catalog.cells {
             if !self.cells.contains_key(cell) {
-                let shell =
-                    CellShell::new(now, cell.clone(), &self.me, catalog.clone(), &self.services);
+                let shell = CellShell::new(
+                    now,
+                    cell.clone(),
+                    &self.identity,
+                    catalog.clone(),
+                    &self.services,
+                );
                 self.cells.insert(cell.clone(), shell);
             }
         }
@@ -65,29 +72,29 @@
             if let Some(shell) = self.cells.get_mut(&cell) {
                 shell.use_catalog(&catalog);
             }
-            self.cell_event(now, &cell, Event::Catalog(catalog.clone()));
+            self.handle_cell_event(now, &cell, Event::Catalog(catalog.clone()));
         }
         self.send_heartbeats(now);
     }
 
     /// Asks for a revision that this controller lacks, at one peer at a time.
-    pub(super) fn want_config(&mut self, now: Instant, peer: SocketAddr, revision: Revision) {
+    pub(super) fn request_config(&mut self, now: Instant, peer: SocketAddr, revision: Revision) {
         let have_revision = self.revision();
         if revision <= have_revision
             || self
-                .config_asked_at
-                .is_some_and(|at| now < at + CONFIG_PATIENCE)
+                .config_requested_at
+                .is_some_and(|at| now < at + CONFIG_REQUEST_TIMEOUT)
         {
             return;
         }
-        self.config_asked_at = Some(now);
+        self.config_requested_at = Some(now);
         self.peers
             .send(peer, Body::ConfigWanted(ConfigWanted { have_revision }));
     }
 
     /// The configuration in force as a message.
     pub(super) fn config_message(&self) -> Option<Body> {
-        let encoded = self.kept.as_ref()?.encoded.to_vec();
+        let encoded = self.current_revision.as_ref()?.encoded.to_vec();
         Some(Body::Config(Config {
             encoded: encoded.into(),
         }))
--- a/crates/controller/src/node/fleet.rs
+++ b/crates/controller/src/node/fleet.rs
@@ -11,19 +11,19 @@
 pub(super) struct Fleet {
     listed: HashSet<InstanceId>,
     /// Listed once and no more.
-    gone: HashSet<InstanceId>,
+    removed: HashSet<InstanceId>,
     /// What the cells know of their upstreams.
-    standings: HashMap<UpstreamId, Standing>,
+    listings: HashMap<UpstreamId, Standing>,
     /// The revision for whose cells the ranks were worked out.
-    ranked: Revision,
+    ranked_revision: Revision,
     /// Whether the list has changed since then.
-    changed: bool,
+    list_changed: bool,
 }
 
 impl Fleet {
     /// Whether an instance was listed and is no more.
-    pub(super) fn is_gone(&self, id: &InstanceId) -> bool {
-        self.gone.contains(id)
+    pub(super) fn was_removed(&self, id: &InstanceId) -> bool {
+        self.removed.contains(id)
     }
 
     /// Takes in the list; returns the upstreams of which it says something new.
@@ -33,34 +33,34 @@
         catalog: &Catalog,
     ) -> Vec<(UpstreamId, Standing)> {
         let ids: HashSet<InstanceId> = list.iter().map(|entry| entry.id.clone()).collect();
-        self.gone.retain(|id| !ids.contains(id));
+        self.removed.retain(|id| !ids.contains(id));
         for id in self.listed.difference(&ids) {
             log::warn!(id = &**id; "the platform no longer lists it");
-            self.gone.insert(id.clone());
+            self.removed.insert(id.clone());
         }
-        self.changed |= ids != self.listed;
+        self.list_changed |= ids != self.listed;
         self.listed = ids;
         let leaving = list.iter().filter(|entry| entry.leaving);
         let leaving: HashSet<&str> = leaving.map(|entry| &*entry.id).collect();
-        self.changed_standings(&leaving, catalog)
+        self.changed_listings(&leaving, catalog)
     }
 
-    fn changed_standings(
+    fn changed_listings(
         &mut self,
         leaving: &HashSet<&str>,
         catalog: &Catalog,
     ) -> Vec<(UpstreamId, Standing)> {
         let mut changed = Vec::new();
         for upstream in catalog.upstreams.keys() {
-            let standing = if self.gone.contains(upstream) {
+            let standing = if self.removed.contains(upstream) {
                 Standing::Gone
             } else if leaving.contains(&**upstream) {
                 Standing::Leaving
             } else {
                 Standing::Listed
             };
-            let before = self.standings.insert(upstream.clone(), standing);
-            if before.unwrap_or(Standing::Listed) != standing {
+            let previous = self.listings.insert(upstream.clone(), standing);
+            if previous.unwrap_or(Standing::Listed) != standing {
                 changed.push((upstream.clone(), standing));
             }
         }
@@ -69,20 +69,22 @@
 
     /// Whether ranks are to be worked out again: the list or the revision is another one.
     /// A rank takes a hash for each instance and cell.
-    pub(super) fn begin_ranking(&mut self, revision: Revision) -> bool {
-        let due = self.changed || self.ranked != revision;
-        self.changed = false;
-        self.ranked = revision;
-        due
+    pub(super) fn start_ranking_if_due(&mut self, revision: Revision) -> bool {
+        let is_due = self.list_changed || self.ranked_revision != revision;
+        self.list_changed = false;
+        self.ranked_revision = revision;
+        is_due
     }
 
     /// How many listed controllers come before this one for a cell.
-    pub(super) fn rank(&self, me: &InstanceId, cell: &CellName, catalog: &Catalog) -> u32 {
+    pub(super) fn rank(&self, own_id: &InstanceId, cell: &CellName, catalog: &Catalog) -> u32 {
         let weight = passway_config::catalog::rendezvous_hash;
-        let mine = weight(me, cell);
+        let own_weight = weight(own_id, cell);
         let upstreams = &catalog.upstreams;
         let controllers = self.listed.iter().filter(|id| !upstreams.contains_key(*id));
-        let before = controllers.filter(|id| weight(id, cell) > mine).count();
-        u32::try_from(before).unwrap_or(u32::MAX)
+        let predecessors = controllers
+            .filter(|id| weight(id, cell) > own_weight)
+            .count();
+        u32::try_from(predecessors).unwrap_or(u32::MAX)
     }
 }
--- a/crates/controller/src/node/input.rs
+++ b/crates/controller/src/node/input.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 
 /// The number of an accepted connection.
-pub type LinkId = u64;
+pub type ConnectionId = u64;
 
 /// Something that happened outside.
 #[derive(Debug)]
@@ -23,23 +23,23 @@
         event: Event,
     },
     /// A connection was accepted.
-    Linked {
+    Connected {
         /// Its number.
-        id: LinkId,
+        id: ConnectionId,
         /// Sends to it.
         outbox: Outbox,
     },
     /// A message came on an accepted connection.
-    Heard {
+    Received {
         /// The connection.
-        id: LinkId,
+        id: ConnectionId,
         /// The message.
         body: Body,
     },
     /// An accepted connection ended.
-    Unlinked {
+    Disconnected {
         /// The connection.
-        id: LinkId,
+        id: ConnectionId,
     },
     /// A message came from a controller that this one connected to.
     FromPeer {
@@ -53,14 +53,14 @@
     /// The configuration was read and is another one than before.
     ConfigRead {
         /// When the question was sent.
-        asked_at: Instant,
+        requested_at: Instant,
         /// The revision that stands.
-        kept: Arc<KeptRevision>,
+        revision: Arc<KeptRevision>,
     },
     /// The configuration that was read last still stands.
     ConfigConfirmed {
         /// When the question was sent.
-        asked_at: Instant,
+        requested_at: Instant,
     },
     /// The configuration could not be read.
     ConfigUnavailable,
--- a/crates/controller/src/node/peers.rs
+++ b/crates/controller/src/node/peers.rs
@@ -20,7 +20,7 @@
 use std::sync::{Mutex, PoisonError};
 
 /// Pause between two words to a peer, so that it does not take this one for dead.
-const WORD_PAUSE: Duration = Duration::from_secs(1);
+const HELLO_INTERVAL: Duration = Duration::from_secs(1);
 
 type Outboxes = Arc<Mutex<HashMap<SocketAddr, Outbox>>>;
 
@@ -36,16 +36,20 @@
     ///
     /// # Errors
     /// If an address cannot be parsed.
-    pub(super) fn dial(peers: &[String], me: &Holder, inputs: &Sender<Input>) -> Result<Self> {
+    pub(super) fn connect(
+        peers: &[String],
+        identity: &Holder,
+        inputs: &Sender<Input>,
+    ) -> Result<Self> {
         let mut ring = Vec::new();
         for text in peers {
             ring.push(text.parse().with_context(|| format!("peer {text}"))?);
         }
         let outboxes = Outboxes::default();
-        let chosen = chosen(ring, me.address);
+        let chosen = chosen_peers(ring, identity.address);
         let dialers = chosen
             .into_iter()
-            .map(|peer| dial(peer, me, &outboxes, inputs.clone()));
+            .map(|peer| start_dialer(peer, identity, &outboxes, inputs.clone()));
         let dialers = dialers.collect();
         Ok(Self {
             outboxes,
@@ -63,42 +67,47 @@
 }
 
 /// The peers 1, 2, 4, 8 ... places after `me` in the sorted ring.
-pub(super) fn chosen(mut ring: Vec<SocketAddr>, me: SocketAddr) -> Vec<SocketAddr> {
-    ring.push(me);
+pub(super) fn chosen_peers(mut ring: Vec<SocketAddr>, own_address: SocketAddr) -> Vec<SocketAddr> {
+    ring.push(own_address);
     ring.sort_unstable();
     ring.dedup();
-    let place = ring.binary_search(&me).unwrap_or(0);
-    let steps = std::iter::successors(Some(1_usize), |step| Some(step * 2));
-    let steps = steps.take_while(|step| *step < ring.len());
-    steps
-        .map(|step| ring[(place + step) % ring.len()])
+    let own_index = ring.binary_search(&own_address).unwrap_or(0);
+    let offsets = std::iter::successors(Some(1_usize), |offset| Some(offset * 2));
+    let offsets = offsets.take_while(|offset| *offset < ring.len());
+    offsets
+        .map(|offset| ring[(own_index + offset) % ring.len()])
         .collect()
 }
 
-fn dial(peer: SocketAddr, me: &Holder, outboxes: &Outboxes, inputs: Sender<Input>) -> Dialer {
+fn start_dialer(
+    peer: SocketAddr,
+    identity: &Holder,
+    outboxes: &Outboxes,
+    inputs: Sender<Input>,
+) -> Dialer {
     let hello = Hello {
         role: Role::Controller.into(),
-        instance: me.instance.to_string(),
-        incarnation: me.incarnation,
+        instance: identity.instance.to_string(),
+        incarnation: identity.incarnation,
         ..Default::default()
     };
     let outboxes = outboxes.clone();
-    let mut said_at = clock::now();
-    Dialer::start(peer, move |dialed| {
+    let mut hello_sent_at = clock::now();
+    Dialer::start(peer, move |event| {
         let mut outboxes = outboxes.lock().unwrap_or_else(PoisonError::into_inner);
-        match dialed {
+        match event {
             Dialed::Connected(outbox) => {
                 outbox.send(Body::Hello(hello.clone()));
                 outboxes.insert(peer, outbox);
-                said_at = clock::now();
+                hello_sent_at = clock::now();
             }
             Dialed::Received(body) => {
                 // A heartbeat is answered, so that neither side falls silent.
                 if let Some(outbox) = outboxes.get(&peer)
-                    && clock::since(said_at) >= WORD_PAUSE
+                    && clock::since(hello_sent_at) >= HELLO_INTERVAL
                 {
                     outbox.send(Body::Hello(hello.clone()));
-                    said_at = clock::now();
+                    hello_sent_at = clock::now();
                 }
                 // The deciding thread ends only with the process.
                 let _ = inputs.send(Input::FromPeer { peer, body });
--- a/crates/controller/src/translate.rs
+++ b/crates/controller/src/translate.rs
@@ -28,7 +28,7 @@
 
 /// A verdict as it travels.
 pub(crate) fn verdict(now: Instant, model: &str, from: DemandVerdict) -> message::Verdict {
-    let in_ms = |at: Instant| {
+    let until_ms = |at: Instant| {
         u64::try_from(at.saturating_duration_since(now).as_millis()).unwrap_or(u64::MAX)
     };
     let mut verdict = message::Verdict {
@@ -36,10 +36,10 @@
         ..Default::default()
     };
     match from {
-        DemandVerdict::ReadyAt(at) => verdict.ready_in_ms = in_ms(at),
+        DemandVerdict::ReadyAt(at) => verdict.ready_in_ms = until_ms(at),
         DemandVerdict::Refused { code, retry_at } => {
             verdict.refused_code = code as u32;
-            verdict.retry_in_ms = in_ms(retry_at);
+            verdict.retry_in_ms = until_ms(retry_at);
         }
     }
     verdict
@@ -47,18 +47,18 @@
 
 /// A change of routes as it travels.
 pub(crate) fn routes(cell: &str, epoch: Epoch, from: &RouteChange) -> message::Routes {
-    let all = |routes: &[(ModelName, UpstreamId)]| {
-        let route = |(model, upstream): &(ModelName, UpstreamId)| message::Route {
+    let to_wire_routes = |routes: &[(ModelName, UpstreamId)]| {
+        let to_wire_route = |(model, upstream): &(ModelName, UpstreamId)| message::Route {
             model: model.to_string(),
             upstream: upstream.to_string(),
         };
-        routes.iter().map(route).collect()
+        routes.iter().map(to_wire_route).collect()
     };
     message::Routes {
         cell: cell.to_owned(),
         epoch,
         whole: from.whole,
-        added: all(&from.added),
-        removed: all(&from.removed),
+        added: to_wire_routes(&from.added),
+        removed: to_wire_routes(&from.removed),
     }
 }
--- a/crates/controller/src/workers.rs
+++ b/crates/controller/src/workers.rs
@@ -20,27 +20,27 @@
 use std::thread::JoinHandle;
 
 /// Part of a lease's time, in tenths, on which the holder relies.
-const RELIED_TENTHS: u32 = 8;
+const USABLE_LEASE_TENTHS: u32 = 8;
 /// Time for a probe to be answered.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pause between two questions to an upstream at which something changes.
-const BUSY_STATUS_PAUSE: Duration = Duration::from_millis(150);
+const BUSY_STATUS_INTERVAL: Duration = Duration::from_millis(150);
 /// Pause between two questions to any other upstream.
-const QUIET_STATUS_PAUSE: Duration = Duration::from_millis(750);
+const IDLE_STATUS_INTERVAL: Duration = Duration::from_millis(750);
 /// Step in which a status thread looks whether it should hurry.
-const STATUS_STEP: Duration = Duration::from_millis(50);
+const STATUS_POLL_STEP: Duration = Duration::from_millis(50);
 /// Pause between two looks at the instance list.
-const LIST_PAUSE: Duration = Duration::from_secs(1);
+const LIST_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Where the answers of one cell's calls go.
 #[derive(Debug, Clone)]
-pub(crate) struct Reply {
+pub(crate) struct ReplySender {
     pub(crate) cell: CellName,
     pub(crate) inputs: Sender<Input>,
 }
 
-impl Reply {
-    pub(crate) fn event(&self, event: Event) {
+impl ReplySender {
+    pub(crate) fn send_event(&self, event: Event) {
         // The deciding thread ends only with the process.
         let _ = self.inputs.send(Input::Cell {
             cell: self.cell.clone(),
@@ -48,7 +48,7 @@
         });
     }
 
-    fn reached(&self) {
+    fn send_service_reached(&self) {
         let _ = self.inputs.send(Input::ServiceReached);
     }
 }
@@ -62,11 +62,11 @@
 }
 
 /// Starts the thread that takes, renews and gives back a cell's lease.
-pub(crate) fn start_lease(
+pub(crate) fn start_lease_thread(
     key_value: Arc<dyn KeyValue>,
     holder: &Holder,
     time_to_live: Duration,
-    reply: Reply,
+    reply: ReplySender,
 ) -> (Sender<LeaseJob>, JoinHandle<()>) {
     let (sender, jobs) = unbounded();
     let value = serde_json::to_vec(holder).unwrap_or_default();
@@ -75,7 +75,7 @@
         for job in jobs {
             // Counted from before the call: the service may start the lease's
             // time as soon as the call arrives.
-            let until_at = clock::now() + time_to_live * RELIED_TENTHS / 10;
+            let until_at = clock::now() + time_to_live * USABLE_LEASE_TENTHS / 10;
             let answer = match job {
                 LeaseJob::Acquire => {
                     acquire(&*key_value, &reply.cell, &value, time_to_live, &mut lease)
@@ -90,9 +90,9 @@
                 }
             };
             if answer.is_ok() {
-                reply.reached();
+                reply.send_service_reached();
             }
-            reply.event(match answer {
+            reply.send_event(match answer {
                 Ok(true) => Event::LeaseGranted { until_at },
                 Ok(false) => Event::LeaseDenied,
                 Err(Unavailable) => Event::LeaseUnavailable,
@@ -117,9 +117,9 @@
     time_to_live: Duration,
     lease: &mut Option<LeaseId>,
 ) -> Result<bool, Unavailable> {
-    if let Some(old) = lease.take() {
+    if let Some(previous_lease) = lease.take() {
         // Ours from a term that ended; the key must go before it can be taken anew.
-        key_value.end_lease(old)?;
+        key_value.end_lease(previous_lease)?;
     }
     if key_value.get(&holder_key(cell))?.is_some() {
         return Ok(false);
@@ -147,7 +147,10 @@
 }
 
 /// Starts the thread that reads and writes a cell's plan.
-pub(crate) fn start_plan(key_value: Arc<dyn KeyValue>, reply: Reply) -> Sender<PlanJob> {
+pub(crate) fn start_plan_thread(
+    key_value: Arc<dyn KeyValue>,
+    reply: ReplySender,
+) -> Sender<PlanJob> {
     let (sender, jobs) = unbounded();
     let key = plan_key(&reply.cell);
     std::thread::spawn(move || {
@@ -157,9 +160,9 @@
                 PlanJob::Write { expected, plan } => write_plan(&*key_value, &key, expected, &plan),
             };
             if !matches!(event, Event::PlanUnavailable | Event::WriteUnclear) {
-                reply.reached();
+                reply.send_service_reached();
             }
-            reply.event(event);
+            reply.send_event(event);
         }
     });
     sender
@@ -199,10 +202,10 @@
 }
 
 /// Starts the thread that sends orders to one upstream.
-pub(crate) fn start_orders(
+pub(crate) fn start_order_thread(
     engines: Arc<dyn EngineControl>,
     address: SocketAddr,
-    reply: Reply,
+    reply: ReplySender,
 ) -> Sender<Order> {
     let (sender, orders) = unbounded::<Order>();
     std::thread::spawn(move || {
@@ -213,7 +216,7 @@
                     answer:? = answer; "order");
             }
             let (upstream, fence) = (order.upstream, order.fence);
-            reply.event(Event::Order {
+            reply.send_event(Event::Order {
                 upstream,
                 fence,
                 answer,
@@ -225,85 +228,95 @@
 
 /// How often an upstream is asked.
 #[derive(Debug, Default)]
-pub(crate) struct StatusPace {
+pub(crate) struct StatusPolling {
     /// Whether this controller leads the upstream's cell.
-    pub(crate) active: AtomicBool,
+    pub(crate) is_leading: AtomicBool,
     /// Whether something changes at the upstream.
-    pub(crate) busy: AtomicBool,
+    pub(crate) is_busy: AtomicBool,
     /// Whether the thread should end.
-    pub(crate) ended: AtomicBool,
+    pub(crate) should_stop: AtomicBool,
 }
 
 /// Starts the thread that asks one upstream for its status.
-pub(crate) fn start_status(
+pub(crate) fn start_status_thread(
     engines: Arc<dyn EngineControl>,
     upstream: UpstreamId,
     address: SocketAddr,
-    pace: Arc<StatusPace>,
-    reply: Reply,
+    polling: Arc<StatusPolling>,
+    reply: ReplySender,
 ) {
     std::thread::spawn(move || {
-        let mut asked_at: Option<Instant> = None;
-        while !pace.ended.load(Ordering::Relaxed) {
-            let busy = pace.busy.load(Ordering::Relaxed);
-            let pause = if busy {
-                BUSY_STATUS_PAUSE
+        let mut last_query_at: Option<Instant> = None;
+        while !polling.should_stop.load(Ordering::Relaxed) {
+            let is_busy = polling.is_busy.load(Ordering::Relaxed);
+            let interval = if is_busy {
+                BUSY_STATUS_INTERVAL
             } else {
-                QUIET_STATUS_PAUSE
+                IDLE_STATUS_INTERVAL
             };
-            let due = asked_at.is_none_or(|at| clock::since(at) >= pause);
-            if due && pace.active.load(Ordering::Relaxed) {
+            let is_due = last_query_at.is_none_or(|at| clock::since(at) >= interval);
+            if is_due && polling.is_leading.load(Ordering::Relaxed) {
                 let now = clock::now();
-                asked_at = Some(now);
+                last_query_at = Some(now);
                 let status = engines.status(address);
-                reply.event(Event::Status {
+                reply.send_event(Event::Status {
                     upstream: upstream.clone(),
                     asked_at: now,
                     status,
                 });
             }
-            std::thread::sleep(STATUS_STEP);
+            std::thread::sleep(STATUS_POLL_STEP);
         }
     });
 }
 
 /// Starts the thread that reads the instance list.
-pub(crate) fn start_list(list: Arc<dyn InstanceList>, inputs: Sender<Input>) {
+pub(crate) fn start_list_thread(list: Arc<dyn InstanceList>, inputs: Sender<Input>) {
     std::thread::spawn(move || {
         loop {
-            if let Some(listed) = list.list()
-                && inputs.send(Input::Listed(listed)).is_err()
+            if let Some(instances) = list.list()
+                && inputs.send(Input::Listed(instances)).is_err()
             {
                 return;
             }
-            std::thread::sleep(LIST_PAUSE);
+            std::thread::sleep(LIST_INTERVAL);
         }
     });
 }
 
 /// Asks, in a thread of its own, whether a former holder can still send orders.
-pub(crate) fn probe(me: &Holder, epoch: Epoch, former: Holder, reply: Reply) {
+pub(crate) fn start_probe_thread(
+    identity: &Holder,
+    epoch: Epoch,
+    previous: Holder,
+    reply: ReplySender,
+) {
     let hello = Hello {
         role: Role::Controller.into(),
-        instance: me.instance.to_string(),
-        incarnation: me.incarnation,
+        instance: identity.instance.to_string(),
+        incarnation: identity.incarnation,
         ..Default::default()
     };
     std::thread::spawn(move || {
-        let answer = ask_former(&former, hello, &reply.cell, epoch);
+        let answer = probe_previous_holder(&previous, hello, &reply.cell, epoch);
         // Another process at the address proves the old one gone. No answer
         // proves nothing: the process may be paused.
-        let gone = answer.is_some_and(|(incarnation, may_order)| {
-            incarnation != former.incarnation || !may_order
+        let is_gone = answer.is_some_and(|(incarnation, may_order)| {
+            incarnation != previous.incarnation || !may_order
         });
-        if gone {
-            reply.event(Event::FormerGone(epoch));
+        if is_gone {
+            reply.send_event(Event::FormerGone(epoch));
         }
     });
 }
 
-fn ask_former(former: &Holder, hello: Hello, cell: &str, epoch: Epoch) -> Option<(u64, bool)> {
-    let (link, mut reader) = Link::connect(former.address, PROBE_TIMEOUT).ok()?;
+fn probe_previous_holder(
+    previous: &Holder,
+    hello: Hello,
+    cell: &str,
+    epoch: Epoch,
+) -> Option<(u64, bool)> {
+    let (link, mut reader) = Link::connect(previous.address, PROBE_TIMEOUT).ok()?;
     reader.set_timeout(PROBE_TIMEOUT).ok()?;
     link.send(Body::Hello(hello)).ok()?;
     link.send(Body::Probe(Probe {
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -8,13 +8,13 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 
 /// Outcomes that wait to be written while the key-value service is away.
-const UNWRITTEN: usize = 10_000;
+const MAX_UNWRITTEN_OUTCOMES: usize = 10_000;
 /// Pause before an outcome is written again.
-const WRITE_RETRY: Duration = Duration::from_millis(500);
+const WRITE_BACKOFF: Duration = Duration::from_millis(500);
 /// Times that a claim is read back before the caller is refused.
-const READ_BACKS: usize = 2;
+const MAX_READ_BACKS: usize = 2;
 /// Retry hint while a call with the same key may be in progress.
-const REPEAT_RETRY: Duration = Duration::from_secs(2);
+const RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// A claim that is ours: the call may be sent, once.
 #[derive(Debug, Clone)]
@@ -26,7 +26,7 @@
 
 /// What a caller with a key gets.
 #[derive(Debug)]
-pub enum Claimed {
+pub enum ClaimResult {
     /// Send the call and settle the claim.
     Send(OwnClaim),
     /// Answer with what was answered before.
@@ -35,8 +35,8 @@
 
 /// An outcome to be written.
 #[derive(Debug)]
-struct Unwritten {
-    own: OwnClaim,
+struct UnwrittenOutcome {
+    own_claim: OwnClaim,
     state: ClaimState,
 }
 
@@ -45,7 +45,7 @@
     key_value: Arc<dyn KeyValue>,
     incarnation: Incarnation,
     attempts: AtomicU64,
-    unwritten: Sender<Unwritten>,
+    unwritten_sender: Sender<UnwrittenOutcome>,
     /// Outcomes in the queue or in the hands of the writing thread.
     unwritten_count: Arc<AtomicUsize>,
 }
@@ -61,29 +61,30 @@
 impl Claims {
     /// Claims kept in `key_value`.
     pub fn new(key_value: Arc<dyn KeyValue>, incarnation: Incarnation) -> Self {
-        let (unwritten, receiver) = bounded::<Unwritten>(UNWRITTEN);
-        let writing = key_value.clone();
+        let (unwritten_sender, receiver) = bounded::<UnwrittenOutcome>(MAX_UNWRITTEN_OUTCOMES);
+        let thread_key_value = key_value.clone();
         let unwritten_count = Arc::new(AtomicUsize::new(0));
-        let count = unwritten_count.clone();
+        let thread_count = unwritten_count.clone();
         std::thread::spawn(move || {
             for outcome in receiver {
-                while write_outcome(&*writing, &outcome.own, &outcome.state).is_err() {
-                    std::thread::sleep(WRITE_RETRY);
+                while write_outcome(&*thread_key_value, &outcome.own_claim, &outcome.state).is_err()
+                {
+                    std::thread::sleep(WRITE_BACKOFF);
                 }
-                count.fetch_sub(1, Ordering::AcqRel);
+                thread_count.fetch_sub(1, Ordering::AcqRel);
             }
         });
         Self {
             key_value,
             incarnation,
             attempts: AtomicU64::new(1),
-            unwritten,
+            unwritten_sender,
             unwritten_count,
         }
     }
 
     /// Outcomes that are not written yet.
-    pub fn unwritten(&self) -> usize {
+    pub fn unwritten_count(&self) -> usize {
         self.unwritten_count.load(Ordering::Acquire)
     }
 
@@ -91,32 +92,32 @@
     ///
     /// # Errors
     /// The refusal that is the call's final answer.
-    pub fn claim(&self, service: &str, key: &str, digest: u64) -> Result<Claimed, Refusal> {
-        let count = self.attempts.fetch_add(1, Ordering::Relaxed);
-        let attempt = (u128::from(self.incarnation) << 64) | u128::from(count);
+    pub fn claim(&self, service: &str, key: &str, digest: u64) -> Result<ClaimResult, Refusal> {
+        let number = self.attempts.fetch_add(1, Ordering::Relaxed);
+        let attempt = (u128::from(self.incarnation) << 64) | u128::from(number);
         let key = store_key(service, key);
         let claim = Claim {
             attempt,
             request_digest: digest,
             state: ClaimState::Claimed,
         };
-        let mut was_written = false;
-        for _ in 0..=READ_BACKS {
+        let mut has_tried_write = false;
+        for _ in 0..=MAX_READ_BACKS {
             let found = match self.read(&key) {
                 Ok(found) => found,
                 // A write may have taken effect: it is ours and nothing left.
-                Err(Unavailable) if was_written => break,
-                Err(Unavailable) => return Err(unreadable()),
+                Err(Unavailable) if has_tried_write => break,
+                Err(Unavailable) => return Err(claim_unreadable()),
             };
             let found_claim = found.as_ref().map(|(version, claim)| (*version, claim));
             match next_step(found_claim, attempt, digest) {
                 ClaimStep::Write(version) => {
-                    was_written = true;
+                    has_tried_write = true;
                     let value = serde_json::to_vec(&claim).unwrap_or_default();
                     if let Ok(PutOutcome::Written(version)) =
                         self.key_value.put_if(&key, version, &value, None)
                     {
-                        return Ok(Claimed::Send(OwnClaim {
+                        return Ok(ClaimResult::Send(OwnClaim {
                             key,
                             version,
                             claim,
@@ -124,16 +125,16 @@
                     }
                 }
                 ClaimStep::Ours(version) => {
-                    return Ok(Claimed::Send(OwnClaim {
+                    return Ok(ClaimResult::Send(OwnClaim {
                         key,
                         version,
                         claim,
                     }));
                 }
-                ClaimStep::Replay(answer) => return Ok(Claimed::Replay(answer)),
+                ClaimStep::Replay(answer) => return Ok(ClaimResult::Replay(answer)),
                 ClaimStep::RepeatUnknown => {
                     return Err(Refusal::new(ResultCode::RepeatUnknown, "the key is in use")
-                        .retry_after(REPEAT_RETRY));
+                        .retry_after(RETRY_AFTER));
                 }
                 ClaimStep::KeyReused => {
                     return Err(Refusal::new(
@@ -144,7 +145,7 @@
             }
         }
         // Nothing was sent and nothing will be; a claim that may stand is taken back.
-        self.settle_later(
+        self.queue_outcome(
             OwnClaim {
                 key,
                 version: 0,
@@ -154,7 +155,7 @@
         );
         Err(
             Refusal::new(ResultCode::ClaimUnavailable, "the claim was not confirmed")
-                .retry_after(REPEAT_RETRY),
+                .retry_after(RETRY_AFTER),
         )
     }
 
@@ -167,15 +168,19 @@
     }
 
     /// Records the outcome, now if the service answers, else later.
-    pub fn settle(&self, own: OwnClaim, state: ClaimState) {
-        if write_outcome(&*self.key_value, &own, &state).is_err() {
-            self.settle_later(own, state);
+    pub fn settle(&self, own_claim: OwnClaim, state: ClaimState) {
+        if write_outcome(&*self.key_value, &own_claim, &state).is_err() {
+            self.queue_outcome(own_claim, state);
         }
     }
 
-    fn settle_later(&self, own: OwnClaim, state: ClaimState) {
+    fn queue_outcome(&self, own_claim: OwnClaim, state: ClaimState) {
         self.unwritten_count.fetch_add(1, Ordering::AcqRel);
-        if self.unwritten.try_send(Unwritten { own, state }).is_err() {
+        if self
+            .unwritten_sender
+            .try_send(UnwrittenOutcome { own_claim, state })
+            .is_err()
+        {
             self.unwritten_count.fetch_sub(1, Ordering::AcqRel);
             // The claim stays as it is: repeats get "unknown", never a second run.
             log::error!("too many outcomes wait to be written");
@@ -186,32 +191,32 @@
 /// Writes an outcome over our own claim and over nothing else.
 fn write_outcome(
     key_value: &dyn KeyValue,
-    own: &OwnClaim,
+    own_claim: &OwnClaim,
     state: &ClaimState,
 ) -> Result<(), Unavailable> {
     let settled = Claim {
         state: state.clone(),
-        ..own.claim.clone()
+        ..own_claim.claim.clone()
     };
     let value = serde_json::to_vec(&settled).unwrap_or_default();
-    let version = if own.version == 0 {
+    let version = if own_claim.version == 0 {
         // The claim's write was never confirmed: find out whether it stands.
-        let Some(found) = key_value.get(&own.key)? else {
+        let Some(found) = key_value.get(&own_claim.key)? else {
             return Ok(());
         };
         let Ok(claim) = serde_json::from_slice::<Claim>(&found.value) else {
             return Ok(());
         };
-        if claim.attempt != own.claim.attempt || claim.state != ClaimState::Claimed {
+        if claim.attempt != own_claim.claim.attempt || claim.state != ClaimState::Claimed {
             return Ok(());
         }
         found.version
     } else {
-        own.version
+        own_claim.version
     };
     // A conflict means that an earlier try of this same write took effect.
     key_value
-        .put_if(&own.key, version, &value, None)
+        .put_if(&own_claim.key, version, &value, None)
         .map(|_| ())
 }
 
@@ -224,10 +229,10 @@
     path
 }
 
-fn unreadable() -> Refusal {
+fn claim_unreadable() -> Refusal {
     Refusal::new(
         ResultCode::ClaimUnreadable,
         "the key-value service does not answer",
     )
-    .retry_after(REPEAT_RETRY)
+    .retry_after(RETRY_AFTER)
 }
--- a/crates/router/src/control.rs
+++ b/crates/router/src/control.rs
@@ -1,6 +1,6 @@
 //! Connections to controllers: configuration, routes, demands.
 
-use crate::shared::{Shared, Word};
+use crate::shared::{RequestDecision, Shared};
 use anyhow::{Context, Result};
 use passway_config::revision::{self, StoredRevision};
 use passway_config::settings::RouterSettings;
@@ -17,12 +17,12 @@
 use std::sync::{Mutex, MutexGuard, PoisonError, Weak};
 
 /// Configured controllers that a router stays connected to, besides the holders.
-const STANDING_LINKS: usize = 2;
+const PERMANENT_CONNECTIONS: usize = 2;
 /// Pause between two words to a controller, so that it does not take this router for dead.
-const WORD_PAUSE: Duration = Duration::from_secs(1);
+const HELLO_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Another controller is asked for a revision after this time.
-const CONFIG_PATIENCE: Duration = Duration::from_millis(700);
+const CONFIG_REQUEST_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Where a cell's holder listens.
 #[derive(Debug, Clone, Copy)]
@@ -32,21 +32,21 @@
 }
 
 #[derive(Debug, Default)]
-struct Links {
+struct ControllerConnections {
     outboxes: HashMap<SocketAddr, Outbox>,
     dialers: HashMap<SocketAddr, Dialer>,
     holders: HashMap<String, KnownHolder>,
     route_epochs: HashMap<String, Epoch>,
-    routers: HashMap<SocketAddr, u32>,
-    config_asked_at: Option<Instant>,
+    router_counts: HashMap<SocketAddr, u32>,
+    config_requested_at: Option<Instant>,
 }
 
 /// A router's connections to controllers.
 #[derive(Debug)]
 pub struct Control {
-    links: Mutex<Links>,
-    standing: Vec<SocketAddr>,
-    me: Weak<Self>,
+    connections: Mutex<ControllerConnections>,
+    permanent: Vec<SocketAddr>,
+    weak_self: Weak<Self>,
 }
 
 impl Control {
@@ -55,146 +55,159 @@
     /// # Errors
     /// If an address in the settings cannot be parsed.
     pub fn start(settings: &RouterSettings, shared: &Arc<Shared>) -> Result<Arc<Self>> {
-        let addresses = settings.controllers.iter().take(STANDING_LINKS);
-        let standing: Result<Vec<SocketAddr>> = addresses
+        let addresses = settings.controllers.iter().take(PERMANENT_CONNECTIONS);
+        let permanent: Result<Vec<SocketAddr>> = addresses
             .map(|text| text.parse().context("controllers"))
             .collect();
-        let standing = standing?;
-        let control = Arc::new_cyclic(|me| Self {
-            links: Mutex::new(Links::default()),
-            standing: standing.clone(),
-            me: me.clone(),
+        let permanent = permanent?;
+        let control = Arc::new_cyclic(|weak_self| Self {
+            connections: Mutex::new(ControllerConnections::default()),
+            permanent: permanent.clone(),
+            weak_self: weak_self.clone(),
         });
-        for address in standing {
+        for address in permanent {
             control.dial(address, shared);
         }
         Ok(control)
     }
 
-    fn links(&self) -> MutexGuard<'_, Links> {
-        self.links.lock().unwrap_or_else(PoisonError::into_inner)
+    fn connections(&self) -> MutexGuard<'_, ControllerConnections> {
+        self.connections
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     fn dial(&self, address: SocketAddr, shared: &Arc<Shared>) {
-        let mut links = self.links();
-        if links.dialers.contains_key(&address) {
+        let mut connections = self.connections();
+        if connections.dialers.contains_key(&address) {
             return;
         }
-        let (control, shared) = (self.me.clone(), shared.clone());
-        let mut said_at = clock::now();
-        let dialer = Dialer::start(address, move |dialed| {
+        let (control, shared) = (self.weak_self.clone(), shared.clone());
+        let mut hello_sent_at = clock::now();
+        let dialer = Dialer::start(address, move |event| {
             let Some(control) = control.upgrade() else {
                 return;
             };
-            match dialed {
+            match event {
                 Dialed::Connected(outbox) => {
                     outbox.send(Body::Hello(hello(&shared)));
-                    control.links().outboxes.insert(address, outbox);
-                    said_at = clock::now();
+                    control.connections().outboxes.insert(address, outbox);
+                    hello_sent_at = clock::now();
                 }
-                Dialed::Disconnected => control.disconnected(address),
+                Dialed::Disconnected => control.handle_disconnect(address),
                 Dialed::Received(body) => {
-                    control.received(address, body, &shared);
-                    if clock::since(said_at) >= WORD_PAUSE {
-                        said_at = clock::now();
+                    control.handle_message(address, body, &shared);
+                    if clock::since(hello_sent_at) >= HELLO_INTERVAL {
+                        hello_sent_at = clock::now();
                         control.send_to(address, Body::Hello(hello(&shared)));
                     }
                 }
             }
         });
-        links.dialers.insert(address, dialer);
+        connections.dialers.insert(address, dialer);
     }
 
-    fn disconnected(&self, address: SocketAddr) {
-        let mut links = self.links();
-        links.outboxes.remove(&address);
-        links.routers.remove(&address);
-        let leads = links
+    fn handle_disconnect(&self, address: SocketAddr) {
+        let mut connections = self.connections();
+        connections.outboxes.remove(&address);
+        connections.router_counts.remove(&address);
+        let is_holder = connections
             .holders
             .values()
             .any(|holder| holder.address == address);
-        if !leads && !self.standing.contains(&address) {
-            links.dialers.remove(&address);
+        if !is_holder && !self.permanent.contains(&address) {
+            connections.dialers.remove(&address);
         }
     }
 
     fn send_to(&self, address: SocketAddr, body: Body) {
-        if let Some(outbox) = self.links().outboxes.get(&address) {
+        if let Some(outbox) = self.connections().outboxes.get(&address) {
             outbox.send(body);
         }
     }
 
     /// Tells every controller which revision is in force here and how much is in progress.
-    pub fn say_hello(&self, shared: &Shared) {
+    pub fn send_hello(&self, shared: &Shared) {
         let hello = hello(shared);
-        for outbox in self.links().outboxes.values() {
+        for outbox in self.connections().outboxes.values() {
             outbox.send(Body::Hello(hello.clone()));
         }
     }
 
-    fn received(&self, address: SocketAddr, body: Body, shared: &Arc<Shared>) {
+    fn handle_message(&self, address: SocketAddr, body: Body, shared: &Arc<Shared>) {
         match body {
-            Body::Heartbeat(heartbeat) => self.heartbeat(address, &heartbeat, shared),
-            Body::Config(config) => self.config(&config.encoded, shared),
-            Body::Routes(routes) => self.routes(routes, shared),
-            Body::Verdict(verdict) => self.verdict(address, &verdict, shared),
+            Body::Heartbeat(heartbeat) => self.handle_heartbeat(address, &heartbeat, shared),
+            Body::Config(config) => self.handle_config(&config.encoded, shared),
+            Body::Routes(routes) => self.handle_routes(routes, shared),
+            Body::Verdict(verdict) => self.handle_verdict(address, &verdict, shared),
             _ => {}
         }
     }
 
-    fn heartbeat(&self, address: SocketAddr, heartbeat: &Heartbeat, shared: &Arc<Shared>) {
+    fn handle_heartbeat(&self, address: SocketAddr, heartbeat: &Heartbeat, shared: &Arc<Shared>) {
         let now = clock::now();
-        let mut to_dial = Vec::new();
-        let routers = {
-            let mut links = self.links();
-            links.routers.insert(address, heartbeat.routers);
+        let mut holder_addresses = Vec::new();
+        let router_count = {
+            let mut connections = self.connections();
+            connections.router_counts.insert(address, heartbeat.routers);
             for cell in &heartbeat.cells {
                 let Ok(holder_address) = cell.address.parse() else {
                     continue;
                 };
-                let known = links.holders.get(&cell.cell);
-                if known.is_none_or(|known| cell.epoch > known.epoch) {
+                let known_holder = connections.holders.get(&cell.cell);
+                if known_holder.is_none_or(|known| cell.epoch > known.epoch) {
                     let holder = KnownHolder {
                         epoch: cell.epoch,
                         address: holder_address,
                     };
-                    links.holders.insert(cell.cell.clone(), holder);
+                    connections.holders.insert(cell.cell.clone(), holder);
                 }
             }
-            to_dial.extend(links.holders.values().map(|holder| holder.address));
-            links.routers.values().copied().max().unwrap_or(1)
+            holder_addresses.extend(connections.holders.values().map(|holder| holder.address));
+            connections
+                .router_counts
+                .values()
+                .copied()
+                .max()
+                .unwrap_or(1)
         };
-        for address in to_dial {
+        for address in holder_addresses {
             self.dial(address, shared);
         }
-        self.want_config(address, heartbeat.config_revision, shared, now);
+        self.request_config(address, heartbeat.config_revision, shared, now);
         let mut core = shared.core();
-        core.set_routers(routers, now);
+        core.set_routers(router_count, now);
         if !heartbeat.isolated {
             core.set_current_until(now + shared.limits.stale_limit);
         }
     }
 
     /// Asks for a revision that this router lacks, at one controller at a time.
-    fn want_config(&self, address: SocketAddr, revision: Revision, shared: &Shared, now: Instant) {
+    fn request_config(
+        &self,
+        address: SocketAddr,
+        revision: Revision,
+        shared: &Shared,
+        now: Instant,
+    ) {
         let have_revision = shared.catalog.load().revision;
         if revision <= have_revision {
             return;
         }
         {
-            let mut links = self.links();
-            if links
-                .config_asked_at
-                .is_some_and(|at| now < at + CONFIG_PATIENCE)
+            let mut connections = self.connections();
+            if connections
+                .config_requested_at
+                .is_some_and(|at| now < at + CONFIG_REQUEST_TIMEOUT)
             {
                 return;
             }
-            links.config_asked_at = Some(now);
+            connections.config_requested_at = Some(now);
         }
         self.send_to(address, Body::ConfigWanted(ConfigWanted { have_revision }));
     }
 
-    fn config(&self, encoded: &[u8], shared: &Arc<Shared>) {
+    fn handle_config(&self, encoded: &[u8], shared: &Arc<Shared>) {
         let stored: StoredRevision = match revision::decode(encoded) {
             Ok(stored) => stored,
             Err(error) => {
@@ -202,7 +215,7 @@
                 return;
             }
         };
-        self.links().config_asked_at = None;
+        self.connections().config_requested_at = None;
         // Looked at and set under the lock of the decisions, so that two
         // controllers that send at one time cannot set the older one last.
         {
@@ -224,28 +237,31 @@
             }
         }
         log::info!(revision = stored.revision; "configuration in force");
-        self.say_hello(shared);
+        self.send_hello(shared);
     }
 
-    fn routes(&self, routes: message::Routes, shared: &Arc<Shared>) {
+    fn handle_routes(&self, routes: message::Routes, shared: &Arc<Shared>) {
         {
-            let mut links = self.links();
-            let known = links.route_epochs.entry(routes.cell.clone()).or_default();
+            let mut connections = self.connections();
+            let known_epoch = connections
+                .route_epochs
+                .entry(routes.cell.clone())
+                .or_default();
             // An older holder's word, or a change of a table that was never seen whole.
-            if routes.epoch < *known || (routes.epoch > *known && !routes.whole) {
+            if routes.epoch < *known_epoch || (routes.epoch > *known_epoch && !routes.whole) {
                 return;
             }
-            *known = routes.epoch;
+            *known_epoch = routes.epoch;
         }
-        let all = |routes: Vec<message::Route>| {
+        let from_wire = |routes: Vec<message::Route>| {
             routes
                 .into_iter()
-                .map(|r| (r.model.into(), r.upstream.into()))
+                .map(|route| (route.model.into(), route.upstream.into()))
                 .collect()
         };
         let change = RouteChange {
-            added: all(routes.added),
-            removed: all(routes.removed),
+            added: from_wire(routes.added),
+            removed: from_wire(routes.removed),
             whole: routes.whole,
         };
         self.decide(shared, |core, now| {
@@ -255,7 +271,12 @@
 
     /// Takes in the answer to a demand, if it is the holder's. A controller that was paused
     /// answers what it was asked as the holder, and would refuse what its successor serves.
-    fn verdict(&self, address: SocketAddr, verdict: &message::Verdict, shared: &Arc<Shared>) {
+    fn handle_verdict(
+        &self,
+        address: SocketAddr,
+        verdict: &message::Verdict,
+        shared: &Arc<Shared>,
+    ) {
         let holder = self.holder_of(shared, &verdict.model);
         if holder.is_none_or(|holder| holder.address != address) {
             log::info!(model = verdict.model, controller:% = address; "an answer of a former holder is left out");
@@ -298,9 +319,9 @@
                 deadline_at,
                 priority,
             } => {
-                shared.tell(
+                shared.send_decision(
                     request,
-                    Word::Start {
+                    RequestDecision::Start {
                         upstream,
                         model,
                         deadline_at,
@@ -309,7 +330,7 @@
                 );
             }
             RouterAction::Refuse { request, refusal } => {
-                shared.tell(request, Word::Refuse(refusal));
+                shared.send_decision(request, RequestDecision::Refuse(refusal));
             }
             RouterAction::Demand(demand) => {
                 let deadline_in = demand.earliest_deadline_at.saturating_duration_since(now);
@@ -344,7 +365,7 @@
     fn holder_of(&self, shared: &Shared, model: &str) -> Option<KnownHolder> {
         let catalog = shared.catalog.load();
         let cell = &catalog.models.get(model)?.cell;
-        self.links().holders.get(&**cell).copied()
+        self.connections().holders.get(&**cell).copied()
     }
 }
 
--- a/crates/router/src/generate.rs
+++ b/crates/router/src/generate.rs
@@ -1,8 +1,8 @@
 //! Generation at model engines.
 
 use crate::control::Control;
-use crate::http::{self, REQUEST_HEADER};
-use crate::shared::{InProgress, Shared, Word};
+use crate::http::{self, REQUEST_ID_HEADER};
+use crate::shared::{InProgressGuard, RequestDecision, Shared};
 use crate::stream::{EngineStream, StreamReader};
 use crossbeam::channel::Receiver;
 use passway_decide::router::{Arrival, Ended};
@@ -20,15 +20,15 @@
 /// Header that asks an engine to leave out the tokens that were delivered before.
 pub const RESUME_HEADER: &str = "x-resume-at";
 /// An engine that sends nothing for this long within an answer has failed.
-const STALL_LIMIT: Duration = Duration::from_secs(10);
+const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// Pause between two looks whether a waiting caller is still there.
-const CALLER_LOOK_PAUSE: Duration = Duration::from_millis(200);
+const CALLER_POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// Time after the deadline at which a request that heard nothing ends anyway.
-const LAST_RESORT: Duration = Duration::from_secs(2);
+const NO_DECISION_GRACE: Duration = Duration::from_secs(2);
 
 /// A request as it goes to engines, as often as it takes.
 #[derive(Debug)]
-pub struct Job {
+pub struct GenerationRequest {
     /// The router's state.
     pub shared: Arc<Shared>,
     /// The router's connections.
@@ -37,15 +37,15 @@
     pub request: RequestId,
     /// The id in logs and answers.
     pub label: String,
-    words: Receiver<Word>,
+    decisions: Receiver<RequestDecision>,
     path: String,
     body: Value,
     arrived_at: Instant,
-    give_up_at: Instant,
+    request_deadline_at: Instant,
     is_streamed: bool,
     was_attempted: AtomicBool,
     caller: Caller,
-    _guard: InProgress,
+    _guard: InProgressGuard,
 }
 
 /// What one attempt at an engine gave.
@@ -64,30 +64,31 @@
     shared: &Arc<Shared>,
     control: &Arc<Control>,
     request: &Request,
-    guard: InProgress,
+    guard: InProgressGuard,
 ) -> Result<Response, Refusal> {
-    let meta = http::meta(shared, request)?;
-    let bytes = http::body(shared, request)?;
-    let bad = |detail: String| Refusal::new(ResultCode::BadRequest, detail);
-    let body: Value = serde_json::from_slice(bytes).map_err(|error| bad(error.to_string()))?;
+    let meta = http::read_meta(shared, request)?;
+    let bytes = http::read_body(shared, request)?;
+    let bad_request = |detail: String| Refusal::new(ResultCode::BadRequest, detail);
+    let body: Value =
+        serde_json::from_slice(bytes).map_err(|error| bad_request(error.to_string()))?;
     let model = body.get("model").and_then(Value::as_str);
     let model = model
-        .ok_or_else(|| bad("`model` is missing".into()))?
+        .ok_or_else(|| bad_request("`model` is missing".into()))?
         .to_owned();
     let is_streamed = body.get("stream").and_then(Value::as_bool).unwrap_or(false);
     let (model_name, workspace_name) = (model.clone(), meta.workspace.clone());
     let arrived_at = clock::now();
-    let (number, words) = shared.register();
-    let job = Job {
+    let (request_id, decisions) = shared.register();
+    let generation = GenerationRequest {
         shared: shared.clone(),
         control: control.clone(),
-        request: number,
-        label: shared.label(number),
-        words,
+        request: request_id,
+        label: shared.request_label(request_id),
+        decisions,
         path: request.path().to_owned(),
         body,
         arrived_at,
-        give_up_at: meta
+        request_deadline_at: meta
             .deadline_at
             .unwrap_or(arrived_at + shared.limits.max_deadline),
         is_streamed,
@@ -96,7 +97,7 @@
         _guard: guard,
     };
     let arrival = Arrival {
-        request: number,
+        request: request_id,
         model,
         workspace: meta.workspace,
         kind: meta.kind,
@@ -104,19 +105,19 @@
         deadline_at: meta.deadline_at,
     };
     control.decide(shared, |core, now| core.arrive(now, &arrival));
-    let label = job.label.clone();
-    let answered = job.run();
+    let label = generation.label.clone();
+    let result = generation.run();
     let wait_ms = u64::try_from(clock::since(arrived_at).as_millis()).unwrap_or(u64::MAX);
-    match &answered {
+    match &result {
         Ok(_) => log::info!(request = label, model = model_name, workspace = workspace_name,
             wait_ms = wait_ms; "request answered"),
         Err(refusal) => log::info!(request = label, model = model_name, workspace = workspace_name,
             wait_ms = wait_ms, code = refusal.code as u16; "request refused"),
     }
-    answered
+    result
 }
 
-impl Drop for Job {
+impl Drop for GenerationRequest {
     fn drop(&mut self) {
         self.shared.unregister(self.request);
         let request = self.request;
@@ -127,13 +128,13 @@
     }
 }
 
-impl Job {
+impl GenerationRequest {
     fn run(self) -> Result<Response, Refusal> {
         loop {
-            let (mut response, deadline_at) = match self.next_answer(0)? {
+            let (mut response, deadline_at) = match self.next_attempt(0)? {
                 (Attempt::Answer(response), deadline_at) => (response, deadline_at),
                 (Attempt::Ended(ended), _) => {
-                    self.ended(ended);
+                    self.report_end(ended);
                     continue;
                 }
                 (Attempt::Late, _) => {
@@ -141,33 +142,35 @@
                 }
             };
             if self.is_streamed {
-                return Ok(self.stream(response));
+                return Ok(self.stream_response(response));
             }
             match response.body_mut().read_to_vec() {
-                Ok(body) => return Ok(self.whole(body)),
+                Ok(body) => return Ok(self.complete_response(body)),
                 Err(_) if clock::now() >= deadline_at => {
                     return Err(Refusal::new(ResultCode::AnswerLate, "no answer in time"));
                 }
                 // Nothing was passed on yet, so the request may run again.
-                Err(_) => self.ended(Ended::Failed),
+                Err(_) => self.report_end(Ended::Failed),
             }
         }
     }
 
     /// Waits for the decisions and makes the attempt that they name.
-    fn next_answer(&self, resume_at: u32) -> Result<(Attempt, Instant), Refusal> {
-        match self.next_word()? {
-            Word::Refuse(refusal) => Err(refusal),
-            Word::Start {
+    fn next_attempt(&self, resume_at: u32) -> Result<(Attempt, Instant), Refusal> {
+        match self.next_decision()? {
+            RequestDecision::Refuse(refusal) => Err(refusal),
+            RequestDecision::Start {
                 upstream,
                 model,
                 deadline_at,
                 priority,
             } => {
                 if resume_at == 0 {
-                    self.shared.metrics.waited(clock::since(self.arrived_at));
+                    self.shared
+                        .metrics
+                        .observe_wait(clock::since(self.arrived_at));
                 }
-                self.shared.metrics.attempt();
+                self.shared.metrics.count_attempt();
                 self.was_attempted.store(true, Ordering::Relaxed);
                 let attempt = self.attempt(&upstream, &model, deadline_at, priority, resume_at);
                 Ok((attempt, deadline_at))
@@ -176,18 +179,18 @@
     }
 
     /// Waits for a word of the decisions, as long as the caller is there.
-    fn next_word(&self) -> Result<Word, Refusal> {
-        let last_resort = self.give_up_at + LAST_RESORT;
+    fn next_decision(&self) -> Result<RequestDecision, Refusal> {
+        let give_up_at = self.request_deadline_at + NO_DECISION_GRACE;
         loop {
-            if let Ok(word) = self.words.recv_timeout(CALLER_LOOK_PAUSE) {
-                return Ok(word);
+            if let Ok(decision) = self.decisions.recv_timeout(CALLER_POLL_INTERVAL) {
+                return Ok(decision);
             }
             if self.caller.is_gone() {
                 return Err(Refusal::new(ResultCode::CallerGone, "the caller went away"));
             }
-            if clock::now() >= last_resort {
-                let attempted = self.was_attempted.load(Ordering::Relaxed);
-                let code = if attempted {
+            if clock::now() >= give_up_at {
+                let was_attempted = self.was_attempted.load(Ordering::Relaxed);
+                let code = if was_attempted {
                     ResultCode::AnswerLate
                 } else {
                     ResultCode::DeadlinePassed
@@ -209,14 +212,14 @@
         let Some(entry) = catalog.upstreams.get(upstream) else {
             return Attempt::Ended(Ended::NotLoaded);
         };
-        let left = deadline_at.saturating_duration_since(clock::now());
+        let time_left = deadline_at.saturating_duration_since(clock::now());
         let mut body = self.body.clone();
         body["model"] = Value::from(model);
         let request = ureq::http::Request::post(format!("http://{}{}", entry.address, self.path))
             .header("content-type", "application/json")
-            .header(REQUEST_HEADER, &self.label)
+            .header(REQUEST_ID_HEADER, &self.label)
             .header(PRIORITY_HEADER, priority.to_string())
-            .header(DEADLINE_HEADER, left.as_millis().to_string())
+            .header(DEADLINE_HEADER, time_left.as_millis().to_string())
             .header(RESUME_HEADER, resume_at.to_string())
             .body(body.to_string());
         let Ok(request) = request else {
@@ -225,22 +228,27 @@
         let agent = agent(None, 0);
         let configured = agent
             .configure_request(request)
-            .timeout_connect(Some(left))
-            .timeout_recv_response(Some(left));
+            .timeout_connect(Some(time_left))
+            .timeout_recv_response(Some(time_left));
         // A streamed answer may go on past the deadline, which is for its first
         // token; a whole answer may not.
         let configured = if self.is_streamed {
-            configured.timeout_per_read(Some(STALL_LIMIT))
+            configured.timeout_per_read(Some(STALL_TIMEOUT))
         } else {
-            configured.timeout_global(Some(left))
+            configured.timeout_global(Some(time_left))
         };
         match agent.run(configured.build()) {
-            Ok(response) => judge(response),
-            Err(error) => self.judge_error(&error, upstream, deadline_at),
+            Ok(response) => classify_response(response),
+            Err(error) => self.classify_call_error(&error, upstream, deadline_at),
         }
     }
 
-    fn judge_error(&self, error: &ureq::Error, upstream: &str, deadline_at: Instant) -> Attempt {
+    fn classify_call_error(
+        &self,
+        error: &ureq::Error,
+        upstream: &str,
+        deadline_at: Instant,
+    ) -> Attempt {
         log::debug!(request = self.label.as_str(), upstream = upstream, error:% = error;
             "attempt failed");
         match classify(error) {
@@ -250,40 +258,40 @@
         }
     }
 
-    fn ended(&self, ended: Ended) {
+    fn report_end(&self, ended: Ended) {
         let request = self.request;
         self.control
             .decide(&self.shared, |core, now| core.ended(now, request, ended));
     }
 
     /// Records that the answer was passed on whole.
-    pub(crate) fn served(&self, tokens: u32) {
-        self.shared.metrics.served();
-        self.ended(Ended::Served { tokens });
+    pub(crate) fn report_served(&self, tokens: u32) {
+        self.shared.metrics.count_served();
+        self.report_end(Ended::Served { tokens });
     }
 
-    fn whole(&self, body: Vec<u8>) -> Response {
+    fn complete_response(&self, body: Vec<u8>) -> Response {
         let answer: Option<Value> = serde_json::from_slice(&body).ok();
         let tokens = answer
             .as_ref()
-            .and_then(|a| a["usage"]["completion_tokens"].as_u64());
-        self.served(
+            .and_then(|answer| answer["usage"]["completion_tokens"].as_u64());
+        self.report_served(
             tokens
                 .and_then(|tokens| u32::try_from(tokens).ok())
                 .unwrap_or(0),
         );
         let builder = ::http::Response::builder()
             .header("content-type", "application/json")
-            .header(REQUEST_HEADER, &self.label);
-        http::build(builder, Body::new(body))
+            .header(REQUEST_ID_HEADER, &self.label);
+        http::build_response(builder, Body::new(body))
     }
 
-    fn stream(self, response: ureq::http::Response<ureq::Body>) -> Response {
+    fn stream_response(self, response: ureq::http::Response<ureq::Body>) -> Response {
         let builder = ::http::Response::builder()
             .header("content-type", "text/event-stream")
-            .header(REQUEST_HEADER, &self.label);
+            .header(REQUEST_ID_HEADER, &self.label);
         let engine = EngineStream::new(response.into_body().into_reader());
-        http::build(builder, Body::wrap_reader(StreamReader::new(self, engine)))
+        http::build_response(builder, Body::wrap_reader(StreamReader::new(self, engine)))
     }
 
     /// Goes on with a broken stream at another engine, after `delivered` tokens.
@@ -291,15 +299,15 @@
     /// # Errors
     /// The refusal that ends the stream.
     pub(crate) fn resume(&self, delivered: u32) -> Result<EngineStream, Refusal> {
-        self.ended(Ended::Failed);
+        self.report_end(Ended::Failed);
         loop {
-            match self.next_answer(delivered)? {
+            match self.next_attempt(delivered)? {
                 (Attempt::Answer(response), _) => {
-                    self.shared.metrics.resumed();
+                    self.shared.metrics.count_resumed();
                     log::info!(request = self.label.as_str(), delivered = delivered; "stream resumed");
                     return Ok(EngineStream::new(response.into_body().into_reader()));
                 }
-                (Attempt::Ended(ended), _) => self.ended(ended),
+                (Attempt::Ended(ended), _) => self.report_end(ended),
                 (Attempt::Late, _) => {
                     return Err(Refusal::new(ResultCode::AnswerBroken, "no answer in time"));
                 }
@@ -309,7 +317,7 @@
 }
 
 /// Judges an engine's answer by its status.
-fn judge(response: ureq::http::Response<ureq::Body>) -> Attempt {
+fn classify_response(response: ureq::http::Response<ureq::Body>) -> Attempt {
     match response.status().as_u16() {
         200 => Attempt::Answer(response),
         // Engines answer so before anything runs.
--- a/crates/router/src/http.rs
+++ b/crates/router/src/http.rs
@@ -17,7 +17,7 @@
 /// Header that names the kind of request, for policy.
 pub const KIND_HEADER: &str = "x-passway-kind";
 /// Header that carries the request's id to upstreams, logs and answers.
-pub const REQUEST_HEADER: &str = "x-passway-request";
+pub const REQUEST_ID_HEADER: &str = "x-passway-request";
 /// Header of a refusal: its numbered code.
 pub const CODE_HEADER: &str = "x-passway-code";
 /// Header of a refusal: whether the request ran.
@@ -26,43 +26,43 @@
 /// Workspace of a caller that names none.
 const DEFAULT_WORKSPACE: &str = "default";
 /// Refused connections come back after this time.
-const CONNECTIONS_RETRY: Duration = Duration::from_secs(1);
+const CONNECTIONS_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Answers one request.
 pub fn handle(shared: &Arc<Shared>, control: &Arc<Control>, request: &Request) -> Response {
     let path = request.path().to_owned();
     match path.as_str() {
-        "/health" => return health(shared),
-        "/metrics" => return text(200, shared.metrics.text()),
+        "/health" => return health_response(shared),
+        "/metrics" => return text_response(200, shared.metrics.encode_text()),
         _ => {}
     }
-    let guard = shared.enter();
-    let answered = match path.as_str() {
+    let guard = shared.track_request();
+    let result = match path.as_str() {
         "/v1/chat/completions" | "/v1/completions" => {
             generate::handle(shared, control, request, guard)
         }
         _ if path.starts_with(service::PREFIX) => service::handle(shared, request),
         _ => Err(Refusal::new(ResultCode::UnknownPath, path)),
     };
-    answered.unwrap_or_else(|refusal| refuse(shared, &refusal))
+    result.unwrap_or_else(|refusal| refusal_response(shared, &refusal))
 }
 
-fn health(shared: &Shared) -> Response {
+fn health_response(shared: &Shared) -> Response {
     if shared.is_leaving() {
-        return text(503, "leaving".into());
+        return text_response(503, "leaving".into());
     }
     if shared.catalog.load().revision == 0 {
-        return text(503, "starting".into());
+        return text_response(503, "starting".into());
     }
-    text(200, "serving".into())
+    text_response(200, "serving".into())
 }
 
-fn text(status: u16, body: String) -> Response {
-    build(::http::Response::builder().status(status), Body::new(body))
+fn text_response(status: u16, body: String) -> Response {
+    build_response(::http::Response::builder().status(status), Body::new(body))
 }
 
 /// Finishes an answer whose parts are known to be valid.
-pub(crate) fn build(builder: ::http::response::Builder, body: Body) -> Response {
+pub(crate) fn build_response(builder: ::http::response::Builder, body: Body) -> Response {
     builder.body(body).unwrap_or_else(|error| {
         log::error!(error:% = error; "an answer could not be built");
         Response::default()
@@ -71,7 +71,7 @@
 
 /// What a caller says of its request in headers.
 #[derive(Debug)]
-pub(crate) struct Meta {
+pub(crate) struct RequestMeta {
     pub(crate) workspace: String,
     pub(crate) kind: String,
     pub(crate) priority: Option<u32>,
@@ -79,20 +79,20 @@
 }
 
 /// Reads the headers.
-pub(crate) fn meta(shared: &Shared, request: &Request) -> Result<Meta, Refusal> {
+pub(crate) fn read_meta(shared: &Shared, request: &Request) -> Result<RequestMeta, Refusal> {
     let now = clock::now();
-    let bad = |detail: &str| Refusal::new(ResultCode::BadDeadline, detail);
+    let bad_deadline = |detail: &str| Refusal::new(ResultCode::BadDeadline, detail);
     let deadline_at = match request.header(DEADLINE_HEADER) {
         None => None,
         Some(text) => {
             let ms: u64 = text
                 .parse()
-                .map_err(|_| bad("the deadline is not a number"))?;
-            let wait = Duration::from_millis(ms);
-            if ms == 0 || wait > shared.limits.max_deadline {
-                return Err(bad("the deadline is zero or too far off"));
+                .map_err(|_| bad_deadline("the deadline is not a number"))?;
+            let time_left = Duration::from_millis(ms);
+            if ms == 0 || time_left > shared.limits.max_deadline {
+                return Err(bad_deadline("the deadline is zero or too far off"));
             }
-            Some(now + wait)
+            Some(now + time_left)
         }
     };
     let priority =
@@ -102,7 +102,7 @@
                 Refusal::new(ResultCode::BadRequest, "the priority is not a number")
             })?),
         };
-    Ok(Meta {
+    Ok(RequestMeta {
         workspace: request
             .header(WORKSPACE_HEADER)
             .unwrap_or(DEFAULT_WORKSPACE)
@@ -114,7 +114,7 @@
 }
 
 /// The body of a request.
-pub(crate) fn body<'r>(shared: &Shared, request: &'r Request) -> Result<&'r [u8], Refusal> {
+pub(crate) fn read_body<'r>(shared: &Shared, request: &'r Request) -> Result<&'r [u8], Refusal> {
     let limit = shared.limits.body_bytes;
     request.body.as_deref().map_err(|unread| match unread {
         Unread::TooLarge => Refusal::new(ResultCode::BodyTooLarge, format!("over {limit} bytes")),
@@ -137,7 +137,7 @@
 pub(crate) fn refusal_json(refusal: &Refusal) -> String {
     let retry_after_ms = refusal
         .retry_after
-        .map(|after| u64::try_from(after.as_millis()).unwrap_or(u64::MAX));
+        .map(|retry_after| u64::try_from(retry_after.as_millis()).unwrap_or(u64::MAX));
     let body = RefusalBody {
         code: refusal.code as u16,
         name: refusal.code.name(),
@@ -150,9 +150,9 @@
 }
 
 /// The whole answer, head included, to a connection that is one too many.
-pub(crate) fn too_many_connections() -> Vec<u8> {
+pub(crate) fn too_many_connections_response() -> Vec<u8> {
     let refusal = Refusal::new(ResultCode::TooManyConnections, "too many connections")
-        .retry_after(CONNECTIONS_RETRY);
+        .retry_after(CONNECTIONS_RETRY_AFTER);
     let (code, body) = (refusal.code, refusal_json(&refusal));
     let head = format!(
         "HTTP/1.1 {} Unavailable\r\ncontent-type: application/json\r\n{CODE_HEADER}: {}\r\n\
@@ -160,25 +160,25 @@
         code.http_status(),
         code as u16,
         code.ran().as_str(),
-        CONNECTIONS_RETRY.as_secs(),
+        CONNECTIONS_RETRY_AFTER.as_secs(),
         body.len()
     );
     (head + &body).into_bytes()
 }
 
 /// Answers with a refusal.
-pub(crate) fn refuse(shared: &Shared, refusal: &Refusal) -> Response {
-    shared.metrics.refused(refusal.code);
+pub(crate) fn refusal_response(shared: &Shared, refusal: &Refusal) -> Response {
+    shared.metrics.count_refused(refusal.code);
     log::debug!(code:% = refusal.code, detail = refusal.detail.as_str(); "refused");
     let mut builder = ::http::Response::builder()
         .status(refusal.code.http_status())
         .header("content-type", "application/json")
         .header(CODE_HEADER, (refusal.code as u16).to_string())
         .header(RAN_HEADER, refusal.code.ran().as_str());
-    if let Some(after) = refusal.retry_after {
+    if let Some(retry_after) = refusal.retry_after {
         // Whole seconds, rounded up, as the header wants it; the body has milliseconds.
-        let seconds = after.as_millis().div_ceil(1_000);
+        let seconds = retry_after.as_millis().div_ceil(1_000);
         builder = builder.header("retry-after", seconds.to_string());
     }
-    build(builder, Body::new(refusal_json(refusal)))
+    build_response(builder, Body::new(refusal_json(refusal)))
 }
--- a/crates/router/src/lifecycle.rs
+++ b/crates/router/src/lifecycle.rs
@@ -13,14 +13,14 @@
 use std::net::SocketAddr;
 
 /// Pause between two looks at what is still in progress.
-const DRAIN_STEP: Duration = Duration::from_millis(20);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Requests are taken for this long after the health check says "leaving", so
 /// that the balancer can turn away before anybody is refused.
 const BALANCER_GRACE: Duration = Duration::from_millis(1_500);
 /// Longest time that a stopping router waits to write the outcomes of claimed calls.
-const OUTCOMES_LIMIT: Duration = Duration::from_secs(5);
+const OUTCOMES_TIMEOUT: Duration = Duration::from_secs(5);
 /// Pause between two ticks of the decisions.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Takes requests.
 #[derive(Debug)]
@@ -51,21 +51,23 @@
             ..Limits::default()
         };
         let server = Server::bind(listen).with_context(|| format!("binding {listen}"))?;
-        let server = server.limits(limits).refusal(http::too_many_connections());
+        let server = server
+            .limits(limits)
+            .refusal(http::too_many_connections_response());
         let address = server.local_addr().context("local address")?;
         let shared = Arc::new(Shared::new(settings)?);
         let control = Control::start(settings, &shared)?;
-        let serving = (shared.clone(), control.clone());
+        let server_state = (shared.clone(), control.clone());
         std::thread::spawn(move || {
-            let (shared, control) = serving;
+            let (shared, control) = server_state;
             server.serve(move |request| http::handle(&shared, &control, &request))
         });
-        let ticking = (shared.clone(), control.clone());
+        let ticker_state = (shared.clone(), control.clone());
         std::thread::spawn(move || {
-            let (shared, control) = ticking;
+            let (shared, control) = ticker_state;
             loop {
                 control.decide(&shared, passway_decide::router::RouterCore::tick);
-                std::thread::sleep(TICK);
+                std::thread::sleep(TICK_INTERVAL);
             }
         });
         log::info!(instance = settings.instance.as_str(), address:% = address; "router started");
@@ -96,7 +98,7 @@
     /// turn away, takes no more requests.
     pub fn drain(self) -> Router<Draining> {
         self.shared.set_leaving();
-        self.control.say_hello(&self.shared);
+        self.control.send_hello(&self.shared);
         log::info!(in_progress = self.shared.in_progress(); "router leaving");
         std::thread::sleep(BALANCER_GRACE);
         self.control.decide(&self.shared, |core, _| {
@@ -116,13 +118,16 @@
     /// Waits until nothing is in progress and the outcomes of claimed calls are
     /// written (for a while, if the key-value service is away), or until `is_cut` says to stop
     /// waiting; returns how many requests were cut.
-    pub fn finish(self, is_cut: impl Fn() -> bool) -> usize {
-        while self.shared.in_progress() > 0 && !is_cut() {
-            std::thread::sleep(DRAIN_STEP);
+    pub fn finish(self, should_cut: impl Fn() -> bool) -> usize {
+        while self.shared.in_progress() > 0 && !should_cut() {
+            std::thread::sleep(DRAIN_POLL_INTERVAL);
         }
-        let until = clock::now() + OUTCOMES_LIMIT;
-        while self.shared.claims.unwritten() > 0 && clock::now() < until && !is_cut() {
-            std::thread::sleep(DRAIN_STEP);
+        let outcomes_until = clock::now() + OUTCOMES_TIMEOUT;
+        while self.shared.claims.unwritten_count() > 0
+            && clock::now() < outcomes_until
+            && !should_cut()
+        {
+            std::thread::sleep(DRAIN_POLL_INTERVAL);
         }
         let cut = self.shared.in_progress();
         log::info!(cut = cut; "router stopped");
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -12,7 +12,7 @@
 /// Upper bound of the smallest bucket, in seconds.
 const FIRST_BUCKET_S: f64 = 0.001;
 /// Number of buckets, each twice as wide as the one before.
-const BUCKETS: u16 = 18;
+const BUCKET_COUNT: u16 = 18;
 
 /// Labels of a refusal.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -39,7 +39,7 @@
         let refused = Family::<RefusalLabels, Counter>::default();
         let attempts = Counter::default();
         let resumed = Counter::default();
-        let wait_seconds = Histogram::new(exponential_buckets(FIRST_BUCKET_S, 2.0, BUCKETS));
+        let wait_seconds = Histogram::new(exponential_buckets(FIRST_BUCKET_S, 2.0, BUCKET_COUNT));
         registry.register("served", "Requests answered whole", served.clone());
         registry.register(
             "refused",
@@ -67,12 +67,12 @@
 
 impl Metrics {
     /// Counts an answer passed on whole.
-    pub fn served(&self) {
+    pub fn count_served(&self) {
         self.served.inc();
     }
 
     /// Counts a refusal.
-    pub fn refused(&self, code: ResultCode) {
+    pub fn count_refused(&self, code: ResultCode) {
         let labels = RefusalLabels {
             code: code as u16,
             ran: code.ran().as_str(),
@@ -81,22 +81,22 @@
     }
 
     /// Counts an attempt at an upstream.
-    pub fn attempt(&self) {
+    pub fn count_attempt(&self) {
         self.attempts.inc();
     }
 
     /// Counts a stream that goes on elsewhere.
-    pub fn resumed(&self) {
+    pub fn count_resumed(&self) {
         self.resumed.inc();
     }
 
     /// Records how long a request waited.
-    pub fn waited(&self, wait: Duration) {
+    pub fn observe_wait(&self, wait: Duration) {
         self.wait_seconds.observe(wait.as_secs_f64());
     }
 
     /// The text that `/metrics` answers.
-    pub fn text(&self) -> String {
+    pub fn encode_text(&self) -> String {
         let mut text = String::new();
         match encode(&mut text, &self.registry) {
             Ok(()) => text,
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -17,7 +17,7 @@
 
 /// What the decisions tell a request's thread.
 #[derive(Debug)]
-pub enum Word {
+pub enum RequestDecision {
     /// Send the request to this upstream.
     Start {
         /// Where to.
@@ -49,10 +49,10 @@
     /// The process.
     pub incarnation: Incarnation,
     core: Mutex<RouterCore>,
-    waiters: Mutex<HashMap<RequestId, Sender<Word>>>,
-    next_request: AtomicU64,
+    decision_senders: Mutex<HashMap<RequestId, Sender<RequestDecision>>>,
+    next_request_id: AtomicU64,
     in_progress: AtomicUsize,
-    leaving: AtomicBool,
+    is_leaving: AtomicBool,
 }
 
 /// Bounds from the settings.
@@ -68,7 +68,7 @@
 
 /// Time in which the routers of a fleet that starts come to be known to its controllers: a
 /// dial, a hello and a heartbeat, on a busy machine some seconds.
-const STARTING_TIME: Duration = Duration::from_secs(15);
+const STARTUP_WINDOW: Duration = Duration::from_secs(15);
 
 impl Shared {
     /// Nothing in progress and no configuration.
@@ -87,8 +87,8 @@
         let mut core = RouterCore::new(incarnation, catalog.clone(), now);
         core.set_current_until(now);
         // Each instance runs a controller and a router.
-        let listed = u32::try_from(settings.controllers.len()).unwrap_or(u32::MAX);
-        core.expect_routers(listed, now + STARTING_TIME);
+        let router_count = u32::try_from(settings.controllers.len()).unwrap_or(u32::MAX);
+        core.expect_routers(router_count, now + STARTUP_WINDOW);
         Ok(Self {
             catalog: ArcSwap::new(catalog),
             metrics: Metrics::default(),
@@ -101,10 +101,10 @@
             instance: settings.instance.as_str().into(),
             incarnation,
             core: Mutex::new(core),
-            waiters: Mutex::new(HashMap::new()),
-            next_request: AtomicU64::new(1),
+            decision_senders: Mutex::new(HashMap::new()),
+            next_request_id: AtomicU64::new(1),
             in_progress: AtomicUsize::new(0),
-            leaving: AtomicBool::new(false),
+            is_leaving: AtomicBool::new(false),
         })
     }
 
@@ -113,38 +113,40 @@
         self.core.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn waiters(&self) -> MutexGuard<'_, HashMap<RequestId, Sender<Word>>> {
-        self.waiters.lock().unwrap_or_else(PoisonError::into_inner)
+    fn decision_senders(&self) -> MutexGuard<'_, HashMap<RequestId, Sender<RequestDecision>>> {
+        self.decision_senders
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Draws a request number.
-    pub fn draw_request(&self) -> RequestId {
-        self.next_request.fetch_add(1, Ordering::Relaxed)
+    pub fn draw_request_id(&self) -> RequestId {
+        self.next_request_id.fetch_add(1, Ordering::Relaxed)
     }
 
     /// A request's id in logs, at upstreams and in answers; unlike any other router's.
-    pub fn label(&self, request: RequestId) -> String {
+    pub fn request_label(&self, request: RequestId) -> String {
         format!("{:x}-{request}", self.incarnation)
     }
 
     /// Draws a request number and opens the channel on which its thread is told.
-    pub fn register(&self) -> (RequestId, Receiver<Word>) {
-        let request = self.draw_request();
+    pub fn register(&self) -> (RequestId, Receiver<RequestDecision>) {
+        let request = self.draw_request_id();
         let (sender, receiver) = unbounded();
-        self.waiters().insert(request, sender);
+        self.decision_senders().insert(request, sender);
         (request, receiver)
     }
 
     /// Closes a request's channel.
     pub fn unregister(&self, request: RequestId) {
-        self.waiters().remove(&request);
+        self.decision_senders().remove(&request);
     }
 
     /// Tells a request's thread; a thread that has ended does not hear it.
-    pub fn tell(&self, request: RequestId, word: Word) {
-        if let Some(sender) = self.waiters().get(&request) {
+    pub fn send_decision(&self, request: RequestId, decision: RequestDecision) {
+        if let Some(sender) = self.decision_senders().get(&request) {
             // The thread may have gone away between the lookup and now.
-            let _ = sender.send(word);
+            let _ = sender.send(decision);
         }
     }
 
@@ -155,18 +157,18 @@
 
     /// Whether this instance is leaving.
     pub fn is_leaving(&self) -> bool {
-        self.leaving.load(Ordering::Acquire)
+        self.is_leaving.load(Ordering::Acquire)
     }
 
     /// Records that this instance is leaving.
     pub fn set_leaving(&self) {
-        self.leaving.store(true, Ordering::Release);
+        self.is_leaving.store(true, Ordering::Release);
     }
 
     /// Counts a request in until the guard is dropped.
-    pub fn enter(self: &Arc<Self>) -> InProgress {
+    pub fn track_request(self: &Arc<Self>) -> InProgressGuard {
         self.in_progress.fetch_add(1, Ordering::AcqRel);
-        InProgress {
+        InProgressGuard {
             shared: self.clone(),
         }
     }
@@ -174,11 +176,11 @@
 
 /// Counts one request as in progress while it lives.
 #[derive(Debug)]
-pub struct InProgress {
+pub struct InProgressGuard {
     shared: Arc<Shared>,
 }
 
-impl Drop for InProgress {
+impl Drop for InProgressGuard {
     fn drop(&mut self) {
         self.shared.in_progress.fetch_sub(1, Ordering::AcqRel);
     }
--- a/crates/router/src/stream.rs
+++ b/crates/router/src/stream.rs
@@ -1,6 +1,6 @@
 //! Streamed answers: whole events only, resumed where an engine breaks off.
 
-use crate::generate::Job;
+use crate::generate::GenerationRequest;
 use crate::http::refusal_json;
 use passway_types::prelude::*;
 use std::io::{self, BufRead, BufReader, Read};
@@ -44,18 +44,18 @@
     pub fn next_event(&mut self) -> StreamEvent {
         let mut event = Vec::new();
         loop {
-            let before = event.len();
+            let line_start = event.len();
             match self.reader.read_until(b'\n', &mut event) {
                 Ok(0) | Err(_) => return StreamEvent::Broken,
                 Ok(_) if event.last() != Some(&b'\n') => return StreamEvent::Broken,
                 Ok(_) if event.len() > MAX_EVENT_BYTES => return StreamEvent::Broken,
                 Ok(_) => {}
             }
-            let line = event[before..].trim_ascii();
+            let line = event[line_start..].trim_ascii();
             if !line.is_empty() {
                 continue;
             }
-            if before == 0 {
+            if line_start == 0 {
                 // A blank line before any event carries nothing.
                 event.clear();
                 continue;
@@ -78,26 +78,26 @@
 /// that carries a refusal, never as if it were whole.
 #[derive(Debug)]
 pub struct StreamReader {
-    job: Job,
+    request: GenerationRequest,
     engine: EngineStream,
     delivered: u32,
     pending: io::Cursor<Vec<u8>>,
-    ended: bool,
+    has_ended: bool,
 }
 
 impl StreamReader {
     /// Passes on `engine`'s events for `job`.
-    pub fn new(job: Job, engine: EngineStream) -> Self {
+    pub fn new(request: GenerationRequest, engine: EngineStream) -> Self {
         Self {
-            job,
+            request,
             engine,
             delivered: 0,
             pending: io::Cursor::default(),
-            ended: false,
+            has_ended: false,
         }
     }
 
-    fn advance(&mut self) {
+    fn fill_pending(&mut self) {
         let bytes = loop {
             match self.engine.next_event() {
                 StreamEvent::Token(bytes) => {
@@ -105,15 +105,15 @@
                     break bytes;
                 }
                 StreamEvent::Done(bytes) => {
-                    self.ended = true;
-                    self.job.served(self.delivered);
+                    self.has_ended = true;
+                    self.request.report_served(self.delivered);
                     break bytes;
                 }
-                StreamEvent::Broken => match self.job.resume(self.delivered) {
+                StreamEvent::Broken => match self.request.resume(self.delivered) {
                     Ok(engine) => self.engine = engine,
                     Err(refusal) => {
-                        self.ended = true;
-                        break self.give_up(refusal);
+                        self.has_ended = true;
+                        break self.refusal_event(refusal);
                     }
                 },
             }
@@ -121,12 +121,12 @@
         self.pending = io::Cursor::new(bytes);
     }
 
-    fn give_up(&self, mut refusal: Refusal) -> Vec<u8> {
+    fn refusal_event(&self, mut refusal: Refusal) -> Vec<u8> {
         if self.delivered > 0 {
             // Whatever kept it from going on, tokens were delivered: it ran.
             refusal.code = ResultCode::AnswerBroken;
         }
-        self.job.shared.metrics.refused(refusal.code);
+        self.request.shared.metrics.count_refused(refusal.code);
         format!("event: error\ndata: {}\n\n", refusal_json(&refusal)).into_bytes()
     }
 }
@@ -134,10 +134,10 @@
 impl Read for StreamReader {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
         let count = self.pending.read(buffer)?;
-        if count > 0 || self.ended {
+        if count > 0 || self.has_ended {
             return Ok(count);
         }
-        self.advance();
+        self.fill_pending();
         self.pending.read(buffer)
     }
 }
--- a/tests/all/bad_input.rs
+++ b/tests/all/bad_input.rs
@@ -1,6 +1,6 @@
 //! Bad input gets a clear code, frees what it held, and leaves others untouched.
 
-use crate::support::{burst, patient_plan};
+use crate::support::{burst, long_timeout_plan};
 use passway_standins::load::Outcome;
 use passway_standins::world::{Fleet, World};
 use passway_types::prelude::*;
@@ -39,9 +39,9 @@
 
 #[test]
 fn clear_codes() {
-    let world = World::start(patient_plan()).expect("world");
+    let world = World::start(long_timeout_plan()).expect("world");
     let fleet = world.start_fleet().expect("fleet");
-    let code = |code: ResultCode| (code.http_status(), code as u16);
+    let status_and_code = |code: ResultCode| (code.http_status(), code as u16);
     let model = r#"{"model":"model1@1"}"#;
     let cases = [
         (post("", "{"), ResultCode::BadRequest),
@@ -81,13 +81,17 @@
         ),
     ];
     for (request, expected) in cases {
-        assert_eq!(send(&fleet, &[&request]), code(expected), "{expected}");
+        assert_eq!(
+            send(&fleet, &[&request]),
+            status_and_code(expected),
+            "{expected}"
+        );
     }
 }
 
 #[test]
 fn body_in_parts() {
-    let world = World::start(patient_plan()).expect("world");
+    let world = World::start(long_timeout_plan()).expect("world");
     let fleet = world.start_fleet().expect("fleet");
     let body = r#"{"model":"model1@1"}"#;
     let whole = post("", body);
@@ -97,7 +101,7 @@
 
 #[test]
 fn half_sent_request() {
-    let world = World::start(patient_plan()).expect("world");
+    let world = World::start(long_timeout_plan()).expect("world");
     let fleet = world.start_fleet().expect("fleet");
     let mut half_sent = Vec::new();
     for _ in 0..50 {
@@ -113,23 +117,25 @@
 }
 
 /// Waits until a condition holds.
-fn eventually(what: &str, holds: impl Fn() -> bool) {
-    let limit_at = Instant::now() + Duration::from_secs(20);
-    while !holds() {
-        assert!(Instant::now() < limit_at, "{what}");
+fn wait_until(failure: &str, condition: impl Fn() -> bool) {
+    let deadline_at = Instant::now() + Duration::from_secs(20);
+    while !condition() {
+        assert!(Instant::now() < deadline_at, "{failure}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
 #[test]
 fn hang_up_midstream() {
-    let world = World::start(patient_plan()).expect("world");
+    let world = World::start(long_timeout_plan()).expect("world");
     let fleet = world.start_fleet().expect("fleet");
     let body = r#"{"model":"model1@1","stream":true,"max_tokens":100000}"#;
     let mut stream = TcpStream::connect(fleet.routers[0].address()).expect("connect");
     stream.write_all(post("", body).as_bytes()).expect("write");
-    let mut some = [0; 400];
-    stream.read_exact(&mut some).expect("the stream begins");
+    let mut first_bytes = [0; 400];
+    stream
+        .read_exact(&mut first_bytes)
+        .expect("the stream begins");
     drop(stream);
     let cancelled = || {
         world
@@ -138,25 +144,25 @@
             .map(|engine| engine.ledger().cancelled)
             .sum::<u32>()
     };
-    eventually("the engine goes on for nobody", || cancelled() == 1);
-    eventually("the router holds what nobody waits for", || {
+    wait_until("the engine goes on for nobody", || cancelled() == 1);
+    wait_until("the router holds what nobody waits for", || {
         fleet.routers[0].in_progress() == 0
     });
 }
 
 #[test]
 fn hang_up_waiting() {
-    let world = World::start(patient_plan()).expect("world");
+    let world = World::start(long_timeout_plan()).expect("world");
     let fleet = world.start_fleet().expect("fleet");
     world.store.set_slowdown(50);
     let body = r#"{"model":"model1@1"}"#;
     let mut stream = TcpStream::connect(fleet.routers[0].address()).expect("connect");
     stream.write_all(post("", body).as_bytes()).expect("write");
-    eventually("the request is taken", || {
+    wait_until("the request is taken", || {
         fleet.routers[0].in_progress() == 1
     });
     drop(stream);
-    eventually("the router holds what nobody waits for", || {
+    wait_until("the router holds what nobody waits for", || {
         fleet.routers[0].in_progress() == 0
     });
     let requests: u32 = world
--- a/tests/all/burst_loads.rs
+++ b/tests/all/burst_loads.rs
@@ -1,6 +1,6 @@
 //! A burst of first requests at many routers loads no more than was decided.
 
-use crate::support::{burst, patient_plan};
+use crate::support::{burst, long_timeout_plan};
 use passway_standins::load::Outcome;
 use passway_standins::world::{World, WorldPlan};
 use passway_types::prelude::*;
@@ -11,7 +11,7 @@
 fn burst_loads_once() {
     let world = World::start(WorldPlan {
         instances: 6,
-        ..patient_plan()
+        ..long_timeout_plan()
     })
     .expect("world");
     let fleet = world.start_fleet().expect("fleet");
@@ -24,7 +24,7 @@
 
 #[test]
 fn adapter_follows_base() {
-    let world = World::start(patient_plan()).expect("world");
+    let world = World::start(long_timeout_plan()).expect("world");
     let fleet = world.start_fleet().expect("fleet");
     let samples = burst(&fleet, "adapter2@1", 20, DEADLINE);
     for sample in &samples {
--- a/tests/all/cell_faults.rs
+++ b/tests/all/cell_faults.rs
@@ -159,7 +159,7 @@
         broken.len(),
         stuck.len()
     );
-    runs.assert_none_broken(&broken);
+    runs.assert_no_violations(&broken);
     assert!(
         stuck.is_empty(),
         "{} of {} runs are stuck: {:?}",
--- a/tests/all/claims_once.rs
+++ b/tests/all/claims_once.rs
@@ -1,6 +1,6 @@
 //! A call that may not be repeated runs at most once, and its callers hear the truth.
 
-use crate::support::{patient_plan, small_plan};
+use crate::support::{long_timeout_plan, small_plan};
 use passway_standins::world::{Fleet, World, WorldPlan};
 use passway_standins::{key_value, service};
 use passway_types::prelude::*;
@@ -12,12 +12,12 @@
 
 /// What a caller got.
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Got {
+enum CallResult {
     Receipt(String),
     Refused(u64),
 }
 
-fn post(router: SocketAddr, key: &str, body: &str) -> Got {
+fn post(router: SocketAddr, key: &str, body: &str) -> CallResult {
     let url = format!("http://{router}/services/service0/charge");
     let answer = ureq::post(url)
         .config()
@@ -32,13 +32,13 @@
         .read_to_string()
         .expect("body");
     match serde_json::from_str::<serde_json::Value>(&text) {
-        Ok(refusal) => Got::Refused(refusal["error"]["code"].as_u64().expect("code")),
-        Err(_) => Got::Receipt(text),
+        Ok(refusal) => CallResult::Refused(refusal["error"]["code"].as_u64().expect("code")),
+        Err(_) => CallResult::Receipt(text),
     }
 }
 
-fn code(code: ResultCode) -> Got {
-    Got::Refused(u64::from(code as u16))
+fn refused(code: ResultCode) -> CallResult {
+    CallResult::Refused(u64::from(code as u16))
 }
 
 fn start(instances: usize) -> (World, Fleet) {
@@ -62,28 +62,28 @@
 fn repeats_run_once() {
     let (world, fleet) = start_plan(WorldPlan {
         instances: 4,
-        ..patient_plan()
+        ..long_timeout_plan()
     });
-    let slow = service::Faults {
+    let faults = service::Faults {
         delay_ms: 100,
         ..Default::default()
     };
-    world.services[0].set_faults(slow);
+    world.services[0].set_faults(faults);
     let callers: Vec<_> = (0..40)
         .map(|number| {
             let router = fleet.routers[number % 4].address();
             std::thread::spawn(move || post(router, "k1", "amount=3"))
         })
         .collect();
-    let receipt = Got::Receipt("receipt k1 run 1".into());
+    let receipt = CallResult::Receipt("receipt k1 run 1".into());
     let mut receipts = 0;
     for caller in callers {
-        let got = caller.join().expect("caller");
+        let result = caller.join().expect("caller");
         assert!(
-            got == receipt || got == code(ResultCode::RepeatUnknown),
-            "{got:?}"
+            result == receipt || result == refused(ResultCode::RepeatUnknown),
+            "{result:?}"
         );
-        receipts += usize::from(got == receipt);
+        receipts += usize::from(result == receipt);
     }
     assert!(receipts >= 1);
     assert_eq!(runs(&world, "k1"), 1);
@@ -91,7 +91,7 @@
         assert_eq!(post(router.address(), "k1", "amount=3"), receipt);
         assert_eq!(
             post(router.address(), "k1", "amount=4"),
-            code(ResultCode::KeyReused)
+            refused(ResultCode::KeyReused)
         );
     }
     assert_eq!(runs(&world, "k1"), 1);
@@ -100,16 +100,16 @@
 #[test]
 fn broken_after_run() {
     let (world, fleet) = start(2);
-    let breaks = service::Faults {
+    let faults = service::Faults {
         break_after_run: true,
         ..Default::default()
     };
-    world.services[0].set_faults(breaks);
+    world.services[0].set_faults(faults);
     let (first, second) = (fleet.routers[0].address(), fleet.routers[1].address());
-    assert_eq!(post(first, "k2", ""), code(ResultCode::UpstreamFailed));
+    assert_eq!(post(first, "k2", ""), refused(ResultCode::UpstreamFailed));
     world.services[0].set_faults(service::Faults::default());
     for router in [first, second] {
-        assert_eq!(post(router, "k2", ""), code(ResultCode::RepeatUnknown));
+        assert_eq!(post(router, "k2", ""), refused(ResultCode::RepeatUnknown));
     }
     assert_eq!(runs(&world, "k2"), 1);
 }
@@ -117,12 +117,12 @@
 #[test]
 fn lost_claim_answer() {
     let (world, fleet) = start(2);
-    let loses = key_value::Faults {
+    let faults = key_value::Faults {
         lose_answers: 1,
         ..Default::default()
     };
-    world.key_value.set_faults(loses);
-    let receipt = Got::Receipt("receipt k3 run 1".into());
+    world.key_value.set_faults(faults);
+    let receipt = CallResult::Receipt("receipt k3 run 1".into());
     assert_eq!(post(fleet.routers[0].address(), "k3", ""), receipt);
     assert_eq!(post(fleet.routers[1].address(), "k3", ""), receipt);
     assert_eq!(runs(&world, "k3"), 1);
@@ -136,12 +136,12 @@
         ..Default::default()
     });
     let router = fleet.routers[0].address();
-    assert_eq!(post(router, "k4", ""), code(ResultCode::ClaimUnreadable));
+    assert_eq!(post(router, "k4", ""), refused(ResultCode::ClaimUnreadable));
     assert_eq!(runs(&world, "k4"), 0);
     world.key_value.set_faults(key_value::Faults::default());
     assert_eq!(
         post(router, "k4", ""),
-        Got::Receipt("receipt k4 run 1".into())
+        CallResult::Receipt("receipt k4 run 1".into())
     );
 }
 
@@ -170,23 +170,23 @@
         ));
         std::thread::sleep(Duration::from_millis(rng.random_range(0..6)));
     }
-    let got: Vec<(String, Got)> = callers
+    let results: Vec<(String, CallResult)> = callers
         .into_iter()
         .map(|(key, caller)| (key, caller.join().expect("caller")))
         .collect();
     let ran = world.services[0].runs();
     assert!(ran.values().all(|count| *count == 1), "{ran:?}");
-    let receipts = got
+    let receipts = results
         .iter()
-        .filter(|(_, got)| matches!(got, Got::Receipt(_)))
+        .filter(|(_, result)| matches!(result, CallResult::Receipt(_)))
         .count();
     println!(
         "{} keys ran, {receipts} receipts of {} calls",
         ran.len(),
-        got.len()
+        results.len()
     );
-    for (key, got) in &got {
-        if let Got::Receipt(text) = got {
+    for (key, result) in &results {
+        if let CallResult::Receipt(text) = result {
             assert_eq!(text, &format!("receipt {key} run 1"));
         }
     }
--- a/tests/all/config_spread.rs
+++ b/tests/all/config_spread.rs
@@ -8,8 +8,8 @@
 use passway_standins::world::{World, WorldPlan};
 use passway_types::prelude::*;
 
-fn next(before: &Current, author: &str, share: u32) -> StoredRevision {
-    let (_, stored) = before.as_ref().expect("a revision");
+fn next_revision(previous: &Current, author: &str, share: u32) -> StoredRevision {
+    let (_, stored) = previous.as_ref().expect("a revision");
     let mut document = stored.document.clone();
     document.workspaces[0].share = share;
     StoredRevision {
@@ -21,7 +21,7 @@
     }
 }
 
-fn store_of(world: &World) -> ConfigStore {
+fn config_store(world: &World) -> ConfigStore {
     ConfigStore::new(Arc::new(world.key_value.clone()))
 }
 
@@ -33,11 +33,11 @@
     })
     .expect("world");
     let fleet = world.start_fleet().expect("fleet");
-    let store = store_of(&world);
+    let store = config_store(&world);
     for share in 2..5 {
-        let before = store.current().expect("current");
+        let previous = store.current().expect("current");
         store
-            .change(&before, &next(&before, "ann", share))
+            .change(&previous, &next_revision(&previous, "ann", share))
             .expect("change");
         fleet.wait_for_revision(u64::from(share)).expect("in force");
     }
@@ -46,29 +46,29 @@
 #[test]
 fn racing_operators() {
     let world = World::start(small_plan()).expect("world");
-    let store = Arc::new(store_of(&world));
-    let before = store.current().expect("current");
+    let store = Arc::new(config_store(&world));
+    let previous = store.current().expect("current");
     let operators: Vec<_> = (0..8)
         .map(|number| {
             let (store, change) = (
                 store.clone(),
-                next(&before, &format!("op{number}"), number + 2),
+                next_revision(&previous, &format!("op{number}"), number + 2),
             );
-            let before = before.clone();
-            std::thread::spawn(move || store.change(&before, &change))
+            let previous = previous.clone();
+            std::thread::spawn(move || store.change(&previous, &change))
         })
         .collect();
-    let ended: Vec<_> = operators
+    let results: Vec<_> = operators
         .into_iter()
-        .map(|o| o.join().expect("operator"))
+        .map(|operator| operator.join().expect("operator"))
         .collect();
-    assert_eq!(ended.iter().filter(|ended| ended.is_ok()).count(), 1);
-    let conflicts = ended
+    assert_eq!(results.iter().filter(|result| result.is_ok()).count(), 1);
+    let conflicts = results
         .iter()
-        .filter(|ended| matches!(ended, Err(ChangeError::Conflict(_))));
+        .filter(|result| matches!(result, Err(ChangeError::Conflict(_))));
     assert_eq!(conflicts.count(), 7);
-    let (_, stands) = store.current().expect("current").expect("a revision");
-    assert_eq!(stands.revision, 2);
+    let (_, current) = store.current().expect("current").expect("a revision");
+    assert_eq!(current.revision, 2);
     assert_eq!(
         store.revision(1).expect("history").expect("kept").revision,
         1
@@ -78,20 +78,20 @@
 #[test]
 fn lost_answer_read_back() {
     let world = World::start(small_plan()).expect("world");
-    let store = store_of(&world);
-    let before = store.current().expect("current");
-    let change = next(&before, "ann", 9);
+    let store = config_store(&world);
+    let previous = store.current().expect("current");
+    let change = next_revision(&previous, "ann", 9);
     // The first write keeps the history of revision 1, the second is the change.
-    let loses = Faults {
+    let faults = Faults {
         answer_first: 1,
         lose_answers: 1,
         ..Faults::default()
     };
-    world.key_value.set_faults(loses);
-    assert_eq!(store.change(&before, &change), Ok(()));
-    let (_, stands) = store.current().expect("current").expect("a revision");
-    assert_eq!(stands.change_id, change.change_id);
-    assert_eq!(stands.revision, 2);
+    world.key_value.set_faults(faults);
+    assert_eq!(store.change(&previous, &change), Ok(()));
+    let (_, current) = store.current().expect("current").expect("a revision");
+    assert_eq!(current.change_id, change.change_id);
+    assert_eq!(current.revision, 2);
 }
 
 #[test]
@@ -102,10 +102,10 @@
     })
     .expect("world");
     let mut processes = Processes::start(&world);
-    let store = store_of(&world);
-    let before = store.current().expect("current");
+    let store = config_store(&world);
+    let previous = store.current().expect("current");
     store
-        .change(&before, &next(&before, "ann", 7))
+        .change(&previous, &next_revision(&previous, "ann", 7))
         .expect("change");
     processes.wait_for_revision(2, 3);
     world.key_value.set_faults(Faults {
--- a/tests/all/freshness_faults.rs
+++ b/tests/all/freshness_faults.rs
@@ -298,7 +298,7 @@
 fn no_key_after_the_bound() {
     let runs = FaultRuns::from_environment(4_000);
     let (served, broken) = broken(runs, Counts::FromQuestion);
-    runs.assert_none_broken(&broken);
+    runs.assert_no_violations(&broken);
     // It is no proof if nobody is let in at all.
     assert!(served > 10 * runs.count, "{served} served");
 }
--- a/tests/all/platform_soak.rs
+++ b/tests/all/platform_soak.rs
@@ -5,7 +5,7 @@
 //! judged from the stand-ins' ledgers and the callers' answers, never from times.
 
 use crate::cluster::{self, ask, list_plain, request, until};
-use crate::support::from_environment;
+use crate::support::number_from_env;
 use passway_instance::Instance;
 use passway_standins::platform::model_server::{self, EVENTS, ModelServer, event};
 use passway_standins::platform::raw::{RawServer, Step};
@@ -102,8 +102,8 @@
 
 #[test]
 fn random_faults() {
-    let steps = from_environment("PASSWAY_SOAK_STEPS", DEFAULT_STEPS);
-    let mut rng = ChaCha8Rng::seed_from_u64(from_environment("PASSWAY_SOAK_SEED", 1));
+    let steps = number_from_env("PASSWAY_SOAK_STEPS", DEFAULT_STEPS);
+    let mut rng = ChaCha8Rng::seed_from_u64(number_from_env("PASSWAY_SOAK_SEED", 1));
     let store = cluster::store(&MODELS);
     let plains = [plain(), plain()];
     for (number, server) in plains.iter().enumerate() {
--- a/tests/all/former_holder.rs
+++ b/tests/all/previous_holder.rs
@@ -1,7 +1,7 @@
 //! What a former holder still says after another controller has taken over its cell.
 
-use crate::processes::ask;
-use crate::support::{patient_plan, small_plan};
+use crate::processes::send_request;
+use crate::support::{long_timeout_plan, small_plan};
 use passway_config::revision::{self, StoredRevision};
 use passway_decide::messages::{DemandVerdict, RouteChange};
 use passway_decide::router::{Arrival, RouterAction, RouterCore};
@@ -18,12 +18,12 @@
 const MODEL: &str = "model1@1";
 
 /// A controller that says what the test tells it to.
-struct Said {
+struct ScriptedController {
     link: Link,
     reader: LinkReader,
 }
 
-impl Said {
+impl ScriptedController {
     /// The connection that a router makes to a listener.
     fn accept(listener: &TcpListener) -> Self {
         let (stream, _) = listener.accept().expect("a router");
@@ -31,28 +31,28 @@
         Self { link, reader }
     }
 
-    fn says(&self, body: Body) {
+    fn send(&self, body: Body) {
         self.link.send(body).expect("a router that listens");
     }
 
     /// Reads until a message for which `is_it` holds.
-    fn hears(&mut self, is_it: impl Fn(&Body) -> bool) {
+    fn wait_for(&mut self, is_expected: impl Fn(&Body) -> bool) {
         loop {
             let body = self.reader.receive().expect("a message").expect("a router");
-            if is_it(&body) {
+            if is_expected(&body) {
                 return;
             }
         }
     }
 
     /// Says which controller holds the cell.
-    fn names_holder(&self, epoch: Epoch, address: SocketAddr) {
+    fn send_holder(&self, epoch: Epoch, address: SocketAddr) {
         let holder = CellHolder {
             cell: CELL.into(),
             epoch,
             address: address.to_string(),
         };
-        self.says(Body::Heartbeat(Heartbeat {
+        self.send(Body::Heartbeat(Heartbeat {
             routers: 1,
             cells: vec![holder],
             ..Heartbeat::default()
@@ -61,7 +61,7 @@
 
     /// Sends a revision and waits until the router says that it is in force: by then it
     /// has taken in all that was said before.
-    fn configures(&mut self, world: &World, revision: Revision) {
+    fn send_config(&mut self, world: &World, revision: Revision) {
         let stored = StoredRevision {
             revision,
             change_id: 0,
@@ -72,15 +72,17 @@
             document: world.document.clone(),
         };
         let encoded = revision::encode(&stored).expect("a configuration");
-        self.says(Body::Config(Config {
+        self.send(Body::Config(Config {
             encoded: encoded.into(),
         }));
-        self.hears(|body| matches!(body, Body::Hello(hello) if hello.config_revision == revision));
+        self.wait_for(
+            |body| matches!(body, Body::Hello(hello) if hello.config_revision == revision),
+        );
     }
 
     /// Refuses demands for the model.
-    fn refuses(&self, code: ResultCode) {
-        self.says(Body::Verdict(Verdict {
+    fn send_refusal(&self, code: ResultCode) {
+        self.send(Body::Verdict(Verdict {
             model: MODEL.into(),
             refused_code: code as u32,
             retry_in_ms: 2_000,
@@ -91,24 +93,24 @@
 
 #[test]
 fn late_refusal_ignored() {
-    let world = World::start(patient_plan()).expect("world");
+    let world = World::start(long_timeout_plan()).expect("world");
     let listeners = [0; 2].map(|_| TcpListener::bind("127.0.0.1:0").expect("bind"));
     let addresses = listeners
         .each_ref()
         .map(|listener| listener.local_addr().expect("address"));
     let router = Router::start(&world.router_settings(0, &addresses)).expect("router");
-    let [mut former, mut holder] = listeners.each_ref().map(Said::accept);
+    let [mut previous, mut holder] = listeners.each_ref().map(ScriptedController::accept);
 
-    former.names_holder(1, addresses[0]);
-    former.configures(&world, 1);
-    holder.names_holder(2, addresses[1]);
-    holder.configures(&world, 2);
+    previous.send_holder(1, addresses[0]);
+    previous.send_config(&world, 1);
+    holder.send_holder(2, addresses[1]);
+    holder.send_config(&world, 2);
 
-    let caller = ask(router.address(), MODEL, 0, 8);
-    holder.hears(|body| matches!(body, Body::Demand(_)));
-    former.refuses(ResultCode::ControlUnavailable);
-    former.configures(&world, 3);
-    holder.refuses(ResultCode::NoCapacity);
+    let caller = send_request(router.address(), MODEL, 0, 8);
+    holder.wait_for(|body| matches!(body, Body::Demand(_)));
+    previous.send_refusal(ResultCode::ControlUnavailable);
+    previous.send_config(&world, 3);
+    holder.send_refusal(ResultCode::NoCapacity);
     let outcome = caller.join().expect("caller").outcome;
     let Outcome::Refused { code, .. } = outcome else {
         panic!("{outcome:?}");
@@ -117,7 +119,7 @@
 }
 
 #[test]
-fn refusal_of_routed_model() {
+fn refusal_after_route_ignored() {
     let world = World::start(small_plan()).expect("world");
     let catalog = passway_config::Catalog::build(&world.document, 1).expect("catalog");
     let now = Instant::now();
--- a/tests/all/process_kills.rs
+++ b/tests/all/process_kills.rs
@@ -1,7 +1,7 @@
 //! Programs are killed, paused and drained while requests wait and run.
 
-use crate::processes::{Processes, ask, health, wait_until_serving};
-use crate::support::{patient_plan, small_plan};
+use crate::processes::{Processes, health, send_request, wait_until_serving};
+use crate::support::{long_timeout_plan, small_plan};
 use passway_standins::engine;
 use passway_standins::key_value;
 use passway_standins::load::{Outcome, Sample};
@@ -12,9 +12,9 @@
 use std::thread::JoinHandle;
 
 /// Long enough for streams to be under way when the signal comes.
-const HEAD_START: Duration = Duration::from_millis(400);
+const STREAMING_DELAY: Duration = Duration::from_millis(400);
 /// Tokens of a long answer: about a second.
-const LONG: u32 = 200;
+const LONG_ANSWER_TOKENS: u32 = 200;
 
 fn outcomes(callers: Vec<JoinHandle<Sample>>) -> Vec<Outcome> {
     callers
@@ -23,7 +23,7 @@
         .collect()
 }
 
-fn all_whole(callers: Vec<JoinHandle<Sample>>) {
+fn assert_all_whole(callers: Vec<JoinHandle<Sample>>) {
     for outcome in outcomes(callers) {
         assert_eq!(outcome, Outcome::Whole);
     }
@@ -31,50 +31,53 @@
 
 #[test]
 fn drain_cuts_nothing() {
-    let world = World::start(patient_plan()).expect("world");
+    let world = World::start(long_timeout_plan()).expect("world");
     let mut processes = Processes::start(&world);
     let router = processes.routers[0].address;
     let callers: Vec<_> = (0..30)
-        .map(|number| ask(router, "model1@1", number, LONG))
+        .map(|number| send_request(router, "model1@1", number, LONG_ANSWER_TOKENS))
         .collect();
-    std::thread::sleep(HEAD_START);
+    std::thread::sleep(STREAMING_DELAY);
     processes.routers[0].signal(Signal::TERM);
-    all_whole(callers);
+    assert_all_whole(callers);
     assert_eq!(processes.routers[0].exit_code(), Some(0));
     assert_eq!(health(router), None);
 }
 
 #[test]
-fn drain_says_so() {
-    let world = World::start(patient_plan()).expect("world");
+fn drain_fails_health_check() {
+    let world = World::start(long_timeout_plan()).expect("world");
     let processes = Processes::start(&world);
     let router = processes.routers[0].address;
-    let long = ask(router, "model1@1", 0, 4 * LONG);
-    std::thread::sleep(HEAD_START * 2);
+    let long_call = send_request(router, "model1@1", 0, 4 * LONG_ANSWER_TOKENS);
+    std::thread::sleep(STREAMING_DELAY * 2);
     processes.routers[0].signal(Signal::TERM);
-    let limit_at = Instant::now() + Duration::from_secs(5);
+    let deadline_at = Instant::now() + Duration::from_secs(5);
     while health(router) != Some(503) {
-        assert!(Instant::now() < limit_at, "the health check does not turn");
+        assert!(
+            Instant::now() < deadline_at,
+            "the health check does not turn"
+        );
     }
-    all_whole(vec![long]);
+    assert_all_whole(vec![long_call]);
 }
 
 #[test]
-fn killed_router_alone() {
-    let world = World::start(patient_plan()).expect("world");
+fn killed_router_breaks_own_calls() {
+    let world = World::start(long_timeout_plan()).expect("world");
     let processes = Processes::start(&world);
     let (first, second) = (processes.routers[0].address, processes.routers[1].address);
-    let lost: Vec<_> = (0..20)
-        .map(|number| ask(first, "model1@1", number, LONG))
+    let killed_router_calls: Vec<_> = (0..20)
+        .map(|number| send_request(first, "model1@1", number, LONG_ANSWER_TOKENS))
         .collect();
-    let kept: Vec<_> = (20..60)
-        .map(|number| ask(second, "model1@1", number, LONG))
+    let other_router_calls: Vec<_> = (20..60)
+        .map(|number| send_request(second, "model1@1", number, LONG_ANSWER_TOKENS))
         .collect();
-    std::thread::sleep(HEAD_START);
+    std::thread::sleep(STREAMING_DELAY);
     processes.routers[0].signal(Signal::KILL);
-    all_whole(kept);
+    assert_all_whole(other_router_calls);
     // Its own callers see a broken answer, never a short one that looks whole.
-    for outcome in outcomes(lost) {
+    for outcome in outcomes(killed_router_calls) {
         assert!(
             matches!(outcome, Outcome::Whole | Outcome::Broken(_)),
             "{outcome:?}"
@@ -88,7 +91,7 @@
     let plan = WorldPlan {
         instances: 3,
         lease_ms: small_plan().lease_ms,
-        ..patient_plan()
+        ..long_timeout_plan()
     };
     let world = World::start(plan).expect("world");
     // A load that takes longer than the kill and less than the deadline.
@@ -101,11 +104,11 @@
         .map(|router| router.address)
         .collect();
     let callers: Vec<_> = (0..60)
-        .map(|number| ask(routers[number % 3], "model2@1", number, 8))
+        .map(|number| send_request(routers[number % 3], "model2@1", number, 8))
         .collect();
-    std::thread::sleep(HEAD_START);
+    std::thread::sleep(STREAMING_DELAY);
     processes.controllers[leader].signal(Signal::KILL);
-    all_whole(callers);
+    assert_all_whole(callers);
     assert_eq!(world.loads_of("model2@1"), 1);
 }
 
@@ -116,19 +119,21 @@
             instances: 3,
             checks_fencing,
             lease_ms: small_plan().lease_ms,
-            ..patient_plan()
+            ..long_timeout_plan()
         };
         let world = World::start(plan).expect("world");
         let processes = Processes::start(&world);
         let leader = processes.leader();
         let router = processes.routers[(leader + 1) % 3].address;
-        all_whole(vec![ask(router, "model1@1", 0, 8)]);
+        assert_all_whole(vec![send_request(router, "model1@1", 0, 8)]);
         processes.controllers[leader].signal(Signal::STOP);
-        let callers = (1..5).map(|number| ask(router, &format!("model{number}@1"), number, 8));
-        all_whole(callers.collect());
+        let callers =
+            (1..5).map(|number| send_request(router, &format!("model{number}@1"), number, 8));
+        assert_all_whole(callers.collect());
         processes.controllers[leader].signal(Signal::CONT);
-        let callers = (1..6).map(|number| ask(router, &format!("model{number}@1"), number, 8));
-        all_whole(callers.collect());
+        let callers =
+            (1..6).map(|number| send_request(router, &format!("model{number}@1"), number, 8));
+        assert_all_whole(callers.collect());
         for engine in &world.engines {
             assert!(engine.ledger().most_bytes <= world.plan.engine_mb << 20);
             assert_eq!(
@@ -146,35 +151,35 @@
     let plan = WorldPlan {
         max_replicas: 2,
         slots: 8,
-        ..patient_plan()
+        ..long_timeout_plan()
     };
     let world = World::start(plan).expect("world");
     let processes = Processes::start(&world);
     let router = processes.routers[0].address;
     // More than one replica's slots, so that there are two.
     let callers: Vec<_> = (0..24)
-        .map(|number| ask(router, "model1@1", number, LONG))
+        .map(|number| send_request(router, "model1@1", number, LONG_ANSWER_TOKENS))
         .collect();
-    std::thread::sleep(HEAD_START * 3);
-    let holding = world
+    std::thread::sleep(STREAMING_DELAY * 3);
+    let loaded_engine = world
         .engines
         .iter()
         .find(|engine| !engine.loaded().is_empty())
         .expect("one");
-    holding.set_faults(engine::Faults {
+    loaded_engine.set_faults(engine::Faults {
         dead: true,
         ..Default::default()
     });
     for outcome in outcomes(callers) {
         // Resumed whole, or told that it broke; never short, doubled or silent.
-        let told = matches!(
+        let is_reported = matches!(
             outcome,
             Outcome::Refused {
                 code: 1301 | 1302,
                 ..
             }
         );
-        assert!(outcome == Outcome::Whole || told, "{outcome:?}");
+        assert!(outcome == Outcome::Whole || is_reported, "{outcome:?}");
     }
 }
 
@@ -183,19 +188,21 @@
     let world = World::start(small_plan()).expect("world");
     let mut processes = Processes::start(&world);
     let router = processes.routers[0].address;
-    all_whole(vec![ask(router, "model1@1", 0, 8)]);
+    assert_all_whole(vec![send_request(router, "model1@1", 0, 8)]);
     world.key_value.set_faults(key_value::Faults {
         down: true,
         ..Default::default()
     });
     std::thread::sleep(Duration::from_millis(world.plan.lease_ms));
     // What is loaded goes on serving; what sleeps is refused at once with a hint.
-    all_whole(
+    assert_all_whole(
         (1..9)
-            .map(|number| ask(router, "model1@1", number, 8))
+            .map(|number| send_request(router, "model1@1", number, 8))
             .collect(),
     );
-    let refused = ask(router, "model2@1", 9, 8).join().expect("caller");
+    let refused = send_request(router, "model2@1", 9, 8)
+        .join()
+        .expect("caller");
     let Outcome::Refused {
         code,
         retry_after_ms,
@@ -206,26 +213,26 @@
     assert_eq!(code, u64::from(ResultCode::ControlUnavailable as u16));
     assert!(retry_after_ms.is_some());
     // A router that restarts now gets the configuration and routes from controllers.
-    let fresh = processes.start_router(1);
-    wait_until_serving(fresh.address);
-    let again = fresh.address;
-    processes.routers[1] = fresh;
-    all_whole(
+    let restarted = processes.start_router(1);
+    wait_until_serving(restarted.address);
+    let restarted_address = restarted.address;
+    processes.routers[1] = restarted;
+    assert_all_whole(
         (10..14)
-            .map(|number| ask(again, "model1@1", number, 8))
+            .map(|number| send_request(restarted_address, "model1@1", number, 8))
             .collect(),
     );
     world.key_value.set_faults(key_value::Faults::default());
-    let limit_at = Instant::now() + Duration::from_secs(20);
+    let deadline_at = Instant::now() + Duration::from_secs(20);
     loop {
-        let woken = ask(router, "model2@1", 20, 8)
+        let outcome = send_request(router, "model2@1", 20, 8)
             .join()
             .expect("caller")
             .outcome;
-        if woken == Outcome::Whole {
+        if outcome == Outcome::Whole {
             break;
         }
-        assert!(Instant::now() < limit_at, "{woken:?}");
+        assert!(Instant::now() < deadline_at, "{outcome:?}");
     }
 }
 
@@ -233,32 +240,32 @@
 fn leaving_upstream() {
     let plan = WorldPlan {
         list_lag: Duration::from_mins(1),
-        ..patient_plan()
+        ..long_timeout_plan()
     };
     let world = World::start(plan).expect("world");
     let processes = Processes::start(&world);
     let router = processes.routers[0].address;
-    all_whole(vec![ask(router, "model1@1", 0, 8)]);
-    let holding = world
+    assert_all_whole(vec![send_request(router, "model1@1", 0, 8)]);
+    let loaded_engine = world
         .engines
         .iter()
         .find(|engine| !engine.loaded().is_empty())
         .expect("one");
     // The engine says so itself; the list would show it a minute later.
-    holding.set_faults(engine::Faults {
+    loaded_engine.set_faults(engine::Faults {
         leaving: true,
         ..Default::default()
     });
     std::thread::sleep(Duration::from_secs(3));
-    let before = holding.ledger().requests;
-    all_whole(
+    let requests_before = loaded_engine.ledger().requests;
+    assert_all_whole(
         (1..9)
-            .map(|number| ask(router, "model1@1", number, 8))
+            .map(|number| send_request(router, "model1@1", number, 8))
             .collect(),
     );
     assert_eq!(
-        holding.ledger().requests,
-        before,
+        loaded_engine.ledger().requests,
+        requests_before,
         "new work after three seconds"
     );
 }
@@ -268,25 +275,25 @@
     let world = World::start(small_plan()).expect("world");
     let processes = Processes::start(&world);
     let router = processes.routers[0].address;
-    all_whole(vec![ask(router, "model1@1", 0, 8)]);
+    assert_all_whole(vec![send_request(router, "model1@1", 0, 8)]);
     // Neither the key-value service nor another controller is left to ask.
     world.key_value.set_faults(key_value::Faults {
         down: true,
         ..Default::default()
     });
     processes.controllers[1].signal(Signal::STOP);
-    let limit_at = Instant::now() + Duration::from_mins(1);
+    let deadline_at = Instant::now() + Duration::from_mins(1);
     let stale = u64::from(ResultCode::ConfigStale as u16);
     let is_stale = |number| {
-        let outcome = ask(router, "model1@1", number, 8)
+        let outcome = send_request(router, "model1@1", number, 8)
             .join()
             .expect("caller")
             .outcome;
         matches!(outcome, Outcome::Refused { code, .. } if code == stale)
     };
     while !is_stale(1) {
-        assert!(Instant::now() < limit_at, "new work is still taken");
-        std::thread::sleep(HEAD_START);
+        assert!(Instant::now() < deadline_at, "new work is still taken");
+        std::thread::sleep(STREAMING_DELAY);
     }
     // And it stays so, heartbeat after heartbeat, for plain services too.
     for number in 2..12 {
@@ -307,14 +314,14 @@
     }
     processes.controllers[1].signal(Signal::CONT);
     while is_stale(20) {
-        assert!(Instant::now() < limit_at, "no new work is taken again");
-        std::thread::sleep(HEAD_START);
+        assert!(Instant::now() < deadline_at, "no new work is taken again");
+        std::thread::sleep(STREAMING_DELAY);
     }
 }
 
 #[test]
 fn outcome_survives_stop() {
-    let world = World::start(patient_plan()).expect("world");
+    let world = World::start(long_timeout_plan()).expect("world");
     let mut processes = Processes::start(&world);
     let (first, second) = (processes.routers[0].address, processes.routers[1].address);
     let charge = |router| {
@@ -327,15 +334,15 @@
         answer.into_body().read_to_string().expect("body")
     };
     // The claim is written, then the key-value service goes away under the call.
-    let slow = service::Faults {
+    let slow_faults = service::Faults {
         delay_ms: 500,
         ..Default::default()
     };
-    world.services[0].set_faults(slow);
+    world.services[0].set_faults(slow_faults);
     let caller = std::thread::spawn(move || charge(first));
-    let limit_at = Instant::now() + Duration::from_secs(20);
+    let deadline_at = Instant::now() + Duration::from_secs(20);
     while !world.key_value.contains("claims/service0/6b") {
-        assert!(Instant::now() < limit_at, "no claim is written");
+        assert!(Instant::now() < deadline_at, "no claim is written");
         std::thread::yield_now();
     }
     world.key_value.set_faults(key_value::Faults {
--- a/tests/all/processes.rs
+++ b/tests/all/processes.rs
@@ -13,8 +13,8 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::thread::JoinHandle;
 
-const READY_LIMIT: Duration = Duration::from_secs(30);
-const READY_STEP: Duration = Duration::from_millis(30);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(30);
 
 /// One program that runs; it is ended with the test.
 pub struct Program {
@@ -140,31 +140,31 @@
 
     /// Waits until every controller, and `routers` routers, report a revision.
     pub fn wait_for_revision(&self, revision: Revision, routers: usize) {
-        let limit_at = Instant::now() + READY_LIMIT;
+        let deadline_at = Instant::now() + READY_TIMEOUT;
         loop {
-            let statuses = passway_ctl::ask::statuses(&self.controller_addresses);
-            let known: Vec<_> = statuses
+            let responses = passway_ctl::ask::statuses(&self.controller_addresses);
+            let statuses: Vec<_> = responses
                 .iter()
                 .filter_map(|(_, status)| status.as_ref())
                 .collect();
-            let everywhere = known.len() == self.controller_addresses.len()
-                && known
+            let all_controllers_ready = statuses.len() == self.controller_addresses.len()
+                && statuses
                     .iter()
                     .all(|status| status.config_revision >= revision);
-            let at_revision: HashSet<&str> = known
+            let at_revision: HashSet<&str> = statuses
                 .iter()
                 .flat_map(|status| &status.routers)
                 .filter(|router| router.config_revision >= revision)
                 .map(|router| router.instance.as_str())
                 .collect();
-            if everywhere && at_revision.len() >= routers {
+            if all_controllers_ready && at_revision.len() >= routers {
                 return;
             }
             assert!(
-                Instant::now() < limit_at,
-                "not in force everywhere: {known:?}"
+                Instant::now() < deadline_at,
+                "not in force everywhere: {statuses:?}"
             );
-            std::thread::sleep(READY_STEP);
+            std::thread::sleep(READY_POLL_INTERVAL);
         }
     }
 
@@ -190,13 +190,13 @@
 
     /// The instance whose controller leads, by its log.
     pub fn leader(&self) -> usize {
-        let limit_at = Instant::now() + READY_LIMIT;
+        let deadline_at = Instant::now() + READY_TIMEOUT;
         loop {
             let epochs = (0..self.controllers.len()).map(|number| {
                 let path = self.folder.join(format!("controller{number}.log"));
                 let log = std::fs::read_to_string(path).unwrap_or_default();
-                let taken = log.lines().filter(|line| line.contains("event=took_over"));
-                let epochs = taken.filter_map(|line| {
+                let takeovers = log.lines().filter(|line| line.contains("event=took_over"));
+                let epochs = takeovers.filter_map(|line| {
                     line.split("number=")
                         .nth(1)?
                         .split(' ')
@@ -209,8 +209,8 @@
             if let Some((Some(_), number)) = epochs.max() {
                 return number;
             }
-            assert!(Instant::now() < limit_at, "nobody leads");
-            std::thread::sleep(READY_STEP);
+            assert!(Instant::now() < deadline_at, "nobody leads");
+            std::thread::sleep(READY_POLL_INTERVAL);
         }
     }
 }
@@ -224,10 +224,10 @@
 
 /// Waits until a router's health check says that it serves.
 pub fn wait_until_serving(address: SocketAddr) {
-    let limit_at = Instant::now() + READY_LIMIT;
+    let deadline_at = Instant::now() + READY_TIMEOUT;
     while health(address) != Some(200) {
-        assert!(Instant::now() < limit_at, "{address} does not serve");
-        std::thread::sleep(READY_STEP);
+        assert!(Instant::now() < deadline_at, "{address} does not serve");
+        std::thread::sleep(READY_POLL_INTERVAL);
     }
 }
 
@@ -243,8 +243,13 @@
 }
 
 /// A request that is made in a thread of its own.
-pub fn ask(router: SocketAddr, model: &str, number: usize, tokens: u32) -> JoinHandle<Sample> {
-    let one = Call {
+pub fn send_request(
+    router: SocketAddr,
+    model: &str,
+    number: usize,
+    tokens: u32,
+) -> JoinHandle<Sample> {
+    let request = Call {
         router,
         model: model.into(),
         workspace: "default".into(),
@@ -253,5 +258,5 @@
         stream: number.is_multiple_of(2),
         deadline: Duration::from_secs(20),
     };
-    std::thread::spawn(move || call(&one))
+    std::thread::spawn(move || call(&request))
 }
--- a/tests/all/router_faults.rs
+++ b/tests/all/router_faults.rs
@@ -315,5 +315,5 @@
         runs.count,
         broken.len()
     );
-    runs.assert_none_broken(&broken);
+    runs.assert_no_violations(&broken);
 }
--- a/tests/all/soak.rs
+++ b/tests/all/soak.rs
@@ -1,6 +1,6 @@
 //! The fault soak, short: real processes, a fixed seed. `passway-soak` plays more of it.
 
-use crate::support::from_environment;
+use crate::support::number_from_env;
 use passway_standins::soak::{self, SoakPlan};
 use passway_types::prelude::*;
 
@@ -9,7 +9,7 @@
 
 #[test]
 fn promises_kept() {
-    let seed = from_environment("PASSWAY_SOAK_SEED", 1);
+    let seed = number_from_env("PASSWAY_SOAK_SEED", 1);
     let logs = std::env::temp_dir().join(format!("passway-soak-{}", std::process::id()));
     std::fs::create_dir_all(&logs).expect("a folder for logs");
     let report = soak::run(&SoakPlan {
@@ -19,7 +19,7 @@
         instances: 3,
         engines: 4,
         callers: 8,
-        steps: from_environment("PASSWAY_SOAK_STEPS", STEPS),
+        steps: number_from_env("PASSWAY_SOAK_STEPS", STEPS),
         pause: Duration::from_millis(500),
     });
     let report = report.expect("a soak");
--- a/tests/all/stream_resume.rs
+++ b/tests/all/stream_resume.rs
@@ -1,16 +1,16 @@
 //! Streams that break are resumed elsewhere: no token twice, none missing.
 
-use crate::support::{burst, patient_plan};
+use crate::support::{burst, long_timeout_plan};
 use passway_standins::engine::Faults;
 use passway_standins::load::Outcome;
 use passway_standins::world::{World, WorldPlan};
 use passway_types::prelude::*;
 
 #[test]
-fn resumed_whole() {
+fn broken_stream_resumed() {
     let plan = WorldPlan {
         max_replicas: 2,
-        ..patient_plan()
+        ..long_timeout_plan()
     };
     let world = World::start(plan).expect("world");
     let fleet = world.start_fleet().expect("fleet");
@@ -33,8 +33,8 @@
 }
 
 #[test]
-fn never_short() {
-    let world = World::start(patient_plan()).expect("world");
+fn broken_stream_complete_or_refused() {
+    let world = World::start(long_timeout_plan()).expect("world");
     let fleet = world.start_fleet().expect("fleet");
     for engine in &world.engines {
         engine.set_faults(Faults {
@@ -44,7 +44,7 @@
     }
     // Far more breaks than the budget allows: whoever is not served is told.
     for sample in burst(&fleet, "model1@1", 60, Duration::from_secs(5)) {
-        let told = matches!(
+        let is_refused = matches!(
             sample.outcome,
             Outcome::Refused {
                 code: 1201 | 1209 | 1301 | 1302 | 1304,
@@ -52,7 +52,7 @@
             }
         );
         assert!(
-            told || sample.outcome == Outcome::Whole,
+            is_refused || sample.outcome == Outcome::Whole,
             "{:?}",
             sample.outcome
         );
--- a/tests/all/support.rs
+++ b/tests/all/support.rs
@@ -6,7 +6,7 @@
 use std::ops::Range;
 
 /// Broken fault runs that a failed test shows.
-const SHOWN_RUNS: usize = 8;
+const MAX_SHOWN_VIOLATIONS: usize = 8;
 
 /// A world that is quick to start: two instances, three engines.
 pub fn small_plan() -> WorldPlan {
@@ -23,7 +23,7 @@
 /// The same for tests that are about neither an unavailable key-value service nor a lost
 /// controller: on a busy machine its calls may take seconds, and leases may lapse, which
 /// would be refused as an outage.
-pub fn patient_plan() -> WorldPlan {
+pub fn long_timeout_plan() -> WorldPlan {
     WorldPlan {
         patience: Some(Duration::from_secs(10)),
         lease_ms: 10_000,
@@ -48,7 +48,7 @@
 }
 
 /// A number from an environment variable.
-pub fn from_environment(name: &str, default: u64) -> u64 {
+pub fn number_from_env(name: &str, default: u64) -> u64 {
     std::env::var(name)
         .ok()
         .and_then(|text| text.parse().ok())
@@ -68,8 +68,8 @@
     /// `PASSWAY_FAULT_SEED` on.
     pub fn from_environment(default: u64) -> Self {
         Self {
-            count: from_environment("PASSWAY_FAULT_RUNS", default),
-            first_seed: from_environment("PASSWAY_FAULT_SEED", 1),
+            count: number_from_env("PASSWAY_FAULT_RUNS", default),
+            first_seed: number_from_env("PASSWAY_FAULT_SEED", 1),
         }
     }
 
@@ -79,12 +79,12 @@
     }
 
     /// Fails if a run broke a rule, and shows the first of them.
-    pub fn assert_none_broken(self, broken: &[String]) {
-        let shown = &broken[..broken.len().min(SHOWN_RUNS)];
+    pub fn assert_no_violations(self, violations: &[String]) {
+        let shown = &violations[..violations.len().min(MAX_SHOWN_VIOLATIONS)];
         assert!(
-            broken.is_empty(),
+            violations.is_empty(),
             "{} of {} runs: {shown:#?}",
-            broken.len(),
+            violations.len(),
             self.count
         );
     }
--- a/tests/all/tenure_faults.rs
+++ b/tests/all/tenure_faults.rs
@@ -432,7 +432,7 @@
         runs.count,
         broken.len()
     );
-    runs.assert_none_broken(&broken);
+    runs.assert_no_violations(&broken);
     assert!(
         u64::from(successions) > 2 * runs.count,
         "too few successions: {successions}"
