--- a/crates/controller/src/audit.rs
+++ b/crates/controller/src/audit.rs
@@ -1,4 +1,4 @@
-//! The latest decisions of this controller: why was this model loaded, and when.
+//! The latest decisions of this controller with their times and reasons.
 
 use passway_decide::cell::Decision;
 use passway_types::prelude::*;
@@ -6,38 +6,38 @@
 use std::collections::VecDeque;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Entries kept; older ones are in the logs.
+/// Maximum number of entries in memory; older entries are only in the logs.
 const MAX_ENTRIES: usize = 1_000;
 
-/// One decision.
+/// One decision of a cell's controller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditEntry {
-    /// When, in milliseconds since 1970-01-01 UTC.
+    /// Time of the decision, in milliseconds since 1970-01-01 UTC.
     pub at_unix_ms: u64,
-    /// The instance that decided.
+    /// The instance that made the decision.
     pub instance: String,
-    /// The cell.
+    /// The cell that the decision is about.
     pub cell: String,
     /// `took_over`, `stood_down`, `placed`, `unloading` or `freed`.
     pub event: String,
-    /// The placement or epoch.
+    /// The epoch for `took_over` and `stood_down`, otherwise the placement's id.
     pub number: u64,
-    /// The model, where there is one.
+    /// The model; empty if the event has none.
     pub model: String,
-    /// The upstream, where there is one.
+    /// The upstream; empty if the event has none.
     pub upstream: String,
-    /// Why.
+    /// The reason for the decision; empty if the event has none.
     pub reason: String,
 }
 
-/// A bounded list of decisions.
+/// A bounded list of the latest decisions.
 #[derive(Debug, Default)]
 pub struct AuditTrail {
     entries: VecDeque<AuditEntry>,
 }
 
 impl AuditTrail {
-    /// Records a decision and logs it.
+    /// Records and logs a decision; drops the oldest entry if the list is full.
     pub fn record(&mut self, instance: &str, cell: &str, decision: &Decision) {
         let entry = audit_entry(instance, cell, decision);
         log::info!(
@@ -51,7 +51,7 @@
         self.entries.push_back(entry);
     }
 
-    /// All entries, oldest first.
+    /// Returns all entries, oldest first.
     pub fn entries(&self) -> Vec<AuditEntry> {
         self.entries.iter().cloned().collect()
     }
--- a/crates/controller/src/config_feed.rs
+++ b/crates/controller/src/config_feed.rs
@@ -1,8 +1,9 @@
 //! Reads the configuration from the key-value service.
 //!
-//! Only controllers that have not heard of a confirmed revision lately ask the
-//! service, the first standbys and holders sooner than the rest; the others hear
-//! of it from their peers. The service's load does not grow with the fleet.
+//! A controller queries the service only if its latest confirmation of the revision is too
+//! old. Holders and the first standbys use a shorter maximum age than other controllers,
+//! which learn of the confirmation from their peers. So the load on the service does not
+//! grow with the fleet.
 
 use crate::node::Input;
 use crossbeam::channel::Sender;
@@ -12,14 +13,15 @@
 use passway_types::prelude::*;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Pause between two looks at whether a read is due.
+/// Interval of the check whether a read is due.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time for which the service is asked to wait for a change; well below the
-/// time-out of a call.
+/// How long the service waits for a change before it answers a watch; well below the timeout
+/// of a call.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Tells the reading thread how old the confirmation may become before it reads.
+/// Determines when the reader thread queries the service: the age of the latest
+/// confirmation and its maximum.
 #[derive(Debug)]
 pub struct ReadSchedule {
     confirmation_age_ms: AtomicU64,
@@ -27,7 +29,7 @@
 }
 
 impl ReadSchedule {
-    /// A pace that reads at once.
+    /// Creates a schedule whose first read is due at once.
     pub fn new(max_age: Duration) -> Arc<Self> {
         let max_age_ms = AtomicU64::new(millis(max_age));
         Arc::new(Self {
@@ -36,7 +38,7 @@
         })
     }
 
-    /// Sets the age of the last confirmation and the age at which to read.
+    /// Sets the age of the latest confirmation and the age from which on a read is due.
     pub fn set(&self, confirmation_age: Duration, max_age: Duration) {
         self.confirmation_age_ms
             .store(millis(confirmation_age), Ordering::Relaxed);
@@ -48,7 +50,7 @@
     }
 }
 
-/// Starts the reading thread.
+/// Starts the reader thread.
 pub(crate) fn start(
     key_value: Arc<dyn KeyValue>,
     schedule: Arc<ReadSchedule>,
@@ -69,8 +71,8 @@
     });
 }
 
-/// Waits a while for another version than `known`. Where nothing changes, the
-/// configuration does not travel, and what is known is confirmed.
+/// Waits up to [`WATCH_TIMEOUT`] for another version than `known_version`. If there is none,
+/// the service confirms the known version without sending the configuration again.
 fn read_config(key_value: &dyn KeyValue, known_version: &mut Version) -> Input {
     let requested_at = clock::now();
     let Ok(found) = key_value.watch(CURRENT_KEY, *known_version, WATCH_TIMEOUT) else {
@@ -88,7 +90,7 @@
             }
         }
         Err(error) => {
-            log::error!(error:% = error; "the stored configuration cannot be read");
+            log::error!(error:% = error; "cannot decode the stored configuration");
             Input::ConfigUnavailable
         }
     }
--- a/crates/controller/src/gossip.rs
+++ b/crates/controller/src/gossip.rs
@@ -1,22 +1,23 @@
-//! What this controller has heard from others, and when.
+//! Facts that controllers pass on to each other: confirmed revisions and holders of cells.
+//! Also records the latest contacts with the key-value service and with peers.
 
 use passway_types::prelude::*;
 use passway_wire::message::{CellHolder, Heartbeat};
 use std::collections::BTreeMap;
 
-/// The service or a peer counts as reached for this long after its last word.
+/// The service or a peer counts as reachable for this long after its last message.
 const REACHABLE_WINDOW: Duration = Duration::from_secs(5);
 
-/// Ages, holders and contacts.
+/// The confirmed revision, the known holders and the latest contacts.
 #[derive(Debug)]
 pub struct Gossip {
-    /// The last contact with the key-value service.
+    /// Time of the last answer of the key-value service.
     service_contact_at: Option<Instant>,
-    /// The last word of a peer.
+    /// Time of the last heartbeat of any peer.
     peer_contact_at: Option<Instant>,
-    /// When the current revision was last confirmed at the service by anybody.
+    /// Time at which any controller last confirmed `confirmed_revision` at the service.
     confirmed_at: Option<Instant>,
-    /// The confirmed revision.
+    /// The newest revision that a controller has confirmed at the service.
     confirmed_revision: Revision,
     holders: BTreeMap<String, CellHolder>,
     holders_version: u64,
@@ -25,7 +26,7 @@
 }
 
 impl Gossip {
-    /// Nothing heard yet.
+    /// Creates the state of a controller that has received nothing yet.
     pub fn new(now: Instant, has_peers: bool) -> Self {
         Self {
             service_contact_at: None,
@@ -39,12 +40,12 @@
         }
     }
 
-    /// The key-value service answered.
+    /// Records that the key-value service answered.
     pub fn service_reached(&mut self, now: Instant) {
         self.service_contact_at = Some(now);
     }
 
-    /// A revision was confirmed at the service at this time.
+    /// Records that `revision` was confirmed at the service at time `at`.
     pub fn confirm(&mut self, revision: Revision, at: Instant) {
         if revision > self.confirmed_revision {
             self.confirmed_revision = revision;
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Takes in a peer's heartbeat; returns whether a holder is new.
+    /// Records a peer's heartbeat. Returns whether it named a new holder of a cell.
     pub fn receive_heartbeat(&mut self, now: Instant, heartbeat: &Heartbeat) -> bool {
         self.peer_contact_at = Some(now);
         if heartbeat.config_revision > 0
@@ -69,7 +70,8 @@
         learned.fold(false, |any_new, is_new| any_new | is_new)
     }
 
-    /// Learns of a holder; the highest epoch wins.
+    /// Records the holder of a cell if its epoch is higher than the known one. Returns whether
+    /// it is.
     pub fn learn_holder(&mut self, holder: CellHolder) -> bool {
         let known = self.holders.get(&holder.cell);
         let is_new = known.is_none_or(|known| holder.epoch > known.epoch);
@@ -80,17 +82,18 @@
         is_new
     }
 
-    /// Grows whenever a holder is learned.
+    /// Returns the version of the holders, which grows with each new holder.
     pub fn holders_version(&self) -> u64 {
         self.holders_version
     }
 
-    /// The holders known.
+    /// Returns the known holder of each cell.
     pub fn holders(&self) -> Vec<CellHolder> {
         self.holders.values().cloned().collect()
     }
 
-    /// Time since `revision` was confirmed; since the start if it never was.
+    /// Returns the time since `revision` was last confirmed, or the time since the start if
+    /// it was never confirmed or a newer revision was.
     pub fn config_age(&self, now: Instant, revision: Revision) -> Duration {
         let confirmed_at = self
             .confirmed_at
@@ -98,13 +101,13 @@
         now.saturating_duration_since(confirmed_at.unwrap_or(self.started_at))
     }
 
-    /// Whether nothing was ever confirmed.
+    /// Whether no revision has been confirmed since the start.
     pub fn is_unconfirmed(&self) -> bool {
         self.confirmed_at.is_none()
     }
 
-    /// Whether neither the service nor a peer is reached. A controller without
-    /// peers has nobody to fall behind, so it is never isolated.
+    /// Whether neither the service nor a peer is reachable. A controller without peers is
+    /// never isolated, because no other controller can have a newer configuration.
     pub fn is_isolated(&self, now: Instant) -> bool {
         let is_recent = |contact_at: Option<Instant>| {
             contact_at.is_some_and(|at| now.saturating_duration_since(at) < REACHABLE_WINDOW)
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,13 +1,15 @@
-//! The controller program: a thin shell round [`passway_decide::cell`].
+//! The controller program: runs the decision logic of [`passway_decide::cell`] with threads,
+//! connections and calls.
 //!
-//! One thread decides ([`node::Node`]); it never blocks. All calls leave through
-//! [`workers`], whose answers come back as [`node::Input`]s. Connections of
-//! routers, other controllers and `passwayctl` are read by a thread each
-//! ([`listener`]) and written through outboxes.
+//! One thread makes all decisions ([`node::Node`]) and never blocks. The threads of
+//! [`workers`] make its calls and return the answers as [`node::Input`]s. Each connection of
+//! a router, another controller or `passwayctl` has a reader thread ([`listener`]); messages
+//! to it go through an outbox.
 //!
 //! * [`config_feed`] reads the configuration from the key-value service.
-//! * [`gossip`] knows holders, ages and peers.
-//! * [`audit`] keeps the latest decisions; [`status`] is what `passwayctl` sees.
+//! * [`gossip`] records holders, confirmed revisions and contacts with peers.
+//! * [`audit`] retains the latest decisions.
+//! * [`status`] defines the answer to a status query of `passwayctl`.
 
 pub mod audit;
 pub mod config_feed;
@@ -26,7 +28,7 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Longest time for leases to be given back at a stop.
+/// Maximum time to release leases at a stop.
 const STOP_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A running controller.
@@ -48,7 +50,7 @@
         Self::start_on(listener, settings)
     }
 
-    /// Starts a controller on a socket that is bound already.
+    /// Starts a controller on a socket that is already bound.
     ///
     /// # Errors
     /// If the settings name an address that cannot be parsed.
@@ -60,7 +62,7 @@
         let thread = std::thread::Builder::new()
             .name("decide".into())
             .spawn(move || node.run(&input_receiver))
-            .context("starting the deciding thread")?;
+            .context("starting the decision thread")?;
         Ok(Self {
             address,
             inputs,
@@ -68,16 +70,16 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address on which the controller listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Gives leases back and stops.
+    /// Releases the leases and stops.
     pub fn stop(self) {
         let (stopped_sender, stopped_receiver) = bounded(1);
         if self.inputs.send(Input::Stop(stopped_sender)).is_ok() {
-            // A stop that takes too long is cut; leases then lapse by themselves.
+            // After the timeout the controller stops anyway; its leases then expire.
             let _ = stopped_receiver.recv_timeout(STOP_TIMEOUT);
         }
         drop(self.thread);
--- a/crates/controller/src/listener.rs
+++ b/crates/controller/src/listener.rs
@@ -7,12 +7,12 @@
 use passway_wire::Link;
 use std::net::{TcpListener, TcpStream};
 
-/// Pause after an accept failed, for instance for want of file descriptors.
+/// Delay after a failed accept, for instance because no file descriptor was free.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
-/// A peer that is silent for this long is given up.
+/// A connection without a message for this long is closed.
 const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Starts the accepting thread.
+/// Starts the thread that accepts connections.
 pub(crate) fn start(listener: TcpListener, inputs: Sender<Input>) {
     std::thread::spawn(move || {
         let mut last_id: ConnectionId = 0;
@@ -45,6 +45,6 @@
         }
     }
     link.close();
-    // The receiver ends only with the process.
+    // The receiver exists until the process terminates, so the send does not fail.
     let _ = inputs.send(Input::Disconnected { id });
 }
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -1,4 +1,4 @@
-//! The deciding thread of a controller.
+//! The decision thread of a controller.
 
 mod answers;
 mod cell_shell;
@@ -35,23 +35,23 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Longest time for an upstream to answer an order.
+/// Timeout of an order to an upstream.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest time for an upstream to answer a question for its status.
+/// Timeout of a status query to an upstream.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause between two ticks of the decisions.
+/// Interval between two ticks of the cells that this controller leads.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Pause between two ticks of cells that others lead.
+/// Interval between two ticks of the cells that other controllers lead.
 const STANDBY_TICK_INTERVAL: Duration = Duration::from_millis(200);
-/// Pause between two heartbeats.
+/// Shortest interval between two heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// Connections that share one pause between heartbeats; with more connections
-/// the pause grows, so that heartbeats cost the same however many listen.
+/// Number of connections for each [`HEARTBEAT_INTERVAL`]. With more connections the interval
+/// between heartbeats grows in proportion, so the cost of heartbeats stays constant.
 const CONNECTIONS_PER_INTERVAL: usize = 16;
-/// Longest pause between two heartbeats.
+/// Longest interval between two heartbeats.
 const MAX_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The state of the deciding thread.
+/// The state of the decision thread.
 #[derive(Debug)]
 pub struct Node {
     identity: Holder,
@@ -60,7 +60,7 @@
     cells: BTreeMap<CellName, CellShell>,
     connections: Connections,
     current_revision: Option<Arc<KeptRevision>>,
-    /// The revision that this controller read last from the service itself.
+    /// The revision that this controller itself last read from the key-value service.
     last_read_revision: Revision,
     catalog: Arc<Catalog>,
     gossip: Gossip,
@@ -77,7 +77,8 @@
 }
 
 impl Node {
-    /// A controller that knows nothing yet.
+    /// Creates a controller without a configuration and starts its reader threads and its
+    /// connections to peers.
     ///
     /// # Errors
     /// If an address in the settings cannot be parsed.
@@ -135,7 +136,7 @@
         })
     }
 
-    /// Decides until the process stops.
+    /// Handles inputs and ticks until the process stops.
     pub fn run(mut self, inputs: &Receiver<Input>) {
         log::info!(instance = &*self.identity.instance, address:% = self.identity.address,
             data_hall = self.data_hall; "controller started");
@@ -144,7 +145,7 @@
             match inputs.recv_timeout(until_tick) {
                 Ok(Input::Stop(stopped_sender)) => {
                     self.stop();
-                    // Nobody waits if the stop was cut.
+                    // The receiver is gone if the stop has timed out.
                     let _ = stopped_sender.send(());
                     return;
                 }
@@ -217,7 +218,7 @@
         for cell in cells {
             self.handle_cell_event(now, &cell, Event::Shutdown);
         }
-        // Dropping the cells ends their job queues; the threads finish what is queued.
+        // Dropping a cell closes its job queues; the threads still run the queued jobs.
         for (_, shell) in std::mem::take(&mut self.cells) {
             shell.shut_down();
         }
@@ -273,12 +274,12 @@
             Action::Audit(decision) => self.audit.record(&self.identity.instance, cell, &decision),
             Action::ProbeFormer { epoch, holder } if self.fleet.was_removed(&holder.instance) => {
                 let event = Event::FormerGone(epoch);
-                // Taken with the next input, not inside this decision.
+                // Queued as an input, because this decision is not finished yet.
                 let _ = self.inputs.send(Input::Cell {
                     cell: cell.clone(),
                     event,
                 });
-                log::info!(instance = &*holder.instance, epoch = epoch; "former holder is gone");
+                log::info!(instance = &*holder.instance, epoch = epoch; "the platform has removed the previous holder");
             }
             other => {
                 if let Some(shell) = self.cells.get_mut(cell) {
@@ -353,7 +354,7 @@
     }
 
     fn handle_hello(&mut self, now: Instant, id: ConnectionId, hello: Hello) {
-        // Of the time before: a router that connects is not yet counted.
+        // Built before the hello is recorded, so the new router is not counted yet.
         let heartbeat = self.build_heartbeat(now);
         let is_router = connections::is_router(&hello);
         if !self.connections.record_hello(id, hello) {
@@ -407,7 +408,7 @@
             }
             Body::Config(config) => match KeptRevision::from_bytes(&config.encoded) {
                 Ok(revision) => self.adopt_revision(now, Arc::new(revision)),
-                Err(error) => log::error!(error:% = error; "a peer's configuration cannot be read"),
+                Err(error) => log::error!(error:% = error; "cannot decode a peer's configuration"),
             },
             _ => {}
         }
@@ -438,7 +439,7 @@
         }
     }
 
-    /// The controller's place among the live ones, another one for each cell.
+    /// Recomputes the rank of this controller among the listed ones, which differs by cell.
     fn update_ranks(&mut self, now: Instant) {
         let cells: Vec<CellName> = self.cells.keys().cloned().collect();
         for cell in cells {
--- a/crates/controller/src/node/answers.rs
+++ b/crates/controller/src/node/answers.rs
@@ -1,4 +1,4 @@
-//! Answers to operators' questions.
+//! Answers to operators' queries.
 
 use super::Node;
 use super::cell_shell::CellShell;
@@ -7,6 +7,7 @@
 use passway_types::prelude::*;
 
 impl Node {
+    /// Answers the query `status` or `audit` with JSON, any other query with `null`.
     pub(super) fn answer_query(&self, now: Instant, query: &str) -> String {
         let answer = match query {
             "status" => serde_json::to_string(&self.status(now)),
--- a/crates/controller/src/node/cell_shell.rs
+++ b/crates/controller/src/node/cell_shell.rs
@@ -1,4 +1,4 @@
-//! One cell's decisions together with the threads that carry its actions out.
+//! The decision logic of one cell with the threads that perform its actions.
 
 use super::Input;
 use crate::status::{CellStatus, PlacementStatus};
@@ -19,10 +19,10 @@
 use std::sync::atomic::Ordering;
 use std::thread::JoinHandle;
 
-/// Time between two looks of the first standby at the lease, as a part of the lease.
+/// The first standby polls the lease at this fraction of the lease's duration.
 const STANDBY_POLL_DIVISOR: u32 = 6;
 
-/// What every cell's threads use.
+/// Clients, durations and the input channel that the threads of all cells share.
 #[derive(Clone)]
 pub(crate) struct Services {
     pub(crate) key_value: Arc<dyn KeyValue>,
@@ -41,7 +41,7 @@
     }
 }
 
-/// The threads for one upstream.
+/// The order queue and the status polling of one upstream.
 #[derive(Debug)]
 struct UpstreamThreads {
     address: SocketAddr,
@@ -49,7 +49,7 @@
     polling: Arc<StatusPolling>,
 }
 
-/// One cell.
+/// One cell: its decision logic, its threads and its published routes.
 pub(super) struct CellShell {
     cell: CellName,
     identity: Holder,
@@ -61,7 +61,7 @@
     catalog: Arc<Catalog>,
     engines: Arc<dyn EngineControl>,
     upstreams: HashMap<UpstreamId, UpstreamThreads>,
-    /// Orders handed to a sender and not answered, by epoch.
+    /// Number of orders that were queued for sending and have no answer yet, by epoch.
     unanswered_orders: BTreeMap<Epoch, u32>,
     routes: BTreeSet<(ModelName, UpstreamId)>,
     has_published_routes: bool,
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Takes over a newer catalog.
+    /// Switches to a newer catalog.
     pub(super) fn use_catalog(&mut self, catalog: &Arc<Catalog>) {
         self.catalog = catalog.clone();
         if !self.upstreams.is_empty() {
@@ -130,8 +130,8 @@
         }
     }
 
-    /// Starts threads for new upstreams and for those that moved. A controller
-    /// that never led the cell has none.
+    /// Starts threads for new upstreams and for those whose address has changed. A controller
+    /// that has never led the cell has no such threads.
     fn start_threads(&mut self) {
         for entry in self.catalog.upstreams_of(&self.cell) {
             let existing = self.upstreams.get(&entry.id);
@@ -159,6 +159,7 @@
         }
     }
 
+    /// Handles an event and returns the actions to perform.
     pub(super) fn handle(&mut self, now: Instant, event: Event) -> Vec<Action> {
         if let Event::Order { fence, .. } = &event {
             self.order_answered(epoch_of(*fence));
@@ -181,8 +182,8 @@
         }
     }
 
-    /// Upstreams are asked while this controller leads, more often where
-    /// something changes.
+    /// Polls the status of upstreams while this controller leads, and more often at an
+    /// upstream where a placement is changing.
     fn update_status_polling(&mut self) {
         let term = self.controller.term();
         let changing: HashSet<&UpstreamId> = term
@@ -210,22 +211,24 @@
         }
     }
 
+    /// Whether this controller leads the cell.
     pub(super) fn is_active(&self) -> bool {
         self.controller.term().is_some()
     }
 
+    /// Returns the epoch of the current term; 0 if this controller does not lead.
     pub(super) fn epoch(&self) -> Epoch {
         self.controller
             .term()
             .map_or(0, passway_decide::cell::term::Term::epoch)
     }
 
-    /// Whether an order of `epoch` may still leave this process.
+    /// Whether this process may still send an order of `epoch`.
     pub(super) fn can_send_orders(&self, epoch: Epoch) -> bool {
         self.epoch() == epoch || self.unanswered_orders.contains_key(&epoch)
     }
 
-    /// Applies a change of routes and returns it as it travels.
+    /// Applies a change of routes and returns it as a wire message.
     pub(super) fn apply_route_change(&mut self, change: &RouteChange) -> Routes {
         if change.whole {
             self.routes.clear();
@@ -238,8 +241,8 @@
         translate::routes(&self.cell, self.epoch(), change)
     }
 
-    /// The whole table, for a router that connects; `None` if this controller
-    /// does not lead or has not published.
+    /// Returns all routes for a router that connects; `None` if this controller does not lead
+    /// or has not published routes yet.
     pub(super) fn full_route_table(&self) -> Option<Routes> {
         if !self.has_published_routes || !self.is_active() {
             return None;
@@ -253,9 +256,9 @@
         Some(translate::routes(&self.cell, self.epoch(), &change))
     }
 
-    /// Hands an action to the thread that carries it out.
+    /// Passes an action to the thread that performs it.
     pub(super) fn perform(&mut self, action: Action) {
-        // The threads' queues end only with this shell, so sending does not fail.
+        // The job queues exist as long as this shell, so sending does not fail.
         match action {
             Action::AcquireLease => drop(self.lease_jobs.send(LeaseJob::Acquire)),
             Action::RenewLease => drop(self.lease_jobs.send(LeaseJob::Renew)),
@@ -287,7 +290,7 @@
         }
     }
 
-    /// Ends the threads and waits until the lease is given back.
+    /// Stops the threads and waits until the lease is released.
     pub(super) fn shut_down(self) {
         for threads in self.upstreams.values() {
             threads.polling.should_stop.store(true, Ordering::Relaxed);
@@ -298,6 +301,7 @@
         }
     }
 
+    /// Returns the status of the cell; `None` if this controller does not lead it.
     pub(super) fn status(&self) -> Option<CellStatus> {
         let term = self.controller.term()?;
         let placement_status = |placement: &Placement| PlacementStatus {
--- a/crates/controller/src/node/configuration.rs
+++ b/crates/controller/src/node/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration: how a revision comes into force here and reaches others.
+//! Puts revisions of the configuration in force and exchanges them with peers and routers.
 
 use super::Node;
 use super::cell_shell::CellShell;
@@ -9,22 +9,22 @@
 use passway_wire::message::{Config, ConfigWanted};
 use std::net::SocketAddr;
 
-/// Another peer is asked for a revision after this time.
-const CONFIG_REQUEST_TIMEOUT: Duration = Duration::from_millis(700);
-/// Age of the confirmation at which a holder reads the configuration.
+/// Minimum interval between two requests for a revision, each to a peer that has a newer one.
+const CONFIG_REQUEST_INTERVAL: Duration = Duration::from_millis(700);
+/// Age of the latest confirmation from which on a holder reads the configuration.
 pub(super) const HOLDER_MAX_CONFIG_AGE: Duration = Duration::from_secs(1);
-/// Age at which the first controller that leads nothing reads it; more for the next.
+/// The same age for the first controller that leads no cell; it grows with the rank.
 const STANDBY_MAX_CONFIG_AGE: Duration = Duration::from_secs(2);
 
 impl Node {
-    /// The revision in force; 0 if there is none yet.
+    /// Returns the revision in force; 0 if there is none yet.
     pub(super) fn revision(&self) -> Revision {
         self.current_revision
             .as_ref()
             .map_or(0, |revision| revision.stored.revision)
     }
 
-    /// Tells the reader of the configuration how old it may become here.
+    /// Sets the age of the latest confirmation and its maximum for the reader thread.
     pub(super) fn update_read_schedule(&self, now: Instant) {
         let is_leading = self.cells.values().any(CellShell::is_active);
         let max_age = if is_leading {
@@ -38,7 +38,7 @@
             .set(if unconfirmed { Duration::MAX } else { age }, max_age);
     }
 
-    /// Puts a revision in force if it is newer than the one that is.
+    /// Puts a revision in force if it is newer than the current one and passes its checks.
     pub(super) fn adopt_revision(&mut self, now: Instant, encoded_revision: Arc<KeptRevision>) {
         let stored = &encoded_revision.stored;
         if stored.revision <= self.revision() {
@@ -48,7 +48,7 @@
             Ok(catalog) => Arc::new(catalog),
             Err(faults) => {
                 log::error!(revision = stored.revision, faults:% = faults;
-                    "a stored revision does not pass its checks");
+                    "a stored revision fails its checks");
                 return;
             }
         };
@@ -77,13 +77,14 @@
         self.send_heartbeats(now);
     }
 
-    /// Asks for a revision that this controller lacks, at one peer at a time.
+    /// Requests a newer revision from `peer`, unless the latest request to any peer is younger
+    /// than [`CONFIG_REQUEST_INTERVAL`].
     pub(super) fn request_config(&mut self, now: Instant, peer: SocketAddr, revision: Revision) {
         let have_revision = self.revision();
         if revision <= have_revision
             || self
                 .config_requested_at
-                .is_some_and(|at| now < at + CONFIG_REQUEST_TIMEOUT)
+                .is_some_and(|at| now < at + CONFIG_REQUEST_INTERVAL)
         {
             return;
         }
@@ -92,7 +93,7 @@
             .send(peer, Body::ConfigWanted(ConfigWanted { have_revision }));
     }
 
-    /// The configuration in force as a message.
+    /// Returns the configuration in force as a message; `None` if there is none yet.
     pub(super) fn config_message(&self) -> Option<Body> {
         let encoded = self.current_revision.as_ref()?.encoded.to_vec();
         Some(Body::Config(Config {
--- a/crates/controller/src/node/connections.rs
+++ b/crates/controller/src/node/connections.rs
@@ -11,9 +11,9 @@
 #[derive(Debug)]
 struct Connection {
     outbox: Outbox,
-    /// Who is at the other end; `None` until it has said so.
+    /// The client's latest hello, which identifies it; `None` before its first hello.
     hello: Option<Hello>,
-    /// The version of the holders that was sent last.
+    /// The version of the holders that was last sent to the client.
     sent_holders_version: Option<u64>,
 }
 
@@ -24,7 +24,7 @@
 }
 
 impl Connections {
-    /// A connection was accepted.
+    /// Adds an accepted connection.
     pub(super) fn add(&mut self, id: ConnectionId, outbox: Outbox) {
         let connection = Connection {
             outbox,
@@ -34,33 +34,33 @@
         self.connections.insert(id, connection);
     }
 
-    /// A connection ended; who was at the other end, if it has said so.
+    /// Removes a closed connection and returns the client's hello, if it sent one.
     pub(super) fn remove(&mut self, id: ConnectionId) -> Option<Hello> {
         self.connections.remove(&id)?.hello
     }
 
-    /// How many connections there are.
+    /// Returns the number of connections.
     pub(super) fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Records who is at the other end; whether it had not said so before.
+    /// Records the client's hello. Returns whether this was its first one.
     pub(super) fn record_hello(&mut self, id: ConnectionId, hello: Hello) -> bool {
         let connection = self.connections.get_mut(&id);
         connection.is_some_and(|connection| connection.hello.replace(hello).is_none())
     }
 
-    /// The process at the other end, if it has said who it is.
+    /// Returns the client's incarnation, if it has sent a hello.
     pub(super) fn incarnation_of(&self, id: ConnectionId) -> Option<Incarnation> {
         Some(self.connections.get(&id)?.hello.as_ref()?.incarnation)
     }
 
-    /// What the routers that are connected said of themselves.
+    /// Returns the latest hellos of the connected routers.
     pub(super) fn routers(&self) -> impl Iterator<Item = &Hello> {
         self.router_connections().map(|(hello, _)| hello)
     }
 
-    /// How many router processes are connected.
+    /// Returns the number of connected router processes.
     pub(super) fn router_count(&self) -> u32 {
         let routers: HashSet<u64> = self.routers().map(|hello| hello.incarnation).collect();
         u32::try_from(routers.len()).unwrap_or(u32::MAX)
@@ -73,14 +73,14 @@
         })
     }
 
-    /// Sends to one connection, if it is there.
+    /// Sends to one connection, if it is still open.
     pub(super) fn send_to(&self, id: ConnectionId, body: Body) {
         if let Some(connection) = self.connections.get(&id) {
             connection.outbox.send(body);
         }
     }
 
-    /// Sends to one router.
+    /// Sends to the router process with this incarnation.
     pub(super) fn send_to_router(&self, router: Incarnation, body: &Body) {
         let connections = self.router_connections();
         for (_, outbox) in connections.filter(|(hello, _)| hello.incarnation == router) {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Sends a heartbeat with the holders of this version to one connection.
+    /// Sends to one connection a heartbeat that names the holders of this version.
     pub(super) fn send_heartbeat(&mut self, id: ConnectionId, heartbeat: Heartbeat, version: u64) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.sent_holders_version = Some(version);
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Sends a heartbeat to all that have said who they are; the holders only to
-    /// those to whom this version of them was not sent before.
+    /// Sends a heartbeat to all clients that have sent a hello. The heartbeat omits the
+    /// holders for clients that have already received this version of them.
     pub(super) fn send_heartbeats(&mut self, with_holders: &Heartbeat, version: u64) {
         let without_holders = Heartbeat {
             cells: Vec::new(),
@@ -126,7 +126,7 @@
     }
 }
 
-/// Whether a router is at the other end.
+/// Whether the sender of a hello is a router.
 pub(super) fn is_router(hello: &Hello) -> bool {
     hello.role == i32::from(Role::Router)
 }
--- a/crates/controller/src/node/fleet.rs
+++ b/crates/controller/src/node/fleet.rs
@@ -1,4 +1,4 @@
-//! What the platform's list says of instances and upstreams.
+//! Instances and upstreams in the platform's list.
 
 use passway_config::Catalog;
 use passway_decide::cell::upstreams::Standing;
@@ -6,27 +6,27 @@
 use passway_types::prelude::*;
 use std::collections::{HashMap, HashSet};
 
-/// The list as it was read last, and what followed from it.
+/// The instance list as last read, and the changes to it since the start.
 #[derive(Debug, Default)]
 pub(super) struct Fleet {
     listed: HashSet<InstanceId>,
-    /// Listed once and no more.
+    /// Instances that were listed before and are not listed now.
     removed: HashSet<InstanceId>,
-    /// What the cells know of their upstreams.
+    /// The state in the list of each upstream, as last sent to the cells.
     listings: HashMap<UpstreamId, Standing>,
-    /// The revision for whose cells the ranks were worked out.
+    /// The revision for whose cells the ranks were last computed.
     ranked_revision: Revision,
     /// Whether the list has changed since then.
     list_changed: bool,
 }
 
 impl Fleet {
-    /// Whether an instance was listed and is no more.
+    /// Whether an instance was listed before and is not listed now.
     pub(super) fn was_removed(&self, id: &InstanceId) -> bool {
         self.removed.contains(id)
     }
 
-    /// Takes in the list; returns the upstreams of which it says something new.
+    /// Records the list. Returns the upstreams whose state in it has changed.
     pub(super) fn update(
         &mut self,
         list: &[ListedInstance],
@@ -67,8 +67,8 @@
         changed
     }
 
-    /// Whether ranks are to be worked out again: the list or the revision is another one.
-    /// A rank takes a hash for each instance and cell.
+    /// Whether the ranks must be recomputed because the list or the revision has changed since
+    /// the last call that returned true. A rank costs one hash for each instance and cell.
     pub(super) fn start_ranking_if_due(&mut self, revision: Revision) -> bool {
         let is_due = self.list_changed || self.ranked_revision != revision;
         self.list_changed = false;
@@ -76,7 +76,7 @@
         is_due
     }
 
-    /// How many listed controllers come before this one for a cell.
+    /// Returns the number of listed controllers that precede this one for a cell.
     pub(super) fn rank(&self, own_id: &InstanceId, cell: &CellName, catalog: &Catalog) -> u32 {
         let weight = passway_config::catalog::rendezvous_hash;
         let own_weight = weight(own_id, cell);
--- a/crates/controller/src/node/input.rs
+++ b/crates/controller/src/node/input.rs
@@ -1,4 +1,4 @@
-//! What the deciding thread is told.
+//! The inputs of the decision thread.
 
 use crossbeam::channel::Sender;
 use passway_config::revision::KeptRevision;
@@ -12,60 +12,60 @@
 /// The number of an accepted connection.
 pub type ConnectionId = u64;
 
-/// Something that happened outside.
+/// An event or answer from another thread.
 #[derive(Debug)]
 pub enum Input {
-    /// An event for one cell's decisions.
+    /// An event for the decision logic of one cell.
     Cell {
-        /// The cell.
+        /// The cell that handles the event.
         cell: CellName,
         /// The event.
         event: Event,
     },
     /// A connection was accepted.
     Connected {
-        /// Its number.
+        /// The number of the new connection.
         id: ConnectionId,
-        /// Sends to it.
+        /// Queue of messages to the connection.
         outbox: Outbox,
     },
-    /// A message came on an accepted connection.
+    /// A message arrived on an accepted connection.
     Received {
         /// The connection.
         id: ConnectionId,
         /// The message.
         body: Body,
     },
-    /// An accepted connection ended.
+    /// An accepted connection was closed.
     Disconnected {
         /// The connection.
         id: ConnectionId,
     },
-    /// A message came from a controller that this one connected to.
+    /// A message arrived from a peer to which this controller has connected.
     FromPeer {
-        /// The controller's address.
+        /// The peer's address.
         peer: SocketAddr,
         /// The message.
         body: Body,
     },
-    /// The key-value service answered something.
+    /// The key-value service answered a call.
     ServiceReached,
-    /// The configuration was read and is another one than before.
+    /// The reader thread has read a configuration that differs from the previous one.
     ConfigRead {
-        /// When the question was sent.
+        /// Time at which the read was sent.
         requested_at: Instant,
-        /// The revision that stands.
+        /// The current revision.
         revision: Arc<KeptRevision>,
     },
-    /// The configuration that was read last still stands.
+    /// The configuration that was last read is still the current one.
     ConfigConfirmed {
-        /// When the question was sent.
+        /// Time at which the read was sent.
         requested_at: Instant,
     },
     /// The configuration could not be read.
     ConfigUnavailable,
-    /// The instance list was read.
+    /// The instance list as just read.
     Listed(Vec<ListedInstance>),
-    /// The process stops; the sender is told when leases are given back.
+    /// The process stops. The sender receives a message once the leases are released.
     Stop(Sender<()>),
 }
--- a/crates/controller/src/node/peers.rs
+++ b/crates/controller/src/node/peers.rs
@@ -1,9 +1,8 @@
 //! Connections to other controllers.
 //!
-//! A controller connects to the peers that come 1, 2, 4, 8 ... places after it
-//! in the ring of all addresses. Each has so few connections that their number
-//! grows with the logarithm of the fleet, and news reaches everybody in as many
-//! hops.
+//! A controller connects to the peers that are 1, 2, 4, 8 ... positions after it in the ring
+//! of all addresses. The number of connections of a controller and the number of hops until
+//! an update reaches all controllers both grow with the logarithm of the fleet.
 
 use super::Input;
 use anyhow::{Context, Result};
@@ -19,7 +18,8 @@
 use std::net::SocketAddr;
 use std::sync::{Mutex, PoisonError};
 
-/// Pause between two words to a peer, so that it does not take this one for dead.
+/// Minimum interval between two hellos to a peer. The hellos keep the peer from closing the
+/// connection as silent.
 const HELLO_INTERVAL: Duration = Duration::from_secs(1);
 
 type Outboxes = Arc<Mutex<HashMap<SocketAddr, Outbox>>>;
@@ -32,7 +32,7 @@
 }
 
 impl Peers {
-    /// Keeps a connection to each chosen peer.
+    /// Connects to each chosen peer and reconnects after a disconnect.
     ///
     /// # Errors
     /// If an address cannot be parsed.
@@ -57,7 +57,7 @@
         })
     }
 
-    /// Sends to a peer, if it is connected.
+    /// Sends to a peer, if a connection to it is open.
     pub(super) fn send(&self, peer: SocketAddr, body: Body) {
         let outboxes = self.outboxes.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(outbox) = outboxes.get(&peer) {
@@ -66,7 +66,7 @@
     }
 }
 
-/// The peers 1, 2, 4, 8 ... places after `me` in the sorted ring.
+/// Returns the peers 1, 2, 4, 8 ... positions after `own_address` in the sorted ring.
 pub(super) fn chosen_peers(mut ring: Vec<SocketAddr>, own_address: SocketAddr) -> Vec<SocketAddr> {
     ring.push(own_address);
     ring.sort_unstable();
@@ -102,14 +102,15 @@
                 hello_sent_at = clock::now();
             }
             Dialed::Received(body) => {
-                // A heartbeat is answered, so that neither side falls silent.
+                // Answers the peer's messages with a hello, so the peer does not reach its
+                // read timeout.
                 if let Some(outbox) = outboxes.get(&peer)
                     && clock::since(hello_sent_at) >= HELLO_INTERVAL
                 {
                     outbox.send(Body::Hello(hello.clone()));
                     hello_sent_at = clock::now();
                 }
-                // The deciding thread ends only with the process.
+                // The receiver exists until the process terminates, so the send does not fail.
                 let _ = inputs.send(Input::FromPeer { peer, body });
             }
             Dialed::Disconnected => {
--- a/crates/controller/src/translate.rs
+++ b/crates/controller/src/translate.rs
@@ -1,10 +1,11 @@
-//! Between wire messages and the types of the decisions.
+//! Conversion between wire messages and the types of the decision logic.
 
 use passway_decide::messages::{Demand, DemandVerdict, RouteChange, Usage};
 use passway_types::prelude::*;
 use passway_wire::message;
 
-/// A demand as the decisions take it; the deadline counts from its receipt.
+/// Converts a demand from the wire. The relative deadline counts from `now`, the time of
+/// receipt.
 pub(crate) fn demand(now: Instant, router: Incarnation, from: message::Demand) -> Demand {
     Demand {
         router,
@@ -16,7 +17,7 @@
     }
 }
 
-/// A report of use as the decisions take it.
+/// Converts a usage report from the wire; the model counts as last used at `now`.
 pub(crate) fn usage(now: Instant, router: Incarnation, from: message::Usage) -> Usage {
     Usage {
         router,
@@ -26,7 +27,7 @@
     }
 }
 
-/// A verdict as it travels.
+/// Converts the answer to a demand to a wire message with times relative to `now`.
 pub(crate) fn verdict(now: Instant, model: &str, from: DemandVerdict) -> message::Verdict {
     let until_ms = |at: Instant| {
         u64::try_from(at.saturating_duration_since(now).as_millis()).unwrap_or(u64::MAX)
@@ -45,7 +46,7 @@
     verdict
 }
 
-/// A change of routes as it travels.
+/// Converts a change of routes to a wire message.
 pub(crate) fn routes(cell: &str, epoch: Epoch, from: &RouteChange) -> message::Routes {
     let to_wire_routes = |routes: &[(ModelName, UpstreamId)]| {
         let to_wire_route = |(model, upstream): &(ModelName, UpstreamId)| message::Route {
--- a/crates/controller/src/workers.rs
+++ b/crates/controller/src/workers.rs
@@ -1,7 +1,9 @@
-//! Threads that make the calls which the deciding thread asks for.
+//! Threads that make the blocking calls of the decision thread.
 //!
-//! Calls of one kind for one cell or upstream are made one after the other; a
-//! slow key-value service delays neither orders nor lease renewals.
+//! Each cell has one thread for its lease and one for its plan, and each upstream has one for
+//! orders and one for its status. Calls of one kind run one after the other. A slow call to
+//! the key-value service delays neither orders nor calls of another kind, such as lease
+//! renewals.
 
 use crate::node::Input;
 use crossbeam::channel::{Sender, unbounded};
@@ -19,20 +21,20 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::JoinHandle;
 
-/// Part of a lease's time, in tenths, on which the holder relies.
+/// The holder relies on its lease only for this fraction of the lease's duration, in tenths.
 const USABLE_LEASE_TENTHS: u32 = 8;
-/// Time for a probe to be answered.
+/// Timeout of connecting to the previous holder and of reading its answer.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause between two questions to an upstream at which something changes.
+/// Interval of status queries to an upstream at which a placement is changing.
 const BUSY_STATUS_INTERVAL: Duration = Duration::from_millis(150);
-/// Pause between two questions to any other upstream.
+/// Interval of status queries to any other upstream.
 const IDLE_STATUS_INTERVAL: Duration = Duration::from_millis(750);
-/// Step in which a status thread looks whether it should hurry.
+/// Interval at which a status thread checks whether a query is due.
 const STATUS_POLL_STEP: Duration = Duration::from_millis(50);
-/// Pause between two looks at the instance list.
+/// Interval between two reads of the instance list.
 const LIST_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Where the answers of one cell's calls go.
+/// Sends the answers to one cell's calls to the decision thread.
 #[derive(Debug, Clone)]
 pub(crate) struct ReplySender {
     pub(crate) cell: CellName,
@@ -41,7 +43,7 @@
 
 impl ReplySender {
     pub(crate) fn send_event(&self, event: Event) {
-        // The deciding thread ends only with the process.
+        // The receiver exists until the process terminates, so the send does not fail.
         let _ = self.inputs.send(Input::Cell {
             cell: self.cell.clone(),
             event,
@@ -53,7 +55,7 @@
     }
 }
 
-/// A call about the lease.
+/// A call about a cell's lease.
 #[derive(Debug)]
 pub(crate) enum LeaseJob {
     Acquire,
@@ -61,7 +63,7 @@
     Release,
 }
 
-/// Starts the thread that takes, renews and gives back a cell's lease.
+/// Starts the thread that acquires, renews and releases a cell's lease.
 pub(crate) fn start_lease_thread(
     key_value: Arc<dyn KeyValue>,
     holder: &Holder,
@@ -73,8 +75,8 @@
     let thread = std::thread::spawn(move || {
         let mut lease = None;
         for job in jobs {
-            // Counted from before the call: the service may start the lease's
-            // time as soon as the call arrives.
+            // Counted from before the call, because the service may start the lease's
+            // duration as soon as the call arrives.
             let until_at = clock::now() + time_to_live * USABLE_LEASE_TENTHS / 10;
             let answer = match job {
                 LeaseJob::Acquire => {
@@ -83,7 +85,7 @@
                 LeaseJob::Renew => renew(&*key_value, &mut lease),
                 LeaseJob::Release => {
                     if let Some(lease) = lease.take() {
-                        // A lease that is not given back lapses by itself.
+                        // If the release fails, the lease expires.
                         let _ = key_value.end_lease(lease);
                     }
                     continue;
@@ -118,15 +120,16 @@
     lease: &mut Option<LeaseId>,
 ) -> Result<bool, Unavailable> {
     if let Some(previous_lease) = lease.take() {
-        // Ours from a term that ended; the key must go before it can be taken anew.
+        // The lease of this process from an ended term: the service must delete the holder
+        // key with it before a new lease can write the key.
         key_value.end_lease(previous_lease)?;
     }
     if key_value.get(&holder_key(cell))?.is_some() {
         return Ok(false);
     }
     let granted = key_value.grant_lease(time_to_live)?;
-    // Kept before the write: if its answer is lost, the next attempt ends this
-    // lease first and with it a key that the write may have made.
+    // Stored before the write: if the answer to the write is lost, the next attempt first ends
+    // this lease, which deletes a key that the write may have created.
     *lease = Some(granted);
     let outcome = key_value.put_if(&holder_key(cell), 0, value, Some(granted))?;
     Ok(matches!(outcome, PutOutcome::Written(_)))
@@ -139,7 +142,7 @@
     }
 }
 
-/// A call about the plan.
+/// A call about a cell's plan.
 #[derive(Debug)]
 pub(crate) enum PlanJob {
     Read,
@@ -180,7 +183,7 @@
                 plan: Some(plan),
             },
             Err(error) => {
-                log::error!(key = key, error:% = error; "the plan cannot be read");
+                log::error!(key = key, error:% = error; "cannot decode the stored plan");
                 Event::PlanUnavailable
             }
         },
@@ -226,18 +229,18 @@
     sender
 }
 
-/// How often an upstream is asked.
+/// Controls how often a status thread queries its upstream.
 #[derive(Debug, Default)]
 pub(crate) struct StatusPolling {
     /// Whether this controller leads the upstream's cell.
     pub(crate) is_leading: AtomicBool,
-    /// Whether something changes at the upstream.
+    /// Whether a placement is changing at the upstream, so queries are more frequent.
     pub(crate) is_busy: AtomicBool,
-    /// Whether the thread should end.
+    /// Whether the thread should terminate.
     pub(crate) should_stop: AtomicBool,
 }
 
-/// Starts the thread that asks one upstream for its status.
+/// Starts the thread that queries the status of one upstream.
 pub(crate) fn start_status_thread(
     engines: Arc<dyn EngineControl>,
     upstream: UpstreamId,
@@ -284,7 +287,7 @@
     });
 }
 
-/// Asks, in a thread of its own, whether a former holder can still send orders.
+/// Starts a thread that queries the previous holder whether it can still send orders.
 pub(crate) fn start_probe_thread(
     identity: &Holder,
     epoch: Epoch,
@@ -299,8 +302,8 @@
     };
     std::thread::spawn(move || {
         let answer = probe_previous_holder(&previous, hello, &reply.cell, epoch);
-        // Another process at the address proves the old one gone. No answer
-        // proves nothing: the process may be paused.
+        // Another incarnation at the address proves that the previous process has terminated.
+        // A missing answer proves nothing, because the process may be paused.
         let is_gone = answer.is_some_and(|(incarnation, may_order)| {
             incarnation != previous.incarnation || !may_order
         });
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -1,4 +1,5 @@
-//! Calls that may not be repeated: one claim under the caller's key before the call leaves.
+//! Calls that must not be repeated: a claim is written under the caller's key before the call
+//! is sent.
 
 use crossbeam::channel::{Sender, bounded};
 use passway_decide::claim::{Claim, ClaimState, ClaimStep, StoredAnswer, next_step};
@@ -7,16 +8,17 @@
 use std::fmt::{self, Write};
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 
-/// Outcomes that wait to be written while the key-value service is away.
+/// Maximum number of outcomes that wait to be written while the key-value service is
+/// unavailable.
 const MAX_UNWRITTEN_OUTCOMES: usize = 10_000;
-/// Pause before an outcome is written again.
+/// Delay before a failed write of an outcome is repeated.
 const WRITE_BACKOFF: Duration = Duration::from_millis(500);
-/// Times that a claim is read back before the caller is refused.
+/// Number of times that a claim is read back before the router refuses the call.
 const MAX_READ_BACKS: usize = 2;
-/// Retry hint while a call with the same key may be in progress.
+/// Retry hint of refusals, for instance while a call with the same key may be in progress.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// A claim that is ours: the call may be sent, once.
+/// A claim that this router holds: it may send the call once.
 #[derive(Debug, Clone)]
 pub struct OwnClaim {
     key: String,
@@ -24,29 +26,29 @@
     claim: Claim,
 }
 
-/// What a caller with a key gets.
+/// How to answer a call with a key.
 #[derive(Debug)]
 pub enum ClaimResult {
-    /// Send the call and settle the claim.
+    /// Send the call, then settle the claim with its outcome.
     Send(OwnClaim),
-    /// Answer with what was answered before.
+    /// Answer with the stored answer of the earlier call.
     Replay(StoredAnswer),
 }
 
-/// An outcome to be written.
+/// An outcome that is not written yet.
 #[derive(Debug)]
 struct UnwrittenOutcome {
     own_claim: OwnClaim,
     state: ClaimState,
 }
 
-/// Claims of one router.
+/// The claims of one router.
 pub struct Claims {
     key_value: Arc<dyn KeyValue>,
     incarnation: Incarnation,
     attempts: AtomicU64,
     unwritten_sender: Sender<UnwrittenOutcome>,
-    /// Outcomes in the queue or in the hands of the writing thread.
+    /// Number of outcomes in the queue or being written.
     unwritten_count: Arc<AtomicUsize>,
 }
 
@@ -59,7 +61,8 @@
 }
 
 impl Claims {
-    /// Claims kept in `key_value`.
+    /// Creates claims that are stored in `key_value` and starts the thread that writes queued
+    /// outcomes.
     pub fn new(key_value: Arc<dyn KeyValue>, incarnation: Incarnation) -> Self {
         let (unwritten_sender, receiver) = bounded::<UnwrittenOutcome>(MAX_UNWRITTEN_OUTCOMES);
         let thread_key_value = key_value.clone();
@@ -83,7 +86,7 @@
         }
     }
 
-    /// Outcomes that are not written yet.
+    /// Returns the number of outcomes that are not written yet.
     pub fn unwritten_count(&self) -> usize {
         self.unwritten_count.load(Ordering::Acquire)
     }
@@ -105,7 +108,8 @@
         for _ in 0..=MAX_READ_BACKS {
             let found = match self.read(&key) {
                 Ok(found) => found,
-                // A write may have taken effect: it is ours and nothing left.
+                // An unconfirmed write may have taken effect. The claim is then ours, and no
+                // call was sent.
                 Err(Unavailable) if has_tried_write => break,
                 Err(Unavailable) => return Err(claim_unreadable()),
             };
@@ -144,7 +148,7 @@
                 }
             }
         }
-        // Nothing was sent and nothing will be; a claim that may stand is taken back.
+        // The call was not sent and will not be sent. If the claim was written, release it.
         self.queue_outcome(
             OwnClaim {
                 key,
@@ -167,7 +171,7 @@
         Ok(Some((found.version, claim)))
     }
 
-    /// Records the outcome, now if the service answers, else later.
+    /// Writes the outcome at once, or queues it if the key-value service is unavailable.
     pub fn settle(&self, own_claim: OwnClaim, state: ClaimState) {
         if write_outcome(&*self.key_value, &own_claim, &state).is_err() {
             self.queue_outcome(own_claim, state);
@@ -182,13 +186,14 @@
             .is_err()
         {
             self.unwritten_count.fetch_sub(1, Ordering::AcqRel);
-            // The claim stays as it is: repeats get "unknown", never a second run.
-            log::error!("too many outcomes wait to be written");
+            // The claim stays in its claimed state: repeats are refused as unknown and never
+            // run the call a second time.
+            log::error!("the queue of unwritten outcomes is full; dropped an outcome");
         }
     }
 }
 
-/// Writes an outcome over our own claim and over nothing else.
+/// Replaces the claim of this router by its outcome. Leaves any other value unchanged.
 fn write_outcome(
     key_value: &dyn KeyValue,
     own_claim: &OwnClaim,
@@ -200,7 +205,7 @@
     };
     let value = serde_json::to_vec(&settled).unwrap_or_default();
     let version = if own_claim.version == 0 {
-        // The claim's write was never confirmed: find out whether it stands.
+        // The write of the claim was never confirmed: check whether it took effect.
         let Some(found) = key_value.get(&own_claim.key)? else {
             return Ok(());
         };
@@ -214,7 +219,7 @@
     } else {
         own_claim.version
     };
-    // A conflict means that an earlier try of this same write took effect.
+    // A conflict means that an earlier attempt at the same write took effect.
     key_value
         .put_if(&own_claim.key, version, &value, None)
         .map(|_| ())
@@ -223,7 +228,7 @@
 fn store_key(service: &str, key: &str) -> String {
     let mut path = format!("claims/{service}/");
     for byte in key.bytes() {
-        // Writing into a string does not fail.
+        // Writing to a string does not fail.
         let _ = write!(path, "{byte:02x}");
     }
     path
--- a/crates/router/src/control.rs
+++ b/crates/router/src/control.rs
@@ -1,4 +1,4 @@
-//! Connections to controllers: configuration, routes, demands.
+//! Connections to controllers, which send the configuration and routes and receive demands.
 
 use crate::shared::{RequestDecision, Shared};
 use anyhow::{Context, Result};
@@ -16,15 +16,16 @@
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError, Weak};
 
-/// Configured controllers that a router stays connected to, besides the holders.
+/// Number of configured controllers to which a router stays connected, besides the holders.
 const PERMANENT_CONNECTIONS: usize = 2;
-/// Pause between two words to a controller, so that it does not take this router for dead.
+/// Minimum interval between two hellos to a controller. The hellos keep the controller from
+/// closing the connection as silent.
 const HELLO_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Another controller is asked for a revision after this time.
+/// After this time without a configuration, the router requests it from another controller.
 const CONFIG_REQUEST_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Where a cell's holder listens.
+/// The address of a cell's holder and the epoch of its term.
 #[derive(Debug, Clone, Copy)]
 struct KnownHolder {
     epoch: Epoch,
@@ -41,7 +42,7 @@
     config_requested_at: Option<Instant>,
 }
 
-/// A router's connections to controllers.
+/// The connections of a router to controllers.
 #[derive(Debug)]
 pub struct Control {
     connections: Mutex<ControllerConnections>,
@@ -50,7 +51,7 @@
 }
 
 impl Control {
-    /// Begins to connect.
+    /// Starts to connect to the configured controllers.
     ///
     /// # Errors
     /// If an address in the settings cannot be parsed.
@@ -126,7 +127,8 @@
         }
     }
 
-    /// Tells every controller which revision is in force here and how much is in progress.
+    /// Sends every controller the revision in force at this router and the number of requests
+    /// in progress.
     pub fn send_hello(&self, shared: &Shared) {
         let hello = hello(shared);
         for outbox in self.connections().outboxes.values() {
@@ -182,7 +184,8 @@
         }
     }
 
-    /// Asks for a revision that this router lacks, at one controller at a time.
+    /// Requests a newer revision from the controller at `address`, unless the router has
+    /// requested one less than [`CONFIG_REQUEST_TIMEOUT`] ago.
     fn request_config(
         &self,
         address: SocketAddr,
@@ -211,13 +214,13 @@
         let stored: StoredRevision = match revision::decode(encoded) {
             Ok(stored) => stored,
             Err(error) => {
-                log::error!(error:% = error; "a configuration cannot be read");
+                log::error!(error:% = error; "cannot decode a received configuration");
                 return;
             }
         };
         self.connections().config_requested_at = None;
-        // Looked at and set under the lock of the decisions, so that two
-        // controllers that send at one time cannot set the older one last.
+        // Compared and replaced under the lock of the decision logic. Otherwise two
+        // controllers that send at the same time could leave the older revision in force.
         {
             let mut core = shared.core();
             if stored.revision <= core.catalog().revision {
@@ -231,7 +234,7 @@
                 }
                 Err(faults) => {
                     log::error!(revision = stored.revision, faults:% = faults;
-                        "a revision does not pass its checks");
+                        "a received revision fails its checks");
                     return;
                 }
             }
@@ -247,7 +250,8 @@
                 .route_epochs
                 .entry(routes.cell.clone())
                 .or_default();
-            // An older holder's word, or a change of a table that was never seen whole.
+            // Ignores a previous holder's message, and a change to a table that the router
+            // has never received completely.
             if routes.epoch < *known_epoch || (routes.epoch > *known_epoch && !routes.whole) {
                 return;
             }
@@ -269,8 +273,9 @@
         });
     }
 
-    /// Takes in the answer to a demand, if it is the holder's. A controller that was paused
-    /// answers what it was asked as the holder, and would refuse what its successor serves.
+    /// Handles the answer to a demand if it comes from the current holder. A controller that
+    /// was paused may answer a demand that it received while it was the holder, and may refuse
+    /// a model that its successor serves.
     fn handle_verdict(
         &self,
         address: SocketAddr,
@@ -279,7 +284,7 @@
     ) {
         let holder = self.holder_of(shared, &verdict.model);
         if holder.is_none_or(|holder| holder.address != address) {
-            log::info!(model = verdict.model, controller:% = address; "an answer of a former holder is left out");
+            log::info!(model = verdict.model, controller:% = address; "ignored an answer of a previous holder");
             return;
         }
         let now = clock::now();
@@ -297,7 +302,7 @@
         self.decide(shared, |core, now| core.verdict(now, &model, decided));
     }
 
-    /// Makes one decision and carries out what it says.
+    /// Makes one decision and performs its actions.
     pub fn decide(
         &self,
         shared: &Shared,
@@ -354,14 +359,15 @@
         }
     }
 
-    /// Sends to the holder of the model's cell; the decisions repeat what is lost.
+    /// Sends to the holder of the model's cell, if it is known and connected. The decision
+    /// logic repeats messages that are lost.
     fn send_to_holder(&self, shared: &Shared, model: &str, body: Body) {
         if let Some(holder) = self.holder_of(shared, model) {
             self.send_to(holder.address, body);
         }
     }
 
-    /// The holder of a model's cell, as far as it is known.
+    /// Returns the holder of a model's cell, if it is known.
     fn holder_of(&self, shared: &Shared, model: &str) -> Option<KnownHolder> {
         let catalog = shared.catalog.load();
         let cell = &catalog.models.get(model)?.cell;
--- a/crates/router/src/generate.rs
+++ b/crates/router/src/generate.rs
@@ -1,4 +1,4 @@
-//! Generation at model engines.
+//! Generation requests and the attempts to run them at model engines.
 
 use crate::control::Control;
 use crate::http::{self, REQUEST_ID_HEADER};
@@ -13,29 +13,30 @@
 use serde_json::Value;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Header that tells an engine the time until the deadline.
+/// Header to an engine: the time until the deadline, in milliseconds.
 const DEADLINE_HEADER: &str = "x-deadline-ms";
-/// Header that tells an engine the priority.
+/// Header to an engine: the request's priority.
 const PRIORITY_HEADER: &str = "x-priority";
-/// Header that asks an engine to leave out the tokens that were delivered before.
+/// Header to an engine: the number of leading tokens to omit, because the caller has already
+/// received them.
 pub const RESUME_HEADER: &str = "x-resume-at";
-/// An engine that sends nothing for this long within an answer has failed.
+/// An engine that sends nothing for this long in a streamed answer counts as failed.
 const STALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause between two looks whether a waiting caller is still there.
+/// Interval of the check whether a waiting caller is still connected.
 const CALLER_POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// Time after the deadline at which a request that heard nothing ends anyway.
+/// A request without a decision ends this long after its deadline.
 const NO_DECISION_GRACE: Duration = Duration::from_secs(2);
 
-/// A request as it goes to engines, as often as it takes.
+/// A generation request with the state of its attempts at engines.
 #[derive(Debug)]
 pub struct GenerationRequest {
-    /// The router's state.
+    /// The shared state of the router.
     pub shared: Arc<Shared>,
-    /// The router's connections.
+    /// The router's connections to controllers.
     pub control: Arc<Control>,
-    /// The request's number.
+    /// The request's number, unique in this process.
     pub request: RequestId,
-    /// The id in logs and answers.
+    /// The request's id in logs, at upstreams and in answers.
     pub label: String,
     decisions: Receiver<RequestDecision>,
     path: String,
@@ -48,7 +49,7 @@
     _guard: InProgressGuard,
 }
 
-/// What one attempt at an engine gave.
+/// The result of one attempt at an engine.
 #[derive(Debug)]
 enum Attempt {
     Answer(ureq::http::Response<ureq::Body>),
@@ -149,13 +150,13 @@
                 Err(_) if clock::now() >= deadline_at => {
                     return Err(Refusal::new(ResultCode::AnswerLate, "no answer in time"));
                 }
-                // Nothing was passed on yet, so the request may run again.
+                // The caller has received nothing yet, so the request may run again.
                 Err(_) => self.report_end(Ended::Failed),
             }
         }
     }
 
-    /// Waits for the decisions and makes the attempt that they name.
+    /// Waits for the next decision and makes the attempt that it requires.
     fn next_attempt(&self, resume_at: u32) -> Result<(Attempt, Instant), Refusal> {
         match self.next_decision()? {
             RequestDecision::Refuse(refusal) => Err(refusal),
@@ -178,7 +179,7 @@
         }
     }
 
-    /// Waits for a word of the decisions, as long as the caller is there.
+    /// Waits for the next decision while the caller is connected.
     fn next_decision(&self) -> Result<RequestDecision, Refusal> {
         let give_up_at = self.request_deadline_at + NO_DECISION_GRACE;
         loop {
@@ -230,8 +231,8 @@
             .configure_request(request)
             .timeout_connect(Some(time_left))
             .timeout_recv_response(Some(time_left));
-        // A streamed answer may go on past the deadline, which is for its first
-        // token; a whole answer may not.
+        // The deadline applies to the first token of a streamed answer, so the rest may arrive
+        // later. An answer that is not streamed must be complete by the deadline.
         let configured = if self.is_streamed {
             configured.timeout_per_read(Some(STALL_TIMEOUT))
         } else {
@@ -264,7 +265,7 @@
             .decide(&self.shared, |core, now| core.ended(now, request, ended));
     }
 
-    /// Records that the answer was passed on whole.
+    /// Records that the caller received the complete answer.
     pub(crate) fn report_served(&self, tokens: u32) {
         self.shared.metrics.count_served();
         self.report_end(Ended::Served { tokens });
@@ -294,7 +295,8 @@
         http::build_response(builder, Body::wrap_reader(StreamReader::new(self, engine)))
     }
 
-    /// Goes on with a broken stream at another engine, after `delivered` tokens.
+    /// Resumes a broken stream after `delivered` tokens at an engine that the decision logic
+    /// chooses.
     ///
     /// # Errors
     /// The refusal that ends the stream.
@@ -316,11 +318,11 @@
     }
 }
 
-/// Judges an engine's answer by its status.
+/// Classifies an engine's answer by its HTTP status.
 fn classify_response(response: ureq::http::Response<ureq::Body>) -> Attempt {
     match response.status().as_u16() {
         200 => Attempt::Answer(response),
-        // Engines answer so before anything runs.
+        // Engines answer 404 and 429 before the request runs.
         404 => Attempt::Ended(Ended::NotLoaded),
         429 => Attempt::Ended(Ended::Busy),
         _ => Attempt::Ended(Ended::Failed),
--- a/crates/router/src/http.rs
+++ b/crates/router/src/http.rs
@@ -12,23 +12,23 @@
 pub const WORKSPACE_HEADER: &str = "x-passway-workspace";
 /// Header that gives the time until the deadline in milliseconds.
 pub const DEADLINE_HEADER: &str = "x-passway-deadline-ms";
-/// Header that gives the priority within the workspace; a lower number goes first.
+/// Header that gives the priority within the workspace; a lower number is served first.
 pub const PRIORITY_HEADER: &str = "x-passway-priority";
 /// Header that names the kind of request, for policy.
 pub const KIND_HEADER: &str = "x-passway-kind";
-/// Header that carries the request's id to upstreams, logs and answers.
+/// Header that carries the request's id, in calls to upstreams and in answers.
 pub const REQUEST_ID_HEADER: &str = "x-passway-request";
-/// Header of a refusal: its numbered code.
+/// Header of a refusal: its numeric result code.
 pub const CODE_HEADER: &str = "x-passway-code";
 /// Header of a refusal: whether the request ran.
 pub const RAN_HEADER: &str = "x-passway-ran";
 
-/// Workspace of a caller that names none.
+/// Workspace of a request that names none.
 const DEFAULT_WORKSPACE: &str = "default";
-/// Refused connections come back after this time.
+/// Retry hint to a connection that is refused.
 const CONNECTIONS_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Answers one request.
+/// Answers one HTTP request.
 pub fn handle(shared: &Arc<Shared>, control: &Arc<Control>, request: &Request) -> Response {
     let path = request.path().to_owned();
     match path.as_str() {
@@ -61,7 +61,7 @@
     build_response(::http::Response::builder().status(status), Body::new(body))
 }
 
-/// Finishes an answer whose parts are known to be valid.
+/// Builds an answer from parts that are known to be valid.
 pub(crate) fn build_response(builder: ::http::response::Builder, body: Body) -> Response {
     builder.body(body).unwrap_or_else(|error| {
         log::error!(error:% = error; "an answer could not be built");
@@ -69,7 +69,7 @@
     })
 }
 
-/// What a caller says of its request in headers.
+/// The settings of a request that its headers contain.
 #[derive(Debug)]
 pub(crate) struct RequestMeta {
     pub(crate) workspace: String,
@@ -78,7 +78,7 @@
     pub(crate) deadline_at: Option<Instant>,
 }
 
-/// Reads the headers.
+/// Reads workspace, kind, priority and deadline from the headers.
 pub(crate) fn read_meta(shared: &Shared, request: &Request) -> Result<RequestMeta, Refusal> {
     let now = clock::now();
     let bad_deadline = |detail: &str| Refusal::new(ResultCode::BadDeadline, detail);
@@ -113,7 +113,7 @@
     })
 }
 
-/// The body of a request.
+/// Returns the body of a request.
 pub(crate) fn read_body<'r>(shared: &Shared, request: &'r Request) -> Result<&'r [u8], Refusal> {
     let limit = shared.limits.body_bytes;
     request.body.as_deref().map_err(|unread| match unread {
@@ -123,7 +123,7 @@
     })
 }
 
-/// The body of a refusal.
+/// The error object in the body of a refusal.
 #[derive(Debug, Serialize)]
 struct RefusalBody<'a> {
     code: u16,
@@ -133,7 +133,7 @@
     retry_after_ms: Option<u64>,
 }
 
-/// A refusal as the JSON object that its body and stream events carry.
+/// Returns the JSON object for a refusal, which is its body or the data of a stream event.
 pub(crate) fn refusal_json(refusal: &Refusal) -> String {
     let retry_after_ms = refusal
         .retry_after
@@ -149,7 +149,7 @@
     json.to_string()
 }
 
-/// The whole answer, head included, to a connection that is one too many.
+/// Returns the complete answer, including the head, to a connection over the limit.
 pub(crate) fn too_many_connections_response() -> Vec<u8> {
     let refusal = Refusal::new(ResultCode::TooManyConnections, "too many connections")
         .retry_after(CONNECTIONS_RETRY_AFTER);
@@ -166,7 +166,7 @@
     (head + &body).into_bytes()
 }
 
-/// Answers with a refusal.
+/// Counts a refusal and builds its answer.
 pub(crate) fn refusal_response(shared: &Shared, refusal: &Refusal) -> Response {
     shared.metrics.count_refused(refusal.code);
     log::debug!(code:% = refusal.code, detail = refusal.detail.as_str(); "refused");
@@ -176,7 +176,7 @@
         .header(CODE_HEADER, (refusal.code as u16).to_string())
         .header(RAN_HEADER, refusal.code.ran().as_str());
     if let Some(retry_after) = refusal.retry_after {
-        // Whole seconds, rounded up, as the header wants it; the body has milliseconds.
+        // The header takes whole seconds, rounded up; the body has milliseconds.
         let seconds = retry_after.as_millis().div_ceil(1_000);
         builder = builder.header("retry-after", seconds.to_string());
     }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,12 +1,14 @@
-//! The router program: a thin shell round [`passway_decide::router`].
+//! The router program: runs the decision logic of [`passway_decide::router`] with threads,
+//! connections and calls.
 //!
-//! * [`lifecycle`]: starting, serving, draining, as types.
-//! * [`shared`]: what the request threads share; the configuration and routes'
-//!   catalog behind read-copy-update, the decisions behind one short lock.
+//! * [`lifecycle`]: the states serving and draining, as types.
+//! * [`shared`]: the state that request threads share. The configuration's catalog is read
+//!   without a lock (read-copy-update); the decision logic has one lock, held for one decision.
 //! * [`control`]: connections to controllers.
 //! * [`http`]: callers' requests, one thread each.
-//! * [`generate`]: generation at model engines, [`stream`] its streamed answers.
-//! * [`service`]: calls to plain services, [`claims`] those that may not be repeated.
+//! * [`generate`]: generation at model engines; [`stream`]: streamed answers.
+//! * [`service`]: calls to plain services; [`claims`]: calls that must not be repeated.
+//! * [`metrics`]: counters and histograms.
 
 pub mod claims;
 pub mod control;
--- a/crates/router/src/lifecycle.rs
+++ b/crates/router/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life cycle of a router: serving, then draining, then gone.
+//! The life cycle of a router: it serves, drains and then stops.
 
 use crate::control::Control;
 use crate::http;
@@ -12,20 +12,20 @@
 use std::marker::PhantomData;
 use std::net::SocketAddr;
 
-/// Pause between two looks at what is still in progress.
+/// Interval at which a draining router checks whether requests or outcomes remain.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Requests are taken for this long after the health check says "leaving", so
-/// that the balancer can turn away before anybody is refused.
+/// The router still accepts requests for this long after its health check reports "leaving",
+/// so the load balancer can stop sending before any request is refused.
 const BALANCER_GRACE: Duration = Duration::from_millis(1_500);
-/// Longest time that a stopping router waits to write the outcomes of claimed calls.
+/// Maximum time that a stopping router waits until the outcomes of claimed calls are written.
 const OUTCOMES_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause between two ticks of the decisions.
+/// Interval between two ticks of the decision logic.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Takes requests.
+/// State of a router that accepts requests.
 #[derive(Debug)]
 pub struct Serving;
-/// Takes no requests; finishes what is in progress.
+/// State of a router that accepts no requests and finishes those in progress.
 #[derive(Debug)]
 pub struct Draining;
 
@@ -42,7 +42,7 @@
     /// Starts a router with checked settings.
     ///
     /// # Errors
-    /// If the address cannot be bound.
+    /// If an address in the settings cannot be parsed, or the listen address cannot be bound.
     pub fn start(settings: &RouterSettings) -> Result<Self> {
         let listen: SocketAddr = settings.listen.parse().context("listen")?;
         let limits = Limits {
@@ -79,23 +79,23 @@
         })
     }
 
-    /// Where callers connect.
+    /// Returns the address to which callers connect.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The revision of the configuration in force; 0 if none.
+    /// Returns the revision of the configuration in force; 0 if none.
     pub fn revision(&self) -> Revision {
         self.shared.catalog.load().revision
     }
 
-    /// Requests whose answer is not complete.
+    /// Returns the number of requests whose answer is not complete.
     pub fn in_progress(&self) -> usize {
         self.shared.in_progress()
     }
 
-    /// Turns the health check to "leaving" and, after the balancer had time to
-    /// turn away, takes no more requests.
+    /// Sets the health check to "leaving", waits until the load balancer has had time to stop
+    /// sending, and then stops accepting requests.
     pub fn drain(self) -> Router<Draining> {
         self.shared.set_leaving();
         self.control.send_hello(&self.shared);
@@ -115,9 +115,10 @@
 }
 
 impl Router<Draining> {
-    /// Waits until nothing is in progress and the outcomes of claimed calls are
-    /// written (for a while, if the key-value service is away), or until `is_cut` says to stop
-    /// waiting; returns how many requests were cut.
+    /// Waits until no request is in progress, and then until the outcomes of claimed calls are
+    /// written. The second wait has a timeout, because the key-value service may be unavailable.
+    /// Stops waiting as soon as `should_cut` returns true. Returns the number of requests that
+    /// were cut.
     pub fn finish(self, should_cut: impl Fn() -> bool) -> usize {
         while self.shared.in_progress() > 0 && !should_cut() {
             std::thread::sleep(DRAIN_POLL_INTERVAL);
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -11,7 +11,7 @@
 
 /// Upper bound of the smallest bucket, in seconds.
 const FIRST_BUCKET_S: f64 = 0.001;
-/// Number of buckets, each twice as wide as the one before.
+/// Number of buckets; the upper bound of each is twice that of the previous one.
 const BUCKET_COUNT: u16 = 18;
 
 /// Labels of a refusal.
@@ -66,7 +66,7 @@
 }
 
 impl Metrics {
-    /// Counts an answer passed on whole.
+    /// Counts an answer that the caller received completely.
     pub fn count_served(&self) {
         self.served.inc();
     }
@@ -85,17 +85,17 @@
         self.attempts.inc();
     }
 
-    /// Counts a stream that goes on elsewhere.
+    /// Counts a stream that was resumed at another upstream.
     pub fn count_resumed(&self) {
         self.resumed.inc();
     }
 
-    /// Records how long a request waited.
+    /// Records the time from a request's arrival to its first attempt.
     pub fn observe_wait(&self, wait: Duration) {
         self.wait_seconds.observe(wait.as_secs_f64());
     }
 
-    /// The text that `/metrics` answers.
+    /// Returns the metrics in the text format of `/metrics`; empty if they cannot be encoded.
     pub fn encode_text(&self) -> String {
         let mut text = String::new();
         match encode(&mut text, &self.registry) {
--- a/crates/router/src/service.rs
+++ b/crates/router/src/service.rs
@@ -12,24 +12,24 @@
 use passway_types::prelude::*;
 use std::net::SocketAddr;
 
-/// Paths of plain services begin with this, then the service's name.
+/// Prefix of the paths of plain services; the service's name follows.
 pub const PREFIX: &str = "/services/";
-/// Header by which a caller marks a call that may not be repeated.
+/// Header with the caller's key, which marks a call that must not be repeated.
 pub const KEY_HEADER: &str = "idempotency-key";
 
-/// Longest key.
+/// Maximum length of a key.
 const MAX_KEY_BYTES: usize = 128;
-/// Time until the deadline of a call that names none.
+/// Time until the deadline of a call without a deadline header.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(10);
-/// Largest answer that is kept for repeats; a larger one is passed on but a
-/// repeat gets "unknown".
+/// Maximum size of an answer that is stored for repeats. The caller receives a larger answer
+/// too, but its repeats are refused as unknown.
 const MAX_STORED_BYTES: usize = 256 << 10;
-/// Attempts for a call that may be repeated.
+/// Maximum number of attempts for a call that may be repeated.
 const MAX_ATTEMPTS: usize = 2;
-/// Retry hint when no replica of the service takes connections.
+/// Retry hint when no replica of the service accepts connections.
 const UNREACHABLE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A call as it goes to a replica.
+/// A call as sent to a replica of the service.
 struct ServiceCall {
     method: String,
     path_and_query: String,
@@ -119,7 +119,8 @@
     send_claimed(shared, service, call, own_claim)
 }
 
-/// Sends a claimed call: to another replica only while nothing has left.
+/// Sends a claimed call and settles its claim. The call goes to another replica only if it was
+/// not sent to the previous one.
 fn send_claimed(
     shared: &Shared,
     service: &Service,
@@ -147,8 +148,8 @@
     }
 }
 
-/// Sends a call without a key. One that settings mark as not repeatable is sent
-/// once; any other may be sent again to another replica.
+/// Sends a call without a key. A call whose method the service's configuration marks as not
+/// repeatable is sent once; any other call may be sent again to another replica.
 fn call_unclaimed(service: &Service, call: &ServiceCall) -> Result<StoredAnswer, Refusal> {
     let attempts = if service.not_repeatable.contains(&call.method) {
         1
@@ -166,8 +167,8 @@
     Err(lost_answer_refusal(call))
 }
 
-/// Tries replicas until one takes the connection, from one that the call's own
-/// label picks.
+/// Tries replicas until one accepts the connection. The hash of the call's label selects the
+/// first replica.
 fn send_to_reachable_replica(
     service: &Service,
     call: &ServiceCall,
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the threads of a router share.
+//! The state that the threads of a router share.
 
 use crate::claims::Claims;
 use crate::metrics::Metrics;
@@ -15,38 +15,38 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// What the decisions tell a request's thread.
+/// A decision about a waiting request, sent to the request's thread.
 #[derive(Debug)]
 pub enum RequestDecision {
     /// Send the request to this upstream.
     Start {
-        /// Where to.
+        /// The upstream.
         upstream: UpstreamId,
-        /// The resolved model.
+        /// The model's resolved name.
         model: ModelName,
-        /// The deadline.
+        /// The request's deadline.
         deadline_at: Instant,
-        /// The priority.
+        /// The request's priority.
         priority: u32,
     },
-    /// Answer it with this.
+    /// Answer the request with this refusal.
     Refuse(Refusal),
 }
 
 /// The state that request threads share.
 #[derive(Debug)]
 pub struct Shared {
-    /// The configuration in force, read without a lock.
+    /// The catalog of the configuration in force; reading it takes no lock.
     pub catalog: ArcSwap<Catalog>,
     /// Counters for `/metrics`.
     pub metrics: Metrics,
-    /// Claims of calls that may not be repeated.
+    /// Claims of calls that must not be repeated.
     pub claims: Claims,
-    /// Bounds from the settings.
+    /// Limits from the settings.
     pub limits: Limits,
-    /// The instance.
+    /// The instance of the router.
     pub instance: InstanceId,
-    /// The process.
+    /// The incarnation of the router process.
     pub incarnation: Incarnation,
     core: Mutex<RouterCore>,
     decision_senders: Mutex<HashMap<RequestId, Sender<RequestDecision>>>,
@@ -55,23 +55,24 @@
     is_leaving: AtomicBool,
 }
 
-/// Bounds from the settings.
+/// Limits from the settings.
 #[derive(Debug, Clone)]
 pub struct Limits {
-    /// Largest body of a request.
+    /// Maximum size of a request body.
     pub body_bytes: usize,
-    /// Longest time until a deadline.
+    /// Maximum time from a request's arrival to its deadline.
     pub max_deadline: Duration,
-    /// Time without word of the configuration after which new work is refused.
+    /// Time without a heartbeat from a controller that is not isolated after which the router
+    /// refuses new requests, because its configuration may be stale.
     pub stale_limit: Duration,
 }
 
-/// Time in which the routers of a fleet that starts come to be known to its controllers: a
-/// dial, a hello and a heartbeat, on a busy machine some seconds.
+/// Time in which a starting fleet's routers become known to its controllers. That takes a
+/// connection, a hello and a heartbeat: some seconds on a busy machine.
 const STARTUP_WINDOW: Duration = Duration::from_secs(15);
 
 impl Shared {
-    /// Nothing in progress and no configuration.
+    /// Creates the state of a router without requests and without a configuration.
     ///
     /// # Errors
     /// If an address in the settings cannot be parsed.
@@ -86,7 +87,7 @@
         let now = clock::now();
         let mut core = RouterCore::new(incarnation, catalog.clone(), now);
         core.set_current_until(now);
-        // Each instance runs a controller and a router.
+        // Each instance runs one controller and one router.
         let router_count = u32::try_from(settings.controllers.len()).unwrap_or(u32::MAX);
         core.expect_routers(router_count, now + STARTUP_WINDOW);
         Ok(Self {
@@ -108,7 +109,7 @@
         })
     }
 
-    /// The decisions; the lock is held for one decision at a time.
+    /// Locks the decision logic. Callers hold the lock for one decision at a time.
     pub fn core(&self) -> MutexGuard<'_, RouterCore> {
         self.core.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -119,17 +120,18 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Draws a request number.
+    /// Returns a new request number.
     pub fn draw_request_id(&self) -> RequestId {
         self.next_request_id.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// A request's id in logs, at upstreams and in answers; unlike any other router's.
+    /// Returns a request's id in logs, at upstreams and in answers. The incarnation makes it
+    /// unique over all routers.
     pub fn request_label(&self, request: RequestId) -> String {
         format!("{:x}-{request}", self.incarnation)
     }
 
-    /// Draws a request number and opens the channel on which its thread is told.
+    /// Returns a new request number and the channel on which its thread receives decisions.
     pub fn register(&self) -> (RequestId, Receiver<RequestDecision>) {
         let request = self.draw_request_id();
         let (sender, receiver) = unbounded();
@@ -137,35 +139,35 @@
         (request, receiver)
     }
 
-    /// Closes a request's channel.
+    /// Closes a request's decision channel.
     pub fn unregister(&self, request: RequestId) {
         self.decision_senders().remove(&request);
     }
 
-    /// Tells a request's thread; a thread that has ended does not hear it.
+    /// Sends a decision to a request's thread; does nothing if the request has ended.
     pub fn send_decision(&self, request: RequestId, decision: RequestDecision) {
         if let Some(sender) = self.decision_senders().get(&request) {
-            // The thread may have gone away between the lookup and now.
+            // The thread may have ended since the lookup.
             let _ = sender.send(decision);
         }
     }
 
-    /// Requests whose answer is not complete.
+    /// Returns the number of requests whose answer is not complete.
     pub fn in_progress(&self) -> usize {
         self.in_progress.load(Ordering::Acquire)
     }
 
-    /// Whether this instance is leaving.
+    /// Whether this router is leaving.
     pub fn is_leaving(&self) -> bool {
         self.is_leaving.load(Ordering::Acquire)
     }
 
-    /// Records that this instance is leaving.
+    /// Records that this router is leaving.
     pub fn set_leaving(&self) {
         self.is_leaving.store(true, Ordering::Release);
     }
 
-    /// Counts a request in until the guard is dropped.
+    /// Counts a request as in progress until the returned guard is dropped.
     pub fn track_request(self: &Arc<Self>) -> InProgressGuard {
         self.in_progress.fetch_add(1, Ordering::AcqRel);
         InProgressGuard {
@@ -174,7 +176,7 @@
     }
 }
 
-/// Counts one request as in progress while it lives.
+/// A guard that counts one request as in progress until it is dropped.
 #[derive(Debug)]
 pub struct InProgressGuard {
     shared: Arc<Shared>,
--- a/crates/router/src/stream.rs
+++ b/crates/router/src/stream.rs
@@ -1,13 +1,14 @@
-//! Streamed answers: whole events only, resumed where an engine breaks off.
+//! Streamed answers: only complete events are forwarded, and a stream that an engine breaks
+//! off is resumed at another engine.
 
 use crate::generate::GenerationRequest;
 use crate::http::refusal_json;
 use passway_types::prelude::*;
 use std::io::{self, BufRead, BufReader, Read};
 
-/// The event that ends a whole stream.
+/// The event that ends a complete stream.
 const DONE: &[u8] = b"data: [DONE]";
-/// Largest event that is passed on.
+/// Maximum size of an event; a stream with a larger one counts as broken.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// An engine's stream of server-sent events.
@@ -21,14 +22,14 @@
     }
 }
 
-/// One event, or that the stream broke.
+/// The next event of a stream, or its failure.
 #[derive(Debug, PartialEq, Eq)]
 pub enum StreamEvent {
     /// A token, with the blank line that ends the event.
     Token(Vec<u8>),
-    /// The end of a whole stream.
+    /// The event that ends a complete stream.
     Done(Vec<u8>),
-    /// The stream broke off; half of an event is thrown away.
+    /// The stream broke off; an incomplete event is dropped.
     Broken,
 }
 
@@ -40,7 +41,7 @@
         }
     }
 
-    /// The next event.
+    /// Reads the next event.
     pub fn next_event(&mut self) -> StreamEvent {
         let mut event = Vec::new();
         loop {
@@ -56,7 +57,7 @@
                 continue;
             }
             if line_start == 0 {
-                // A blank line before any event carries nothing.
+                // Skips a blank line before the first line of an event.
                 event.clear();
                 continue;
             }
@@ -72,10 +73,10 @@
 
 /// The body of a streamed answer.
 ///
-/// Only whole events are passed on, and they are counted; an engine that breaks
-/// off is replaced by another one that leaves out as many. So no token comes
-/// twice and none is missing. A stream that cannot go on ends with an event
-/// that carries a refusal, never as if it were whole.
+/// The reader forwards only complete events and counts them. If an engine breaks off, the
+/// request continues at another engine, which omits as many tokens, so no token is repeated
+/// or missing. A stream that cannot be resumed ends with an event that carries a refusal, so
+/// the caller never takes it for complete.
 #[derive(Debug)]
 pub struct StreamReader {
     request: GenerationRequest,
@@ -86,7 +87,7 @@
 }
 
 impl StreamReader {
-    /// Passes on `engine`'s events for `job`.
+    /// Creates a reader that forwards the events of `engine` for `request`.
     pub fn new(request: GenerationRequest, engine: EngineStream) -> Self {
         Self {
             request,
@@ -123,7 +124,8 @@
 
     fn refusal_event(&self, mut refusal: Refusal) -> Vec<u8> {
         if self.delivered > 0 {
-            // Whatever kept it from going on, tokens were delivered: it ran.
+            // The caller has received tokens, so the request ran, whatever the cause of the
+            // refusal says.
             refusal.code = ResultCode::AnswerBroken;
         }
         self.request.shared.metrics.count_refused(refusal.code);
--- a/src/bin/passway-controller.rs
+++ b/src/bin/passway-controller.rs
@@ -6,14 +6,14 @@
 use passway_controller::Controller;
 use std::path::PathBuf;
 
-/// Decides which model is loaded where, for the cells that this instance leads.
+/// Decides which models are loaded on which upstreams, for the cells that this instance leads.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Arguments {
     /// Settings file, JSON with comments.
     #[arg(long)]
     settings: PathBuf,
-    /// Only check the settings.
+    /// Check the settings and exit.
     #[arg(long)]
     check: bool,
 }
--- a/src/bin/passway-instance.rs
+++ b/src/bin/passway-instance.rs
@@ -1,4 +1,4 @@
-//! One instance on the users' platform, started from the platform's settings file.
+//! One instance on the users' platform, started with the platform's settings file.
 
 use anyhow::Result;
 use clap::Parser;
@@ -13,26 +13,26 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Pause between two looks at the settings file.
-const SETTINGS_PAUSE: Duration = Duration::from_secs(2);
-/// Exit code when the settings cannot be used.
-const BAD_SETTINGS: u8 = 2;
+/// Interval between two reads of the settings file.
+const SETTINGS_INTERVAL: Duration = Duration::from_secs(2);
+/// Exit code if the settings cannot be used.
+const BAD_SETTINGS_EXIT_CODE: u8 = 2;
 
-/// Serves callers on the users' platform. Settings come from the file that the
-/// platform names in the environment. SIGTERM finishes what is in progress and ends.
+/// Serves callers on the users' platform. The environment of the process names the settings
+/// file. On SIGTERM the instance finishes the requests in progress and exits.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Arguments {
-    /// Least important log lines that are written.
+    /// Minimum level of log lines that are written.
     #[arg(long, default_value = "info")]
     log_level: String,
-    /// Log lines a second, in the mean; the ends of requests come first.
+    /// Average number of log lines per second; lines about the end of a request have priority.
     #[arg(long, default_value_t = 100)]
     log_lines_per_s: u32,
-    /// What is worth bringing to engines: balanced, or a baseline to measure against.
+    /// Placement policy: balanced, or a baseline for measurements.
     #[arg(long, default_value_t)]
     placement: PolicyName,
-    /// Only check the settings.
+    /// Check the settings and exit.
     #[arg(long)]
     check: bool,
 }
@@ -43,7 +43,7 @@
         Ok(settings) => settings,
         Err(error) => {
             eprintln!("{error:#}");
-            return Ok(ExitCode::from(BAD_SETTINGS));
+            return Ok(ExitCode::from(BAD_SETTINGS_EXIT_CODE));
         }
     };
     if arguments.check {
@@ -64,12 +64,12 @@
         engines: Arc::new(ServerControl::default()),
     };
     let instance = Instance::start(settings, surroundings)?;
-    while signals.recv_timeout(SETTINGS_PAUSE) != Ok(Asked::Stop) {
-        // The file may change with or without a signal.
+    while signals.recv_timeout(SETTINGS_INTERVAL) != Ok(Asked::Stop) {
+        // The file is read after a timeout too, because it may change without a signal.
         match read_settings() {
             Ok(settings) => instance.reload(&settings),
             Err(error) => {
-                log::warn!(error:% = format!("{error:#}"); "changed settings cannot be used");
+                log::warn!(error:% = format!("{error:#}"); "the settings file cannot be used; the previous settings stay in effect");
             }
         }
     }
--- a/src/bin/passway-router.rs
+++ b/src/bin/passway-router.rs
@@ -6,16 +6,16 @@
 use passway_router::Router;
 use std::path::PathBuf;
 
-/// Serves callers: admission, waiting, routing and streaming.
+/// Serves callers: admits, queues, routes and streams their requests.
 ///
-/// The first SIGTERM drains: what is in progress runs to its end. A second one cuts it.
+/// The first SIGTERM drains: requests in progress run to their end. A second SIGTERM cuts them.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Arguments {
     /// Settings file, JSON with comments.
     #[arg(long)]
     settings: PathBuf,
-    /// Only check the settings.
+    /// Check the settings and exit.
     #[arg(long)]
     check: bool,
 }
--- a/src/bin/passwayctl.rs
+++ b/src/bin/passwayctl.rs
@@ -1,4 +1,4 @@
-//! The operators' command line.
+//! The command line tool for operators.
 
 use clap::Parser;
 use passway_ctl::{Cli, ExitCode};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,1 +1,1 @@
-//! The shipped programs of passway; all code is in `crates/*`.
+//! The package of the passway programs and of the tests; the code is in `crates/*`.
--- a/tests/all/bad_input.rs
+++ b/tests/all/bad_input.rs
@@ -1,4 +1,5 @@
-//! Bad input gets a clear code, frees what it held, and leaves others untouched.
+//! Invalid input is refused with a specific code, releases its resources and does not affect
+//! other requests.
 
 use crate::support::{burst, long_timeout_plan};
 use passway_standins::load::Outcome;
@@ -7,7 +8,7 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
-/// Sends raw bytes and returns the status and code of the answer.
+/// Sends raw bytes and returns the HTTP status and the result code of the answer.
 fn send(fleet: &Fleet, parts: &[&str]) -> (u16, u16) {
     let mut stream = TcpStream::connect(fleet.routers[0].address()).expect("connect");
     for part in parts {
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn clear_codes() {
+fn specific_codes() {
     let world = World::start(long_timeout_plan()).expect("world");
     let fleet = world.start_fleet().expect("fleet");
     let status_and_code = |code: ResultCode| (code.http_status(), code as u16);
@@ -100,7 +101,7 @@
 }
 
 #[test]
-fn half_sent_request() {
+fn incomplete_requests() {
     let world = World::start(long_timeout_plan()).expect("world");
     let fleet = world.start_fleet().expect("fleet");
     let mut half_sent = Vec::new();
@@ -116,7 +117,7 @@
     }
 }
 
-/// Waits until a condition holds.
+/// Waits until a condition holds; panics with `failure` after 20 seconds.
 fn wait_until(failure: &str, condition: impl Fn() -> bool) {
     let deadline_at = Instant::now() + Duration::from_secs(20);
     while !condition() {
@@ -126,7 +127,7 @@
 }
 
 #[test]
-fn hang_up_midstream() {
+fn disconnect_while_streaming() {
     let world = World::start(long_timeout_plan()).expect("world");
     let fleet = world.start_fleet().expect("fleet");
     let body = r#"{"model":"model1@1","stream":true,"max_tokens":100000}"#;
@@ -144,25 +145,27 @@
             .map(|engine| engine.ledger().cancelled)
             .sum::<u32>()
     };
-    wait_until("the engine goes on for nobody", || cancelled() == 1);
-    wait_until("the router holds what nobody waits for", || {
+    wait_until("the engine runs a request without a caller", || {
+        cancelled() == 1
+    });
+    wait_until("the router retains a request without a caller", || {
         fleet.routers[0].in_progress() == 0
     });
 }
 
 #[test]
-fn hang_up_waiting() {
+fn disconnect_while_waiting() {
     let world = World::start(long_timeout_plan()).expect("world");
     let fleet = world.start_fleet().expect("fleet");
     world.store.set_slowdown(50);
     let body = r#"{"model":"model1@1"}"#;
     let mut stream = TcpStream::connect(fleet.routers[0].address()).expect("connect");
     stream.write_all(post("", body).as_bytes()).expect("write");
-    wait_until("the request is taken", || {
+    wait_until("the router has not accepted the request", || {
         fleet.routers[0].in_progress() == 1
     });
     drop(stream);
-    wait_until("the router holds what nobody waits for", || {
+    wait_until("the router retains a request without a caller", || {
         fleet.routers[0].in_progress() == 0
     });
     let requests: u32 = world
--- a/tests/all/burst_loads.rs
+++ b/tests/all/burst_loads.rs
@@ -1,4 +1,4 @@
-//! A burst of first requests at many routers loads no more than was decided.
+//! A burst of first requests for a model at many routers loads the model only once.
 
 use crate::support::{burst, long_timeout_plan};
 use passway_standins::load::Outcome;
@@ -8,7 +8,7 @@
 const DEADLINE: Duration = Duration::from_secs(30);
 
 #[test]
-fn burst_loads_once() {
+fn burst_loads_model_once() {
     let world = World::start(WorldPlan {
         instances: 6,
         ..long_timeout_plan()
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn adapter_follows_base() {
+fn burst_loads_adapter_and_base_once() {
     let world = World::start(long_timeout_plan()).expect("world");
     let fleet = world.start_fleet().expect("fleet");
     let samples = burst(&fleet, "adapter2@1", 20, DEADLINE);
--- a/tests/all/claims_once.rs
+++ b/tests/all/claims_once.rs
@@ -1,4 +1,5 @@
-//! A call that may not be repeated runs at most once, and its callers hear the truth.
+//! A call that must not be repeated runs at most once, and each caller receives either its
+//! receipt or a refusal that matches what happened.
 
 use crate::support::{long_timeout_plan, small_plan};
 use passway_standins::world::{Fleet, World, WorldPlan};
@@ -10,7 +11,7 @@
 
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What a caller got.
+/// The answer that a caller received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum CallResult {
     Receipt(String),
@@ -59,7 +60,7 @@
 }
 
 #[test]
-fn repeats_run_once() {
+fn repeated_calls_run_once() {
     let (world, fleet) = start_plan(WorldPlan {
         instances: 4,
         ..long_timeout_plan()
@@ -98,7 +99,7 @@
 }
 
 #[test]
-fn broken_after_run() {
+fn answer_lost_after_run() {
     let (world, fleet) = start(2);
     let faults = service::Faults {
         break_after_run: true,
@@ -115,7 +116,7 @@
 }
 
 #[test]
-fn lost_claim_answer() {
+fn claim_write_answer_lost() {
     let (world, fleet) = start(2);
     let faults = key_value::Faults {
         lose_answers: 1,
@@ -129,7 +130,7 @@
 }
 
 #[test]
-fn service_unreachable() {
+fn key_value_unavailable() {
     let (world, fleet) = start(2);
     world.key_value.set_faults(key_value::Faults {
         down: true,
@@ -146,7 +147,7 @@
 }
 
 #[test]
-fn at_most_once() {
+fn random_faults_run_at_most_once() {
     let (world, fleet) = start(3);
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let mut callers = Vec::new();
@@ -192,7 +193,7 @@
     }
     assert!(
         ran.len() > 20,
-        "too few keys ran to prove anything: {}",
+        "too few keys ran for a meaningful test: {}",
         ran.len()
     );
 }
--- a/tests/all/config_spread.rs
+++ b/tests/all/config_spread.rs
@@ -1,4 +1,4 @@
-//! An accepted configuration is in force everywhere and never reverts.
+//! An accepted configuration comes into force on all instances and never reverts.
 
 use crate::processes::Processes;
 use crate::support::small_plan;
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn in_force_everywhere() {
+fn in_force_on_all_instances() {
     let world = World::start(WorldPlan {
         instances: 6,
         ..small_plan()
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn racing_operators() {
+fn concurrent_operators() {
     let world = World::start(small_plan()).expect("world");
     let store = Arc::new(config_store(&world));
     let previous = store.current().expect("current");
@@ -81,7 +81,8 @@
     let store = config_store(&world);
     let previous = store.current().expect("current");
     let change = next_revision(&previous, "ann", 9);
-    // The first write keeps the history of revision 1, the second is the change.
+    // The first write stores revision 1 in the history and its answer arrives. The second
+    // write is the change, and its answer is lost.
     let faults = Faults {
         answer_first: 1,
         lose_answers: 1,
@@ -95,7 +96,7 @@
 }
 
 #[test]
-fn no_revert_in_outage() {
+fn no_revert_during_outage() {
     let world = World::start(WorldPlan {
         instances: 3,
         ..small_plan()
@@ -112,8 +113,8 @@
         down: true,
         ..Faults::default()
     });
-    // Controllers and routers come back one after the other, while nobody can
-    // read the service.
+    // Controllers and routers restart one after the other while the key-value service is
+    // unavailable.
     for number in 0..3 {
         processes.restart_controller(number);
         processes.wait_for_revision(2, 3);
--- a/tests/all/previous_holder.rs
+++ b/tests/all/previous_holder.rs
@@ -1,4 +1,5 @@
-//! What a former holder still says after another controller has taken over its cell.
+//! Messages of a previous holder after another controller has taken over its cell. A
+//! controller that was paused may still send answers from its term; routers must ignore them.
 
 use crate::processes::send_request;
 use crate::support::{long_timeout_plan, small_plan};
@@ -17,14 +18,14 @@
 const CELL: &str = "main";
 const MODEL: &str = "model1@1";
 
-/// A controller that says what the test tells it to.
+/// A controller whose messages the test sends.
 struct ScriptedController {
     link: Link,
     reader: LinkReader,
 }
 
 impl ScriptedController {
-    /// The connection that a router makes to a listener.
+    /// Accepts a router's connection to `listener`.
     fn accept(listener: &TcpListener) -> Self {
         let (stream, _) = listener.accept().expect("a router");
         let (link, reader) = Link::from_stream(stream).expect("link");
@@ -32,10 +33,10 @@
     }
 
     fn send(&self, body: Body) {
-        self.link.send(body).expect("a router that listens");
+        self.link.send(body).expect("a connected router");
     }
 
-    /// Reads until a message for which `is_it` holds.
+    /// Reads messages until one for which `is_expected` returns true.
     fn wait_for(&mut self, is_expected: impl Fn(&Body) -> bool) {
         loop {
             let body = self.reader.receive().expect("a message").expect("a router");
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Says which controller holds the cell.
+    /// Sends a heartbeat that names the holder of the cell.
     fn send_holder(&self, epoch: Epoch, address: SocketAddr) {
         let holder = CellHolder {
             cell: CELL.into(),
@@ -59,8 +60,8 @@
         }));
     }
 
-    /// Sends a revision and waits until the router says that it is in force: by then it
-    /// has taken in all that was said before.
+    /// Sends a revision and waits until the router reports it as in force. By then the router
+    /// has handled all earlier messages of this controller.
     fn send_config(&mut self, world: &World, revision: Revision) {
         let stored = StoredRevision {
             revision,
@@ -80,7 +81,7 @@
         );
     }
 
-    /// Refuses demands for the model.
+    /// Sends a refusal of the router's demand for the model.
     fn send_refusal(&self, code: ResultCode) {
         self.send(Body::Verdict(Verdict {
             model: MODEL.into(),
@@ -131,7 +132,7 @@
         whole: true,
     };
     core.routes_changed(now, &route, CELL);
-    // The answer to a demand of before the route was known.
+    // The answer to a demand from before the route was known.
     let refused = DemandVerdict::Refused {
         code: ResultCode::ControlUnavailable,
         retry_at: now,
--- a/tests/all/process_kills.rs
+++ b/tests/all/process_kills.rs
@@ -1,4 +1,4 @@
-//! Programs are killed, paused and drained while requests wait and run.
+//! Kills, pauses and drains the programs while requests wait and run.
 
 use crate::processes::{Processes, health, send_request, wait_until_serving};
 use crate::support::{long_timeout_plan, small_plan};
@@ -11,9 +11,9 @@
 use rustix::process::Signal;
 use std::thread::JoinHandle;
 
-/// Long enough for streams to be under way when the signal comes.
+/// Delay before a signal, so that streams are in progress when it arrives.
 const STREAMING_DELAY: Duration = Duration::from_millis(400);
-/// Tokens of a long answer: about a second.
+/// Number of tokens of a long answer, which takes about a second.
 const LONG_ANSWER_TOKENS: u32 = 200;
 
 fn outcomes(callers: Vec<JoinHandle<Sample>>) -> Vec<Outcome> {
@@ -56,7 +56,7 @@
     while health(router) != Some(503) {
         assert!(
             Instant::now() < deadline_at,
-            "the health check does not turn"
+            "the health check does not report leaving"
         );
     }
     assert_all_whole(vec![long_call]);
@@ -76,7 +76,8 @@
     std::thread::sleep(STREAMING_DELAY);
     processes.routers[0].signal(Signal::KILL);
     assert_all_whole(other_router_calls);
-    // Its own callers see a broken answer, never a short one that looks whole.
+    // Callers of the killed router receive a complete answer or a visibly broken one, never a
+    // short answer that looks complete.
     for outcome in outcomes(killed_router_calls) {
         assert!(
             matches!(outcome, Outcome::Whole | Outcome::Broken(_)),
@@ -87,14 +88,14 @@
 }
 
 #[test]
-fn controller_killed_loading() {
+fn controller_killed_while_loading() {
     let plan = WorldPlan {
         instances: 3,
         lease_ms: small_plan().lease_ms,
         ..long_timeout_plan()
     };
     let world = World::start(plan).expect("world");
-    // A load that takes longer than the kill and less than the deadline.
+    // The load lasts until after the kill, but ends before the deadline.
     world.store.set_slowdown(5);
     let processes = Processes::start(&world);
     let leader = processes.leader();
@@ -139,7 +140,7 @@
             assert_eq!(
                 engine.ledger().no_room,
                 0,
-                "an order for which there was no room"
+                "an order exceeded the engine's free memory"
             );
         }
         assert_eq!(world.loads_of("model1@1"), 1);
@@ -147,7 +148,7 @@
 }
 
 #[test]
-fn engine_dies_streaming() {
+fn engine_terminates_while_streaming() {
     let plan = WorldPlan {
         max_replicas: 2,
         slots: 8,
@@ -156,7 +157,7 @@
     let world = World::start(plan).expect("world");
     let processes = Processes::start(&world);
     let router = processes.routers[0].address;
-    // More than one replica's slots, so that there are two.
+    // More requests than one replica has slots, so that a second replica is loaded.
     let callers: Vec<_> = (0..24)
         .map(|number| send_request(router, "model1@1", number, LONG_ANSWER_TOKENS))
         .collect();
@@ -171,7 +172,8 @@
         ..Default::default()
     });
     for outcome in outcomes(callers) {
-        // Resumed whole, or told that it broke; never short, doubled or silent.
+        // The stream is resumed and complete, or the caller receives a refusal. No stream may
+        // be short, repeat tokens or stop without an error.
         let is_reported = matches!(
             outcome,
             Outcome::Refused {
@@ -184,7 +186,7 @@
 }
 
 #[test]
-fn outage_of_key_value() {
+fn key_value_outage() {
     let world = World::start(small_plan()).expect("world");
     let mut processes = Processes::start(&world);
     let router = processes.routers[0].address;
@@ -194,7 +196,8 @@
         ..Default::default()
     });
     std::thread::sleep(Duration::from_millis(world.plan.lease_ms));
-    // What is loaded goes on serving; what sleeps is refused at once with a hint.
+    // Loaded models are still served. Requests for a model that is not loaded are refused at
+    // once with a retry hint.
     assert_all_whole(
         (1..9)
             .map(|number| send_request(router, "model1@1", number, 8))
@@ -212,7 +215,8 @@
     };
     assert_eq!(code, u64::from(ResultCode::ControlUnavailable as u16));
     assert!(retry_after_ms.is_some());
-    // A router that restarts now gets the configuration and routes from controllers.
+    // A router that restarts during the outage gets the configuration and routes from the
+    // controllers.
     let restarted = processes.start_router(1);
     wait_until_serving(restarted.address);
     let restarted_address = restarted.address;
@@ -237,7 +241,7 @@
 }
 
 #[test]
-fn leaving_upstream() {
+fn leaving_upstream_gets_no_requests() {
     let plan = WorldPlan {
         list_lag: Duration::from_mins(1),
         ..long_timeout_plan()
@@ -251,7 +255,7 @@
         .iter()
         .find(|engine| !engine.loaded().is_empty())
         .expect("one");
-    // The engine says so itself; the list would show it a minute later.
+    // The engine itself reports that it leaves; the list would show it a minute later.
     loaded_engine.set_faults(engine::Faults {
         leaving: true,
         ..Default::default()
@@ -266,17 +270,17 @@
     assert_eq!(
         loaded_engine.ledger().requests,
         requests_before,
-        "new work after three seconds"
+        "the leaving engine received new requests after three seconds"
     );
 }
 
 #[test]
-fn isolated_refuses() {
+fn isolated_instance_refuses_requests() {
     let world = World::start(small_plan()).expect("world");
     let processes = Processes::start(&world);
     let router = processes.routers[0].address;
     assert_all_whole(vec![send_request(router, "model1@1", 0, 8)]);
-    // Neither the key-value service nor another controller is left to ask.
+    // The router's controller can reach neither the key-value service nor another controller.
     world.key_value.set_faults(key_value::Faults {
         down: true,
         ..Default::default()
@@ -292,10 +296,14 @@
         matches!(outcome, Outcome::Refused { code, .. } if code == stale)
     };
     while !is_stale(1) {
-        assert!(Instant::now() < deadline_at, "new work is still taken");
+        assert!(
+            Instant::now() < deadline_at,
+            "new requests are still accepted"
+        );
         std::thread::sleep(STREAMING_DELAY);
     }
-    // And it stays so, heartbeat after heartbeat, for plain services too.
+    // Further heartbeats of the isolated controller do not end the refusals, which apply to
+    // plain services too.
     for number in 2..12 {
         assert!(is_stale(number));
         let url = format!("http://{router}/services/service0/tags");
@@ -314,13 +322,16 @@
     }
     processes.controllers[1].signal(Signal::CONT);
     while is_stale(20) {
-        assert!(Instant::now() < deadline_at, "no new work is taken again");
+        assert!(
+            Instant::now() < deadline_at,
+            "new requests are still refused"
+        );
         std::thread::sleep(STREAMING_DELAY);
     }
 }
 
 #[test]
-fn outcome_survives_stop() {
+fn outcome_written_before_stop() {
     let world = World::start(long_timeout_plan()).expect("world");
     let mut processes = Processes::start(&world);
     let (first, second) = (processes.routers[0].address, processes.routers[1].address);
@@ -333,7 +344,7 @@
             .expect("answer");
         answer.into_body().read_to_string().expect("body")
     };
-    // The claim is written, then the key-value service goes away under the call.
+    // The claim is written; then the key-value service becomes unavailable during the call.
     let slow_faults = service::Faults {
         delay_ms: 500,
         ..Default::default()
@@ -351,7 +362,8 @@
     });
     assert_eq!(caller.join().expect("caller"), "receipt k run 1");
     processes.routers[0].signal(Signal::TERM);
-    // Longer than the grace for the balancer, after which nothing else is left to do.
+    // Longer than the grace period for the load balancer, after which only the outcome remains
+    // to be written.
     std::thread::sleep(Duration::from_millis(2_500));
     world.key_value.set_faults(key_value::Faults::default());
     assert_eq!(processes.routers[0].exit_code(), Some(0));
--- a/tests/all/processes.rs
+++ b/tests/all/processes.rs
@@ -1,4 +1,5 @@
-//! The shipped programs as processes in front of stand-ins in the test's own process.
+//! Runs the shipped programs as processes; the stand-ins that they use run in the test's
+//! process.
 
 use passway_standins::load::{Call, Sample, call};
 use passway_standins::platform::program::free_address;
@@ -16,7 +17,7 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(30);
 
-/// One program that runs; it is ended with the test.
+/// A running program; dropping it kills the process.
 pub struct Program {
     child: Child,
     pub address: SocketAddr,
@@ -28,7 +29,7 @@
         kill_process(pid, signal).expect("signal");
     }
 
-    /// Waits for the program's end and returns its exit code.
+    /// Waits until the program exits and returns its exit code.
     pub fn exit_code(&mut self) -> Option<i32> {
         self.child.wait().expect("wait").code()
     }
@@ -36,13 +37,13 @@
 
 impl Drop for Program {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// Routers and controllers of a world's instances.
+/// The router and controller processes of all instances of a world.
 pub struct Processes {
     pub controllers: Vec<Program>,
     pub routers: Vec<Program>,
@@ -54,7 +55,7 @@
 }
 
 impl Processes {
-    /// Starts every instance of the world and waits until the routers serve.
+    /// Starts all instances of the world and waits until the routers serve.
     pub fn start(world: &World) -> Self {
         static FOLDERS: AtomicU8 = AtomicU8::new(0);
         let number = FOLDERS.fetch_add(1, Ordering::Relaxed);
@@ -106,7 +107,7 @@
         self.spawn(program, &format!("controller{number}"), &settings, address)
     }
 
-    /// Starts an instance's router, again if need be.
+    /// Starts the router of an instance at a new address.
     pub fn start_router(&self, number: usize) -> Program {
         let address = free_address();
         let own_first = self.controller_addresses.iter().cycle().skip(number);
@@ -123,14 +124,14 @@
         self.spawn(program, &format!("router{number}"), &settings, address)
     }
 
-    /// Kills a controller and starts it anew at its address.
+    /// Kills a controller and restarts it at the same address.
     pub fn restart_controller(&mut self, number: usize) {
         self.controllers[number].signal(Signal::KILL);
         self.controllers[number].exit_code();
         self.controllers[number] = self.start_controller(number);
     }
 
-    /// Kills a router and starts it anew.
+    /// Kills a router, restarts it at a new address and waits until it serves.
     pub fn restart_router(&mut self, number: usize) {
         self.routers[number].signal(Signal::KILL);
         self.routers[number].exit_code();
@@ -138,7 +139,8 @@
         wait_until_serving(self.routers[number].address);
     }
 
-    /// Waits until every controller, and `routers` routers, report a revision.
+    /// Waits until all controllers and at least `routers` routers report `revision` or a newer
+    /// one.
     pub fn wait_for_revision(&self, revision: Revision, routers: usize) {
         let deadline_at = Instant::now() + READY_TIMEOUT;
         loop {
@@ -162,7 +164,7 @@
             }
             assert!(
                 Instant::now() < deadline_at,
-                "not in force everywhere: {statuses:?}"
+                "not in force on all instances: {statuses:?}"
             );
             std::thread::sleep(READY_POLL_INTERVAL);
         }
@@ -188,7 +190,7 @@
         Program { child, address }
     }
 
-    /// The instance whose controller leads, by its log.
+    /// Returns the number of the instance whose controller leads, according to the logs.
     pub fn leader(&self) -> usize {
         let deadline_at = Instant::now() + READY_TIMEOUT;
         loop {
@@ -209,7 +211,7 @@
             if let Some((Some(_), number)) = epochs.max() {
                 return number;
             }
-            assert!(Instant::now() < deadline_at, "nobody leads");
+            assert!(Instant::now() < deadline_at, "no controller leads");
             std::thread::sleep(READY_POLL_INTERVAL);
         }
     }
@@ -217,12 +219,12 @@
 
 impl Drop for Processes {
     fn drop(&mut self) {
-        // Left behind it only wastes room.
+        // If the removal fails, the folder only occupies disk space.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// Waits until a router's health check says that it serves.
+/// Waits until a router's health check reports that it serves.
 pub fn wait_until_serving(address: SocketAddr) {
     let deadline_at = Instant::now() + READY_TIMEOUT;
     while health(address) != Some(200) {
@@ -231,7 +233,8 @@
     }
 }
 
-/// The status of a router's health check; `None` if it takes no connection.
+/// Returns the HTTP status of a router's health check; `None` without a connection or an
+/// answer.
 pub fn health(address: SocketAddr) -> Option<u16> {
     TcpStream::connect(address).ok()?;
     let answer = ureq::get(format!("http://{address}/health"))
@@ -242,7 +245,7 @@
     answer.ok().map(|answer| answer.status().as_u16())
 }
 
-/// A request that is made in a thread of its own.
+/// Sends a request in a new thread, which returns the sample.
 pub fn send_request(
     router: SocketAddr,
     model: &str,
--- a/tests/all/stream_resume.rs
+++ b/tests/all/stream_resume.rs
@@ -1,4 +1,4 @@
-//! Streams that break are resumed elsewhere: no token twice, none missing.
+//! Broken streams are resumed at another engine without repeated or missing tokens.
 
 use crate::support::{burst, long_timeout_plan};
 use passway_standins::engine::Faults;
@@ -20,8 +20,8 @@
             ..Faults::default()
         });
     }
-    // Eight tokens, broken after three and after six; one caller, so that the
-    // retry budget holds.
+    // The stream has eight tokens and breaks after three and after six. A single caller stays
+    // within the retry budget.
     let samples = burst(&fleet, "model1@1", 1, Duration::from_secs(20));
     assert_eq!(samples[0].outcome, Outcome::Whole);
     let requests: u32 = world
@@ -42,7 +42,8 @@
             ..Faults::default()
         });
     }
-    // Far more breaks than the budget allows: whoever is not served is told.
+    // The streams break more often than the retry budget allows. A caller whose stream is not
+    // resumed must receive a refusal.
     for sample in burst(&fleet, "model1@1", 60, Duration::from_secs(5)) {
         let is_refused = matches!(
             sample.outcome,
--- a/tests/all/support.rs
+++ b/tests/all/support.rs
@@ -1,14 +1,14 @@
-//! Small helpers that several features share.
+//! Small helpers that several tests share.
 
 use passway_standins::load::{Burst, Sample};
 use passway_standins::world::{Fleet, WorldPlan};
 use passway_types::prelude::*;
 use std::ops::Range;
 
-/// Broken fault runs that a failed test shows.
+/// Maximum number of violations that a failed test prints.
 const MAX_SHOWN_VIOLATIONS: usize = 8;
 
-/// A world that is quick to start: two instances, three engines.
+/// The plan of a world that starts quickly: two instances, three engines.
 pub fn small_plan() -> WorldPlan {
     WorldPlan {
         instances: 2,
@@ -20,9 +20,9 @@
     }
 }
 
-/// The same for tests that are about neither an unavailable key-value service nor a lost
-/// controller: on a busy machine its calls may take seconds, and leases may lapse, which
-/// would be refused as an outage.
+/// The small plan with long timeouts, for tests of neither an unavailable key-value service
+/// nor a lost controller. On a busy machine, calls to the service may take seconds and leases
+/// may expire; with short timeouts, requests would then be refused as in an outage.
 pub fn long_timeout_plan() -> WorldPlan {
     WorldPlan {
         patience: Some(Duration::from_secs(10)),
@@ -31,7 +31,7 @@
     }
 }
 
-/// Makes `count` requests for one model at all routers at one time.
+/// Sends `count` requests for one model to all routers at the same time.
 pub fn burst(fleet: &Fleet, model: &str, count: usize, deadline: Duration) -> Vec<Sample> {
     let routers: Vec<_> = fleet
         .routers
@@ -47,7 +47,7 @@
     .run(&routers)
 }
 
-/// A number from an environment variable.
+/// Returns the number in an environment variable, or `default` if it holds none.
 pub fn number_from_env(name: &str, default: u64) -> u64 {
     std::env::var(name)
         .ok()
@@ -55,17 +55,17 @@
         .unwrap_or(default)
 }
 
-/// The fault runs of one test, each with a seed of its own.
+/// The fault runs of one test, each with its own seed.
 #[derive(Debug, Clone, Copy)]
 pub struct FaultRuns {
-    /// How many there are.
+    /// The number of runs.
     pub count: u64,
     first_seed: u64,
 }
 
 impl FaultRuns {
-    /// As many as `PASSWAY_FAULT_RUNS` says, or else `default`, with seeds from
-    /// `PASSWAY_FAULT_SEED` on.
+    /// Takes the number of runs from `PASSWAY_FAULT_RUNS`, otherwise `default`, and the first
+    /// seed from `PASSWAY_FAULT_SEED`, otherwise 1.
     pub fn from_environment(default: u64) -> Self {
         Self {
             count: number_from_env("PASSWAY_FAULT_RUNS", default),
@@ -73,12 +73,12 @@
         }
     }
 
-    /// The seeds.
+    /// Returns the seeds of all runs.
     pub fn seeds(self) -> Range<u64> {
         self.first_seed..self.first_seed + self.count
     }
 
-    /// Fails if a run broke a rule, and shows the first of them.
+    /// Fails if a run violated a rule, and prints the first violations.
     pub fn assert_no_violations(self, violations: &[String]) {
         let shown = &violations[..violations.len().min(MAX_SHOWN_VIOLATIONS)];
         assert!(
