--- a/crates/router/src/control.rs
+++ b/crates/router/src/control.rs
@@ -32,13 +32,19 @@
     address: SocketAddr,
 }
 
+/// The connections to controllers and the latest state received over them.
 #[derive(Debug, Default)]
 struct ControllerConnections {
+    /// Outboxes of the controllers that are connected now.
     outboxes: HashMap<SocketAddr, Outbox>,
     dialers: HashMap<SocketAddr, Dialer>,
+    /// The known holder of each cell.
     holders: HashMap<String, KnownHolder>,
+    /// The epoch of each cell's route table.
     route_epochs: HashMap<String, Epoch>,
+    /// The number of connected routers that each controller reported last.
     router_counts: HashMap<SocketAddr, u32>,
+    /// Time of the latest request for a configuration; `None` once one has arrived.
     config_requested_at: Option<Instant>,
 }
 
