--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -264,7 +264,7 @@
                 self.connections
                     .send_to_router(router, &Body::Verdict(verdict));
             }
-            Action::Publish(change) => {
+            Action::PublishRoutes(change) => {
                 let Some(shell) = self.cells.get_mut(cell) else {
                     return;
                 };
@@ -272,8 +272,10 @@
                 self.connections.send_to_routers(&Body::Routes(routes));
             }
             Action::Audit(decision) => self.audit.record(&self.identity.instance, cell, &decision),
-            Action::ProbeFormer { epoch, holder } if self.fleet.was_removed(&holder.instance) => {
-                let event = Event::FormerGone(epoch);
+            Action::ProbePreviousHolder { epoch, holder }
+                if self.fleet.was_removed(&holder.instance) =>
+            {
+                let event = Event::PreviousHolderStopped(epoch);
                 // Queued as an input, because this decision is not finished yet.
                 let _ = self.inputs.send(Input::Cell {
                     cell: cell.clone(),
@@ -375,7 +377,7 @@
         };
         let cells: Vec<CellName> = self.cells.keys().cloned().collect();
         for cell in cells {
-            self.handle_cell_event(now, &cell, Event::RouterGone(hello.incarnation));
+            self.handle_cell_event(now, &cell, Event::RouterDisconnected(hello.incarnation));
         }
     }
 
@@ -416,10 +418,10 @@
 
     fn handle_instance_list(&mut self, now: Instant, instances: &[ListedInstance]) {
         let catalog = self.catalog.clone();
-        for (upstream, standing) in self.fleet.update(instances, &catalog) {
-            let event = Event::UpstreamStanding {
+        for (upstream, listing) in self.fleet.update(instances, &catalog) {
+            let event = Event::UpstreamListingChanged {
                 upstream: upstream.clone(),
-                standing,
+                listing,
             };
             self.handle_upstream_event(now, &upstream, event);
         }
--- a/crates/controller/src/node/fleet.rs
+++ b/crates/controller/src/node/fleet.rs
@@ -1,7 +1,7 @@
 //! Instances and upstreams in the platform's list.
 
 use passway_config::Catalog;
-use passway_decide::cell::upstreams::Standing;
+use passway_decide::cell::upstreams::ListingState;
 use passway_platform::instance_list::ListedInstance;
 use passway_types::prelude::*;
 use std::collections::{HashMap, HashSet};
@@ -13,7 +13,7 @@
     /// Instances that were listed before and are not listed now.
     removed: HashSet<InstanceId>,
     /// The state in the list of each upstream, as last sent to the cells.
-    listings: HashMap<UpstreamId, Standing>,
+    listings: HashMap<UpstreamId, ListingState>,
     /// The revision for whose cells the ranks were last computed.
     ranked_revision: Revision,
     /// Whether the list has changed since then.
@@ -31,7 +31,7 @@
         &mut self,
         list: &[ListedInstance],
         catalog: &Catalog,
-    ) -> Vec<(UpstreamId, Standing)> {
+    ) -> Vec<(UpstreamId, ListingState)> {
         let ids: HashSet<InstanceId> = list.iter().map(|entry| entry.id.clone()).collect();
         self.removed.retain(|id| !ids.contains(id));
         for id in self.listed.difference(&ids) {
@@ -49,19 +49,19 @@
         &mut self,
         leaving: &HashSet<&str>,
         catalog: &Catalog,
-    ) -> Vec<(UpstreamId, Standing)> {
+    ) -> Vec<(UpstreamId, ListingState)> {
         let mut changed = Vec::new();
         for upstream in catalog.upstreams.keys() {
-            let standing = if self.removed.contains(upstream) {
-                Standing::Gone
+            let listing = if self.removed.contains(upstream) {
+                ListingState::Removed
             } else if leaving.contains(&**upstream) {
-                Standing::Leaving
+                ListingState::Leaving
             } else {
-                Standing::Listed
+                ListingState::Listed
             };
-            let previous = self.listings.insert(upstream.clone(), standing);
-            if previous.unwrap_or(Standing::Listed) != standing {
-                changed.push((upstream.clone(), standing));
+            let previous = self.listings.insert(upstream.clone(), listing);
+            if previous.unwrap_or(ListingState::Listed) != listing {
+                changed.push((upstream.clone(), listing));
             }
         }
         changed
--- a/crates/controller/src/translate.rs
+++ b/crates/controller/src/translate.rs
@@ -58,7 +58,7 @@
     message::Routes {
         cell: cell.to_owned(),
         epoch,
-        whole: from.whole,
+        whole: from.is_snapshot,
         added: to_wire_routes(&from.added),
         removed: to_wire_routes(&from.removed),
     }
--- a/crates/controller/src/workers.rs
+++ b/crates/controller/src/workers.rs
@@ -77,7 +77,7 @@
         for job in jobs {
             // Counted from before the call, because the service may start the lease's
             // duration as soon as the call arrives.
-            let until_at = clock::now() + time_to_live * USABLE_LEASE_TENTHS / 10;
+            let valid_until = clock::now() + time_to_live * USABLE_LEASE_TENTHS / 10;
             let answer = match job {
                 LeaseJob::Acquire => {
                     acquire(&*key_value, &reply.cell, &value, time_to_live, &mut lease)
@@ -95,7 +95,7 @@
                 reply.send_service_reached();
             }
             reply.send_event(match answer {
-                Ok(true) => Event::LeaseGranted { until_at },
+                Ok(true) => Event::LeaseGranted { valid_until },
                 Ok(false) => Event::LeaseDenied,
                 Err(Unavailable) => Event::LeaseUnavailable,
             });
@@ -162,7 +162,7 @@
                 PlanJob::Read => read_plan(&*key_value, &key),
                 PlanJob::Write { expected, plan } => write_plan(&*key_value, &key, expected, &plan),
             };
-            if !matches!(event, Event::PlanUnavailable | Event::WriteUnclear) {
+            if !matches!(event, Event::PlanUnavailable | Event::WriteOutcomeUnknown) {
                 reply.send_service_reached();
             }
             reply.send_event(event);
@@ -193,14 +193,14 @@
 
 fn write_plan(key_value: &dyn KeyValue, key: &str, expected: Version, plan: &Plan) -> Event {
     let Ok(value) = serde_json::to_vec(plan) else {
-        return Event::WriteUnclear;
+        return Event::WriteOutcomeUnknown;
     };
     match key_value.put_if(key, expected, &value, None) {
         Ok(PutOutcome::Written(version)) => Event::WriteDone {
             change: plan.last_change,
             version,
         },
-        Ok(PutOutcome::Conflict) | Err(Unavailable) => Event::WriteUnclear,
+        Ok(PutOutcome::Conflict) | Err(Unavailable) => Event::WriteOutcomeUnknown,
     }
 }
 
@@ -219,7 +219,7 @@
                     answer:? = answer; "order");
             }
             let (upstream, fence) = (order.upstream, order.fence);
-            reply.send_event(Event::Order {
+            reply.send_event(Event::OrderAnswered {
                 upstream,
                 fence,
                 answer,
@@ -262,9 +262,9 @@
                 let now = clock::now();
                 last_query_at = Some(now);
                 let status = engines.status(address);
-                reply.send_event(Event::Status {
+                reply.send_event(Event::StatusPolled {
                     upstream: upstream.clone(),
-                    asked_at: now,
+                    polled_at: now,
                     status,
                 });
             }
@@ -308,7 +308,7 @@
             incarnation != previous.incarnation || !may_order
         });
         if is_gone {
-            reply.send_event(Event::FormerGone(epoch));
+            reply.send_event(Event::PreviousHolderStopped(epoch));
         }
     });
 }
--- a/crates/instance/src/control.rs
+++ b/crates/instance/src/control.rs
@@ -1,9 +1,9 @@
 //! Orders and queries to engines. The signals in their answers are applied like those in any other
 //! answer.
 
-use crate::right::Right;
+use crate::leadership::LeadershipDriver;
 use crate::shared::Shared;
-use crate::words::{self, Heard};
+use crate::signals::{self, ReceivedSignals};
 use passway_serving::placement::PlannedOrder;
 use passway_serving::poison::UpstreamStart;
 use passway_serving::ports::{EngineOrder, EngineReport, Engines, OrderAnswer, Said};
@@ -18,14 +18,14 @@
     response: Said<T>,
     sent_at: Instant,
 ) -> T {
-    let received = Heard {
+    let received = ReceivedSignals {
         start,
-        words: &response.words,
+        signals: &response.words,
         // Engines vouch only for answers to callers' requests.
-        vouched: false,
+        is_authenticated: false,
         sent_at,
     };
-    words::hear(shared, received);
+    signals::apply(shared, received);
     response.answer
 }
 
@@ -51,7 +51,7 @@
 pub fn send_order(
     shared: &Shared,
     engines: &dyn Engines,
-    leadership: &Right,
+    leadership: &LeadershipDriver,
     fence: Fence,
     order: &PlannedOrder,
 ) -> OrderAnswer {
--- a/crates/instance/src/forward/refusal.rs
+++ b/crates/instance/src/forward/refusal.rs
@@ -3,7 +3,7 @@
 use super::access::Denial;
 use super::attempt::FailedAnswer;
 use super::{ConnectionReuse, Forwarding, RETRY_AFTER_MS, connection_reuse, not_run};
-use crate::poison::Trial;
+use crate::poison::ExclusivePermit;
 use crate::relay::millis;
 use crate::reply::{self, Refusal};
 use passway_serving::poison::Standing;
@@ -35,7 +35,7 @@
         let has_permit = self
             .exclusive_permit
             .as_ref()
-            .is_some_and(Trial::is_granted);
+            .is_some_and(ExclusivePermit::is_granted);
         let is_on_hold = self.run_permission != Standing::Free && !has_permit;
         let refusal = if self.runs == 0 {
             // A request that crashes engines is not run until its entry expires.
--- a/crates/instance/src/lib.rs
+++ b/crates/instance/src/lib.rs
@@ -20,7 +20,7 @@
 //! * [`metrics`] are the metrics of `/metrics`.
 //! * [`health`] tracks whether the store answers.
 //! * [`relay`] receives the store's updates through the holder, [`news`] encodes these updates, and
-//!   [`packing`] compresses large values; [`listeners`] are the instances that receive updates from
+//!   [`compression`] compresses large values; [`subscribers`] are the instances that receive updates from
 //!   the holder, and [`feed_log`] is the log of updates to send.
 //! * [`lifecycle`] starts and stops the instance; [`stop_signal`] ends the remaining waits at a
 //!   stop.
@@ -28,7 +28,9 @@
 pub mod allotments;
 pub mod callers;
 pub mod candidates;
+pub mod compression;
 pub mod control;
+pub mod coordinator;
 pub mod dispatch;
 pub mod events;
 pub mod feed_log;
@@ -38,14 +40,11 @@
 pub mod health;
 pub mod holder;
 pub mod http1;
-pub mod keeper;
+pub mod leadership;
 pub mod lifecycle;
 pub mod limits;
-pub mod listeners;
 pub mod members;
 pub mod metrics;
-pub mod news;
-pub mod packing;
 pub mod poison;
 pub mod pool;
 pub mod queries;
@@ -53,9 +52,10 @@
 pub mod relay;
 pub mod reply;
 pub mod report;
-pub mod right;
 pub mod shared;
+pub mod signals;
 pub mod stop_signal;
-pub mod words;
+pub mod subscribers;
+pub mod updates;
 
 pub use lifecycle::{Instance, Surroundings};
--- a/crates/instance/src/metrics.rs
+++ b/crates/instance/src/metrics.rs
@@ -2,7 +2,7 @@
 //! balancer's probes. `docs/OPERATIONS.md` lists their names and the alarms.
 
 use crate::allotments::Decision;
-use crate::keeper::Unruled;
+use crate::coordinator::NoDecision;
 use crate::limits::LimitDecision;
 use passway_types::prelude::*;
 use prometheus_client::encoding::EncodeLabelSet;
@@ -221,7 +221,11 @@
         let turns = self.limit_decisions.clone();
         let help = "Requests for a turn at an upstream that names a limit, by answer";
         registry.register("limited_turns", help, turns);
-        for unruled in [Unruled::NoHolder, Unruled::Silent, Unruled::NotKeeper] {
+        for unruled in [
+            NoDecision::NoHolder,
+            NoDecision::Silent,
+            NoDecision::NotCoordinator,
+        ] {
             let cause = unruled.name();
             let _zero = self
                 .unanswered_queries
@@ -286,7 +290,7 @@
     }
 
     /// Counts a query to the coordinator that got no decision.
-    pub fn unanswered_query(&self, cause: Unruled) {
+    pub fn unanswered_query(&self, cause: NoDecision) {
         let cause = cause.name();
         self.unanswered_queries
             .get_or_create(&CauseLabels { cause })
--- a/crates/instance/src/ready.rs
+++ b/crates/instance/src/ready.rs
@@ -1,8 +1,8 @@
 //! The endpoint for the balancer's readiness probe and for `/metrics`.
 
 use crate::http1::{self, Connection, HttpError};
+use crate::leadership::LeadershipDriver;
 use crate::metrics::GaugeValues;
-use crate::right::Right;
 use crate::shared::Shared;
 use anyhow::{Context, Result};
 use passway_types::clock;
@@ -26,7 +26,7 @@
 /// If the address cannot be bound.
 pub fn listen(
     shared: &Arc<Shared>,
-    leadership: &Arc<Right>,
+    leadership: &Arc<LeadershipDriver>,
     address: SocketAddr,
 ) -> Result<SocketAddr> {
     let listener = TcpListener::bind(address).with_context(|| format!("binding {address}"))?;
@@ -52,7 +52,7 @@
     Ok(bound)
 }
 
-fn gauge_values(shared: &Shared, leadership: &Right) -> GaugeValues {
+fn gauge_values(shared: &Shared, leadership: &LeadershipDriver) -> GaugeValues {
     let routes = shared.routes.load();
     let upstreams = shared.upstreams();
     let (limited_upstreams, leaving_upstreams) = (upstreams.limited(), upstreams.leaving().count());
@@ -64,7 +64,7 @@
         in_progress: shared.in_progress(),
         store_answers: !shared.store_health.is_failing(),
         configuration_age: shared.configuration_age.age(),
-        poison_requests: shared.poison.refused(),
+        poison_requests: shared.poison.refused_count(),
         waiting_bytes: passway_process::outbox::waiting_bytes(),
         limited_upstreams,
         leaving_upstreams,
@@ -74,7 +74,7 @@
 
 fn answer(
     shared: &Shared,
-    leadership: &Right,
+    leadership: &LeadershipDriver,
     mut connection: Connection,
 ) -> Result<(), HttpError> {
     loop {
--- a/crates/instance/src/shared.rs
+++ b/crates/instance/src/shared.rs
@@ -1,16 +1,16 @@
 //! State shared by the threads of an instance.
 
 use crate::allotments::Allotments;
+use crate::coordinator::CoordinatorClient;
 use crate::dispatch::Dispatch;
 use crate::freshness::ConfigurationAge;
 use crate::health::StoreHealth;
-use crate::keeper::KeeperLink;
+use crate::leadership::LeadershipDriver;
 use crate::limits::Limits;
 use crate::members::Addresses;
 use crate::metrics::Metrics;
-use crate::poison::Poison;
+use crate::poison::PoisonTracker;
 use crate::pool::ConnectionPool;
-use crate::right::Right;
 use arc_swap::{ArcSwap, ArcSwapOption};
 use crossbeam::channel::Sender;
 use passway_serving::poison::{Suspect, UpstreamStart};
@@ -102,13 +102,13 @@
     /// How recent the configuration is proved to be.
     pub configuration_age: ConfigurationAge,
     /// Queries to the coordinator, the instance that counts usage for all.
-    pub coordinator: KeeperLink,
+    pub coordinator: CoordinatorClient,
     /// Allotments of workspaces.
     pub allotments: Allotments,
     /// Grants for limited upstreams.
     pub limits: Limits,
     /// Requests that crash upstreams.
-    pub poison: Poison,
+    pub poison: PoisonTracker,
     /// The headers that callers and upstreams use.
     pub vocabulary: Box<dyn Vocabulary>,
     report_events: Sender<ReportEvent>,
@@ -120,7 +120,7 @@
     first_byte_times: Mutex<UsualTimes>,
     unconfirmed_engines: Mutex<BTreeSet<UpstreamId>>,
     members: Mutex<Addresses>,
-    leadership: OnceLock<Arc<Right>>,
+    leadership: OnceLock<Arc<LeadershipDriver>>,
     engines: OnceLock<Arc<dyn Engines>>,
     upstreams_listed: AtomicBool,
     is_stopping: AtomicBool,
@@ -169,10 +169,10 @@
             metrics: Metrics::default(),
             pool: ConnectionPool::default(),
             configuration_age: ConfigurationAge::default(),
-            coordinator: KeeperLink::default(),
+            coordinator: CoordinatorClient::default(),
             allotments: Allotments::default(),
             limits: Limits::default(),
-            poison: Poison::default(),
+            poison: PoisonTracker::default(),
             vocabulary,
             report_events,
             upstreams: Mutex::new(upstreams),
@@ -256,12 +256,12 @@
     }
 
     /// The leadership as this instance knows it; `None` while the process starts.
-    pub fn leadership(&self) -> Option<&Arc<Right>> {
+    pub fn leadership(&self) -> Option<&Arc<LeadershipDriver>> {
         self.leadership.get()
     }
 
     /// Sets the leadership, once.
-    pub fn set_leadership(&self, leadership: Arc<Right>) {
+    pub fn set_leadership(&self, leadership: Arc<LeadershipDriver>) {
         // Each process has exactly one.
         let _ = self.leadership.set(leadership);
     }
@@ -281,7 +281,7 @@
     /// `before_ms` is in Unix milliseconds by the upstream's own clock. Requests that broke off
     /// there become suspects.
     pub fn starts_ended(&self, upstream: &str, before_ms: u64) {
-        for suspect in self.poison.ended(upstream, before_ms) {
+        for suspect in self.poison.record_ended(upstream, before_ms) {
             self.report(ReportEvent::Suspect(suspect));
         }
     }
@@ -323,7 +323,7 @@
     /// Whether the configuration is recent enough to accept the keys in it.
     fn may_accept_keys(&self) -> bool {
         let bound = self.revocation_bound();
-        bound.is_none_or(|bound| self.configuration_age.permits(bound))
+        bound.is_none_or(|bound| self.configuration_age.is_proved_within(bound))
     }
 
     /// Applies changed bounds.
@@ -365,7 +365,7 @@
     /// the upstreams and the requests that crash them.
     pub fn can_serve(&self) -> bool {
         !self.is_stopping()
-            && self.poison.is_told()
+            && self.poison.has_fleet_list()
             && self.upstreams_listed.load(Ordering::Acquire)
             && self.routes.load().is_some()
     }
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -128,7 +128,7 @@
                         }));
                     }
                 }
-                ClaimStep::Ours(version) => {
+                ClaimStep::Owned(version) => {
                     return Ok(ClaimResult::Send(OwnClaim {
                         key,
                         version,
--- a/crates/router/src/control.rs
+++ b/crates/router/src/control.rs
@@ -184,9 +184,9 @@
         }
         self.request_config(address, heartbeat.config_revision, shared, now);
         let mut core = shared.core();
-        core.set_routers(router_count, now);
+        core.set_router_count(router_count, now);
         if !heartbeat.isolated {
-            core.set_current_until(now + shared.limits.stale_limit);
+            core.set_config_current_until(now + shared.limits.stale_limit);
         }
     }
 
@@ -272,10 +272,10 @@
         let change = RouteChange {
             added: from_wire(routes.added),
             removed: from_wire(routes.removed),
-            whole: routes.whole,
+            is_snapshot: routes.whole,
         };
         self.decide(shared, |core, now| {
-            core.routes_changed(now, &change, &routes.cell)
+            core.apply_route_change(now, &change, &routes.cell)
         });
     }
 
@@ -305,7 +305,9 @@
             None => DemandVerdict::ReadyAt(now + Duration::from_millis(verdict.ready_in_ms)),
         };
         let model: ModelName = verdict.model.as_str().into();
-        self.decide(shared, |core, now| core.verdict(now, &model, decided));
+        self.decide(shared, |core, now| {
+            core.handle_verdict(now, &model, decided)
+        });
     }
 
     /// Makes one decision and performs its actions.
--- a/crates/router/src/generate.rs
+++ b/crates/router/src/generate.rs
@@ -5,7 +5,7 @@
 use crate::shared::{InProgressGuard, RequestDecision, Shared};
 use crate::stream::{EngineStream, StreamReader};
 use crossbeam::channel::Receiver;
-use passway_decide::router::{Arrival, Ended};
+use passway_decide::router::{Arrival, AttemptOutcome};
 use passway_http::{Body, Caller, Request, Response};
 use passway_platform::http::{CallError, agent, classify};
 use passway_types::clock;
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 enum Attempt {
     Answer(ureq::http::Response<ureq::Body>),
-    Ended(Ended),
+    Ended(AttemptOutcome),
     Late,
 }
 
@@ -105,7 +105,7 @@
         priority: meta.priority,
         deadline_at: meta.deadline_at,
     };
-    control.decide(shared, |core, now| core.arrive(now, &arrival));
+    control.decide(shared, |core, now| core.handle_arrival(now, &arrival));
     let label = generation.label.clone();
     let result = generation.run();
     let wait_ms = u64::try_from(clock::since(arrived_at).as_millis()).unwrap_or(u64::MAX);
@@ -124,7 +124,7 @@
         let request = self.request;
         self.control.decide(&self.shared, |core, now| {
             core.abandon(request);
-            core.ended(now, request, Ended::Abandoned)
+            core.attempt_ended(now, request, AttemptOutcome::Abandoned)
         });
     }
 }
@@ -134,8 +134,8 @@
         loop {
             let (mut response, deadline_at) = match self.next_attempt(0)? {
                 (Attempt::Answer(response), deadline_at) => (response, deadline_at),
-                (Attempt::Ended(ended), _) => {
-                    self.report_end(ended);
+                (Attempt::Ended(outcome), _) => {
+                    self.report_end(outcome);
                     continue;
                 }
                 (Attempt::Late, _) => {
@@ -151,7 +151,7 @@
                     return Err(Refusal::new(ResultCode::AnswerLate, "no answer in time"));
                 }
                 // The caller has received nothing yet, so the request may run again.
-                Err(_) => self.report_end(Ended::Failed),
+                Err(_) => self.report_end(AttemptOutcome::Failed),
             }
         }
     }
@@ -211,7 +211,7 @@
     ) -> Attempt {
         let catalog = self.shared.catalog.load();
         let Some(entry) = catalog.upstreams.get(upstream) else {
-            return Attempt::Ended(Ended::NotLoaded);
+            return Attempt::Ended(AttemptOutcome::NotLoaded);
         };
         let time_left = deadline_at.saturating_duration_since(clock::now());
         let mut body = self.body.clone();
@@ -224,7 +224,7 @@
             .header(RESUME_HEADER, resume_at.to_string())
             .body(body.to_string());
         let Ok(request) = request else {
-            return Attempt::Ended(Ended::Failed);
+            return Attempt::Ended(AttemptOutcome::Failed);
         };
         let agent = agent(None, 0);
         let configured = agent
@@ -253,22 +253,23 @@
         log::debug!(request = self.label.as_str(), upstream = upstream, error:% = error;
             "attempt failed");
         match classify(error) {
-            CallError::NotSent => Attempt::Ended(Ended::Unreachable),
+            CallError::NotSent => Attempt::Ended(AttemptOutcome::Unreachable),
             CallError::Lost if clock::now() >= deadline_at => Attempt::Late,
-            CallError::Lost => Attempt::Ended(Ended::Failed),
+            CallError::Lost => Attempt::Ended(AttemptOutcome::Failed),
         }
     }
 
-    fn report_end(&self, ended: Ended) {
+    fn report_end(&self, outcome: AttemptOutcome) {
         let request = self.request;
-        self.control
-            .decide(&self.shared, |core, now| core.ended(now, request, ended));
+        self.control.decide(&self.shared, |core, now| {
+            core.attempt_ended(now, request, outcome)
+        });
     }
 
     /// Records that the caller received the complete answer.
     pub(crate) fn report_served(&self, tokens: u32) {
         self.shared.metrics.count_served();
-        self.report_end(Ended::Served { tokens });
+        self.report_end(AttemptOutcome::Served { tokens });
     }
 
     fn complete_response(&self, body: Vec<u8>) -> Response {
@@ -301,7 +302,7 @@
     /// # Errors
     /// The refusal that ends the stream.
     pub(crate) fn resume(&self, delivered: u32) -> Result<EngineStream, Refusal> {
-        self.report_end(Ended::Failed);
+        self.report_end(AttemptOutcome::Failed);
         loop {
             match self.next_attempt(delivered)? {
                 (Attempt::Answer(response), _) => {
@@ -309,7 +310,7 @@
                     log::info!(request = self.label.as_str(), delivered = delivered; "stream resumed");
                     return Ok(EngineStream::new(response.into_body().into_reader()));
                 }
-                (Attempt::Ended(ended), _) => self.report_end(ended),
+                (Attempt::Ended(outcome), _) => self.report_end(outcome),
                 (Attempt::Late, _) => {
                     return Err(Refusal::new(ResultCode::AnswerBroken, "no answer in time"));
                 }
@@ -323,8 +324,8 @@
     match response.status().as_u16() {
         200 => Attempt::Answer(response),
         // Engines answer 404 and 429 before the request runs.
-        404 => Attempt::Ended(Ended::NotLoaded),
-        429 => Attempt::Ended(Ended::Busy),
-        _ => Attempt::Ended(Ended::Failed),
+        404 => Attempt::Ended(AttemptOutcome::NotLoaded),
+        429 => Attempt::Ended(AttemptOutcome::Busy),
+        _ => Attempt::Ended(AttemptOutcome::Failed),
     }
 }
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -86,10 +86,10 @@
         ));
         let now = clock::now();
         let mut core = RouterCore::new(incarnation, catalog.clone(), now);
-        core.set_current_until(now);
+        core.set_config_current_until(now);
         // Each instance runs one controller and one router.
         let router_count = u32::try_from(settings.controllers.len()).unwrap_or(u32::MAX);
-        core.expect_routers(router_count, now + STARTUP_WINDOW);
+        core.assume_listed_routers(router_count, now + STARTUP_WINDOW);
         Ok(Self {
             catalog: ArcSwap::new(catalog),
             metrics: Metrics::default(),
--- a/tests/all/cold_upstreams.rs
+++ b/tests/all/cold_upstreams.rs
@@ -2,7 +2,7 @@
 //! instances.
 
 use crate::cluster::{self, ask, request, until};
-use crate::saying::SayingServer;
+use crate::signalling::SignallingServer;
 use passway_serving::upstreams::{ColdBound, UpstreamEntry, UpstreamTable};
 use passway_standins::platform::documents::{configuration, plain_entry};
 use passway_types::prelude::*;
@@ -66,7 +66,7 @@
     document["services"][0]["cold_start_s"] = json!(30.0);
     let store = cluster::store(&[]);
     store.put("op/config", &document);
-    let server = SayingServer::start();
+    let server = SignallingServer::start();
     let mut cold = plain_entry(server.address());
     cold["cold_left_ms"] = json!(30_000);
     cold["slots"] = json!(64);
--- /dev/null
+++ b/tests/all/scripted_store.rs
@@ -0,0 +1,184 @@
+//! A feed that follows a store whose answers the test defines.
+
+use crate::cluster;
+use crossbeam::channel;
+use passway_instance::feeds::{Feed, follow};
+use passway_instance::relay::{CONFIGURATION_FEED, FEED_COUNT, RelayReceiver};
+use passway_instance::shared::Shared;
+use passway_serving::ports::{
+    ConditionalWrite, LeaseId, Listing, SharedStore, StoreChange, StoreError, StoreRevision,
+    WatchAnswer, WriteAnswer,
+};
+use passway_types::prelude::*;
+use passway_users_platform::PlatformHeaders;
+use passway_wire::message::News;
+use std::net::SocketAddr;
+use std::sync::Mutex;
+use std::sync::atomic::{AtomicU32, Ordering};
+
+/// Number of lists that are answered at once. A feed runs until the process exits, and one whose
+/// history is always dropped would keep a processor busy with lists.
+const IMMEDIATE_LISTS: u32 = 4;
+/// Delay of later answers to lists.
+const LATER_LIST_DELAY: Duration = Duration::from_millis(100);
+
+/// The store's answer to the list or watch with a given number.
+pub type Answer<T> = fn(u32) -> Result<T, StoreError>;
+
+/// A store that answers lists and watches as defined, and refuses everything else. Like a real
+/// store, it delays the answer to a watch without changes.
+pub struct ScriptedStore {
+    lists: AtomicU32,
+    watches: AtomicU32,
+    list: Answer<Listing>,
+    watch: Answer<WatchAnswer>,
+}
+
+impl ScriptedStore {
+    /// Creates a store with these answers.
+    pub fn new(list: Answer<Listing>, watch: Answer<WatchAnswer>) -> Arc<Self> {
+        Arc::new(Self {
+            lists: AtomicU32::new(0),
+            watches: AtomicU32::new(0),
+            list,
+            watch,
+        })
+    }
+}
+
+impl SharedStore for ScriptedStore {
+    fn list(&self, _: &str) -> Result<Listing, StoreError> {
+        let number = self.lists.fetch_add(1, Ordering::Relaxed);
+        if number >= IMMEDIATE_LISTS {
+            std::thread::sleep(LATER_LIST_DELAY);
+        }
+        (self.list)(number)
+    }
+
+    fn watch(
+        &self,
+        _: &str,
+        after: StoreRevision,
+        timeout: Duration,
+    ) -> Result<WatchAnswer, StoreError> {
+        let answer = (self.watch)(self.watches.fetch_add(1, Ordering::Relaxed));
+        let is_unchanged = |answer: &WatchAnswer| match answer {
+            WatchAnswer::Changes { revision, .. } => *revision <= after,
+            WatchAnswer::HistoryGone => false,
+        };
+        if answer.as_ref().is_ok_and(is_unchanged) {
+            std::thread::sleep(timeout);
+        }
+        answer
+    }
+
+    fn write(&self, _: &[ConditionalWrite]) -> Result<WriteAnswer, StoreError> {
+        Err(StoreError::NotDone)
+    }
+
+    fn grant_lease(&self, _: Duration) -> Result<LeaseId, StoreError> {
+        Err(StoreError::NotDone)
+    }
+
+    fn renew_lease_within(&self, _: LeaseId, _: Duration) -> Result<bool, StoreError> {
+        Err(StoreError::NotDone)
+    }
+
+    fn end_lease(&self, _: LeaseId) -> Result<(), StoreError> {
+        Err(StoreError::NotDone)
+    }
+}
+
+/// The shared state of an instance that nobody reaches.
+pub fn shared() -> Arc<Shared> {
+    // There is no reporting thread, so its messages are dropped.
+    let (needs, _needed) = channel::unbounded();
+    let unused_address = SocketAddr::from(([127, 0, 0, 1], 1));
+    let settings = cluster::settings("one", unused_address);
+    Arc::new(Shared::new(settings, Box::new(PlatformHeaders), needs))
+}
+
+/// Revisions that a feed has applied.
+#[derive(Clone, Default)]
+pub struct Revisions(Arc<Mutex<Vec<StoreRevision>>>);
+
+impl Revisions {
+    fn record(&self, revision: StoreRevision) {
+        self.0.lock().expect("an unpoisoned lock").push(revision);
+    }
+
+    /// Whether the feed has applied a revision.
+    pub fn contains(&self, revision: StoreRevision) -> bool {
+        self.0
+            .lock()
+            .expect("an unpoisoned lock")
+            .contains(&revision)
+    }
+}
+
+struct RecordingFeed {
+    shared: Arc<Shared>,
+    revisions: Revisions,
+}
+
+impl Feed for RecordingFeed {
+    fn prefix(&self) -> String {
+        "op/".into()
+    }
+
+    fn apply_listing(&mut self, listing: &Listing) {
+        self.revisions.record(listing.revision);
+    }
+
+    fn apply_change(&mut self, change: &StoreChange) -> bool {
+        self.revisions.record(change.revision());
+        true
+    }
+
+    fn finish_batch(&mut self) -> Duration {
+        Duration::ZERO
+    }
+
+    fn shared(&self) -> &Shared {
+        &self.shared
+    }
+}
+
+/// Follows a store. Returns the revisions that are applied.
+pub fn follow_store(
+    store: Arc<ScriptedStore>,
+    receiver: RelayReceiver,
+    shared: &Arc<Shared>,
+) -> Revisions {
+    let revisions = Revisions::default();
+    let (updates, _received) = channel::unbounded();
+    let feed = RecordingFeed {
+        shared: shared.clone(),
+        revisions: revisions.clone(),
+    };
+    follow(store, receiver, updates, feed);
+    revisions
+}
+
+/// A holder's update of the configuration between two revisions, without a value.
+pub fn update_message(from: StoreRevision, to: StoreRevision) -> News {
+    News {
+        feed: u32::try_from(CONFIGURATION_FEED).expect("small"),
+        from,
+        to,
+        ..News::default()
+    }
+}
+
+/// A heartbeat of a holder whose clock started at `begun_at` and to which the store has just
+/// confirmed the first `feeds` feeds.
+pub fn heartbeat(begun_at: Instant, feeds: usize) -> News {
+    let elapsed_ms = begun_at.elapsed().as_millis();
+    let now_ms = u64::try_from(elapsed_ms).expect("small") + 1;
+    let confirmed_ms = |feed| if feed < feeds { now_ms } else { 0 };
+    News {
+        sent_ms: now_ms,
+        confirmed_ms: (0..FEED_COUNT).map(confirmed_ms).collect(),
+        ..News::default()
+    }
+}
