--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -99,8 +99,8 @@
             key_value: Arc::new(HttpKeyValue::new(key_value, call_timeout)),
             engines: Arc::new(HttpEngineControl::new(ORDER_TIMEOUT, STATUS_TIMEOUT)),
             lease_duration: Duration::from_millis(settings.lease_ms),
-            order_settle: Duration::from_millis(settings.order_settle_ms),
-            write_patience: Duration::from_millis(settings.write_patience_ms),
+            order_settle_time: Duration::from_millis(settings.order_settle_ms),
+            write_outage_after: Duration::from_millis(settings.write_patience_ms),
             inputs: inputs.clone(),
         };
         let read_schedule = ReadSchedule::new(HOLDER_MAX_CONFIG_AGE);
--- a/crates/controller/src/node/cell_shell.rs
+++ b/crates/controller/src/node/cell_shell.rs
@@ -28,8 +28,8 @@
     pub(crate) key_value: Arc<dyn KeyValue>,
     pub(crate) engines: Arc<dyn EngineControl>,
     pub(crate) lease_duration: Duration,
-    pub(crate) order_settle: Duration,
-    pub(crate) write_patience: Duration,
+    pub(crate) order_settle_time: Duration,
+    pub(crate) write_outage_after: Duration,
     pub(crate) inputs: Sender<Input>,
 }
 
@@ -89,8 +89,8 @@
         };
         let limits = CellLimits {
             standby_poll_interval: services.lease_duration / STANDBY_POLL_DIVISOR,
-            order_settle_time: services.order_settle,
-            write_outage_after: services.write_patience,
+            order_settle_time: services.order_settle_time,
+            write_outage_after: services.write_outage_after,
         };
         let key_value = &services.key_value;
         let (lease_jobs, lease_thread) = workers::start_lease_thread(
--- a/crates/controller/src/node/connections.rs
+++ b/crates/controller/src/node/connections.rs
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Sends to one connection a heartbeat that names the holders of this version.
+    /// Sends one connection a heartbeat that names the holders, and records their version.
     pub(super) fn send_heartbeat(&mut self, id: ConnectionId, heartbeat: Heartbeat, version: u64) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.sent_holders_version = Some(version);
--- a/crates/controller/src/node/fleet.rs
+++ b/crates/controller/src/node/fleet.rs
@@ -68,7 +68,8 @@
     }
 
     /// Whether the ranks must be recomputed because the list or the revision has changed since
-    /// the last call that returned true. A rank costs one hash for each instance and cell.
+    /// the last call. Ranks are not recomputed at each read of the list, because a rank costs
+    /// one hash for each instance and cell.
     pub(super) fn start_ranking_if_due(&mut self, revision: Revision) -> bool {
         let is_due = self.list_changed || self.ranked_revision != revision;
         self.list_changed = false;
--- a/crates/controller/src/workers.rs
+++ b/crates/controller/src/workers.rs
@@ -291,7 +291,7 @@
 pub(crate) fn start_probe_thread(
     identity: &Holder,
     epoch: Epoch,
-    previous: Holder,
+    previous_holder: Holder,
     reply: ReplySender,
 ) {
     let hello = Hello {
@@ -301,25 +301,25 @@
         ..Default::default()
     };
     std::thread::spawn(move || {
-        let answer = probe_previous_holder(&previous, hello, &reply.cell, epoch);
+        let answer = probe_previous_holder(&previous_holder, hello, &reply.cell, epoch);
         // Another incarnation at the address proves that the previous process has terminated.
         // A missing answer proves nothing, because the process may be paused.
-        let is_gone = answer.is_some_and(|(incarnation, may_order)| {
-            incarnation != previous.incarnation || !may_order
+        let has_stopped = answer.is_some_and(|(incarnation, may_order)| {
+            incarnation != previous_holder.incarnation || !may_order
         });
-        if is_gone {
+        if has_stopped {
             reply.send_event(Event::PreviousHolderStopped(epoch));
         }
     });
 }
 
 fn probe_previous_holder(
-    previous: &Holder,
+    previous_holder: &Holder,
     hello: Hello,
     cell: &str,
     epoch: Epoch,
 ) -> Option<(u64, bool)> {
-    let (link, mut reader) = Link::connect(previous.address, PROBE_TIMEOUT).ok()?;
+    let (link, mut reader) = Link::connect(previous_holder.address, PROBE_TIMEOUT).ok()?;
     reader.set_timeout(PROBE_TIMEOUT).ok()?;
     link.send(Body::Hello(hello)).ok()?;
     link.send(Body::Probe(Probe {
--- a/crates/router/src/generate.rs
+++ b/crates/router/src/generate.rs
@@ -68,7 +68,7 @@
     guard: InProgressGuard,
 ) -> Result<Response, Refusal> {
     let meta = http::read_meta(shared, request)?;
-    let bytes = http::read_body(shared, request)?;
+    let bytes = http::request_body(shared, request)?;
     let bad_request = |detail: String| Refusal::new(ResultCode::BadRequest, detail);
     let body: Value =
         serde_json::from_slice(bytes).map_err(|error| bad_request(error.to_string()))?;
--- a/crates/router/src/http.rs
+++ b/crates/router/src/http.rs
@@ -114,7 +114,7 @@
 }
 
 /// Returns the body of a request.
-pub(crate) fn read_body<'r>(shared: &Shared, request: &'r Request) -> Result<&'r [u8], Refusal> {
+pub(crate) fn request_body<'r>(shared: &Shared, request: &'r Request) -> Result<&'r [u8], Refusal> {
     let limit = shared.limits.body_bytes;
     request.body.as_deref().map_err(|unread| match unread {
         Unread::TooLarge => Refusal::new(ResultCode::BodyTooLarge, format!("over {limit} bytes")),
--- a/crates/router/src/service.rs
+++ b/crates/router/src/service.rs
@@ -66,7 +66,7 @@
             .header("content-type")
             .unwrap_or_default()
             .to_owned(),
-        body: http::read_body(shared, request)?.to_vec(),
+        body: http::request_body(shared, request)?.to_vec(),
         key,
         label: shared.request_label(shared.draw_request_id()),
         deadline_at: meta.deadline_at.unwrap_or(clock::now() + DEFAULT_DEADLINE),
--- a/crates/router/src/stream.rs
+++ b/crates/router/src/stream.rs
@@ -124,8 +124,8 @@
 
     fn refusal_event(&self, mut refusal: Refusal) -> Vec<u8> {
         if self.delivered > 0 {
-            // The caller has received tokens, so the request ran, whatever the cause of the
-            // refusal says.
+            // The caller has received tokens, so the request ran, even if the refusal's own
+            // code means that it did not.
             refusal.code = ResultCode::AnswerBroken;
         }
         self.request.shared.metrics.count_refused(refusal.code);
--- a/tests/all/process_kills.rs
+++ b/tests/all/process_kills.rs
@@ -166,7 +166,7 @@
         .engines
         .iter()
         .find(|engine| !engine.loaded().is_empty())
-        .expect("one");
+        .expect("a loaded engine");
     loaded_engine.set_faults(engine::Faults {
         dead: true,
         ..Default::default()
@@ -254,7 +254,7 @@
         .engines
         .iter()
         .find(|engine| !engine.loaded().is_empty())
-        .expect("one");
+        .expect("a loaded engine");
     // The engine itself reports that it leaves; the list would show it a minute later.
     loaded_engine.set_faults(engine::Faults {
         leaving: true,
--- a/tests/all/processes.rs
+++ b/tests/all/processes.rs
@@ -14,6 +14,7 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::thread::JoinHandle;
 
+/// Maximum wait for programs to serve, to lead or to report a revision.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(30);
 
