--- a/crates/instance/src/control.rs
+++ b/crates/instance/src/control.rs
@@ -6,7 +6,7 @@
 use crate::signals::{self, ReceivedSignals};
 use passway_serving::placement::PlannedOrder;
 use passway_serving::poison::UpstreamStart;
-use passway_serving::ports::{EngineOrder, EngineReport, Engines, OrderAnswer, Said};
+use passway_serving::ports::{EngineOrder, EngineReport, EngineResponse, Engines, OrderAnswer};
 use passway_types::clock;
 use passway_types::prelude::*;
 use std::net::SocketAddr;
@@ -15,12 +15,12 @@
 fn apply_signals<T>(
     shared: &Shared,
     start: &UpstreamStart,
-    response: Said<T>,
+    response: EngineResponse<T>,
     sent_at: Instant,
 ) -> T {
     let received = ReceivedSignals {
         start,
-        signals: &response.words,
+        signals: &response.signals,
         // Engines vouch only for answers to callers' requests.
         is_authenticated: false,
         sent_at,
@@ -32,7 +32,7 @@
 /// Whether an engine has asked this instance to back off.
 pub fn is_backing_off(shared: &Shared, engine: &str) -> bool {
     let upstreams = shared.upstreams();
-    upstreams.closed_until(engine, clock::now()).is_some()
+    upstreams.backoff_until(engine, clock::now()).is_some()
 }
 
 /// Queries an engine's state; `None` without an answer.
@@ -57,7 +57,7 @@
 ) -> OrderAnswer {
     let sent_order = EngineOrder {
         action: order.action,
-        wish: order.wish.clone(),
+        model_ref: order.wish.clone(),
         expected_orders: order.expected_orders,
         upstream: order.engine.clone(),
         holder: shared.settings.instance.clone(),
--- a/crates/instance/src/feeds/upstreams.rs
+++ b/crates/instance/src/feeds/upstreams.rs
@@ -63,7 +63,7 @@
     /// Forgets expired upstreams, in this instance and in the holder thread.
     fn expire(&self) {
         let mut upstreams = self.shared.upstreams();
-        let expired = upstreams.expire(clock::now());
+        let expired = upstreams.remove_expired(clock::now());
         if expired.is_empty() {
             return;
         }
@@ -83,12 +83,12 @@
     /// Decodes an upstream's entry; `None` if it is unusable, since it may have been written by
     /// another program.
     fn decode(&mut self, value: &StoredValue) -> Option<UpstreamEntry> {
-        let entry = self.directory.upstream(value, clock::now());
+        let entry = self.directory.decode_upstream(value, clock::now());
         match entry.and_then(|entry| self.check_service(entry)) {
             Ok(mut entry) => {
                 self.unusable.remove(&value.key);
                 let upstreams = self.shared.upstreams();
-                entry.draining |= upstreams.leaves(&entry.id, entry.started_at_ms);
+                entry.draining |= upstreams.is_leaving(&entry.id, entry.started_at_ms);
                 drop(upstreams);
                 Some(entry)
             }
@@ -141,7 +141,7 @@
             .shared
             .store_health
             .missing_entry_expires_at(clock::now());
-        self.shared.upstreams().miss(id, expires_at);
+        self.shared.upstreams().mark_missing(id, expires_at);
         self.expire();
     }
 }
@@ -161,7 +161,9 @@
         }
         let now = clock::now();
         let expires_at = self.shared.store_health.missing_entry_expires_at(now);
-        self.shared.upstreams().replace(entries, expires_at, now);
+        self.shared
+            .upstreams()
+            .replace_all(entries, expires_at, now);
         self.drop_restarted_connections();
         self.expire();
         self.shared.mark_upstreams_listed();
--- a/crates/instance/src/forward.rs
+++ b/crates/instance/src/forward.rs
@@ -33,8 +33,8 @@
 use limits::DeferredUpstream;
 use passway_process::logging::json::REQUEST_TARGET;
 use passway_serving::dispatch::RunId;
-use passway_serving::poison::{RequestDigest, Standing};
-use passway_serving::ports::RequestFacts;
+use passway_serving::poison::{RequestDigest, RunPermission};
+use passway_serving::ports::RequestMetadata;
 use passway_serving::routes::Route;
 use passway_serving::upstreams::{ModelRef, Outcome};
 use passway_types::clock;
@@ -63,7 +63,7 @@
     caller: &'a mut Connection,
     head: &'a RequestHead,
     body: &'a [u8],
-    facts: RequestFacts,
+    facts: RequestMetadata,
     route: Arc<Route>,
     service: ServiceName,
     is_engine: bool,
@@ -91,7 +91,7 @@
     next_target: Option<Target>,
     /// Whether the request may run although upstreams that broke off while they ran it may have
     /// crashed.
-    run_permission: Standing,
+    run_permission: RunPermission,
     /// The permit to run alone among requests with the same digest, once requested.
     exclusive_permit: Option<ExclusivePermit>,
     /// Milliseconds until the model can be loaded, if that is too late for the request.
@@ -139,9 +139,9 @@
     body: &[u8],
     arrived_at: Instant,
 ) -> ConnectionReuse {
-    let facts = shared.vocabulary.request(&head.headers);
+    let facts = shared.vocabulary.parse_request(&head.headers);
     let should_close =
-        shared.is_stopping() || !head.is_1_1 || head.headers.connection_says("close");
+        shared.is_stopping() || !head.is_1_1 || head.headers.connection_contains("close");
     let destination = match find_destination(shared, caller, head, &facts, arrived_at) {
         Ok(destination) => destination,
         Err(Denial { refusal, end }) => {
@@ -158,7 +158,7 @@
     let timeout_ms = caller_deadline_ms.min(destination.route.timeout_ms);
     shared
         .retry_budget()
-        .requested(&destination.service, arrived_at);
+        .record_request(&destination.service, arrived_at);
     Forwarding {
         shared,
         caller,
@@ -178,7 +178,7 @@
         tried: Vec::new(),
         deferred: Vec::new(),
         upstream_available_ms: None,
-        run_permission: Standing::default(),
+        run_permission: RunPermission::default(),
         exclusive_permit: None,
         runs: 0,
         run_id: shared.dispatch.next_run_id(),
@@ -205,7 +205,7 @@
 
 impl Forwarding<'_> {
     fn model_ref(&self) -> Option<&ModelRef> {
-        self.facts.wish.as_ref().filter(|_| self.is_engine)
+        self.facts.model_ref.as_ref().filter(|_| self.is_engine)
     }
 
     /// Runs the request to its end and records how it ended.
@@ -228,7 +228,7 @@
         }
         let table = self.shared.routes.load();
         let version = table.as_ref().map_or(0, |table| table.version);
-        let model_ref = self.facts.wish.as_ref();
+        let model_ref = self.facts.model_ref.as_ref();
         log::info!(target: REQUEST_TARGET, request = self.facts.id, route:% = self.route.name,
             service:% = self.service, model:% = model_ref.map_or("", |model_ref| &model_ref.model),
             workspace:% = self.access.workspace.as_ref().map_or("", |workspace| &workspace.name),
@@ -333,7 +333,7 @@
     }
 
     fn may_run_again(&self) -> bool {
-        self.route.kind.may_run_again() && self.runs < self.route.attempts
+        self.route.kind.can_run_again() && self.runs < self.route.attempts
     }
 
     fn try_spend_retry(&self) -> bool {
@@ -361,7 +361,7 @@
         self.attempt_at = now;
         self.shared
             .upstreams()
-            .started(&target.id, model_ref.as_ref(), now);
+            .record_start(&target.id, model_ref.as_ref(), now);
         let attempt = self.exchange(target);
         let outcome = match &attempt {
             Attempt::Answered(_) => Outcome::Answered,
@@ -375,7 +375,7 @@
         };
         let now = clock::now();
         let mut upstreams = self.shared.upstreams();
-        upstreams.ended(&target.id, model_ref.as_ref(), outcome, now);
+        upstreams.record_end(&target.id, model_ref.as_ref(), outcome, now);
         drop(upstreams);
         self.shared.notify_upstreams_changed();
         (attempt, outcome)
--- a/crates/instance/src/forward/suspect.rs
+++ b/crates/instance/src/forward/suspect.rs
@@ -6,7 +6,7 @@
 use crate::pool;
 use crate::relay::millis_since;
 use passway_process::logging::json::REQUEST_TARGET;
-use passway_serving::poison::{RequestDigest, Standing, UpstreamStart};
+use passway_serving::poison::{RequestDigest, RunPermission, UpstreamStart};
 use passway_types::clock;
 use passway_types::prelude::*;
 use std::io::ErrorKind;
@@ -72,14 +72,14 @@
     pub(super) fn may_run_now(&mut self) -> bool {
         let poison = &self.shared.poison;
         self.run_permission = if poison.is_empty() {
-            Standing::Free
+            RunPermission::Free
         } else {
             poison.run_permission(self.digest())
         };
         match self.run_permission {
-            Standing::Free => true,
-            Standing::Held => false,
-            Standing::Alone => self.has_exclusive_permit(),
+            RunPermission::Free => true,
+            RunPermission::Held => false,
+            RunPermission::Alone => self.has_exclusive_permit(),
         }
     }
 
--- a/crates/instance/src/health.rs
+++ b/crates/instance/src/health.rs
@@ -1,7 +1,7 @@
 //! Tracks whether the store answers, for all threads that query it, so that few calls go to a store
 //! that does not.
 
-use passway_serving::absence::Outages;
+use passway_serving::store_outages::StoreOutages;
 use passway_types::clock;
 use passway_types::prelude::*;
 use rand::RngExt;
@@ -25,19 +25,19 @@
 #[derive(Debug, Default)]
 pub struct StoreHealth {
     is_failing: AtomicBool,
-    outages: Mutex<Outages>,
+    outages: Mutex<StoreOutages>,
     /// Number of instances that query the store, as far as known.
     instances: AtomicU32,
 }
 
 impl StoreHealth {
-    fn outages(&self) -> MutexGuard<'_, Outages> {
+    fn outages(&self) -> MutexGuard<'_, StoreOutages> {
         self.outages.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Records that a call was answered.
     pub fn record_answer(&self) {
-        self.outages().answered(clock::now());
+        self.outages().record_answer(clock::now());
         self.is_failing.store(false, Ordering::Release);
     }
 
@@ -46,18 +46,18 @@
     /// it follows the holder would treat its own cut as an outage, during which entries expire only
     /// later.
     pub fn record_relayed(&self) {
-        self.outages().answered(clock::now());
+        self.outages().record_answer(clock::now());
     }
 
     /// Records that a call was refused or not answered.
     pub fn record_failure(&self) {
-        self.outages().failed(clock::now());
+        self.outages().record_failure(clock::now());
         self.is_failing.store(true, Ordering::Release);
     }
 
     /// When the upstream of an entry that is missing now counts as removed.
     pub fn missing_entry_expires_at(&self, now: Instant) -> Instant {
-        self.outages().gone_at(now)
+        self.outages().removal_at(now)
     }
 
     /// Whether the last call failed.
--- a/crates/instance/src/holder.rs
+++ b/crates/instance/src/holder.rs
@@ -23,11 +23,11 @@
 use order_names::name_of;
 use passway_process::logging::json::DECISION_TARGET;
 use passway_process::outbox::Outbox;
+use passway_serving::leadership::Candidate;
 use passway_serving::placement::{Action, ModelRuns, Planner, Waiters};
 use passway_serving::poison::UpstreamStart;
 use passway_serving::ports::{Engines, OrderAnswer};
 use passway_serving::retry::InstanceCount;
-use passway_serving::tenure::Candidate;
 use passway_serving::upstreams::ModelRef;
 use passway_types::clock;
 use passway_types::prelude::*;
@@ -98,7 +98,7 @@
         dispatchers: Vec::new(),
         member_list: MemberListTracker::default(),
         clock_origin: clock::now(),
-        instances: InstanceCount::begin(clock::now()),
+        instances: InstanceCount::start_term(clock::now()),
         announcement: None,
         pending_announcement: PendingAnnouncement::default(),
         heartbeat_at: clock::now(),
@@ -348,7 +348,7 @@
         if now >= self.heartbeat_at {
             self.heartbeat_at = now + HEARTBEAT_INTERVAL;
             let instances = self.subscribers.count() + 1;
-            let instances = self.instances.shared_by(instances, now);
+            let instances = self.instances.sharing_instances(instances, now);
             if let Some(instances) = instances {
                 self.shared.set_instance_count(instances);
             }
@@ -414,7 +414,7 @@
             }
         }
         let upstreams = self.shared.upstreams();
-        let emptied = upstreams.emptied();
+        let emptied = upstreams.evacuated();
         let emptied = (emptied != self.planner.emptied()).then(|| emptied.clone());
         drop(upstreams);
         if let Some(emptied) = emptied {
@@ -452,7 +452,7 @@
         self.announce(now);
         if self.leadership.fence() == Some(fence) && now >= self.plan_at {
             let upstreams = self.shared.upstreams();
-            let backing_off = upstreams.resting(now);
+            let backing_off = upstreams.backing_off(now);
             let backing_off = backing_off.map(|(id, until)| (id.clone(), until)).collect();
             drop(upstreams);
             self.planner.set_resting(backing_off);
@@ -483,21 +483,21 @@
     /// Counts instances anew for a term that begins, because they connect one after the other.
     fn reset_instance_count(&mut self, now: Instant) {
         if self.leadership.succeeds_itself() {
-            self.instances.resume(now);
+            self.instances.continue_term(now);
         } else {
-            self.instances = InstanceCount::begin(now);
+            self.instances = InstanceCount::start_term(now);
         }
     }
 
     /// Starts the planner with what this instance learned as a subscriber.
     fn begin_term(&mut self) {
         let mut upstreams = self.shared.upstreams();
-        upstreams.forget_closing();
+        upstreams.clear_evicting();
         self.shared.poison.notify_writer();
         let entries = upstreams.entries().cloned();
         let unconfirmed = self.shared.unconfirmed_engines();
         self.planner.begin_term(entries, &unconfirmed, clock::now());
-        for (id, _, limit) in upstreams.limit_words() {
+        for (id, _, limit) in upstreams.observed_limits() {
             self.planner.set_limit(id, limit.per_s);
         }
     }
--- a/crates/instance/src/poison.rs
+++ b/crates/instance/src/poison.rs
@@ -13,11 +13,11 @@
 use crate::shared::{ReportEvent, Shared};
 use crossbeam::channel::{Receiver, Sender, TrySendError, bounded};
 pub use exclusive::{ExclusivePermit, PermitAnswer};
-use exclusive::{ExclusiveRuns, decode_digest};
+use exclusive::{ExclusivePermits, decode_digest};
 use passway_process::logging::json::DECISION_TARGET;
-pub use passway_serving::poison::OPEN_TIME;
+pub use passway_serving::poison::UNCONFIRMED_TIMEOUT;
 use passway_serving::poison::{
-    Blame, PoisonList, RequestDigest, RunSpan, Standing, Suspect, UpstreamStart,
+    CrashStatus, PoisonList, RequestDigest, RunPermission, RunSpan, Suspect, UpstreamStart,
 };
 use passway_serving::ports::{ConditionalWrite, SharedStore, StoreRevision, WriteAnswer};
 use passway_types::clock;
@@ -65,7 +65,7 @@
     has_fleet_list: AtomicBool,
     stored: Mutex<StoredList>,
     /// Requests that must run exclusively among their copies.
-    exclusive_runs: ExclusiveRuns,
+    exclusive_runs: ExclusivePermits,
     /// Engines that broke off and are probed to find out whether they crashed.
     probed_engines: ProbedEngines,
     /// Wakes the thread that writes the list to the store.
@@ -82,7 +82,7 @@
             refused: AtomicUsize::new(0),
             has_fleet_list: AtomicBool::new(false),
             stored: Mutex::default(),
-            exclusive_runs: ExclusiveRuns::default(),
+            exclusive_runs: ExclusivePermits::default(),
             probed_engines: ProbedEngines::default(),
             wakeup_sender,
             wakeup_receiver,
@@ -112,7 +112,7 @@
 
     /// How much longer a request is refused; `None` if it may run.
     pub fn refused_for(&self, digest: RequestDigest) -> Option<Duration> {
-        lock(&self.list).refused_for(digest, clock::now())
+        lock(&self.list).remaining_refusal(digest, clock::now())
     }
 
     /// Records that an upstream crashed under a request that was sent at `sent_at`. Returns what to
@@ -123,15 +123,15 @@
         crash: UpstreamStart,
         sent_at: Instant,
     ) -> Option<Suspect> {
-        let update = lock(&self.list).crashed_run(digest, crash, sent_at, clock::now());
+        let update = lock(&self.list).record_run_crash(digest, crash, sent_at, clock::now());
         self.update_counts();
         update
     }
 
     /// Whether a request may run while it is unknown whether upstreams that broke off under it have
     /// crashed.
-    pub fn run_permission(&self, digest: RequestDigest) -> Standing {
-        lock(&self.list).standing(digest, clock::now())
+    pub fn run_permission(&self, digest: RequestDigest) -> RunPermission {
+        lock(&self.list).run_permission(digest, clock::now())
     }
 
     /// Records that an engine broke off under a request, if it is unknown yet whether the engine
@@ -145,9 +145,9 @@
     ) {
         Self::probe_after_break(shared, digest, start, sent_at, address);
         let now = clock::now();
-        if lock(&shared.poison.list).note_break(start, now, now) {
+        if lock(&shared.poison.list).record_disconnect(start, now, now) {
             shared.report(ReportEvent::StartBroken(start.clone(), now));
-            shared.upstreams().doubt(&start.upstream, now);
+            shared.upstreams().mark_unreachable(&start.upstream, now);
         }
     }
 
@@ -161,7 +161,7 @@
     ) {
         let poison = &shared.poison;
         let now = clock::now();
-        let update = lock(&poison.list).broke_off(digest, start.clone(), sent_at, now);
+        let update = lock(&poison.list).record_run_disconnect(digest, start.clone(), sent_at, now);
         poison.update_counts();
         if let Some(update) = update {
             Self::publish(shared, update);
@@ -172,7 +172,7 @@
     /// Records that an upstream that broke off under a request is still running. Returns what to
     /// publish.
     fn record_alive(&self, digest: RequestDigest, start: UpstreamStart) -> Option<Suspect> {
-        let update = lock(&self.list).lives(digest, start, clock::now());
+        let update = lock(&self.list).record_alive(digest, start, clock::now());
         self.update_counts();
         update
     }
@@ -183,14 +183,14 @@
         if self.is_empty() {
             return Vec::new();
         }
-        let update = lock(&self.list).ended(upstream, before_ms, clock::now());
+        let update = lock(&self.list).record_terminated(upstream, before_ms, clock::now());
         self.update_counts();
         update
     }
 
     /// Records that a request was answered. Returns what to publish.
     pub fn record_answer(&self, digest: RequestDigest) -> Option<Suspect> {
-        let update = lock(&self.list).answered(digest);
+        let update = lock(&self.list).record_answer(digest);
         if update.is_some() {
             self.update_counts();
         }
@@ -211,7 +211,7 @@
         });
         let breaks: Vec<_> = breaks.collect();
         for (start, at) in &breaks {
-            list.note_break(start, *at, now);
+            list.record_disconnect(start, *at, now);
         }
         breaks
     }
@@ -251,7 +251,7 @@
         }
         let digests: Vec<RequestDigest> = received.iter().map(|suspect| suspect.digest).collect();
         let mut list = lock(&self.list);
-        list.join(received, clock::now());
+        list.merge(received, clock::now());
         let known = digests.iter().filter_map(|digest| list.get(*digest));
         let known = known.cloned().collect();
         drop(list);
@@ -283,7 +283,7 @@
     /// again. Returns what to publish.
     pub fn clear_stored(&self) -> Vec<Suspect> {
         *lock(&self.stored) = StoredList::default();
-        let cleared = lock(&self.list).clear_kept();
+        let cleared = lock(&self.list).clear_persisted();
         log::info!(target: DECISION_TARGET, cleared = cleared.len(); "requests that crash upstreams were cleared");
         self.update_counts();
         cleared
@@ -300,7 +300,7 @@
 
     fn update_counts(&self) {
         let list = lock(&self.list);
-        let refused = list.refused();
+        let refused = list.refused_count();
         self.is_empty.store(list.is_empty(), Ordering::Release);
         drop(list);
         if self.refused.swap(refused, Ordering::AcqRel) != refused {
@@ -311,7 +311,7 @@
 
     /// The write that makes the stored list current; `None` if it is.
     fn pending_write(&self) -> Option<ConditionalWrite> {
-        let mut suspects = lock(&self.list).kept_suspects();
+        let mut suspects = lock(&self.list).persisted_suspects();
         // The age of a run would make the value differ at each check.
         for suspect in &mut suspects {
             suspect.runs.clear();
@@ -382,13 +382,13 @@
             upstream: crash.upstream.to_string(),
             started_at_ms: crash.started_at_ms,
             blame: match blame {
-                Blame::Full => 0,
-                Blame::Explained => 1,
-                Blame::Cleared => 2,
-                Blame::Open => 3,
+                CrashStatus::Counted => 0,
+                CrashStatus::Explained => 1,
+                CrashStatus::Cleared => 2,
+                CrashStatus::Unconfirmed => 3,
             },
             sent_ms_ago: run.map(|run| millis_since(run.sent_at, now)),
-            broke_ms_ago: run.map(|run| millis_since(run.broke_at, now)),
+            broke_ms_ago: run.map(|run| millis_since(run.disconnected_at, now)),
         }
     });
     message::Suspect {
@@ -410,15 +410,15 @@
             started_at_ms: crash.started_at_ms,
         };
         let blame = match crash.blame {
-            0 => Blame::Full,
-            1 => Blame::Explained,
-            3 => Blame::Open,
-            _ => Blame::Cleared,
+            0 => CrashStatus::Counted,
+            1 => CrashStatus::Explained,
+            3 => CrashStatus::Unconfirmed,
+            _ => CrashStatus::Cleared,
         };
         if let Some((sent_ms, broke_ms)) = times {
             let run = RunSpan {
                 sent_at: ago(sent_ms),
-                broke_at: ago(broke_ms.saturating_add(MAX_PROPAGATION_MS)),
+                disconnected_at: ago(broke_ms.saturating_add(MAX_PROPAGATION_MS)),
             };
             runs.insert(start.clone(), run);
         }
--- a/crates/instance/src/report.rs
+++ b/crates/instance/src/report.rs
@@ -10,8 +10,8 @@
 use crossbeam::channel::{Receiver, RecvTimeoutError};
 use passway_process::dial::{Dialed, Dialer};
 use passway_process::outbox::Outbox;
+use passway_serving::leadership::{Candidate, Holder};
 use passway_serving::poison::{Suspect, UpstreamStart};
-use passway_serving::tenure::{Candidate, Holder};
 use passway_serving::upstreams::{ModelRef, ResidentModel};
 use passway_types::clock;
 use passway_types::prelude::*;
@@ -300,7 +300,7 @@
                 Dialed::Received(Body::Suspects(suspects)) => {
                     drop(link);
                     for (start, at) in shared.poison.merge_breaks(&suspects.breaks) {
-                        shared.upstreams().doubt(&start.upstream, at);
+                        shared.upstreams().mark_unreachable(&start.upstream, at);
                     }
                     // Only a message about requests shows that the fleet's list was received.
                     if !suspects.suspects.is_empty() || suspects.breaks.is_empty() {
@@ -367,7 +367,7 @@
             known: known.to_vec(),
             instance: self.shared.settings.instance.to_string(),
             address: self.shared.settings.peer_address.to_string(),
-            is_weak: self.leadership.is_weak(),
+            is_weak: self.leadership.has_low_cpu(),
             placements: self.shared.upstreams().placement_digests().collect(),
         }));
         self.subscribed_at = Some(clock::now());
@@ -421,11 +421,13 @@
             .map(|(key, count)| encode_demand(key, *count, Duration::ZERO));
         let taken: Vec<Wish> = taken.collect();
         let upstreams = self.shared.upstreams();
-        let running = upstreams.running().map(|(engine, model, count)| Running {
-            engine: engine.to_string(),
-            model: model.to_string(),
-            count,
-        });
+        let running = upstreams
+            .in_flight_by_model()
+            .map(|(engine, model, count)| Running {
+                engine: engine.to_string(),
+                model: model.to_string(),
+                count,
+            });
         let mut running: Vec<Running> = running.collect();
         running
             .sort_by(|left, right| (&left.engine, &left.model).cmp(&(&right.engine, &right.model)));
--- a/crates/instance/src/shared.rs
+++ b/crates/instance/src/shared.rs
@@ -13,12 +13,12 @@
 use crate::pool::ConnectionPool;
 use arc_swap::{ArcSwap, ArcSwapOption};
 use crossbeam::channel::Sender;
+use passway_serving::first_byte_times::FirstByteTimes;
 use passway_serving::poison::{Suspect, UpstreamStart};
-use passway_serving::ports::{Engines, InstanceBounds, InstanceSettings, Vocabulary};
+use passway_serving::ports::{Engines, HeaderProtocol, InstanceBounds, InstanceSettings};
 use passway_serving::retry::RetryBudget;
 use passway_serving::routes::RouteTable;
 use passway_serving::upstreams::{ModelRef, UpstreamTable};
-use passway_serving::usual_time::UsualTimes;
 use passway_serving::workspaces::Workspaces;
 use passway_types::clock;
 use passway_types::prelude::*;
@@ -110,14 +110,14 @@
     /// Requests that crash upstreams.
     pub poison: PoisonTracker,
     /// The headers that callers and upstreams use.
-    pub vocabulary: Box<dyn Vocabulary>,
+    pub vocabulary: Box<dyn HeaderProtocol>,
     report_events: Sender<ReportEvent>,
     upstreams: Mutex<UpstreamTable>,
     upstreams_changed: Condvar,
     /// Number of changes of upstreams since the start.
     upstream_change_count: AtomicU64,
     retry_budget: Mutex<RetryBudget>,
-    first_byte_times: Mutex<UsualTimes>,
+    first_byte_times: Mutex<FirstByteTimes>,
     unconfirmed_engines: Mutex<BTreeSet<UpstreamId>>,
     members: Mutex<Addresses>,
     leadership: OnceLock<Arc<LeadershipDriver>>,
@@ -154,7 +154,7 @@
     /// State without any knowledge and without requests in progress.
     pub fn new(
         settings: InstanceSettings,
-        vocabulary: Box<dyn Vocabulary>,
+        vocabulary: Box<dyn HeaderProtocol>,
         report_events: Sender<ReportEvent>,
     ) -> Self {
         let upstreams =
@@ -246,7 +246,7 @@
     }
 
     /// How long upstreams usually take to the first byte.
-    pub fn first_byte_times(&self) -> MutexGuard<'_, UsualTimes> {
+    pub fn first_byte_times(&self) -> MutexGuard<'_, FirstByteTimes> {
         lock(&self.first_byte_times)
     }
 
