--- a/crates/serving/src/placement/policy.rs
+++ b/crates/serving/src/placement/policy.rs
@@ -1,86 +1,91 @@
-//! What a placement policy decides, and the policies that ship.
+//! Placement policies: the trait and the implementations that ship.
 //!
-//! The planner keeps memory, adapter places and the weight store's ceiling whatever the
-//! policy says; a policy says what is worth loading. The simple ones are baselines to
-//! measure against, in the model (`passway-experiment`) and on the users' bench.
+//! The planner enforces the limits on memory, adapter slots and loads from the weight store under
+//! any policy; a policy decides which loads are worthwhile. The simple policies are baselines for
+//! comparisons in the fleet model (`passway-experiment`) and on the users' bench.
 
 use super::demand::Usage;
 use passway_types::prelude::*;
 use std::fmt;
 use std::str::FromStr;
 
-/// A model asked for this often has a second replica, against the loss of the first.
-const SPARE_RATE_S: f64 = 1.5;
-/// Part of an engine's slots that the runs of a busy model may fill: instances see only
-/// their own load, so the spread over engines is uneven.
-const SLOTS_PART: f64 = 0.4;
-/// Loads from the weight store that serve nobody yet, at one time: each keeps its
-/// engine from exchanging models.
-const PREFETCHES_AT_ONCE: usize = 2;
-/// Requests a second that one replica takes, for the policy that goes by them.
-const REQUESTS_PER_REPLICA_S: f64 = 6.0;
-/// A request waits at least this long for an engine that has its model nearer than the
-/// weight store.
-const HOME_PATIENCE: Duration = Duration::from_millis(1_500);
+/// From this request rate on a model gets a second replica, in case the first one is lost.
+const SECOND_REPLICA_RATE_PER_S: f64 = 1.5;
+/// Maximum fraction of an engine's slots that the running requests of a busy model should fill.
+/// Instances see only their own load, so requests are distributed unevenly over engines.
+const MAX_SLOT_RATIO: f64 = 0.4;
+/// Concurrent loads from the weight store for models without waiting requests. An engine cannot
+/// swap other models during such a load.
+const MAX_CONCURRENT_PREFETCHES: usize = 2;
+/// Request rate that one replica serves, for the policy that scales by rate.
+const REQUESTS_PER_REPLICA_PER_S: f64 = 6.0;
+/// Minimum time that a request waits for an engine that has its model cached in memory or on disk;
+/// the exact time under `short-homes`.
+const MIN_CACHED_WAIT: Duration = Duration::from_millis(1_500);
 
-/// What counts in the worth of a place.
+/// How waiting requests count in the benefit of a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Weights {
-    /// Each waiting request, not just that some wait.
-    pub counts: bool,
-    /// How long requests have waited.
-    pub ageing: bool,
+pub struct WaitScoring {
+    /// Whether each waiting request counts; otherwise all requests that wait for a model or adapter
+    /// count as one.
+    pub should_count_requests: bool,
+    /// Whether the benefit grows with the time that requests have waited.
+    pub should_count_wait_time: bool,
 }
 
-impl Weights {
+impl WaitScoring {
     const ALL: Self = Self {
-        counts: true,
-        ageing: true,
+        should_count_requests: true,
+        should_count_wait_time: true,
     };
 }
 
-/// What is worth loading on engines.
+/// Decides which loads are worthwhile.
 pub trait PlacementPolicy: fmt::Debug + Send {
-    /// Replicas that a model is worth, which is asked for `rate_s` times a second.
-    fn replicas(&self, rate_s: f64, usage: Usage) -> usize;
+    /// Target number of replicas of a model with a request rate of `rate_per_s`.
+    fn replicas(&self, rate_per_s: f64, usage: Usage) -> usize;
 
-    /// What counts in the worth of a place.
-    fn weights(&self) -> Weights;
+    /// How waiting requests count in the benefit of a replica.
+    fn wait_scoring(&self) -> WaitScoring;
 
-    /// Loads from the weight store that may run at one time although nobody waits for them.
-    fn prefetches(&self) -> usize;
+    /// Maximum number of concurrent loads from the weight store for models without waiting
+    /// requests.
+    fn max_prefetches(&self) -> usize;
 
-    /// How long a request waits for an engine that has its model near, before another
-    /// engine fetches it from the weight store, which takes `fetch_time`.
-    fn home_patience(&self, fetch_time: Duration) -> Duration;
+    /// How long a request waits for an engine that has its model cached before another engine
+    /// fetches the model from the weight store; the fetch takes `fetch_time`.
+    fn max_wait_for_cached(&self, fetch_time: Duration) -> Duration;
 }
 
-/// The policies by name.
+/// The policies by name. A "home" in these names is an engine that has the model cached in memory
+/// or on disk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum PolicyName {
-    /// Replicas by measured demand, prefetch, homes. What ships.
+    /// The default: replicas by measured demand, prefetching, and a wait for engines that have the
+    /// model cached.
     #[default]
     Balanced,
-    /// One replica of what is asked for, when it is asked for.
+    /// One replica of each requested model, loaded when a request arrives.
     OnDemand,
-    /// Two replicas of whatever is asked for at all, no prefetch.
+    /// Two replicas of each requested model, without prefetching.
     FixedReplicas,
-    /// As `balanced`, but any engine fetches what it lacks at once.
+    /// As `balanced`, but any engine fetches a model at once.
     NoHomes,
-    /// As `balanced`, without prefetch.
+    /// As `balanced`, without prefetching.
     NoPrefetch,
-    /// As `balanced`, but a home is waited for 1.5 s, however long a fetch takes.
+    /// As `balanced`, but requests wait 1.5 s for an engine that has the model cached, however long
+    /// a fetch takes.
     ShortHomes,
-    /// As `balanced`, with a replica for every six requests a second.
+    /// As `balanced`, with one replica for every six requests per second.
     ByRate,
-    /// As `balanced`, but requests that wait for one model count as one.
+    /// As `balanced`, but all requests that wait for a model count as one.
     NoCounts,
-    /// As `balanced`, but a long wait counts no more than a short one.
+    /// As `balanced`, but the time that requests have waited does not count.
     NoAgeing,
 }
 
 impl PolicyName {
-    /// All of them.
+    /// All policy names.
     pub const ALL: [Self; 9] = [
         Self::Balanced,
         Self::OnDemand,
@@ -108,46 +113,46 @@
         }
     }
 
-    /// The policy.
-    pub fn policy(self) -> Box<dyn PlacementPolicy> {
-        let balanced = Parts {
-            replicas: Replicas::ByDemand,
-            prefetches: PREFETCHES_AT_ONCE,
-            homes: Homes::Wait,
-            weights: Weights::ALL,
+    /// Creates the policy.
+    pub fn build(self) -> Box<dyn PlacementPolicy> {
+        let balanced = ComposedPolicy {
+            replicas: ReplicaTarget::ByDemand,
+            max_prefetches: MAX_CONCURRENT_PREFETCHES,
+            cached_wait: CachedWait::FetchTime,
+            wait_scoring: WaitScoring::ALL,
         };
         Box::new(match self {
             Self::Balanced => balanced,
-            Self::OnDemand => Parts {
-                replicas: Replicas::Fixed(1),
-                prefetches: 0,
+            Self::OnDemand => ComposedPolicy {
+                replicas: ReplicaTarget::Fixed(1),
+                max_prefetches: 0,
                 ..balanced
             },
-            Self::FixedReplicas => Parts {
-                replicas: Replicas::Fixed(2),
-                prefetches: 0,
+            Self::FixedReplicas => ComposedPolicy {
+                replicas: ReplicaTarget::Fixed(2),
+                max_prefetches: 0,
                 ..balanced
             },
-            Self::NoHomes => Parts {
-                homes: Homes::Ignore,
+            Self::NoHomes => ComposedPolicy {
+                cached_wait: CachedWait::NoWait,
                 ..balanced
             },
-            Self::NoPrefetch => Parts {
-                prefetches: 0,
+            Self::NoPrefetch => ComposedPolicy {
+                max_prefetches: 0,
                 ..balanced
             },
-            Self::ShortHomes => Parts {
-                homes: Homes::WaitShort,
+            Self::ShortHomes => ComposedPolicy {
+                cached_wait: CachedWait::FixedTime,
                 ..balanced
             },
-            Self::ByRate => Parts {
-                replicas: Replicas::ByRate,
+            Self::ByRate => ComposedPolicy {
+                replicas: ReplicaTarget::ByRate,
                 ..balanced
             },
-            Self::NoCounts | Self::NoAgeing => Parts {
-                weights: Weights {
-                    counts: self != Self::NoCounts,
-                    ageing: self != Self::NoAgeing,
+            Self::NoCounts | Self::NoAgeing => ComposedPolicy {
+                wait_scoring: WaitScoring {
+                    should_count_requests: self != Self::NoCounts,
+                    should_count_wait_time: self != Self::NoAgeing,
                 },
                 ..balanced
             },
@@ -168,90 +173,96 @@
         let found = Self::ALL.into_iter().find(|name| name.as_str() == text);
         found.ok_or_else(|| {
             let names = Self::ALL.map(Self::as_str);
-            format!("no placement policy; known are {}", names.join(", "))
+            format!(
+                "unknown placement policy; expected one of {}",
+                names.join(", ")
+            )
         })
     }
 }
 
-/// How many replicas a model is worth.
+/// How the target number of replicas is computed.
 #[derive(Debug, Clone, Copy)]
-enum Replicas {
+enum ReplicaTarget {
+    /// By the number of running and waiting requests.
     ByDemand,
+    /// By the request rate.
     ByRate,
     Fixed(usize),
 }
 
-/// Whether a request waits for an engine that has its model near.
+/// How long a request waits for an engine that has its model cached.
 #[derive(Debug, Clone, Copy)]
-enum Homes {
-    Wait,
-    WaitShort,
-    Ignore,
+enum CachedWait {
+    /// As long as a fetch takes, and at least [`MIN_CACHED_WAIT`].
+    FetchTime,
+    /// For [`MIN_CACHED_WAIT`].
+    FixedTime,
+    NoWait,
 }
 
-/// A policy put together of its parts.
+/// A policy composed of independent settings.
 #[derive(Debug, Clone, Copy)]
-struct Parts {
-    replicas: Replicas,
-    prefetches: usize,
-    homes: Homes,
-    weights: Weights,
+struct ComposedPolicy {
+    replicas: ReplicaTarget,
+    max_prefetches: usize,
+    cached_wait: CachedWait,
+    wait_scoring: WaitScoring,
 }
 
-impl PlacementPolicy for Parts {
-    fn replicas(&self, rate_s: f64, usage: Usage) -> usize {
+impl PlacementPolicy for ComposedPolicy {
+    fn replicas(&self, rate_per_s: f64, usage: Usage) -> usize {
         match self.replicas {
-            Replicas::Fixed(count) => count,
-            Replicas::ByDemand => by_demand(rate_s, usage),
-            Replicas::ByRate => by_rate(rate_s),
+            ReplicaTarget::Fixed(count) => count,
+            ReplicaTarget::ByDemand => replicas_by_demand(rate_per_s, usage),
+            ReplicaTarget::ByRate => replicas_by_rate(rate_per_s),
         }
     }
 
-    fn weights(&self) -> Weights {
-        self.weights
+    fn wait_scoring(&self) -> WaitScoring {
+        self.wait_scoring
     }
 
-    fn prefetches(&self) -> usize {
-        self.prefetches
+    fn max_prefetches(&self) -> usize {
+        self.max_prefetches
     }
 
-    /// As long as the fetch takes, during which its engine loads nothing else: with 1.5 s,
-    /// four of nine engines fetched for one request each while homes had a queue, and the
-    /// queues grew: 358 of 498 requests for rare models were in time where it is 462.
-    fn home_patience(&self, fetch_time: Duration) -> Duration {
-        match self.homes {
-            Homes::Wait => HOME_PATIENCE.max(fetch_time),
-            Homes::WaitShort => HOME_PATIENCE,
-            Homes::Ignore => Duration::ZERO,
+    /// `balanced` waits as long as a fetch takes, because the fetching engine loads nothing else
+    /// meanwhile. With 1.5 s, four of nine engines each fetched a model for a single request while
+    /// the engines that had it cached had a growing queue: 358 of 498 requests for rare models were
+    /// in time instead of 462.
+    fn max_wait_for_cached(&self, fetch_time: Duration) -> Duration {
+        match self.cached_wait {
+            CachedWait::FetchTime => MIN_CACHED_WAIT.max(fetch_time),
+            CachedWait::FixedTime => MIN_CACHED_WAIT,
+            CachedWait::NoWait => Duration::ZERO,
         }
     }
 }
 
-/// A replica for every so many requests a second; at least two for a model that is asked
-/// for often.
-fn by_rate(rate_s: f64) -> usize {
-    if rate_s < SPARE_RATE_S {
+/// One replica per [`REQUESTS_PER_REPLICA_PER_S`], and at least two for a busy model.
+fn replicas_by_rate(rate_per_s: f64) -> usize {
+    if rate_per_s < SECOND_REPLICA_RATE_PER_S {
         return 1;
     }
-    at_least(rate_s / REQUESTS_PER_REPLICA_S).max(2)
+    ceil_to_replicas(rate_per_s / REQUESTS_PER_REPLICA_PER_S).max(2)
 }
 
-/// Replicas that bear a model's requests; one for a model that is asked for seldom, at
-/// least two for any other. Runs and waiting requests say how many are needed whatever
-/// the model's pace and prompts: a fixed rate for each replica kept a third of all places
-/// from rare models, or starved slow ones.
-fn by_demand(rate_s: f64, usage: Usage) -> usize {
-    if rate_s < SPARE_RATE_S {
+/// Enough replicas for a model's running and waiting requests: one for a rare model, at least two
+/// for any other. Counting requests works for any model speed and prompt length; a fixed rate per
+/// replica took a third of all replicas from rare models, or starved slow ones.
+fn replicas_by_demand(rate_per_s: f64, usage: Usage) -> usize {
+    if rate_per_s < SECOND_REPLICA_RATE_PER_S {
         return 1;
     }
-    let runs = f64::from(usage.runs + usage.waiters);
-    at_least(runs / (f64::from(usage.slots.max(1)) * SLOTS_PART)).max(2)
+    let active = f64::from(usage.running + usage.waiters);
+    ceil_to_replicas(active / (f64::from(usage.slots.max(1)) * MAX_SLOT_RATIO)).max(2)
 }
 
-/// The next whole number, one at least.
-fn at_least(needed: f64) -> usize {
+/// Rounds up to a whole number of replicas, at least one.
+fn ceil_to_replicas(min_replicas: f64) -> usize {
     let mut replicas = 1;
-    while f64::from(u32::try_from(replicas).unwrap_or(u32::MAX)) < needed {
+    while f64::from(u32::try_from(replicas).unwrap_or(u32::MAX)) < min_replicas {
         replicas += 1;
     }
     replicas
--- a/tests/all/model_orders.rs
+++ b/tests/all/model_orders.rs
@@ -1,7 +1,7 @@
 //! Models are loaded where they are requested, by the orders of one holder.
 
 use crate::cluster::{self, stream, until};
-use crate::planned::{Planned, resident};
+use crate::test_planner::{TestPlanner, resident};
 use passway_serving::ports::{EngineReport, OrderAction, OrderAnswer};
 use passway_serving::upstreams::{ModelRef, ResidentModel};
 use passway_standins::platform::model_server::{EVENTS, Faults, ModelServer, event};
@@ -149,11 +149,11 @@
 
 #[test]
 fn queries_before_ordering() {
-    let mut planned = Planned::new();
-    planned.need("m2");
-    assert_eq!(planned.orders(OrderAnswer::Taken), []);
-    planned.report(false, 3, &["m0", "m1"]);
-    let orders = planned.orders(OrderAnswer::Taken);
+    let mut planned = TestPlanner::new();
+    planned.add_waiter("m2");
+    assert_eq!(planned.orders_within_second(OrderAnswer::Taken), []);
+    planned.send_report(false, 3, &["m0", "m1"]);
+    let orders = planned.orders_within_second(OrderAnswer::Taken);
     assert_eq!(orders.len(), 1);
     assert_eq!(orders[0].action, OrderAction::Unload);
     assert_eq!(orders[0].expected_orders, 3);
@@ -162,13 +162,13 @@
 #[test]
 fn no_order_on_busy_report() {
     // Another holder's load is in progress: the reported models are not all that occupy memory.
-    let mut planned = Planned::new();
-    planned.need("m2");
-    planned.orders(OrderAnswer::Taken);
-    planned.report(true, 4, &["m0"]);
-    assert_eq!(planned.orders(OrderAnswer::Taken), []);
-    planned.report(false, 4, &["m0", "m3"]);
-    let orders = planned.orders(OrderAnswer::Taken);
+    let mut planned = TestPlanner::new();
+    planned.add_waiter("m2");
+    planned.orders_within_second(OrderAnswer::Taken);
+    planned.send_report(true, 4, &["m0"]);
+    assert_eq!(planned.orders_within_second(OrderAnswer::Taken), []);
+    planned.send_report(false, 4, &["m0", "m3"]);
+    let orders = planned.orders_within_second(OrderAnswer::Taken);
     assert_eq!(
         orders.first().map(|order| order.action),
         Some(OrderAction::Unload)
@@ -178,19 +178,19 @@
 #[test]
 fn no_load_before_unload_done() {
     // The unload was accepted, but a run delays it.
-    let mut planned = Planned::new();
-    planned.need("m2");
-    planned.orders(OrderAnswer::Taken);
-    planned.report(false, 0, &["m0", "m1"]);
-    let orders = planned.orders(OrderAnswer::Taken);
+    let mut planned = TestPlanner::new();
+    planned.add_waiter("m2");
+    planned.orders_within_second(OrderAnswer::Taken);
+    planned.send_report(false, 0, &["m0", "m1"]);
+    let orders = planned.orders_within_second(OrderAnswer::Taken);
     assert_eq!(orders.len(), 1);
-    planned.report(true, 1, &["m0", "m1"]);
-    assert_eq!(planned.orders(OrderAnswer::Taken), []);
+    planned.send_report(true, 1, &["m0", "m1"]);
+    assert_eq!(planned.orders_within_second(OrderAnswer::Taken), []);
     // A report of an older state that arrives late.
-    planned.report(false, 0, &["m1"]);
-    assert_eq!(planned.orders(OrderAnswer::Taken), []);
-    planned.report(false, 1, &["m1"]);
-    let orders = planned.orders(OrderAnswer::Taken);
+    planned.send_report(false, 0, &["m1"]);
+    assert_eq!(planned.orders_within_second(OrderAnswer::Taken), []);
+    planned.send_report(false, 1, &["m1"]);
+    let orders = planned.orders_within_second(OrderAnswer::Taken);
     assert_eq!(
         orders.first().map(|order| order.action),
         Some(OrderAction::Load)
@@ -200,19 +200,24 @@
 
 #[test]
 fn other_incarnation() {
-    let mut planned = Planned::new();
-    planned.need("m2");
-    planned.orders(OrderAnswer::Taken);
-    planned.report(false, 0, &["m0", "m1"]);
-    assert_eq!(planned.orders(OrderAnswer::OtherIncarnation).len(), 1);
-    planned.report(false, 0, &[]);
-    assert_eq!(planned.orders(OrderAnswer::Taken), []);
+    let mut planned = TestPlanner::new();
+    planned.add_waiter("m2");
+    planned.orders_within_second(OrderAnswer::Taken);
+    planned.send_report(false, 0, &["m0", "m1"]);
+    assert_eq!(
+        planned
+            .orders_within_second(OrderAnswer::OtherIncarnation)
+            .len(),
+        1
+    );
+    planned.send_report(false, 0, &[]);
+    assert_eq!(planned.orders_within_second(OrderAnswer::Taken), []);
 }
 
 #[test]
 fn used_adapter_keeps_slot() {
-    let mut planned = Planned::new();
-    planned.orders(OrderAnswer::Taken);
+    let mut planned = TestPlanner::new();
+    planned.orders_within_second(OrderAnswer::Taken);
     let model = |adapters: &[&str]| ResidentModel {
         name: "m0".into(),
         adapters: adapters.iter().map(|name| (*name).into()).collect(),
@@ -229,20 +234,20 @@
     let engine: UpstreamId = "i-0".into();
     planned
         .planner
-        .reported(&engine, Some(report(0, &["a1", "a2"])), planned.now);
+        .apply_report(&engine, Some(report(0, &["a1", "a2"])), planned.now);
     let wish = ModelRef {
         model: "m0".into(),
         adapter: Some("a3".into()),
     };
-    planned.need_wish(wish, 1);
+    planned.set_waiters(wish, 1);
     // Both slots are in use; a run delays the unload.
-    let orders = planned.orders(OrderAnswer::Taken);
+    let orders = planned.orders_within_second(OrderAnswer::Taken);
     assert_eq!(orders.len(), 1, "{orders:?}");
     assert_eq!(orders[0].action, OrderAction::Unload);
     planned
         .planner
-        .reported(&engine, Some(report(1, &["a1", "a2"])), planned.now);
-    let again = planned.orders(OrderAnswer::Taken);
+        .apply_report(&engine, Some(report(1, &["a1", "a2"])), planned.now);
+    let again = planned.orders_within_second(OrderAnswer::Taken);
     assert!(
         again
             .iter()
@@ -251,8 +256,8 @@
     );
     planned
         .planner
-        .reported(&engine, Some(report(2, &["a2"])), planned.now);
-    let loads = planned.orders(OrderAnswer::Taken);
+        .apply_report(&engine, Some(report(2, &["a2"])), planned.now);
+    let loads = planned.orders_within_second(OrderAnswer::Taken);
     assert_eq!(
         loads.first().map(|order| order.action),
         Some(OrderAction::Load)
@@ -261,18 +266,18 @@
 
 #[test]
 fn older_entry_ignored() {
-    let mut planned = Planned::new();
-    planned.need("m2");
-    planned.orders(OrderAnswer::Taken);
-    planned.report(false, 0, &["m0", "m1"]);
-    let orders = planned.orders(OrderAnswer::Taken);
-    let victim = orders.first().expect("an unload").wish.model.clone();
+    let mut planned = TestPlanner::new();
+    planned.add_waiter("m2");
+    planned.orders_within_second(OrderAnswer::Taken);
+    planned.send_report(false, 0, &["m0", "m1"]);
+    let orders = planned.orders_within_second(OrderAnswer::Taken);
+    let victim = orders.first().expect("an unload").model_ref.model.clone();
     let stays = if &*victim == "m0" { "m1" } else { "m0" };
     // An entry from an earlier time when the slot was empty.
-    planned.hear(0, &[stays]);
-    assert_eq!(planned.orders(OrderAnswer::Taken), []);
-    planned.hear(2, &[stays]);
-    let orders = planned.orders(OrderAnswer::Taken);
+    planned.send_entry(0, &[stays]);
+    assert_eq!(planned.orders_within_second(OrderAnswer::Taken), []);
+    planned.send_entry(2, &[stays]);
+    let orders = planned.orders_within_second(OrderAnswer::Taken);
     assert_eq!(
         orders.first().map(|order| order.action),
         Some(OrderAction::Load)
@@ -281,9 +286,9 @@
 
 #[test]
 fn new_holder_waits_for_reports() {
-    let mut planned = Planned::new();
-    planned.need("m2");
-    planned.report(false, 0, &["m0", "m1"]);
+    let mut planned = TestPlanner::new();
+    planned.add_waiter("m2");
+    planned.send_report(false, 0, &["m0", "m1"]);
     assert_eq!(planned.planner.decide(planned.now), []);
     // Instances report recent requests from before the term began: m0 is in use.
     let busy = ModelRef {
@@ -292,9 +297,12 @@
     };
     planned
         .planner
-        .taken(&"engines".into(), &busy, 40, planned.now);
-    let orders = planned.orders(OrderAnswer::Taken);
-    assert_eq!(orders.first().map(|order| &*order.wish.model), Some("m1"));
+        .record_arrivals(&"engines".into(), &busy, 40, planned.now);
+    let orders = planned.orders_within_second(OrderAnswer::Taken);
+    assert_eq!(
+        orders.first().map(|order| &*order.model_ref.model),
+        Some("m1")
+    );
 }
 
 #[test]
@@ -328,9 +336,9 @@
 fn disk_before_weight_store() {
     // One engine has every model on its disk and is busy; an empty one could only load from the
     // weight store.
-    let mut planned = Planned::new();
-    planned.orders(OrderAnswer::Taken);
-    planned.hear_of("i-9", 1, &[], &[]);
+    let mut planned = TestPlanner::new();
+    planned.orders_within_second(OrderAnswer::Taken);
+    planned.send_entry_of("i-9", 1, &[], &[]);
     let empty = EngineReport {
         models: Vec::new(),
         busy: false,
@@ -342,16 +350,16 @@
     };
     planned
         .planner
-        .reported(&"i-9".into(), Some(empty), planned.now);
-    planned.report(true, 0, &["m0"]);
-    planned.need("m2");
-    let orders = planned.orders(OrderAnswer::Taken);
+        .apply_report(&"i-9".into(), Some(empty), planned.now);
+    planned.send_report(true, 0, &["m0"]);
+    planned.add_waiter("m2");
+    let orders = planned.orders_within_second(OrderAnswer::Taken);
     assert_eq!(
         orders,
         [],
         "a second is less than a load from the weight store"
     );
-    let fetched = planned.orders(OrderAnswer::Taken);
+    let fetched = planned.orders_within_second(OrderAnswer::Taken);
     assert_eq!(fetched.first().map(|order| &*order.engine), Some("i-9"));
 }
 
--- a/tests/all/resting_upstreams.rs
+++ b/tests/all/resting_upstreams.rs
@@ -166,7 +166,7 @@
 fn plain(id: &str, started_at_ms: u64) -> UpstreamEntry {
     UpstreamEntry {
         started_at_ms,
-        ..crate::planned::entry(id, 1, &[])
+        ..crate::test_planner::entry(id, 1, &[])
     }
 }
 
