--- /dev/null
+++ b/crates/instance/src/coordinator.rs
@@ -0,0 +1,205 @@
+//! Requests to the coordinator, and the counts of the coordinator.
+//!
+//! The coordinator is the holder of leadership. It counts what workspaces use, what is sent to
+//! limited upstreams and which requests run exclusively. It does so only until its term ends by its
+//! own clock, so that two instances never count at the same time.
+
+use crate::queries::PendingQueries;
+use crate::relay::millis;
+use crate::shared::Shared;
+use passway_serving::allotment::{Keeper, QuotaBounds, Ruling};
+use passway_serving::tenure::Holder;
+use passway_types::clock;
+use passway_types::prelude::*;
+use passway_wire::dispatch::Dispatch as Body;
+use passway_wire::permits::{UseAsk, UseTold, UseVerdict};
+use std::fmt;
+use std::net::SocketAddr;
+use std::sync::{Mutex, MutexGuard, PoisonError};
+
+/// A coordinator that did not answer gets no requests for this long.
+const SILENT_BACKOFF: Duration = Duration::from_millis(300);
+/// An instance that turned out not to be the coordinator gets no requests for this long. A term is
+/// about to begin or has ended, and all instances learn of that within a few hundred milliseconds.
+const NOT_COORDINATOR_BACKOFF: Duration = Duration::from_millis(100);
+
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
+}
+
+/// A coordinator that gets no requests until an instant, and why.
+#[derive(Debug, Clone, PartialEq)]
+struct BackoffState {
+    holder: Holder,
+    cause: NoDecision,
+    until: Instant,
+}
+
+/// Why there is no decision on a request. None of these permits anything by itself: each caller
+/// defines what it does without a decision.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum NoDecision {
+    /// No holder of leadership is known.
+    NoHolder,
+    /// The holder does not answer, or did not a moment ago.
+    Silent,
+    /// The known holder is not the coordinator now.
+    NotCoordinator,
+}
+
+impl NoDecision {
+    /// Name of the reason in logs and metrics.
+    pub fn name(self) -> &'static str {
+        match self {
+            Self::NoHolder => "no holder",
+            Self::Silent => "silent",
+            Self::NotCoordinator => "not the keeper",
+        }
+    }
+}
+
+impl fmt::Display for NoDecision {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(self.name())
+    }
+}
+
+/// Sends this instance's requests to the coordinator.
+#[derive(Debug, Default)]
+pub struct CoordinatorClient {
+    pending: PendingQueries<UseTold>,
+    backoff: Mutex<Option<BackoffState>>,
+}
+
+impl CoordinatorClient {
+    /// Requests a decision of the coordinator.
+    ///
+    /// # Errors
+    /// Why there is no decision.
+    pub fn request(&self, shared: &Shared, request: &UseAsk) -> Result<UseTold, NoDecision> {
+        let decision = self.try_request(shared, request);
+        if let Err(reason) = decision {
+            shared.metrics.unanswered_query(reason);
+        }
+        decision
+    }
+
+    fn try_request(&self, shared: &Shared, request: &UseAsk) -> Result<UseTold, NoDecision> {
+        let holder = shared
+            .leadership()
+            .and_then(|leadership| leadership.holder());
+        let holder = holder.ok_or(NoDecision::NoHolder)?;
+        let settings = &shared.settings;
+        if holder.instance == settings.instance {
+            return checked_answer(decide(shared, settings.peer_address, request));
+        }
+        let now = clock::now();
+        let is_backing_off =
+            |backoff: &&BackoffState| backoff.holder == holder && now < backoff.until;
+        if let Some(backoff) = lock(&self.backoff).as_ref().filter(is_backing_off) {
+            return Err(backoff.cause);
+        }
+        let body = Body::UseAsk(request.clone());
+        let address = holder.address;
+        let answer = self
+            .pending
+            .send_and_wait(request.id, || shared.dispatch.send(address, body.clone()));
+        let decision = answer.ok_or(NoDecision::Silent).and_then(checked_answer);
+        if let Err(cause) = decision {
+            let backoff = match cause {
+                NoDecision::Silent | NoDecision::NoHolder => SILENT_BACKOFF,
+                NoDecision::NotCoordinator => NOT_COORDINATOR_BACKOFF,
+            };
+            *lock(&self.backoff) = Some(BackoffState {
+                holder,
+                cause,
+                until: clock::now() + backoff,
+            });
+        }
+        decision
+    }
+
+    /// Receives the answer to a request of this instance.
+    pub fn receive_answer(&self, answer: UseTold) {
+        self.pending.deliver_answer(answer.id, answer);
+    }
+}
+
+/// The answer, unless its sender is not the coordinator.
+fn checked_answer(answer: UseTold) -> Result<UseTold, NoDecision> {
+    if answer.verdict() == UseVerdict::NotKeeper {
+        return Err(NoDecision::NotCoordinator);
+    }
+    Ok(answer)
+}
+
+/// Answers an instance's request. Only the coordinator makes a decision.
+pub fn decide(shared: &Shared, from: SocketAddr, request: &UseAsk) -> UseTold {
+    let Some(fence) = shared.leadership().and_then(|leadership| leadership.term()) else {
+        return UseTold {
+            id: request.id,
+            ..UseTold::default()
+        };
+    };
+    if !request.digest.is_empty() {
+        shared.poison.decide_exclusive_run(fence, from, request)
+    } else if request.upstream.is_empty() {
+        shared.allotments.decide(shared, fence, from, request)
+    } else {
+        shared.limits.decide(shared, fence, from, request)
+    }
+}
+
+/// Encodes a decision as the answer to a request.
+pub fn encode_decision(request: &UseAsk, decision: Ruling) -> UseTold {
+    let mut answer = UseTold {
+        id: request.id,
+        ..UseTold::default()
+    };
+    match decision {
+        Ruling::Granted { part_per_s } => {
+            answer.set_verdict(UseVerdict::Granted);
+            answer.part_per_s = part_per_s;
+        }
+        Ruling::Refused { retry_after } => {
+            answer.set_verdict(UseVerdict::Refused);
+            answer.retry_after_ms = millis(retry_after);
+        }
+    }
+    answer
+}
+
+#[derive(Debug)]
+struct TermCounts {
+    fence: Fence,
+    coordinator: Keeper,
+}
+
+/// The counts of the latest term of this instance.
+#[derive(Debug, Default)]
+pub struct TermCoordinator(Mutex<Option<TermCounts>>);
+
+impl TermCoordinator {
+    /// Calls `act` on the counts of a term, which begin empty in each term.
+    pub fn in_term<T>(
+        &self,
+        fence: Fence,
+        bounds: QuotaBounds,
+        act: impl FnOnce(&mut Keeper) -> T,
+    ) -> T {
+        let mut counts = lock(&self.0);
+        counts.take_if(|counts| counts.fence != fence);
+        let new_counts = || TermCounts {
+            fence,
+            coordinator: Keeper::new(bounds, clock::now()),
+        };
+        act(&mut counts.get_or_insert_with(new_counts).coordinator)
+    }
+
+    /// Calls `act` on the counts of the latest term, if there was one.
+    pub fn in_latest_term(&self, act: impl FnOnce(&mut Keeper)) {
+        if let Some(counts) = lock(&self.0).as_mut() {
+            act(&mut counts.coordinator);
+        }
+    }
+}
--- a/crates/instance/src/forward/access.rs
+++ b/crates/instance/src/forward/access.rs
@@ -99,7 +99,7 @@
         {
             let until = clock::now() + PROOF_TIMEOUT;
             let age = &self.shared.configuration_age;
-            if !age.wait_until_permitted(bound, until) {
+            if !age.wait_until_proved(bound, until) {
                 return Err(UNPROVEN_CONFIGURATION);
             }
         }
@@ -115,7 +115,7 @@
         let wait_until = self.wait_until(self.deadline_at);
         loop {
             let shared = self.shared;
-            let decision = shared.allotments.ask(shared, &workspace, cost);
+            let decision = shared.allotments.request(shared, &workspace, cost);
             shared.metrics.workspace_request(&workspace.name, decision);
             match decision {
                 Decision::Granted => {
@@ -147,7 +147,7 @@
             && let Some(workspace) = &self.access.workspace
         {
             let allotments = &self.shared.allotments;
-            allotments.give_back(self.shared, workspace, cost);
+            allotments.release(self.shared, workspace, cost);
         }
     }
 
@@ -159,7 +159,7 @@
         // Checks the proof before loading the table: a proof that arrives later may belong to a
         // newer version without the key.
         let bound = self.shared.revocation_bound();
-        if bound.is_some_and(|bound| !self.shared.configuration_age.permits(bound)) {
+        if bound.is_some_and(|bound| !self.shared.configuration_age.is_proved_within(bound)) {
             return Err(UNPROVEN_CONFIGURATION);
         }
         let table = self.shared.routes.load();
--- a/crates/instance/src/forward/exchange.rs
+++ b/crates/instance/src/forward/exchange.rs
@@ -15,7 +15,7 @@
 use crate::relay;
 use crate::reply::{self, WRITE_TIMEOUT};
 use crate::shared::MemoryReservation;
-use crate::words::{self, Heard};
+use crate::signals::{self, ReceivedSignals};
 use passway_serving::headers::Headers;
 use passway_serving::ports::{AnswerFacts, Stamp};
 use passway_serving::routes::RequestKind;
@@ -218,13 +218,13 @@
         if facts.other_incarnation || facts.id.is_none() {
             return;
         }
-        let received = Heard {
+        let received = ReceivedSignals {
             start: &target.start(),
-            words: &facts.words,
-            vouched: facts.vouched,
+            signals: &facts.words,
+            is_authenticated: facts.vouched,
             sent_at: self.attempt_at,
         };
-        words::hear(self.shared, received);
+        signals::apply(self.shared, received);
     }
 
     /// Reads the next answer's head, unless the upstream falls silent.
--- a/crates/instance/src/limits.rs
+++ b/crates/instance/src/limits.rs
@@ -1,10 +1,10 @@
 //! Keeping limited upstreams within the rates that they advertise, over all instances.
 //!
-//! The limits are published to all instances ([`crate::words`]). An instance that wants to send a
+//! The limits are published to all instances ([`crate::signals`]). An instance that wants to send a
 //! request to a limited upstream asks the coordinator, which counts for all. Without an answer the
 //! instance uses a small local share, derived from the number of instances that it knows.
 
-use crate::keeper::{self, TermKeeper};
+use crate::coordinator::{self, TermCoordinator};
 use crate::shared::Shared;
 use passway_serving::limits::{self, EXACT, Shares};
 use passway_types::clock;
@@ -27,7 +27,7 @@
 /// Grants for limited upstreams: this instance's requests and, as the coordinator, its decisions.
 #[derive(Debug, Default)]
 pub struct Limits {
-    coordinator: TermKeeper,
+    coordinator: TermCoordinator,
     local_shares: Mutex<Shares>,
 }
 
@@ -46,7 +46,7 @@
             rate_per_s: per_s,
             ..UseAsk::default()
         };
-        match shared.coordinator.ask(shared, &ask) {
+        match shared.coordinator.request(shared, &ask) {
             Ok(answer) if answer.verdict() == UseVerdict::Granted => LimitDecision::Granted,
             Ok(answer) => LimitDecision::RetryAfter(Duration::from_millis(answer.retry_after_ms)),
             Err(_) => self.take_local_share(shared, upstream, per_s),
@@ -79,10 +79,10 @@
         let known_limit = shared.upstreams().limit_per_s(&upstream, clock::now());
         let per_s = known_limit.map_or(ask.rate_per_s, |limit| limit.min(ask.rate_per_s));
         let allotment = limits::allotment(per_s);
-        let decision = self.coordinator.of_term(fence, EXACT, |counter| {
+        let decision = self.coordinator.in_term(fence, EXACT, |counter| {
             counter.ask(&upstream, allotment, from, ask.cost, clock::now())
         });
-        keeper::told(ask, decision)
+        coordinator::encode_decision(ask, decision)
     }
 
     /// Removes the counts of upstreams that advertise no limit any more.
@@ -91,7 +91,7 @@
         let now = clock::now();
         let is_limited = |id: &str| upstreams.limit_per_s(id, now).is_some();
         self.coordinator
-            .of_any_term(|counter| counter.retain(is_limited));
+            .in_latest_term(|counter| counter.retain(is_limited));
         let mut local_shares = self
             .local_shares
             .lock()
--- a/tests/all/dispatcher_queries.rs
+++ b/tests/all/dispatcher_queries.rs
@@ -3,7 +3,7 @@
 //! the peer of each query.
 
 use crate::cluster::{self, PATIENCE, stream, until};
-use crate::holder_link::{Holder, subscription};
+use crate::holder_link::{PlayedHolder, subscription};
 use passway_instance::Instance;
 use passway_standins::platform::model_server::{Faults, ModelServer};
 use passway_standins::platform::store::MetadataStandIn;
@@ -26,7 +26,7 @@
 /// instance itself.
 fn test_bed(dispatchers: &[Option<SocketAddr>]) -> TestBed {
     let store = cluster::store(&["m0"]);
-    let holder = Holder::begin(&store);
+    let holder = PlayedHolder::begin(&store);
     let server = |id| ModelServer::start(&store, id, "engines", 2, &["m0"], &[]);
     let servers = [server("i-0"), server("i-1")];
     let instance = cluster::start_ready("one", &store);
--- a/tests/all/leaving_upstreams.rs
+++ b/tests/all/leaving_upstreams.rs
@@ -2,8 +2,8 @@
 //! have received the signal.
 
 use crate::cluster::{self, ask, list_plain, request, stream, until};
-use crate::saying::{Saying, SayingServer};
 use crate::scrape::metrics;
+use crate::signalling::{SignallingAnswer, SignallingServer};
 use passway_instance::Instance;
 use passway_standins::platform::documents::plain_entry;
 use passway_standins::platform::model_server::{Faults, ModelServer};
@@ -15,12 +15,12 @@
 /// Within this time an instance receives an entry.
 const PROPAGATION_DELAY: Duration = Duration::from_secs(1);
 
-fn leaving_signal(status: u16) -> Saying {
-    Saying::line(status, "Server-Leaving: 1")
+fn leaving_signal(status: u16) -> SignallingAnswer {
+    SignallingAnswer::with_line(status, "Server-Leaving: 1")
 }
 
 /// Instances before servers that are all listed as ready.
-fn start(servers: &[&SayingServer], names: &[&str]) -> (MetadataStandIn, Vec<Instance>) {
+fn start(servers: &[&SignallingServer], names: &[&str]) -> (MetadataStandIn, Vec<Instance>) {
     let store = cluster::store(&[]);
     for (number, server) in servers.iter().enumerate() {
         list_plain(&store, &format!("i-{number}"), server.address(), "ready");
@@ -44,12 +44,12 @@
 /// Only its entry was read, which did not show that yet because the store was not reachable.
 #[test]
 fn leaving_signal_in_answer() {
-    let (leaving, staying) = (SayingServer::start(), SayingServer::start());
+    let (leaving, staying) = (SignallingServer::start(), SignallingServer::start());
     let (_store, instances) = start(&[&leaving, &staying], &["one"]);
     for (path, ids) in [("/read/", "read"), ("/pay/", "pay")] {
-        leaving.says(Saying::nothing());
+        leaving.set_answer(SignallingAnswer::plain());
         let count_before = leaving.count();
-        leaving.says(leaving_signal(200));
+        leaving.set_answer(leaving_signal(200));
         let statuses = send(&instances[0], path, ids, 60);
         assert!(statuses.iter().all(|status| *status == 200));
         assert!(
@@ -64,9 +64,9 @@
 #[test]
 fn leaving_signal_in_any_answer() {
     for status in [200, 404, 429, 500, 503] {
-        let (leaving, staying) = (SayingServer::start(), SayingServer::start());
+        let (leaving, staying) = (SignallingServer::start(), SignallingServer::start());
         let (_store, instances) = start(&[&leaving, &staying], &["one"]);
-        leaving.says(leaving_signal(status));
+        leaving.set_answer(leaving_signal(status));
         send(&instances[0], "/read/", "id", 40);
         assert_eq!(leaving.count(), 1, "{status}");
     }
@@ -99,9 +99,9 @@
 /// One instance receives the signal, and no instance sends anything more.
 #[test]
 fn leaving_reaches_all_instances() {
-    let (leaving, staying) = (SayingServer::start(), SayingServer::start());
+    let (leaving, staying) = (SignallingServer::start(), SignallingServer::start());
     let (store, instances) = start(&[&leaving, &staying], &["one", "two", "three"]);
-    leaving.says(leaving_signal(200));
+    leaving.set_answer(leaving_signal(200));
     send(&instances[0], "/read/", "first", 40);
     assert_eq!(leaving.count(), 1);
     until("the signal at all instances", || {
@@ -124,9 +124,9 @@
 /// start of the upstream under the same id gets requests again.
 #[test]
 fn leaving_is_final_for_a_start() {
-    let (leaving, staying) = (SayingServer::start(), SayingServer::start());
+    let (leaving, staying) = (SignallingServer::start(), SignallingServer::start());
     let (store, instances) = start(&[&leaving, &staying], &["one"]);
-    leaving.says(leaving_signal(200));
+    leaving.set_answer(leaving_signal(200));
     send(&instances[0], "/read/", "first", 40);
     assert_eq!(leaving.count(), 1);
     store.remove("servers/i-0");
@@ -135,7 +135,7 @@
     std::thread::sleep(PROPAGATION_DELAY);
     send(&instances[0], "/read/", "back", 40);
     assert_eq!(leaving.count(), 1);
-    leaving.says(Saying::nothing());
+    leaving.set_answer(SignallingAnswer::plain());
     let mut entry = plain_entry(leaving.address());
     entry["born"] = 5.into();
     store.put("servers/i-0", &entry);
--- a/tests/all/limited_upstreams.rs
+++ b/tests/all/limited_upstreams.rs
@@ -7,9 +7,9 @@
 //! in four seconds without the fix.
 
 use crate::cluster::{self, Caller, ask, list_plain, request, stream, until};
-use crate::holder_link::Holder;
-use crate::saying::{Saying, SayingServer};
+use crate::holder_link::PlayedHolder;
 use crate::scrape::metrics;
+use crate::signalling::{SignallingAnswer, SignallingServer};
 use passway_instance::Instance;
 use passway_standins::platform::model_server::{Faults, ModelServer};
 use passway_standins::platform::store::MetadataStandIn;
@@ -24,9 +24,9 @@
 /// Time from the first signal until the limit must be respected.
 const PROPAGATION_DELAY: Duration = Duration::from_secs(3);
 
-fn advertise_limit(server: &SayingServer, per_s: Option<f64>) {
+fn advertise_limit(server: &SignallingServer, per_s: Option<f64>) {
     let line = per_s.map_or_else(String::new, |per_s| format!("Server-Limit: {per_s}"));
-    server.says(Saying::line(200, line));
+    server.set_answer(SignallingAnswer::with_line(200, line));
 }
 
 /// Largest number of arrivals in a window that begins at `from` or later.
@@ -96,7 +96,7 @@
 }
 
 /// Three instances before servers of one service.
-fn cluster(servers: &[SayingServer]) -> (MetadataStandIn, Vec<Instance>) {
+fn cluster(servers: &[SignallingServer]) -> (MetadataStandIn, Vec<Instance>) {
     let store = cluster::store(&[]);
     for (number, server) in servers.iter().enumerate() {
         list_plain(&store, &format!("i-{number}"), server.address(), "ready");
@@ -110,7 +110,7 @@
 /// effect. Returns the statuses that the callers received.
 fn run_with_limit(
     instances: &[Instance],
-    server: &SayingServer,
+    server: &SignallingServer,
     path: &'static str,
     per_s: f64,
 ) -> Vec<u16> {
@@ -127,9 +127,9 @@
 /// The other servers take over what the limited one does not accept, and callers notice nothing.
 fn limits_one_of_three(path: &'static str) {
     let servers = [
-        SayingServer::start(),
-        SayingServer::start(),
-        SayingServer::start(),
+        SignallingServer::start(),
+        SignallingServer::start(),
+        SignallingServer::start(),
     ];
     let (_store, instances) = cluster(&servers);
     let started_at = Instant::now();
@@ -152,7 +152,7 @@
 /// One request through one instance is enough to inform all of them.
 #[test]
 fn limit_reaches_all_instances() {
-    let servers = [SayingServer::start()];
+    let servers = [SignallingServer::start()];
     let (store, instances) = cluster(&servers);
     let knows_limit = |instance: &Instance| {
         metrics(instance).contains("\npassway_instance_limited_upstreams 1\n")
@@ -186,7 +186,7 @@
 /// take all requests meanwhile.
 #[test]
 fn limit_changes_and_ends() {
-    let servers = [SayingServer::start(), SayingServer::start()];
+    let servers = [SignallingServer::start(), SignallingServer::start()];
     let (_store, instances) = cluster(&servers);
     advertise_limit(&servers[0], Some(20.0));
     let callers = Callers::start(&instances, "/read/");
@@ -211,7 +211,7 @@
 /// what it accepts, and refused requests do not count against the servers.
 #[test]
 fn all_upstreams_limited() {
-    let servers = [SayingServer::start(), SayingServer::start()];
+    let servers = [SignallingServer::start(), SignallingServer::start()];
     let (_store, instances) = cluster(&servers);
     for server in &servers {
         advertise_limit(server, Some(3.0));
@@ -288,10 +288,10 @@
 /// more, and callers are refused instead of waiting until their deadline.
 #[test]
 fn no_coordinator() {
-    let servers = [SayingServer::start()];
+    let servers = [SignallingServer::start()];
     let store = cluster::store(&[]);
     list_plain(&store, "i-0", servers[0].address(), "ready");
-    let _silent_holder = Holder::begin(&store);
+    let _silent_holder = PlayedHolder::begin(&store);
     let instance = cluster::start_ready("one", &store);
     advertise_limit(&servers[0], Some(1.0));
     let statuses = (0..4).map(|number| {
--- a/tests/all/resting_upstreams.rs
+++ b/tests/all/resting_upstreams.rs
@@ -2,15 +2,15 @@
 //! during the backoff.
 
 use crate::cluster::{self, Answer, ask, list_plain, request, stream, until};
-use crate::saying::{Saying, SayingServer};
+use crate::signalling::{SignallingAnswer, SignallingServer};
 use passway_instance::Instance;
 use passway_serving::upstreams::{UpstreamEntry, UpstreamTable};
 use passway_standins::platform::model_server::{Faults, ModelServer};
 use passway_standins::platform::store::MetadataStandIn;
 use passway_types::prelude::*;
 
-fn backoff_signal(seconds: f64) -> Saying {
-    Saying::line(503, format!("Retry-After: {seconds}"))
+fn backoff_signal(seconds: f64) -> SignallingAnswer {
+    SignallingAnswer::with_line(503, format!("Retry-After: {seconds}"))
 }
 
 const BACKOFF: Duration = Duration::from_secs(2);
@@ -22,11 +22,11 @@
 #[test]
 fn nothing_within_rest() {
     for path in ["/read/", "/pay/"] {
-        let server = SayingServer::start();
+        let server = SignallingServer::start();
         let store = cluster::store(&[]);
         list_plain(&store, "i-0", server.address(), "ready");
         let instance = cluster::start_ready("one", &store);
-        server.says(backoff_signal(BACKOFF.as_secs_f64()));
+        server.set_answer(backoff_signal(BACKOFF.as_secs_f64()));
         let address = instance.callers_address();
         let callers = (0..6).map(|number| {
             std::thread::spawn(move || {
@@ -39,7 +39,7 @@
         while server.count() == 0 {
             std::thread::sleep(Duration::from_millis(5));
         }
-        server.says(Saying::nothing());
+        server.set_answer(SignallingAnswer::plain());
         for caller in callers {
             let status = caller.join().expect("a caller");
             assert!([200, 503].contains(&status));
@@ -52,7 +52,7 @@
 }
 
 /// An instance before servers that are all ready.
-fn start_with_servers(servers: &[&SayingServer]) -> (MetadataStandIn, Instance) {
+fn start_with_servers(servers: &[&SignallingServer]) -> (MetadataStandIn, Instance) {
     let store = cluster::store(&[]);
     for (number, server) in servers.iter().enumerate() {
         list_plain(&store, &format!("i-{number}"), server.address(), "ready");
@@ -79,9 +79,9 @@
 /// refused at once with a `Retry-After`, without attempts at the upstream.
 #[test]
 fn refused_at_once() {
-    let server = SayingServer::start();
+    let server = SignallingServer::start();
     let (_store, instance) = start_with_servers(&[&server]);
-    server.says(backoff_signal(30.0));
+    server.set_answer(backoff_signal(30.0));
     for number in 0..5 {
         let answer = get(&instance, &format!("id{number}"));
         assert_eq!(answer.status, 503);
@@ -95,16 +95,16 @@
 /// If the backoff ends while the caller waits, the request is served.
 #[test]
 fn served_after_backoff() {
-    let server = SayingServer::start();
+    let server = SignallingServer::start();
     let (_store, instance) = start_with_servers(&[&server]);
-    server.says(backoff_signal(0.6));
+    server.set_answer(backoff_signal(0.6));
     let address = instance.callers_address();
     let waiting = std::thread::spawn(move || {
         let bytes = request("GET", "/read/", "first", "", "");
         ask(address, &bytes).expect("an answer").status
     });
     until("the refusal", || server.count() == 1);
-    server.says(Saying::nothing());
+    server.set_answer(SignallingAnswer::plain());
     assert_eq!(waiting.join().expect("a caller"), 200);
     let arrivals = server.arrivals();
     assert!(arrivals[1] - arrivals[0] >= Duration::from_millis(600));
@@ -115,9 +115,9 @@
 /// afterwards the upstream gets its share again.
 #[test]
 fn others_take_over() {
-    let (backing_off, other) = (SayingServer::start(), SayingServer::start());
+    let (backing_off, other) = (SignallingServer::start(), SignallingServer::start());
     let (_store, instance) = start_with_servers(&[&backing_off, &other]);
-    backing_off.says(backoff_signal(BACKOFF.as_secs_f64()));
+    backing_off.set_answer(backoff_signal(BACKOFF.as_secs_f64()));
     let started_at = Instant::now();
     let mut ids = 0..;
     until("the refusal", || {
@@ -125,7 +125,7 @@
         assert_eq!(get(&instance, &id).status, 200);
         backing_off.count() == 1
     });
-    backing_off.says(Saying::nothing());
+    backing_off.set_answer(SignallingAnswer::plain());
     while started_at.elapsed() < BACKOFF.saturating_sub(IN_FLIGHT_ALLOWANCE) {
         let id = format!("id{:?}", ids.next());
         assert_eq!(get(&instance, &id).status, 200);
@@ -180,9 +180,9 @@
 /// request reaches it.
 #[test]
 fn one_at_a_time_after_backoff() {
-    let server = SayingServer::start();
+    let server = SignallingServer::start();
     let (_store, instance) = start_with_servers(&[&server]);
-    server.says(backoff_signal(0.7));
+    server.set_answer(backoff_signal(0.7));
     let address = instance.callers_address();
     let callers = (0..10).map(|number| {
         std::thread::spawn(move || {
@@ -201,7 +201,7 @@
     let arrivals = server.arrivals();
     let backoff_end = arrivals[0] + Duration::from_millis(700);
     assert_eq!(arrivals.iter().filter(|at| **at >= backoff_end).count(), 1);
-    server.says(Saying::nothing());
+    server.set_answer(SignallingAnswer::plain());
     for caller in callers {
         assert_eq!(caller.join().expect("a caller"), 200);
     }
--- a/tests/all/slow_readers.rs
+++ b/tests/all/slow_readers.rs
@@ -2,8 +2,8 @@
 //! a logged cause, and do not affect other callers.
 
 use crate::cluster::{self, ask, request, until};
-use crate::followed::shared;
 use crate::scrape::metrics;
+use crate::scripted_store::shared;
 use passway_instance::shared::MAX_RESERVED_BYTES;
 use passway_standins::platform::caller::HOST;
 use passway_standins::platform::documents::plain_entry;
--- a/tests/suspended/keys.rs
+++ b/tests/suspended/keys.rs
@@ -1,17 +1,18 @@
-//! A key that was taken away while the machine was suspended.
+//! A key that was revoked while the machine was suspended.
 
-use crate::alone;
 use crate::cluster::{list_plain, plain_server, until};
 use crate::keyed_cluster::{KEY, keyed_configuration, start_ready, status_with_key};
+use crate::lock_tests;
 use passway_standins::platform::documents::workspace;
 use passway_standins::platform::store::{Faults, MetadataStandIn};
 use passway_types::clock;
 use passway_types::prelude::*;
 
-/// Whoever wakes acts on no key before it has asked whether that still holds.
+/// After a suspension, an instance accepts no key before it has queried whether the key is still
+/// valid.
 #[test]
-fn asks_before_it_serves() {
-    let _alone = alone();
+fn queries_before_serving() {
+    let _lock = lock_tests();
     let store = MetadataStandIn::default();
     store.put(
         "op/config",
