--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -26,7 +26,7 @@
     /// Another operator changed the configuration first; nothing was written.
     Conflict = 4,
     /// Accepted, but not in force everywhere in time; who lacks it is printed.
-    NotEverywhere = 5,
+    NotInEffectEverywhere = 5,
     /// The key-value service or every controller could not be reached.
     Unreachable = 6,
 }
--- a/crates/ctl/src/commands/analyze.rs
+++ b/crates/ctl/src/commands/analyze.rs
@@ -2,13 +2,13 @@
 //!
 //! * [`events`]: requests and orders, read out of the lines.
 //! * [`report`]: what is told of them, as typed rows.
-//! * [`places`]: where models stood, and how long they stood idle.
-//! * [`picture`]: the same as a drawing.
+//! * [`residency`]: where models stood, and how long they stood idle.
+//! * [`chart`]: the same as a drawing.
 
+mod chart;
 mod events;
-mod picture;
-mod places;
 mod report;
+mod residency;
 
 use super::{log_line, print_json};
 use crate::cli::{Common, ExitCode};
@@ -28,7 +28,7 @@
     window_s: u64,
     svg: Option<&Path>,
 ) -> Result<ExitCode> {
-    let text = log_line::read(files)?;
+    let text = log_line::read_logs(files)?;
     let events = Events::read(&text);
     let report = Report::of(&events, window_s.max(1) * 1_000);
     if common.json {
@@ -37,7 +37,7 @@
         print!("{report}");
     }
     if let Some(path) = svg {
-        let drawing = picture::draw(&events, &report);
+        let drawing = chart::draw(&events, &report);
         std::fs::write(path, drawing).with_context(|| path.display().to_string())?;
     }
     Ok(ExitCode::Done)
--- a/crates/ctl/src/commands/analyze/picture.rs
+++ b/crates/ctl/src/commands/analyze/chart.rs
@@ -1,8 +1,8 @@
 //! A drawing of a report: requests over time above, stays of the busiest models below.
 
 use super::events::Events;
-use super::places;
 use super::report::Report;
+use super::residency;
 use std::fmt::Write;
 
 /// Width of the drawing and height of its upper part, in pixels.
@@ -22,7 +22,7 @@
 /// The drawing as SVG. Upper part: a bar a window, requests asked in grey, served in
 /// green, refused in red. Lower part: a line an engine, a span for each stay of a model.
 pub(super) fn draw(events: &Events, report: &Report) -> String {
-    let (begin_ms, end_ms) = (events.begin_ms(), events.end_ms());
+    let (begin_ms, end_ms) = (events.start_ms(), events.end_ms());
     let whole_ms = (end_ms - begin_ms).max(1);
     let x = |at_ms: u64| {
         let since_ms = at_ms.saturating_sub(begin_ms).min(whole_ms);
@@ -60,7 +60,7 @@
             row.name
         );
     }
-    let stays = places::stays(events);
+    let stays = residency::residencies(events);
     for (number, engine) in (0..).zip(&report.engines) {
         let top = HEIGHT + 24 + number * LINE;
         let name = &engine.engine;
--- a/crates/ctl/src/commands/analyze/events.rs
+++ b/crates/ctl/src/commands/analyze/events.rs
@@ -1,6 +1,6 @@
 //! Requests and model orders as the lines of logs tell them.
 
-use crate::commands::log_line::Line;
+use crate::commands::log_line::LogLine;
 
 /// A request that has ended.
 #[derive(Debug, Clone)]
@@ -61,7 +61,7 @@
     /// Orders of adapters that were taken.
     pub(super) adapter_orders: usize,
     /// When instances took the right to order.
-    pub(super) holders_ms: Vec<u64>,
+    pub(super) leadership_starts_ms: Vec<u64>,
     /// Log lines that instances dropped.
     pub(super) dropped_lines: u64,
 }
@@ -70,7 +70,7 @@
     /// Reads logs, of which some lines may be no JSON.
     pub(super) fn read(text: &str) -> Self {
         let mut events = Self::default();
-        for line in text.lines().filter_map(Line::parse) {
+        for line in text.lines().filter_map(LogLine::parse) {
             events.take(&line);
         }
         events.requests.sort_by_key(|request| request.arrived_ms);
@@ -78,7 +78,7 @@
         events
     }
 
-    fn take(&mut self, line: &Line) {
+    fn take(&mut self, line: &LogLine) {
         match line.text("message") {
             "request ended" => self.requests.extend(request(line)),
             "order" if line.text("answer") == "Taken" => {
@@ -93,14 +93,14 @@
                     is_load: line.text("action") == "Load",
                 });
             }
-            "holds the right to order" => self.holders_ms.push(line.at_ms),
+            "holds the right to order" => self.leadership_starts_ms.push(line.at_ms),
             "log lines were dropped" => self.dropped_lines += line.number("dropped"),
             _ => {}
         }
     }
 
     /// The first moment that anything is told of.
-    pub(super) fn begin_ms(&self) -> u64 {
+    pub(super) fn start_ms(&self) -> u64 {
         let first = self.requests.first();
         first.map_or(0, |request| request.arrived_ms)
     }
@@ -113,7 +113,7 @@
 }
 
 /// A request's end; `None` for one that was refused before its route was known.
-fn request(line: &Line) -> Option<Request> {
+fn request(line: &LogLine) -> Option<Request> {
     let route = line.text("route");
     (!route.is_empty()).then(|| Request {
         arrived_ms: line.at_ms.saturating_sub(line.number("took_ms")),
--- a/crates/ctl/src/commands/analyze/report.rs
+++ b/crates/ctl/src/commands/analyze/report.rs
@@ -1,17 +1,17 @@
 //! The report: typed rows, printed as tables or JSON.
 
 use super::events::{Events, Request};
-use super::places::{self, Stay};
+use super::residency::{self, Residency};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::fmt;
 
 /// A request that was offered later than this had to wait for a place or a free engine.
-const WAIT_MS: u64 = 20;
+const MIN_WAIT_MS: u64 = 20;
 /// A model that gets this part of all requests for models, or more, counts as busy.
-const BUSY_PART: u64 = 20;
+const BUSY_MODEL_DIVISOR: u64 = 20;
 /// Models in the table.
-const MODELS_SHOWN: usize = 12;
+const MAX_MODELS_SHOWN: usize = 12;
 
 /// Counts and times of a set of requests.
 #[derive(Debug, Default, Clone, Serialize)]
@@ -95,7 +95,7 @@
     u64::try_from(number).unwrap_or(u64::MAX)
 }
 
-fn part_percent(part: u64, whole: u64) -> u64 {
+fn percent_of(part: u64, whole: u64) -> u64 {
     (part * 100).checked_div(whole).unwrap_or(0)
 }
 
@@ -116,7 +116,7 @@
             } else {
                 request.waited_ms
             };
-            if waited_ms > WAIT_MS {
+            if waited_ms > MIN_WAIT_MS {
                 waits.push(waited_ms);
             }
             if request.is_served() {
@@ -154,7 +154,7 @@
     /// The report on events, by windows of so many milliseconds.
     pub(super) fn of(events: &Events, window_ms: u64) -> Self {
         let requests = &events.requests;
-        let begin_ms = events.begin_ms();
+        let begin_ms = events.start_ms();
         let windows = grouped(requests, |r| Some((r.arrived_ms - begin_ms) / window_ms));
         let windows = windows.into_iter().map(|(number, requests)| {
             let from_s = number * window_ms / 1_000;
@@ -162,7 +162,7 @@
         });
         let routes = grouped(requests, |r| Some(r.route.as_str())).into_iter();
         let by_model = grouped(requests, model_of);
-        let busiest = by_model.values().map(|r| count(r.len())).sum::<u64>() / BUSY_PART;
+        let busiest = by_model.values().map(|r| count(r.len())).sum::<u64>() / BUSY_MODEL_DIVISOR;
         let is_busy = |model: &str| {
             by_model
                 .get(model)
@@ -178,7 +178,7 @@
         let rows = models.map(|(name, r)| Row::of((*name).to_owned(), r.iter().copied()));
         let mut models: Vec<Row> = rows.collect();
         models.sort_by_key(|row| std::cmp::Reverse(row.asked));
-        let stays = places::stays(events);
+        let stays = residency::residencies(events);
         let stays_ms: u64 = stays.iter().map(|stay| stay.to_ms - stay.from_ms).sum();
         let idle_ms = stays.iter().map(|stay| stay.idle_ms).sum();
         Self {
@@ -190,16 +190,16 @@
             cold_starts,
             engines: engines(events, &stays),
             causes: causes(requests),
-            idle_percent: part_percent(idle_ms, stays_ms),
+            idle_percent: percent_of(idle_ms, stays_ms),
             stays_s: stays_ms / 1_000,
             orders: [count(events.orders.len()), count(events.adapter_orders)],
-            holders: events.holders_ms.len(),
+            holders: events.leadership_starts_ms.len(),
             dropped_lines: events.dropped_lines,
         }
     }
 }
 
-fn engines(events: &Events, stays: &[Stay]) -> Vec<EngineRow> {
+fn engines(events: &Events, stays: &[Residency]) -> Vec<EngineRow> {
     let of_models = |r: &'_ Request| model_of(r).is_some() && !r.upstream.is_empty();
     let by_engine = grouped(&events.requests, |r| of_models(r).then_some(&r.upstream));
     let all: u64 = by_engine.values().map(|r| count(r.len())).sum();
@@ -210,7 +210,7 @@
         EngineRow {
             engine: engine.clone(),
             requests: count(requests.len()),
-            of_mean_percent: part_percent(count(requests.len()) * engines, all),
+            of_mean_percent: percent_of(count(requests.len()) * engines, all),
             orders: count(orders.count()),
             stays_ms: here.map(|stay| stay.to_ms - stay.from_ms).sum(),
         }
@@ -263,7 +263,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         table(f, "second", &self.windows)?;
         table(f, "route", &self.routes)?;
-        let shown = self.models.len().min(MODELS_SHOWN);
+        let shown = self.models.len().min(MAX_MODELS_SHOWN);
         table(f, "model", &self.models[..shown])?;
         table(f, "cold starts", &self.cold_starts)?;
         writeln!(
--- a/crates/ctl/src/commands/analyze/places.rs
+++ b/crates/ctl/src/commands/analyze/residency.rs
@@ -5,7 +5,7 @@
 
 /// A model's stay on an engine.
 #[derive(Debug, Clone)]
-pub(super) struct Stay {
+pub(super) struct Residency {
     pub(super) engine: String,
     pub(super) model: String,
     pub(super) from_ms: u64,
@@ -19,7 +19,7 @@
 /// Stays of all models: from the order that brought one, or its first run there, to the
 /// order that took it away, or the end of the logs. Models that stood from the start and
 /// never ran are not told of.
-pub(super) fn stays(events: &Events) -> Vec<Stay> {
+pub(super) fn residencies(events: &Events) -> Vec<Residency> {
     let mut runs: BTreeMap<(&str, &str), Spans> = BTreeMap::new();
     for request in events.requests.iter().filter(|r| !r.model.is_empty()) {
         if request.upstream.is_empty() {
@@ -43,7 +43,7 @@
         let mut runs = runs.remove(&(engine, model)).unwrap_or_default();
         runs.sort_unstable();
         for (from_ms, to_ms) in spans(&orders, &runs, events.end_ms()) {
-            stays.push(Stay {
+            stays.push(Residency {
                 engine: engine.to_owned(),
                 model: model.to_owned(),
                 from_ms,
--- a/crates/ctl/src/commands/apply.rs
+++ b/crates/ctl/src/commands/apply.rs
@@ -1,10 +1,10 @@
 //! `passwayctl apply`, and what every change of configuration shares.
 
 use super::{print_json, read_document, show::REVISION_LINE};
-use crate::ask;
 use crate::changes::changes;
 use crate::cli::{ApplyArguments, ChangeArguments, Common, ExitCode};
-use crate::store::{ChangeError, ConfigStore, Current};
+use crate::queries;
+use crate::store::{ChangeError, ConfigStore, CurrentRevision};
 use anyhow::Result;
 use passway_config::{Document, StoredRevision};
 use passway_types::clock;
@@ -13,7 +13,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// Pause between two looks at who has the revision.
-const LOOK_PAUSE: Duration = Duration::from_millis(300);
+const POLL_INTERVAL: Duration = Duration::from_millis(300);
 
 pub(crate) fn run(
     common: &Common,
@@ -37,7 +37,7 @@
             return Ok(ExitCode::Conflict);
         }
     }
-    put_in_force(common, store, &before, document, &arguments.change)
+    apply_change(common, store, &before, document, &arguments.change)
 }
 
 /// The revision that a file says it was edited from.
@@ -80,10 +80,10 @@
 }
 
 /// Makes one change of configuration and, if asked, waits until it is in force.
-pub(crate) fn put_in_force(
+pub(crate) fn apply_change(
     common: &Common,
     store: &ConfigStore,
-    before: &Current,
+    before: &CurrentRevision,
     document: Document,
     change: &ChangeArguments,
 ) -> Result<ExitCode> {
@@ -153,20 +153,20 @@
         let names = lacking.join(", ");
         if clock::since(began_at) >= timeout {
             println!("not in force at: {names}");
-            return ExitCode::NotEverywhere;
+            return ExitCode::NotInEffectEverywhere;
         }
         if names != said {
             eprintln!("waiting for: {names}");
             said = names;
         }
-        std::thread::sleep(LOOK_PAUSE);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
 /// Nodes that do not report the revision.
 fn lacking(common: &Common, revision: Revision) -> Vec<String> {
     let mut revisions: BTreeMap<String, Revision> = BTreeMap::new();
-    for (address, status) in ask::statuses(&common.controllers) {
+    for (address, status) in queries::statuses(&common.controllers) {
         let Some(status) = status else {
             revisions.insert(format!("controller at {address}"), 0);
             continue;
--- a/crates/ctl/src/commands/audit.rs
+++ b/crates/ctl/src/commands/audit.rs
@@ -1,16 +1,16 @@
 //! `passwayctl audit`: who changed what and when, and what was decided.
 
-use super::history::latest;
+use super::history::latest_revisions;
 use super::print_json;
 use crate::cli::{Common, ExitCode};
 use crate::store::ConfigStore;
-use crate::{ask, table};
+use crate::{queries, table};
 use anyhow::Result;
 use passway_controller::audit::AuditEntry;
 
 pub(crate) fn run(common: &Common, store: &ConfigStore) -> Result<ExitCode> {
-    let mut entries = ask::audit(&common.controllers);
-    for stored in latest(store)? {
+    let mut entries = queries::audit(&common.controllers);
+    for stored in latest_revisions(store)? {
         entries.push(AuditEntry {
             at_unix_ms: stored.applied_at_unix_s * 1_000,
             instance: stored.author,
--- a/crates/ctl/src/commands/drain.rs
+++ b/crates/ctl/src/commands/drain.rs
@@ -1,6 +1,6 @@
 //! `passwayctl drain`.
 
-use super::apply::put_in_force;
+use super::apply::apply_change;
 use crate::cli::{ChangeArguments, Common, ExitCode};
 use crate::store::ConfigStore;
 use anyhow::Result;
@@ -26,5 +26,5 @@
         return Ok(ExitCode::Failed);
     };
     entry.draining = draining;
-    put_in_force(common, store, &before, document, change)
+    apply_change(common, store, &before, document, change)
 }
--- a/crates/ctl/src/commands/explain.rs
+++ b/crates/ctl/src/commands/explain.rs
@@ -1,12 +1,12 @@
 //! `passwayctl explain`: why is a model loaded, or not.
 
 use super::audit::print_entries;
-use crate::ask;
 use crate::cli::{Common, ExitCode};
+use crate::queries;
 use passway_controller::audit::AuditEntry;
 
 pub(crate) fn run(common: &Common, model: &str) -> ExitCode {
-    let statuses = ask::statuses(&common.controllers);
+    let statuses = queries::statuses(&common.controllers);
     let known: Vec<_> = statuses
         .iter()
         .filter_map(|(_, status)| status.as_ref())
@@ -20,7 +20,7 @@
         .flat_map(|cell| &cell.placements)
         .filter(|p| p.model == model);
     let placements: Vec<_> = placements.collect();
-    let entries: Vec<AuditEntry> = ask::audit(&common.controllers)
+    let entries: Vec<AuditEntry> = queries::audit(&common.controllers)
         .into_iter()
         .filter(|e| e.model == model)
         .collect();
--- a/crates/ctl/src/commands/history.rs
+++ b/crates/ctl/src/commands/history.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 
 /// Revisions listed at the most.
-const MOST: u64 = 50;
+const MAX_REVISIONS: u64 = 50;
 
 #[derive(Serialize)]
 struct Row<'a> {
@@ -21,11 +21,11 @@
 }
 
 /// The latest revisions, newest first.
-pub(crate) fn latest(store: &ConfigStore) -> Result<Vec<StoredRevision>> {
+pub(crate) fn latest_revisions(store: &ConfigStore) -> Result<Vec<StoredRevision>> {
     let Some((_, current)) = store.current()? else {
         return Ok(Vec::new());
     };
-    let oldest = current.revision.saturating_sub(MOST - 1).max(1);
+    let oldest = current.revision.saturating_sub(MAX_REVISIONS - 1).max(1);
     let mut revisions = Vec::new();
     for revision in (oldest..current.revision).rev() {
         revisions.extend(store.revision(revision)?);
@@ -35,7 +35,7 @@
 }
 
 pub(crate) fn run(common: &Common, store: &ConfigStore) -> Result<ExitCode> {
-    let revisions = latest(store)?;
+    let revisions = latest_revisions(store)?;
     let rows = revisions.iter().map(|stored| Row {
         revision: stored.revision,
         applied_at_unix_s: stored.applied_at_unix_s,
--- a/crates/ctl/src/commands/log_line.rs
+++ b/crates/ctl/src/commands/log_line.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 
 /// One line of a log.
-pub(super) struct Line {
+pub(super) struct LogLine {
     /// What stood before the JSON, where a collector puts the instance's name.
     pub(super) source: String,
     /// The instance's time of day, in milliseconds.
@@ -14,7 +14,7 @@
     pub(super) fields: Map<String, Value>,
 }
 
-impl Line {
+impl LogLine {
     /// A line, if it holds a JSON object.
     pub(super) fn parse(text: &str) -> Option<Self> {
         let begin = text.find('{')?;
@@ -42,7 +42,7 @@
 }
 
 /// The text of some logs, or of standard input if none is named.
-pub(super) fn read(files: &[PathBuf]) -> Result<String> {
+pub(super) fn read_logs(files: &[PathBuf]) -> Result<String> {
     let mut text = String::new();
     if files.is_empty() {
         let read = std::io::stdin().read_to_string(&mut text);
--- a/crates/ctl/src/commands/status.rs
+++ b/crates/ctl/src/commands/status.rs
@@ -2,10 +2,10 @@
 
 use super::print_json;
 use crate::cli::{Common, ExitCode};
-use crate::{ask, table};
+use crate::{queries, table};
 
 pub(crate) fn run(common: &Common) -> ExitCode {
-    let statuses = ask::statuses(&common.controllers);
+    let statuses = queries::statuses(&common.controllers);
     let answered = statuses.iter().any(|(_, status)| status.is_some());
     if common.json {
         let known: Vec<_> = statuses
--- a/crates/ctl/src/commands/trace.rs
+++ b/crates/ctl/src/commands/trace.rs
@@ -1,21 +1,21 @@
 //! `passwayctl trace`: a request's life, from the logs of all instances.
 
-use super::log_line::{Line, read};
+use super::log_line::{LogLine, read_logs};
 use crate::cli::ExitCode;
 use anyhow::Result;
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 
 /// Lines about orders and holders that belong to this much time before a request's end.
-const BEFORE_MS: u64 = 6_000;
+const CONTEXT_WINDOW_MS: u64 = 6_000;
 /// Instances' clocks may differ by so much (users' pages: steps of some seconds).
-const CLOCK_SLACK_MS: u64 = 3_000;
+const MAX_CLOCK_SKEW_MS: u64 = 3_000;
 /// Fields that stand in each line and are printed apart or not at all.
 const COMMON_FIELDS: [&str; 7] = [
     "at_ms", "level", "program", "target", "message", "request", "instance",
 ];
 
-impl Line {
+impl LogLine {
     /// Whether a line about the fleet bears on what a request needed.
     fn concerns(&self, end: &Self) -> bool {
         let message = self.text("message");
@@ -36,8 +36,8 @@
     /// Whether it was written shortly before a request's end, clocks allowed for.
     fn is_near(&self, end: &Self) -> bool {
         let same_clock = self.source == end.source;
-        let slack_ms = if same_clock { 0 } else { CLOCK_SLACK_MS };
-        self.at_ms <= end.at_ms + slack_ms && self.at_ms + BEFORE_MS + slack_ms >= end.at_ms
+        let slack_ms = if same_clock { 0 } else { MAX_CLOCK_SKEW_MS };
+        self.at_ms <= end.at_ms + slack_ms && self.at_ms + CONTEXT_WINDOW_MS + slack_ms >= end.at_ms
     }
 
     fn print(&self, first_ms: u64, out: &mut String) {
@@ -65,10 +65,10 @@
 }
 
 /// The story of a request, or `None` if no line names it.
-pub fn story(text: &str, request: &str) -> Option<String> {
-    let lines: Vec<Line> = text.lines().filter_map(Line::parse).collect();
-    let own = |line: &&Line| line.text("request") == request;
-    let mut story: Vec<&Line> = lines.iter().filter(own).collect();
+pub fn trace_request(text: &str, request: &str) -> Option<String> {
+    let lines: Vec<LogLine> = text.lines().filter_map(LogLine::parse).collect();
+    let own = |line: &&LogLine| line.text("request") == request;
+    let mut story: Vec<&LogLine> = lines.iter().filter(own).collect();
     let end = *story.last()?;
     let around = lines
         .iter()
@@ -85,8 +85,8 @@
 }
 
 pub(crate) fn run(request: &str, files: &[PathBuf]) -> Result<ExitCode> {
-    let text = read(files)?;
-    if let Some(story) = story(&text, request) {
+    let text = read_logs(files)?;
+    if let Some(story) = trace_request(&text, request) {
         print!("{story}");
         return Ok(ExitCode::Done);
     }
--- a/crates/ctl/src/ask.rs
+++ b/crates/ctl/src/queries.rs
@@ -15,7 +15,7 @@
 pub fn statuses(controllers: &[SocketAddr]) -> Vec<(SocketAddr, Option<NodeStatus>)> {
     controllers
         .iter()
-        .map(|address| (*address, ask(*address, "status")))
+        .map(|address| (*address, query(*address, "status")))
         .collect()
 }
 
@@ -23,13 +23,13 @@
 pub fn audit(controllers: &[SocketAddr]) -> Vec<AuditEntry> {
     let answers = controllers
         .iter()
-        .filter_map(|address| ask::<Vec<AuditEntry>>(*address, "audit"));
+        .filter_map(|address| query::<Vec<AuditEntry>>(*address, "audit"));
     let mut entries: Vec<AuditEntry> = answers.flatten().collect();
     entries.sort_by_key(|entry| entry.at_unix_ms);
     entries
 }
 
-fn ask<T: DeserializeOwned>(address: SocketAddr, what: &str) -> Option<T> {
+fn query<T: DeserializeOwned>(address: SocketAddr, what: &str) -> Option<T> {
     let (link, mut reader) = Link::connect(address, TIMEOUT).ok()?;
     reader.set_timeout(TIMEOUT).ok()?;
     link.send(Body::Hello(Hello {
--- a/crates/ctl/src/store.rs
+++ b/crates/ctl/src/store.rs
@@ -6,9 +6,9 @@
 use std::fmt;
 
 /// Tries to learn what became of a write before the operator is told that it is unknown.
-const READ_BACKS: usize = 10;
+const MAX_READ_BACKS: usize = 10;
 /// Pause between two of them.
-const READ_BACK_PAUSE: Duration = Duration::from_millis(300);
+const READ_BACK_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Why a change was not made.
 #[derive(Debug, Clone, PartialEq)]
@@ -48,7 +48,7 @@
 impl std::error::Error for ChangeError {}
 
 /// A revision and the version of the value that holds it.
-pub type Current = Option<(Version, StoredRevision)>;
+pub type CurrentRevision = Option<(Version, StoredRevision)>;
 
 /// The configuration's revisions.
 pub struct ConfigStore {
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     /// If the service does not answer or the value cannot be read.
-    pub fn current(&self) -> Result<Current, ChangeError> {
+    pub fn current(&self) -> Result<CurrentRevision, ChangeError> {
         self.read(CURRENT_KEY)
     }
 
@@ -84,7 +84,7 @@
         Ok(found.map(|(_, stored)| stored))
     }
 
-    fn read(&self, key: &str) -> Result<Current, ChangeError> {
+    fn read(&self, key: &str) -> Result<CurrentRevision, ChangeError> {
         let found = self
             .key_value
             .get(key)
@@ -98,11 +98,15 @@
     ///
     /// # Errors
     /// Why the change was not made, or that this is unknown.
-    pub fn change(&self, before: &Current, next: &StoredRevision) -> Result<(), ChangeError> {
+    pub fn change(
+        &self,
+        before: &CurrentRevision,
+        next: &StoredRevision,
+    ) -> Result<(), ChangeError> {
         if let Some((_, stored)) = before {
             // The history has every revision before its successor stands, also
             // if whoever made it died before it could write there.
-            self.keep_history(stored)?;
+            self.write_history(stored)?;
         }
         let expected = before.as_ref().map_or(0, |(version, _)| *version);
         let value = revision::encode(next).map_err(unreadable)?;
@@ -112,7 +116,7 @@
             Err(Unavailable) => self.read_back(next)?,
         }
         // The change stands; its successor writes the history if this fails.
-        let _ = self.keep_history(next);
+        let _ = self.write_history(next);
         Ok(())
     }
 
@@ -129,8 +133,8 @@
     /// has not may still arrive, so "not there" is not taken for "no" until
     /// somebody else's revision stands in its place.
     fn read_back(&self, next: &StoredRevision) -> Result<(), ChangeError> {
-        for _ in 0..READ_BACKS {
-            std::thread::sleep(READ_BACK_PAUSE);
+        for _ in 0..MAX_READ_BACKS {
+            std::thread::sleep(READ_BACK_INTERVAL);
             let Ok(current) = self.current() else {
                 continue;
             };
@@ -151,7 +155,7 @@
         Err(ChangeError::Unknown)
     }
 
-    fn keep_history(&self, stored: &StoredRevision) -> Result<(), ChangeError> {
+    fn write_history(&self, stored: &StoredRevision) -> Result<(), ChangeError> {
         let value = revision::encode(stored).map_err(unreadable)?;
         let key = StoredRevision::history_key(stored.revision);
         // A conflict means that it is there already.
--- a/crates/platform/src/engine.rs
+++ b/crates/platform/src/engine.rs
@@ -140,7 +140,7 @@
     pub fn new(order_timeout: Duration, status_timeout: Duration) -> Self {
         Self {
             orders: Client::new(order_timeout),
-            statuses: Client::keeping_connections(status_timeout),
+            statuses: Client::with_keep_alive(status_timeout),
         }
     }
 }
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -6,10 +6,10 @@
 use ureq::Agent;
 
 /// Largest answer that is read whole.
-const MAX_ANSWER_BYTES: u64 = 4 << 20;
+const MAX_RESPONSE_BYTES: u64 = 4 << 20;
 
 /// Connections kept by a client that keeps them.
-const KEPT_CONNECTIONS: usize = 16;
+const MAX_IDLE_CONNECTIONS: usize = 16;
 
 /// Why there is no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -22,7 +22,7 @@
 
 /// An answer.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     /// The HTTP status.
     pub status: u16,
     /// The version header, where there is one.
@@ -46,9 +46,9 @@
     }
 
     /// A client for questions that may be lost, which keeps its connections.
-    pub fn keeping_connections(timeout: Duration) -> Self {
+    pub fn with_keep_alive(timeout: Duration) -> Self {
         Self {
-            agent: agent(Some(timeout), KEPT_CONNECTIONS),
+            agent: agent(Some(timeout), MAX_IDLE_CONNECTIONS),
         }
     }
 
@@ -56,16 +56,16 @@
     ///
     /// # Errors
     /// Whether the call may have arrived.
-    pub fn call(&self, method: &str, url: &str, body: &[u8]) -> Result<Answer, CallError> {
+    pub fn call(&self, method: &str, url: &str, body: &[u8]) -> Result<Response, CallError> {
         let request = ureq::http::Request::builder().method(method).uri(url);
         let request = request.body(body).map_err(|_| CallError::NotSent)?;
         let mut response = self.agent.run(request).map_err(|e| classify(&e))?;
         let version = response.headers().get(VERSION_HEADER);
         let version = version.and_then(|value| value.to_str().ok()?.parse().ok());
         let status = response.status().as_u16();
-        let reader = response.body_mut().with_config().limit(MAX_ANSWER_BYTES);
+        let reader = response.body_mut().with_config().limit(MAX_RESPONSE_BYTES);
         let body = reader.read_to_vec().map_err(|_| CallError::Lost)?;
-        Ok(Answer {
+        Ok(Response {
             status,
             version,
             body,
--- a/crates/platform/src/key_value.rs
+++ b/crates/platform/src/key_value.rs
@@ -100,7 +100,7 @@
         }
     }
 
-    fn call(&self, method: &str, path: &str, body: &[u8]) -> Result<http::Answer, Unavailable> {
+    fn call(&self, method: &str, path: &str, body: &[u8]) -> Result<http::Response, Unavailable> {
         let url = format!("{}{path}", self.base);
         let answer = self
             .client
--- a/tests/all/config_spread.rs
+++ b/tests/all/config_spread.rs
@@ -3,12 +3,12 @@
 use crate::processes::Processes;
 use crate::support::small_plan;
 use passway_config::StoredRevision;
-use passway_ctl::store::{ChangeError, ConfigStore, Current};
+use passway_ctl::store::{ChangeError, ConfigStore, CurrentRevision};
 use passway_standins::key_value::Faults;
 use passway_standins::world::{World, WorldPlan};
 use passway_types::prelude::*;
 
-fn next(before: &Current, author: &str, share: u32) -> StoredRevision {
+fn next(before: &CurrentRevision, author: &str, share: u32) -> StoredRevision {
     let (_, stored) = before.as_ref().expect("a revision");
     let mut document = stored.document.clone();
     document.workspaces[0].share = share;
--- a/tests/all/log_lines.rs
+++ b/tests/all/log_lines.rs
@@ -132,7 +132,7 @@
   9.90 front-1 {"at_ms":9900,"level":"INFO","target":"t","message":"request ended","request":"r1","model":"m1","adapter":"","status":503,"end":"refused","runs":0}
   9.91 front-1 {"at_ms":9910,"message":"request ended","request":"r2","status":200}
 "#;
-    let story = trace::story(log, "r1").expect("a story");
+    let story = trace::trace_request(log, "r1").expect("a story");
     expect![[r#"
         -2.300s front-2                  lost the right to order fence=2
         -0.800s front-3                  holds the right to order fence=70
@@ -140,5 +140,5 @@
         +0.000s front-1                  request ended end=refused model=m1 runs=0 status=503
     "#]]
     .assert_eq(&story);
-    assert_eq!(trace::story(log, "r3"), None);
+    assert_eq!(trace::trace_request(log, "r3"), None);
 }
--- a/tests/all/processes.rs
+++ b/tests/all/processes.rs
@@ -142,7 +142,7 @@
     pub fn wait_for_revision(&self, revision: Revision, routers: usize) {
         let limit_at = Instant::now() + READY_LIMIT;
         loop {
-            let statuses = passway_ctl::ask::statuses(&self.controller_addresses);
+            let statuses = passway_ctl::queries::statuses(&self.controller_addresses);
             let known: Vec<_> = statuses
                 .iter()
                 .filter_map(|(_, status)| status.as_ref())
