--- a/crates/platform/src/engine.rs
+++ b/crates/platform/src/engine.rs
@@ -1,4 +1,4 @@
-//! Orders to model engines and their status.
+//! Orders to model engines, and the status that engines return.
 
 use crate::http::{CallError, Client};
 use passway_decide::messages::{
@@ -9,18 +9,18 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// An order as it travels.
+/// JSON body of an order.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct OrderBody {
     /// `load` or `unload`.
     pub kind: String,
-    /// The fencing number.
+    /// The fencing number of the sender; the engine rejects numbers that are too old.
     pub fence: Fence,
-    /// The model or adapter.
+    /// The model or adapter to load or unload.
     pub model: ModelName,
-    /// The base of an adapter.
+    /// The base model of an adapter; `None` for a model.
     pub base: Option<ModelName>,
-    /// Accelerator memory of the replica.
+    /// Accelerator memory that the replica needs, in bytes.
     pub size_bytes: u64,
 }
 
@@ -28,19 +28,19 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderResult {
-    /// The load is in progress.
+    /// The engine is loading the model.
     Loading,
-    /// The model is loaded.
+    /// The model is already loaded.
     Loaded,
-    /// The unload is in progress.
+    /// The engine is unloading the model.
     Unloading,
-    /// The model is not here.
+    /// The model is not on the engine.
     Absent,
-    /// There is no room.
+    /// The engine has too little free memory.
     NoRoom,
-    /// Requests still run on the model.
+    /// The engine does not unload the model because requests are running on it.
     Busy,
-    /// The fencing number is too old.
+    /// The fencing number of the order is too old.
     Fenced,
 }
 
@@ -58,18 +58,18 @@
     }
 }
 
-/// One model in a status as it travels.
+/// JSON form of one loaded model in a status.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LoadedBody {
     /// The model or adapter.
     pub model: ModelName,
     /// `loading`, `ready` or `unloading`.
     pub state: String,
-    /// Requests that run on it.
+    /// Number of requests that are running on the model.
     pub running: u32,
 }
 
-/// A checkpoint nearer than the weight store, as it travels.
+/// JSON form of a checkpoint that is cached in the memory or on the disk of the engine's machine.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CachedBody {
     /// The model or adapter.
@@ -78,16 +78,16 @@
     pub tier: String,
 }
 
-/// An engine's status as it travels.
+/// JSON body of an engine's status.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StatusBody {
-    /// Drawn when the engine started.
+    /// Incarnation of the engine, drawn at random when its process starts.
     pub boot: Incarnation,
-    /// Models on its accelerators.
+    /// Models on the accelerators of the engine.
     pub loaded: Vec<LoadedBody>,
-    /// Checkpoints at hand.
+    /// Checkpoints that the engine can load without reading the weight store.
     pub cached: Vec<CachedBody>,
-    /// Whether the engine is leaving.
+    /// Whether the engine is about to stop.
     pub leaving: bool,
 }
 
@@ -119,16 +119,17 @@
     }
 }
 
-/// The control side of model engines.
+/// The control interface of model engines.
 pub trait EngineControl: Send + Sync {
-    /// Sends an order and waits for the answer.
+    /// Sends an order to the engine at `address` and waits for the answer. After the order's `not_after`,
+    /// nothing is sent.
     fn order(&self, address: SocketAddr, order: &Order) -> OrderAnswer;
 
-    /// Asks for the status; `None` if there is no answer.
+    /// Queries the status of the engine at `address`; `None` without a readable answer.
     fn status(&self, address: SocketAddr) -> Option<UpstreamStatus>;
 }
 
-/// Engines over HTTP.
+/// [`EngineControl`] over HTTP.
 #[derive(Debug)]
 pub struct HttpEngineControl {
     orders: Client,
@@ -136,7 +137,8 @@
 }
 
 impl HttpEngineControl {
-    /// A client whose orders and questions take at most these times.
+    /// Creates a client whose orders take at most `order_timeout` and whose status queries take at most
+    /// `status_timeout`.
     pub fn new(order_timeout: Duration, status_timeout: Duration) -> Self {
         Self {
             orders: Client::new(order_timeout),
@@ -162,13 +164,13 @@
             return OrderAnswer::NotSent;
         };
         let url = format!("http://{address}/control/order");
-        // The last thing before the order leaves: a holder that was paused for
-        // longer than its lease must not send.
+        // This check comes directly before sending: a holder that was suspended for longer than its
+        // lease must not send orders.
         if clock::now() >= order.not_after {
             return OrderAnswer::NotSent;
         }
         match self.orders.call("POST", &url, &body) {
-            Ok(answer) => serde_json::from_slice::<OrderResult>(&answer.body)
+            Ok(response) => serde_json::from_slice::<OrderResult>(&response.body)
                 .map_or(OrderAnswer::Lost, OrderAnswer::from),
             Err(CallError::NotSent) => OrderAnswer::NotSent,
             Err(CallError::Lost) => OrderAnswer::Lost,
@@ -177,8 +179,8 @@
 
     fn status(&self, address: SocketAddr) -> Option<UpstreamStatus> {
         let url = format!("http://{address}/control/status");
-        let answer = self.statuses.call("GET", &url, b"").ok()?;
-        let body: StatusBody = serde_json::from_slice(&answer.body).ok()?;
+        let response = self.statuses.call("GET", &url, b"").ok()?;
+        let body: StatusBody = serde_json::from_slice(&response.body).ok()?;
         Some(body.into())
     }
 }
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -1,65 +1,67 @@
-//! A small blocking HTTP client over `ureq` that tells "never sent" from "lost".
+//! A small blocking HTTP client based on `ureq`. Its errors distinguish requests that were never sent
+//! from requests whose response was lost.
 
 use crate::key_value::VERSION_HEADER;
 use std::io::ErrorKind;
 use std::time::Duration;
 use ureq::Agent;
 
-/// Largest answer that is read whole.
+/// Maximum size of a response body; a larger one counts as [`CallError::Lost`].
 const MAX_RESPONSE_BYTES: u64 = 4 << 20;
 
-/// Connections kept by a client that keeps them.
+/// Maximum number of idle connections of a client with keep-alive.
 const MAX_IDLE_CONNECTIONS: usize = 16;
 
-/// Why there is no answer.
+/// Why a call has no response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallError {
-    /// No connection was made, so nothing was sent.
+    /// No connection was established, so the request was not sent.
     NotSent,
-    /// The call may have arrived.
+    /// The request may have reached the server, but the response is missing or incomplete.
     Lost,
 }
 
-/// An answer.
+/// An HTTP response.
 #[derive(Debug)]
 pub struct Response {
-    /// The HTTP status.
+    /// The HTTP status code.
     pub status: u16,
-    /// The version header, where there is one.
+    /// The value of [`VERSION_HEADER`]; `None` if it is missing or not a number.
     pub version: Option<u64>,
-    /// The body.
+    /// The complete body.
     pub body: Vec<u8>,
 }
 
-/// A client with its own connections.
+/// An HTTP client with its own connection pool.
 #[derive(Debug)]
 pub struct Client {
     agent: Agent,
 }
 
 impl Client {
-    /// A client whose calls take at most `timeout`.
+    /// Creates a client without keep-alive whose calls take at most `timeout`.
     pub fn new(timeout: Duration) -> Self {
         Self {
             agent: agent(Some(timeout), 0),
         }
     }
 
-    /// A client for questions that may be lost, which keeps its connections.
+    /// Creates a client with keep-alive whose calls take at most `timeout`. It is meant for queries,
+    /// which can be repeated when a response is lost.
     pub fn with_keep_alive(timeout: Duration) -> Self {
         Self {
             agent: agent(Some(timeout), MAX_IDLE_CONNECTIONS),
         }
     }
 
-    /// Makes one call and reads the answer whole.
+    /// Sends one request and reads the complete response.
     ///
     /// # Errors
-    /// Whether the call may have arrived.
+    /// A [`CallError`] that states whether the request may have reached the server.
     pub fn call(&self, method: &str, url: &str, body: &[u8]) -> Result<Response, CallError> {
         let request = ureq::http::Request::builder().method(method).uri(url);
         let request = request.body(body).map_err(|_| CallError::NotSent)?;
-        let mut response = self.agent.run(request).map_err(|e| classify(&e))?;
+        let mut response = self.agent.run(request).map_err(|error| classify(&error))?;
         let version = response.headers().get(VERSION_HEADER);
         let version = version.and_then(|value| value.to_str().ok()?.parse().ok());
         let status = response.status().as_u16();
@@ -73,23 +75,24 @@
     }
 }
 
-/// An agent for this program's calls: no proxy, no redirects, errors by status stay answers.
+/// Creates an agent without proxy and redirects that returns responses with error statuses as responses.
 ///
-/// Where it matters whether a call left, `kept` is 0: a call on a kept connection that the peer has just
-/// closed could not be told from a call that was lost.
-pub fn agent(timeout: Option<Duration>, kept: usize) -> Agent {
+/// Callers that must know whether a request was sent pass 0 for `max_idle`: if the peer has just closed
+/// an idle connection, the failure of a request on it looks the same as a lost response.
+pub fn agent(timeout: Option<Duration>, max_idle: usize) -> Agent {
     let config = Agent::config_builder()
         .timeout_global(timeout)
         .http_status_as_error(false)
         .allow_non_standard_methods(true)
         .max_redirects(0)
-        .max_idle_connections(kept)
-        .max_idle_connections_per_host(kept)
+        .max_idle_connections(max_idle)
+        .max_idle_connections_per_host(max_idle)
         .proxy(None);
     config.build().new_agent()
 }
 
-/// Tells an error before the call left from one after.
+/// Returns [`CallError::NotSent`] for errors that occur before the request is sent, [`CallError::Lost`]
+/// for all others.
 pub fn classify(error: &ureq::Error) -> CallError {
     match error {
         ureq::Error::ConnectionFailed | ureq::Error::HostNotFound | ureq::Error::BadUri(_) => {
--- a/crates/platform/src/instance_list.rs
+++ b/crates/platform/src/instance_list.rs
@@ -1,26 +1,26 @@
-//! The platform's lagging list of live and leaving instances.
+//! The platform's list of live and leaving instances, which lags behind their actual state.
 
 use crate::http::Client;
 use passway_types::prelude::*;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// One entry of the list.
+/// One entry of the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedInstance {
-    /// The instance's or upstream's id.
+    /// The id of the instance or upstream.
     pub id: InstanceId,
-    /// Whether it is leaving.
+    /// Whether the instance or upstream is about to stop.
     pub leaving: bool,
 }
 
-/// The list.
+/// Access to the platform's list of instances.
 pub trait InstanceList: Send + Sync {
-    /// What the platform lists now; `None` if it does not answer.
+    /// Returns the current entries; `None` without a readable answer of the platform.
     fn list(&self) -> Option<Vec<ListedInstance>>;
 }
 
-/// The list over HTTP.
+/// An [`InstanceList`] that is read over HTTP.
 #[derive(Debug)]
 pub struct HttpInstanceList {
     client: Client,
@@ -28,7 +28,7 @@
 }
 
 impl HttpInstanceList {
-    /// A client of the list at `address`.
+    /// Creates a client of the list at `address`; each call takes at most `timeout`.
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         Self {
             client: Client::new(timeout),
@@ -39,7 +39,7 @@
 
 impl InstanceList for HttpInstanceList {
     fn list(&self) -> Option<Vec<ListedInstance>> {
-        let answer = self.client.call("GET", &self.url, b"").ok()?;
-        serde_json::from_slice(&answer.body).ok()
+        let response = self.client.call("GET", &self.url, b"").ok()?;
+        serde_json::from_slice(&response.body).ok()
     }
 }
--- a/crates/platform/src/key_value.rs
+++ b/crates/platform/src/key_value.rs
@@ -1,38 +1,38 @@
-//! The platform's key-value service.
+//! The platform's key-value service with compare-and-swap and leases.
 
 use crate::http::{self, Client};
 use passway_types::prelude::*;
 use std::net::SocketAddr;
 
-/// Header that carries a value's version.
+/// Response header that holds the version of a value.
 pub const VERSION_HEADER: &str = "x-version";
 
-/// The id of a lease at the service.
+/// The id of a lease that the key-value service has granted.
 pub type LeaseId = u64;
 
 /// A value and its version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Versioned {
-    /// The version; grows with each write of the key.
+    /// The version, which increases with each write to the key.
     pub version: Version,
-    /// The bytes.
+    /// The stored bytes.
     pub value: Vec<u8>,
 }
 
-/// What became of a conditional write that was answered.
+/// Outcome of a conditional write that the service has answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PutOutcome {
-    /// It took effect and made this version.
+    /// The write took effect and created this version.
     Written(Version),
-    /// Another version stands.
+    /// The write had no effect because the key has a different version than expected.
     Conflict,
 }
 
-/// The service did not answer; a write may or may not have taken effect.
+/// The service did not answer, or not in a readable form. A write may or may not have taken effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Unavailable;
 
-/// The operations that passway uses.
+/// The operations of the key-value service that passway uses.
 pub trait KeyValue: Send + Sync {
     /// Reads a key; `None` if it is absent.
     ///
@@ -40,8 +40,8 @@
     /// [`Unavailable`] if the service did not answer.
     fn get(&self, key: &str) -> Result<Option<Versioned>, Unavailable>;
 
-    /// Waits up to `wait` for a key to have another version than `known` (0 for
-    /// absent); `None` if it has not changed.
+    /// Waits up to `wait` until the key has another version than `known` (0 for an absent key).
+    /// Returns `None` if the key is unchanged or absent.
     ///
     /// # Errors
     /// [`Unavailable`] if the service did not answer.
@@ -52,8 +52,8 @@
         wait: Duration,
     ) -> Result<Option<Versioned>, Unavailable>;
 
-    /// Writes a key if its version is `expected` (0 for absent). With a lease,
-    /// the key goes away when the lease ends.
+    /// Writes a key if its version is `expected` (0 for an absent key). With a lease, the service
+    /// removes the key when the lease ends.
     ///
     /// # Errors
     /// [`Unavailable`] if the service did not answer: the write may have taken effect.
@@ -65,26 +65,26 @@
         lease: Option<LeaseId>,
     ) -> Result<PutOutcome, Unavailable>;
 
-    /// Grants a lease.
+    /// Grants a lease that ends after `time_to_live` unless it is renewed.
     ///
     /// # Errors
     /// [`Unavailable`] if the service did not answer.
     fn grant_lease(&self, time_to_live: Duration) -> Result<LeaseId, Unavailable>;
 
-    /// Renews a lease; false if it has ended.
+    /// Renews a lease; returns false if the lease has already ended.
     ///
     /// # Errors
     /// [`Unavailable`] if the service did not answer.
     fn renew_lease(&self, lease: LeaseId) -> Result<bool, Unavailable>;
 
-    /// Ends a lease.
+    /// Ends a lease before its time-to-live expires; the service removes its keys.
     ///
     /// # Errors
     /// [`Unavailable`] if the service did not answer.
     fn end_lease(&self, lease: LeaseId) -> Result<(), Unavailable>;
 }
 
-/// The service over HTTP.
+/// The key-value service, called over HTTP.
 #[derive(Debug)]
 pub struct HttpKeyValue {
     client: Client,
@@ -92,7 +92,7 @@
 }
 
 impl HttpKeyValue {
-    /// A client of the service at `address`; no call takes longer than `timeout`.
+    /// Creates a client of the service at `address`; each call takes at most `timeout`.
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         Self {
             client: Client::new(timeout),
@@ -102,29 +102,29 @@
 
     fn call(&self, method: &str, path: &str, body: &[u8]) -> Result<http::Response, Unavailable> {
         let url = format!("{}{path}", self.base);
-        let answer = self
+        let response = self
             .client
             .call(method, &url, body)
             .map_err(|_| Unavailable)?;
-        // The service answers 503 while it is down.
-        if answer.status >= 500 {
+        // The service answers 503 during an outage.
+        if response.status >= 500 {
             Err(Unavailable)
         } else {
-            Ok(answer)
+            Ok(response)
         }
     }
 }
 
 impl KeyValue for HttpKeyValue {
     fn get(&self, key: &str) -> Result<Option<Versioned>, Unavailable> {
-        let answer = self.call("GET", &format!("/kv/{key}"), b"")?;
-        if answer.status == 404 {
+        let response = self.call("GET", &format!("/kv/{key}"), b"")?;
+        if response.status == 404 {
             return Ok(None);
         }
-        let version = answer.version.ok_or(Unavailable)?;
+        let version = response.version.ok_or(Unavailable)?;
         Ok(Some(Versioned {
             version,
-            value: answer.body,
+            value: response.body,
         }))
     }
 
@@ -135,14 +135,14 @@
         wait: Duration,
     ) -> Result<Option<Versioned>, Unavailable> {
         let path = format!("/kv/{key}?known={known}&wait_ms={}", wait.as_millis());
-        let answer = self.call("GET", &path, b"")?;
-        if answer.status == 304 || answer.status == 404 {
+        let response = self.call("GET", &path, b"")?;
+        if response.status == 304 || response.status == 404 {
             return Ok(None);
         }
-        let version = answer.version.ok_or(Unavailable)?;
+        let version = response.version.ok_or(Unavailable)?;
         Ok(Some(Versioned {
             version,
-            value: answer.body,
+            value: response.body,
         }))
     }
 
@@ -154,27 +154,27 @@
         lease: Option<LeaseId>,
     ) -> Result<PutOutcome, Unavailable> {
         let lease = lease.map_or_else(String::new, |id| format!("&lease={id}"));
-        let answer = self.call(
+        let response = self.call(
             "PUT",
             &format!("/kv/{key}?expected={expected}{lease}"),
             value,
         )?;
-        if answer.status == 409 {
+        if response.status == 409 {
             return Ok(PutOutcome::Conflict);
         }
-        answer.version.map(PutOutcome::Written).ok_or(Unavailable)
+        response.version.map(PutOutcome::Written).ok_or(Unavailable)
     }
 
     fn grant_lease(&self, time_to_live: Duration) -> Result<LeaseId, Unavailable> {
         let path = format!("/leases?ttl_ms={}", time_to_live.as_millis());
-        let answer = self.call("POST", &path, b"")?;
-        let text = String::from_utf8(answer.body).map_err(|_| Unavailable)?;
+        let response = self.call("POST", &path, b"")?;
+        let text = String::from_utf8(response.body).map_err(|_| Unavailable)?;
         text.parse().map_err(|_| Unavailable)
     }
 
     fn renew_lease(&self, lease: LeaseId) -> Result<bool, Unavailable> {
-        let answer = self.call("POST", &format!("/leases/{lease}/renew"), b"")?;
-        Ok(answer.status == 200)
+        let response = self.call("POST", &format!("/leases/{lease}/renew"), b"")?;
+        Ok(response.status == 200)
     }
 
     fn end_lease(&self, lease: LeaseId) -> Result<(), Unavailable> {
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,11 +1,12 @@
-//! What the platform and the upstreams offer, as traits, and HTTP adapters to them.
+//! Traits for the services of the platform and the upstreams, and HTTP adapters that implement them.
 //!
-//! The platform's real protocols are not known yet; a new one is a new adapter
-//! behind the same trait. The adapters here speak to the stand-ins.
+//! The adapters in this crate speak the protocols of the stand-ins. A different platform protocol
+//! needs a new adapter that implements the same trait.
 //!
-//! * [`key_value`]: compare-and-swap, leases.
+//! * [`http`]: the HTTP client that the adapters share.
+//! * [`key_value`]: the key-value service with compare-and-swap and leases.
 //! * [`engine`]: orders to model engines and their status.
-//! * [`instance_list`]: live and leaving instances and upstreams.
+//! * [`instance_list`]: the list of live and leaving instances and upstreams.
 
 pub mod engine;
 pub mod http;
