--- a/crates/ctl/src/changes.rs
+++ b/crates/ctl/src/changes.rs
@@ -1,32 +1,33 @@
-//! What differs between two configurations.
+//! Differences between two configurations.
 
 use passway_config::Document;
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// The differences, one line each: `+` new, `-` gone, `~` changed with both values.
-pub fn changes(before: &Document, after: &Document) -> Vec<String> {
-    let (before, after) = (flatten(before), flatten(after));
+/// Returns one line for each difference: `+` for an added value, `-` for a removed one, `~` for a
+/// changed one with its old and new value.
+pub fn changes(old: &Document, new: &Document) -> Vec<String> {
+    let (old, new) = (flatten(old), flatten(new));
     let mut lines = Vec::new();
-    for (path, value) in &before {
-        match after.get(path) {
+    for (path, value) in &old {
+        match new.get(path) {
             None => lines.push(format!("- {path} = {value}")),
-            Some(now) if now != value => lines.push(format!("~ {path}: {value} -> {now}")),
+            Some(new) if new != value => lines.push(format!("~ {path}: {value} -> {new}")),
             Some(_) => {}
         }
     }
-    let new = after.iter().filter(|(path, _)| !before.contains_key(*path));
-    lines.extend(new.map(|(path, value)| format!("+ {path} = {value}")));
+    let added = new.iter().filter(|(path, _)| !old.contains_key(*path));
+    lines.extend(added.map(|(path, value)| format!("+ {path} = {value}")));
     lines
 }
 
-/// Every value by its path; list items go by their name, so that an item that
-/// moves within its list is not a change. Policy rules go by name too, but their
-/// order counts and is a value of its own.
+/// Maps the path of each value to the value as JSON text. Paths contain the names of list items
+/// instead of their indexes, so that moving an item within its list is not a change. The order of
+/// policy rules matters and is therefore added as a value of its own.
 fn flatten(document: &Document) -> BTreeMap<String, String> {
     let mut flat = BTreeMap::new();
     let value = serde_json::to_value(document).unwrap_or_default();
-    walk(String::new(), &value, &mut flat);
+    flatten_value(String::new(), &value, &mut flat);
     let order: Vec<&str> = document
         .policies
         .iter()
@@ -38,7 +39,8 @@
     flat
 }
 
-fn walk(path: String, value: &Value, flat: &mut BTreeMap<String, String>) {
+/// Adds `value` and all values inside it to `flat`; `path` is the path of `value`.
+fn flatten_value(path: String, value: &Value, flat: &mut BTreeMap<String, String>) {
     match value {
         Value::Object(map) => {
             for (key, inner) in map {
@@ -47,12 +49,12 @@
                 } else {
                     format!("{path}.{key}")
                 };
-                walk(path, inner, flat);
+                flatten_value(path, inner, flat);
             }
         }
         Value::Array(items) if items.iter().all(Value::is_object) => {
             for (index, item) in items.iter().enumerate() {
-                walk(format!("{path}[{}]", name_of(item, index)), item, flat);
+                flatten_value(format!("{path}[{}]", item_name(item, index)), item, flat);
             }
         }
         Value::Null => {}
@@ -62,7 +64,8 @@
     }
 }
 
-fn name_of(item: &Value, index: usize) -> String {
+/// Returns the id or name of a list item with its version, or its index if it has neither.
+fn item_name(item: &Value, index: usize) -> String {
     let text = |key: &str| {
         item.get(key)
             .and_then(Value::as_str)
--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -1,4 +1,4 @@
-//! Arguments and exit codes.
+//! Arguments and exit codes of `passwayctl`.
 
 use crate::commands;
 use crate::store::ConfigStore;
@@ -10,32 +10,33 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest time for a call to the key-value service.
-const STORE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum time for a call to the key-value service.
+const KEY_VALUE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How a command ended, as the program's exit code.
+/// Exit code of the program, which states the outcome of the command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub enum ExitCode {
-    /// Done.
+    /// The command succeeded.
     Done = 0,
-    /// Failed for a reason that is printed.
+    /// The command failed; the reason is printed.
     Failed = 1,
-    /// The file has faults; each is printed.
-    Faults = 3,
-    /// Another operator changed the configuration first; nothing was written.
+    /// The configuration file has errors; all of them are printed.
+    InvalidFile = 3,
+    /// Another operator changed the configuration in the meantime; nothing was written.
     Conflict = 4,
-    /// Accepted, but not in force everywhere in time; who lacks it is printed.
+    /// The change was accepted, but some nodes did not apply it before the timeout; their names are
+    /// printed.
     NotInEffectEverywhere = 5,
-    /// The key-value service or every controller could not be reached.
+    /// The key-value service or all controllers are unreachable.
     Unreachable = 6,
 }
 
-/// Drives passway: configuration, status, audit.
+/// Operates passway: configuration, status, audit and log analysis.
 ///
-/// Exit codes: 0 done, 1 failed, 2 wrong arguments, 3 faults in the file,
-/// 4 conflict with another operator, 5 not in force everywhere in time,
-/// 6 nobody could be reached.
+/// Exit codes: 0 success, 1 failure, 2 wrong arguments, 3 errors in the file,
+/// 4 conflict with another operator, 5 not in effect on all nodes before the timeout,
+/// 6 key-value service or all controllers unreachable.
 #[derive(Debug, Parser)]
 #[command(version)]
 pub struct Cli {
@@ -45,10 +46,10 @@
     command: Command,
 }
 
-/// Options of every command.
+/// Options that all commands share.
 #[derive(Debug, Args)]
 pub struct Common {
-    /// The key-value service.
+    /// Address of the key-value service.
     #[arg(
         long,
         global = true,
@@ -56,7 +57,7 @@
         default_value = "127.0.0.1:9000"
     )]
     pub key_value: SocketAddr,
-    /// Controllers, with commas between.
+    /// Addresses of the controllers, separated by commas.
     #[arg(
         long,
         global = true,
@@ -64,7 +65,7 @@
         value_delimiter = ','
     )]
     pub controllers: Vec<SocketAddr>,
-    /// Print JSON for programs.
+    /// Print JSON instead of text.
     #[arg(long, global = true)]
     pub json: bool,
 }
@@ -73,54 +74,57 @@
 enum Command {
     /// Check a configuration file.
     Check {
-        /// The file, JSON with comments.
+        /// The configuration file, in JSON with comments.
         file: PathBuf,
     },
-    /// Print the configuration in force, ready to be edited and applied.
+    /// Print the current configuration in a form that can be edited and applied.
     Show,
-    /// Show what a file would change.
+    /// Show what applying a configuration file would change.
     Diff {
-        /// The file, JSON with comments.
+        /// The configuration file, in JSON with comments.
         file: PathBuf,
     },
-    /// Put a file in force.
+    /// Apply a configuration file.
     Apply(ApplyArguments),
-    /// Show controllers, routers and placements.
+    /// Show the status of controllers, routers and placements.
     Status,
-    /// List the revisions.
+    /// List the latest revisions of the configuration.
     History,
-    /// List decisions and changes of configuration, oldest first.
+    /// List the controllers' decisions and the configuration changes, oldest first.
     Audit,
-    /// Show why a model is or is not loaded.
+    /// Show where a model is placed and the decisions about it.
     Explain {
         /// The model as `name@version`.
         model: String,
     },
-    /// Tell a request's life on the users' platform from instances' logs: its lines, and
-    /// the orders and holders shortly before its end. Times count from the end.
+    /// Show the course of a request on the users' platform from the logs of instances: its own log
+    /// lines, and the orders and changes of the holder shortly before its end. Times are relative
+    /// to the end.
     Trace {
-        /// The request's id.
+        /// Id of the request.
         request: String,
-        /// Logs; standard input if none is named.
+        /// Log files; standard input if none is given.
         files: Vec<PathBuf>,
     },
-    /// Tell from instances' logs what binds: requests over time, by route and by model,
-    /// why some were not served, the load of each engine, cold starts, idle places.
+    /// Analyze the logs of instances to find bottlenecks: requests over time, by route and by
+    /// model, reasons for requests that were not served, load of each engine, cold starts, idle
+    /// replicas.
     Analyze {
-        /// Logs; standard input if none is named.
+        /// Log files; standard input if none is given.
         files: Vec<PathBuf>,
-        /// Width of a row of the table over time, in seconds.
+        /// Time that each row of the table over time covers, in seconds.
         #[arg(long, default_value_t = 2)]
         window_s: u64,
-        /// Also draw requests over time and where the busiest models stood.
+        /// Also write an SVG chart of the requests over time and of the engines that held the
+        /// busiest models.
         #[arg(long)]
         svg: Option<PathBuf>,
     },
     /// Take an upstream out of service.
     Drain {
-        /// The upstream's id.
+        /// Id of the upstream.
         upstream: String,
-        /// Put it back into service.
+        /// Put the upstream back into service instead.
         #[arg(long)]
         undo: bool,
         #[command(flatten)]
@@ -131,38 +135,38 @@
 /// Arguments of `apply`.
 #[derive(Debug, Args)]
 pub struct ApplyArguments {
-    /// The file, JSON with comments. A first line `// revision N`, as `show`
-    /// prints it, makes the change conditional on that revision.
+    /// The configuration file, in JSON with comments. If the first line is `// revision N`, as
+    /// printed by `show`, the change is made only if revision N is the current one.
     pub file: PathBuf,
     #[command(flatten)]
     pub(crate) change: ChangeArguments,
 }
 
-/// Arguments of every command that changes the configuration.
+/// Arguments that all commands that change the configuration share.
 #[derive(Debug, Args)]
 pub struct ChangeArguments {
-    /// Who changes it.
+    /// Name of the person who makes the change.
     #[arg(long, env = "USER", default_value = "unknown")]
     pub author: String,
-    /// Why.
+    /// Reason for the change.
     #[arg(long, default_value = "")]
     pub comment: String,
-    /// Wait until every live node has the change in force.
+    /// Wait until the change is in effect on all live nodes.
     #[arg(long)]
     pub wait: bool,
-    /// Longest time to wait, in seconds.
+    /// Maximum time to wait, in seconds.
     #[arg(long, default_value_t = 30)]
     pub timeout_s: u64,
 }
 
 impl Cli {
-    /// Runs the command.
+    /// Runs the command and returns its exit code.
     ///
     /// # Errors
-    /// Whatever is not covered by an exit code of its own.
+    /// Failures that have no exit code of their own.
     pub fn run(&self) -> Result<ExitCode> {
         let common = &self.common;
-        let key_value = Arc::new(HttpKeyValue::new(common.key_value, STORE_TIMEOUT));
+        let key_value = Arc::new(HttpKeyValue::new(common.key_value, KEY_VALUE_TIMEOUT));
         let store = ConfigStore::new(key_value);
         match &self.command {
             Command::Check { file } => commands::check::run(common, file),
--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -1,4 +1,4 @@
-//! One file a subcommand.
+//! The subcommands of `passwayctl`, one file each.
 
 pub mod analyze;
 pub(crate) mod apply;
@@ -20,14 +20,15 @@
 use serde::Serialize;
 use std::path::Path;
 
-/// Reads and checks a file; prints its faults if it has any.
+/// Reads and checks a configuration file. Returns its text and the parsed document, or prints its
+/// errors and returns [`ExitCode::InvalidFile`].
 fn read_document(common: &Common, file: &Path) -> Result<Result<(String, Document), ExitCode>> {
     let text = std::fs::read_to_string(file).with_context(|| file.display().to_string())?;
     match catalog::parse(&text, 0) {
         Ok((document, _)) => Ok(Ok((text, document))),
         Err(faults) => {
             print_faults(common, file, &faults);
-            Ok(Err(ExitCode::Faults))
+            Ok(Err(ExitCode::InvalidFile))
         }
     }
 }
@@ -63,6 +64,6 @@
 fn print_json(value: &impl Serialize) {
     match serde_json::to_string_pretty(value) {
         Ok(text) => println!("{text}"),
-        Err(error) => eprintln!("cannot be printed: {error}"),
+        Err(error) => eprintln!("the output cannot be encoded as JSON: {error}"),
     }
 }
--- a/crates/ctl/src/commands/analyze.rs
+++ b/crates/ctl/src/commands/analyze.rs
@@ -1,9 +1,9 @@
-//! `passwayctl analyze`: what binds, from the logs of all instances.
+//! `passwayctl analyze`: finds bottlenecks in the logs of all instances.
 //!
-//! * [`events`]: requests and orders, read out of the lines.
-//! * [`report`]: what is told of them, as typed rows.
-//! * [`residency`]: where models stood, and how long they stood idle.
-//! * [`chart`]: the same as a drawing.
+//! * [`events`]: requests and orders, parsed from the log lines.
+//! * [`report`]: statistics about them, as typed rows.
+//! * [`residency`]: when which engine had a model loaded, and for how long the model was idle.
+//! * [`chart`]: requests and residencies as an SVG chart.
 
 mod chart;
 mod events;
@@ -17,9 +17,9 @@
 pub use report::Report;
 use std::path::{Path, PathBuf};
 
-/// The report on the text of some logs.
+/// Returns the report about the text of logs, with time windows of `window_s` seconds, at least 1.
 pub fn analyze(text: &str, window_s: u64) -> Report {
-    Report::of(&Events::read(text), window_s.max(1) * 1_000)
+    Report::from_events(&Events::parse(text), window_s.max(1) * 1_000)
 }
 
 pub(crate) fn run(
@@ -29,16 +29,16 @@
     svg: Option<&Path>,
 ) -> Result<ExitCode> {
     let text = log_line::read_logs(files)?;
-    let events = Events::read(&text);
-    let report = Report::of(&events, window_s.max(1) * 1_000);
+    let events = Events::parse(&text);
+    let report = Report::from_events(&events, window_s.max(1) * 1_000);
     if common.json {
         print_json(&report);
     } else {
         print!("{report}");
     }
     if let Some(path) = svg {
-        let drawing = chart::draw(&events, &report);
-        std::fs::write(path, drawing).with_context(|| path.display().to_string())?;
+        let chart = chart::draw(&events, &report);
+        std::fs::write(path, chart).with_context(|| path.display().to_string())?;
     }
     Ok(ExitCode::Done)
 }
--- a/crates/ctl/src/commands/analyze/events.rs
+++ b/crates/ctl/src/commands/analyze/events.rs
@@ -1,4 +1,4 @@
-//! Requests and model orders as the lines of logs tell them.
+//! Requests and model orders, parsed from log lines.
 
 use crate::commands::log_line::LogLine;
 
@@ -8,27 +8,29 @@
     pub(super) arrived_ms: u64,
     pub(super) ended_ms: u64,
     pub(super) route: String,
-    /// Empty for plain services.
+    /// Empty for requests to services without models.
     pub(super) model: String,
-    /// Empty if it was offered to none.
+    /// Empty if the request was not offered to any upstream.
     pub(super) upstream: String,
     pub(super) status: u64,
+    /// How often the request was offered to an upstream.
     pub(super) offers: u64,
+    /// How often an upstream may have run the request.
     pub(super) runs: u64,
     pub(super) end: String,
-    /// Time until it was offered first.
+    /// Time from arrival until the request was first offered to an upstream.
     pub(super) waited_ms: u64,
-    /// Time until the first bytes of its answer; 0 if there were none.
+    /// Time from arrival until the first bytes of the answer; 0 without an answer.
     pub(super) first_ms: u64,
 }
 
 impl Request {
-    /// Whether its caller got a success, whole.
+    /// Returns whether the caller received a complete answer with a success status.
     pub(super) fn is_served(&self) -> bool {
         self.end == "answered" && (200..300).contains(&self.status)
     }
 
-    /// Why it was not served.
+    /// Returns why the request was not served; meaningless for served ones.
     pub(super) fn cause(&self) -> &'static str {
         match (self.end.as_str(), self.status, self.offers, self.runs) {
             ("caller gone", ..) => "the caller left",
@@ -44,7 +46,7 @@
     }
 }
 
-/// An order of a model that an engine took.
+/// An order to load or unload a model that an engine accepted.
 #[derive(Debug, Clone)]
 pub(super) struct Order {
     pub(super) at_ms: u64,
@@ -53,34 +55,35 @@
     pub(super) is_load: bool,
 }
 
-/// What logs tell, in the order of time.
+/// Events of all logs, in time order.
 #[derive(Debug, Default)]
 pub(super) struct Events {
     pub(super) requests: Vec<Request>,
     pub(super) orders: Vec<Order>,
-    /// Orders of adapters that were taken.
+    /// Number of accepted orders for adapters.
     pub(super) adapter_orders: usize,
-    /// When instances took the right to order.
+    /// Times at which an instance acquired the leadership, i.e. the right to send orders to
+    /// engines.
     pub(super) leadership_starts_ms: Vec<u64>,
-    /// Log lines that instances dropped.
+    /// Number of log lines that instances dropped.
     pub(super) dropped_lines: u64,
 }
 
 impl Events {
-    /// Reads logs, of which some lines may be no JSON.
-    pub(super) fn read(text: &str) -> Self {
+    /// Parses logs and ignores lines without a JSON object.
+    pub(super) fn parse(text: &str) -> Self {
         let mut events = Self::default();
         for line in text.lines().filter_map(LogLine::parse) {
-            events.take(&line);
+            events.add(&line);
         }
         events.requests.sort_by_key(|request| request.arrived_ms);
         events.orders.sort_by_key(|order| order.at_ms);
         events
     }
 
-    fn take(&mut self, line: &LogLine) {
+    fn add(&mut self, line: &LogLine) {
         match line.text("message") {
-            "request ended" => self.requests.extend(request(line)),
+            "request ended" => self.requests.extend(parse_request(line)),
             "order" if line.text("answer") == "Taken" => {
                 if !matches!(line.text("adapter"), "" | "None") {
                     self.adapter_orders += 1;
@@ -99,21 +102,22 @@
         }
     }
 
-    /// The first moment that anything is told of.
+    /// Returns the arrival time of the first request; 0 without requests.
     pub(super) fn start_ms(&self) -> u64 {
         let first = self.requests.first();
         first.map_or(0, |request| request.arrived_ms)
     }
 
-    /// The last such moment.
+    /// Returns the time at which the last request ended; 0 without requests.
     pub(super) fn end_ms(&self) -> u64 {
         let ends = self.requests.iter().map(|request| request.ended_ms);
         ends.max().unwrap_or(0)
     }
 }
 
-/// A request's end; `None` for one that was refused before its route was known.
-fn request(line: &LogLine) -> Option<Request> {
+/// Parses a line about the end of a request; `None` if the request was refused before its route was
+/// known.
+fn parse_request(line: &LogLine) -> Option<Request> {
     let route = line.text("route");
     (!route.is_empty()).then(|| Request {
         arrived_ms: line.at_ms.saturating_sub(line.number("took_ms")),
--- a/crates/ctl/src/commands/analyze/report.rs
+++ b/crates/ctl/src/commands/analyze/report.rs
@@ -1,4 +1,4 @@
-//! The report: typed rows, printed as tables or JSON.
+//! The report: typed rows that are printed as tables or JSON.
 
 use super::events::{Events, Request};
 use super::residency::{self, Residency};
@@ -6,92 +6,97 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A request that was offered later than this had to wait for a place or a free engine.
+/// A request counts as waiting if it was first offered to an upstream later than this after its
+/// arrival: it had to wait until its model was loaded or an engine had a free slot.
 const MIN_WAIT_MS: u64 = 20;
-/// A model that gets this part of all requests for models, or more, counts as busy.
+/// A model counts as busy if it gets more than one in this number of the requests for models.
 const BUSY_MODEL_DIVISOR: u64 = 20;
-/// Models in the table.
+/// Maximum number of models in the printed table.
 const MAX_MODELS_SHOWN: usize = 12;
 
-/// Counts and times of a set of requests.
+/// Counts and times of a group of requests.
 #[derive(Debug, Default, Clone, Serialize)]
 pub struct Row {
-    /// What they have in common.
+    /// The time window, route, model or kind of models that the requests have in common.
     pub name: String,
-    /// Requests that ended.
+    /// Number of requests that ended.
     pub asked: u64,
-    /// Those whose caller got a whole success.
+    /// Number of requests whose caller received a complete answer with a success status.
     pub served: u64,
-    /// Those refused as not run.
+    /// Number of requests that were refused with status 503, i.e. not run.
     pub refused: u64,
-    /// Those that had to wait for a place.
+    /// Number of requests that had to wait for a replica or a free slot.
     pub waited: u64,
-    /// Median and 99th percentile of the wait of those, in milliseconds.
+    /// Median and 99th percentile of the wait of the requests in `waited`, in milliseconds.
     pub wait_ms: [u64; 2],
-    /// Median and 99th percentile of the time to the first bytes, in milliseconds.
+    /// Median and 99th percentile of the time to the first bytes of served requests, in
+    /// milliseconds.
     pub first_ms: [u64; 2],
 }
 
-/// An engine's load.
+/// Load of an engine.
 #[derive(Debug, Clone, Serialize)]
 pub struct EngineRow {
-    /// The engine.
+    /// The id of the engine.
     pub engine: String,
-    /// Requests for models that ended there.
+    /// Number of requests for models that ended on the engine.
     pub requests: u64,
-    /// The same against the mean of all engines, in hundredths.
+    /// `requests` as a percentage of the mean over all engines.
     pub of_mean_percent: u64,
-    /// Loads and unloads of models that it took.
+    /// Number of orders to load or unload models that the engine accepted.
     pub orders: u64,
-    /// Model stays there, in milliseconds over all of them.
+    /// Total residency time of all models on the engine, in milliseconds. Times of models that are
+    /// loaded at the same time add up.
     pub stays_ms: u64,
 }
 
-/// Requests that were not served for one reason.
+/// Requests that were not served for the same reason.
 #[derive(Debug, Clone, Serialize)]
 pub struct CauseRow {
-    /// The reason.
+    /// The reason, as text.
     pub cause: String,
-    /// How many.
+    /// Number of these requests.
     pub requests: u64,
-    /// The routes they came by, with counts.
+    /// Number of these requests by route.
     pub routes: BTreeMap<String, u64>,
 }
 
-/// What logs tell of a time.
+/// Statistics about the requests, orders and engines in a set of logs.
 #[derive(Debug, Clone, Serialize)]
 pub struct Report {
-    /// Rows by time; the name is the seconds since the first request.
+    /// Rows by time window. The name is the start of the window, in seconds since the first
+    /// request.
     pub windows: Vec<Row>,
     /// Rows by route.
     pub routes: Vec<Row>,
-    /// Rows by model, the busiest first.
+    /// Rows by model, the one with the most requests first.
     pub models: Vec<Row>,
-    /// Cold starts: requests that waited for a place, of busy and of rare models.
+    /// Two rows, for busy and for rarely used models, which show how many requests had to wait.
     pub cold_starts: Vec<Row>,
-    /// Engines by name.
+    /// Engines, sorted by id.
     pub engines: Vec<EngineRow>,
-    /// Why requests were not served.
+    /// Reasons for requests that were not served, the most frequent first.
     pub causes: Vec<CauseRow>,
-    /// Part of all model stays in which nothing ran, in hundredths.
+    /// Percentage of the total residency time of models in which no request ran on them.
     pub idle_percent: u64,
-    /// Model stays in accelerator seconds, each counted for its model alone.
+    /// Total residency time of models, in seconds. Times of models that are loaded on the same
+    /// engine at the same time add up.
     pub stays_s: u64,
-    /// Orders of models, and of adapters.
+    /// Number of accepted orders for models, and for adapters.
     pub orders: [u64; 2],
-    /// Times that the right to order changed hands.
+    /// How often an instance acquired the leadership, i.e. the right to send orders to engines.
     pub holders: usize,
-    /// Log lines that instances dropped.
+    /// Number of log lines that instances dropped.
     pub dropped_lines: u64,
 }
 
-/// A percentile of numbers in rising order.
-fn percentile(sorted: &[u64], hundredths: usize) -> u64 {
-    let index = (sorted.len() * hundredths / 100).min(sorted.len().saturating_sub(1));
+/// Returns a percentile of numbers in ascending order; 0 without numbers.
+fn percentile(sorted: &[u64], percent: usize) -> u64 {
+    let index = (sorted.len() * percent / 100).min(sorted.len().saturating_sub(1));
     sorted.get(index).copied().unwrap_or(0)
 }
 
-fn count(number: usize) -> u64 {
+fn to_u64(number: usize) -> u64 {
     u64::try_from(number).unwrap_or(u64::MAX)
 }
 
@@ -100,7 +105,8 @@
 }
 
 impl Row {
-    fn of<'a>(name: String, requests: impl Iterator<Item = &'a Request>) -> Self {
+    /// Returns the counts and times of the requests.
+    fn from_requests<'a>(name: String, requests: impl Iterator<Item = &'a Request>) -> Self {
         let mut row = Self {
             name,
             ..Self::default()
@@ -110,7 +116,7 @@
             row.asked += 1;
             row.served += u64::from(request.is_served());
             row.refused += u64::from(request.status == 503);
-            // One that was never offered has waited until its end.
+            // A request that was never offered to an upstream has waited until its end.
             let waited_ms = if request.offers == 0 {
                 request.ended_ms - request.arrived_ms
             } else {
@@ -125,15 +131,15 @@
         }
         waits.sort_unstable();
         firsts.sort_unstable();
-        row.waited = count(waits.len());
+        row.waited = to_u64(waits.len());
         row.wait_ms = [percentile(&waits, 50), percentile(&waits, 99)];
         row.first_ms = [percentile(&firsts, 50), percentile(&firsts, 99)];
         row
     }
 }
 
-/// Requests by something that they have in common.
-fn grouped<'a, K: Ord>(
+/// Groups requests by the key that `key` returns; requests without a key are left out.
+fn group_requests<'a, K: Ord>(
     requests: &'a [Request],
     key: impl Fn(&'a Request) -> Option<K>,
 ) -> BTreeMap<K, Vec<&'a Request>> {
@@ -146,80 +152,86 @@
     groups
 }
 
-fn model_of(request: &Request) -> Option<&str> {
+/// Returns the model of a request; `None` for services without models.
+fn requested_model(request: &Request) -> Option<&str> {
     Some(request.model.as_str()).filter(|model| !model.is_empty())
 }
 
 impl Report {
-    /// The report on events, by windows of so many milliseconds.
-    pub(super) fn of(events: &Events, window_ms: u64) -> Self {
+    /// Returns the report about the events, with time windows of `window_ms` milliseconds.
+    pub(super) fn from_events(events: &Events, window_ms: u64) -> Self {
         let requests = &events.requests;
-        let begin_ms = events.start_ms();
-        let windows = grouped(requests, |r| Some((r.arrived_ms - begin_ms) / window_ms));
-        let windows = windows.into_iter().map(|(number, requests)| {
-            let from_s = number * window_ms / 1_000;
-            Row::of(from_s.to_string(), requests.into_iter())
+        let start_ms = events.start_ms();
+        let windows = group_requests(requests, |r| Some((r.arrived_ms - start_ms) / window_ms));
+        let windows = windows.into_iter().map(|(index, requests)| {
+            let from_s = index * window_ms / 1_000;
+            Row::from_requests(from_s.to_string(), requests.into_iter())
         });
-        let routes = grouped(requests, |r| Some(r.route.as_str())).into_iter();
-        let by_model = grouped(requests, model_of);
-        let busiest = by_model.values().map(|r| count(r.len())).sum::<u64>() / BUSY_MODEL_DIVISOR;
+        let routes = group_requests(requests, |r| Some(r.route.as_str())).into_iter();
+        let by_model = group_requests(requests, requested_model);
+        let busy_above =
+            by_model.values().map(|r| to_u64(r.len())).sum::<u64>() / BUSY_MODEL_DIVISOR;
         let is_busy = |model: &str| {
             by_model
                 .get(model)
-                .is_some_and(|r| count(r.len()) > busiest)
+                .is_some_and(|r| to_u64(r.len()) > busy_above)
         };
-        let cold = |name: &str, busy: bool| {
-            let of_models = requests.iter().filter(|r| model_of(r).is_some());
-            let of_kind = of_models.filter(|r| is_busy(&r.model) == busy);
-            Row::of(name.to_owned(), of_kind)
+        let cold_row = |name: &str, busy: bool| {
+            let with_model = requests.iter().filter(|r| requested_model(r).is_some());
+            let selected = with_model.filter(|r| is_busy(&r.model) == busy);
+            Row::from_requests(name.to_owned(), selected)
         };
-        let cold_starts = vec![cold("busy models", true), cold("rare models", false)];
+        let cold_starts = vec![
+            cold_row("busy models", true),
+            cold_row("rare models", false),
+        ];
         let models = by_model.iter();
-        let rows = models.map(|(name, r)| Row::of((*name).to_owned(), r.iter().copied()));
+        let rows =
+            models.map(|(name, r)| Row::from_requests((*name).to_owned(), r.iter().copied()));
         let mut models: Vec<Row> = rows.collect();
         models.sort_by_key(|row| std::cmp::Reverse(row.asked));
-        let stays = residency::residencies(events);
-        let stays_ms: u64 = stays.iter().map(|stay| stay.to_ms - stay.from_ms).sum();
-        let idle_ms = stays.iter().map(|stay| stay.idle_ms).sum();
+        let residencies = residency::residencies(events);
+        let stays_ms: u64 = residencies.iter().map(|r| r.to_ms - r.from_ms).sum();
+        let idle_ms = residencies.iter().map(|r| r.idle_ms).sum();
         Self {
             windows: windows.collect(),
             routes: routes
-                .map(|(name, r)| Row::of(name.to_owned(), r.into_iter()))
+                .map(|(name, r)| Row::from_requests(name.to_owned(), r.into_iter()))
                 .collect(),
             models,
             cold_starts,
-            engines: engines(events, &stays),
-            causes: causes(requests),
+            engines: engine_rows(events, &residencies),
+            causes: cause_rows(requests),
             idle_percent: percent_of(idle_ms, stays_ms),
             stays_s: stays_ms / 1_000,
-            orders: [count(events.orders.len()), count(events.adapter_orders)],
+            orders: [to_u64(events.orders.len()), to_u64(events.adapter_orders)],
             holders: events.leadership_starts_ms.len(),
             dropped_lines: events.dropped_lines,
         }
     }
 }
 
-fn engines(events: &Events, stays: &[Residency]) -> Vec<EngineRow> {
-    let of_models = |r: &'_ Request| model_of(r).is_some() && !r.upstream.is_empty();
-    let by_engine = grouped(&events.requests, |r| of_models(r).then_some(&r.upstream));
-    let all: u64 = by_engine.values().map(|r| count(r.len())).sum();
-    let engines = count(by_engine.len());
+fn engine_rows(events: &Events, residencies: &[Residency]) -> Vec<EngineRow> {
+    let has_engine = |r: &'_ Request| requested_model(r).is_some() && !r.upstream.is_empty();
+    let by_engine = group_requests(&events.requests, |r| has_engine(r).then_some(&r.upstream));
+    let total: u64 = by_engine.values().map(|r| to_u64(r.len())).sum();
+    let engine_count = to_u64(by_engine.len());
     let rows = by_engine.into_iter().map(|(engine, requests)| {
-        let orders = events.orders.iter().filter(|o| o.engine == *engine);
-        let here = stays.iter().filter(|stay| stay.engine == *engine);
+        let orders = events.orders.iter().filter(|order| order.engine == *engine);
+        let on_engine = residencies.iter().filter(|r| r.engine == *engine);
         EngineRow {
             engine: engine.clone(),
-            requests: count(requests.len()),
-            of_mean_percent: percent_of(count(requests.len()) * engines, all),
-            orders: count(orders.count()),
-            stays_ms: here.map(|stay| stay.to_ms - stay.from_ms).sum(),
+            requests: to_u64(requests.len()),
+            of_mean_percent: percent_of(to_u64(requests.len()) * engine_count, total),
+            orders: to_u64(orders.count()),
+            stays_ms: on_engine.map(|r| r.to_ms - r.from_ms).sum(),
         }
     });
     rows.collect()
 }
 
-fn causes(requests: &[Request]) -> Vec<CauseRow> {
-    let unserved = grouped(requests, |r| (!r.is_served()).then(|| r.cause()));
+fn cause_rows(requests: &[Request]) -> Vec<CauseRow> {
+    let unserved = group_requests(requests, |r| (!r.is_served()).then(|| r.cause()));
     let rows = unserved.into_iter().map(|(cause, requests)| {
         let mut routes: BTreeMap<String, u64> = BTreeMap::new();
         for request in &requests {
@@ -227,7 +239,7 @@
         }
         CauseRow {
             cause: cause.to_owned(),
-            requests: count(requests.len()),
+            requests: to_u64(requests.len()),
             routes,
         }
     });
@@ -236,7 +248,8 @@
     rows
 }
 
-fn table(f: &mut fmt::Formatter<'_>, title: &str, rows: &[Row]) -> fmt::Result {
+/// Writes a table with a row for each group of requests, and an empty line.
+fn write_table(f: &mut fmt::Formatter<'_>, title: &str, rows: &[Row]) -> fmt::Result {
     writeln!(
         f,
         "{title:<20} {:>7} {:>7} {:>7} {:>7} {:>13} {:>13}",
@@ -261,11 +274,11 @@
 
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        table(f, "second", &self.windows)?;
-        table(f, "route", &self.routes)?;
+        write_table(f, "second", &self.windows)?;
+        write_table(f, "route", &self.routes)?;
         let shown = self.models.len().min(MAX_MODELS_SHOWN);
-        table(f, "model", &self.models[..shown])?;
-        table(f, "cold starts", &self.cold_starts)?;
+        write_table(f, "model", &self.models[..shown])?;
+        write_table(f, "cold starts", &self.cold_starts)?;
         writeln!(
             f,
             "{:<20} {:>7} {:>7} {:>7} {:>9}",
--- a/crates/ctl/src/commands/analyze/residency.rs
+++ b/crates/ctl/src/commands/analyze/residency.rs
@@ -1,49 +1,51 @@
-//! Where models stood, and how long they stood without a run.
+//! Periods in which engines had models loaded, and for how long these models were idle.
 
 use super::events::Events;
 use std::collections::BTreeMap;
 
-/// A model's stay on an engine.
+/// A period in which a model was loaded on an engine.
 #[derive(Debug, Clone)]
 pub(super) struct Residency {
     pub(super) engine: String,
     pub(super) model: String,
     pub(super) from_ms: u64,
     pub(super) to_ms: u64,
-    /// Time of it in which nothing ran.
+    /// Time within the period in which no request ran on the model.
     pub(super) idle_ms: u64,
 }
 
+/// Start and end of periods, in milliseconds.
 type Spans = Vec<(u64, u64)>;
 
-/// Stays of all models: from the order that brought one, or its first run there, to the
-/// order that took it away, or the end of the logs. Models that stood from the start and
-/// never ran are not told of.
+/// Returns the residencies of all models on all engines. A residency begins with the order to load
+/// the model, or with the first request if the model was loaded before the logs begin. It ends with
+/// the order to unload the model or with the logs. Models that were loaded before and got no
+/// request are left out.
 pub(super) fn residencies(events: &Events) -> Vec<Residency> {
-    let mut runs: BTreeMap<(&str, &str), Spans> = BTreeMap::new();
+    let mut runs_by_place: BTreeMap<(&str, &str), Spans> = BTreeMap::new();
     for request in events.requests.iter().filter(|r| !r.model.is_empty()) {
         if request.upstream.is_empty() {
             continue;
         }
         let span = (request.arrived_ms + request.waited_ms, request.ended_ms);
         let place = (request.upstream.as_str(), request.model.as_str());
-        runs.entry(place).or_default().push(span);
+        runs_by_place.entry(place).or_default().push(span);
     }
-    let mut places: BTreeMap<(&str, &str), Vec<(u64, bool)>> = BTreeMap::new();
+    let mut orders_by_place: BTreeMap<(&str, &str), Vec<(u64, bool)>> = BTreeMap::new();
     for order in &events.orders {
         let place = (order.engine.as_str(), order.model.as_str());
-        let orders = places.entry(place).or_default();
+        let orders = orders_by_place.entry(place).or_default();
         orders.push((order.at_ms, order.is_load));
     }
-    for place in runs.keys() {
-        places.entry(*place).or_default();
+    for place in runs_by_place.keys() {
+        orders_by_place.entry(*place).or_default();
     }
-    let mut stays = Vec::new();
-    for ((engine, model), orders) in places {
-        let mut runs = runs.remove(&(engine, model)).unwrap_or_default();
+    let mut residencies = Vec::new();
+    for ((engine, model), orders) in orders_by_place {
+        let mut runs = runs_by_place.remove(&(engine, model)).unwrap_or_default();
         runs.sort_unstable();
-        for (from_ms, to_ms) in spans(&orders, &runs, events.end_ms()) {
-            stays.push(Residency {
+        for (from_ms, to_ms) in loaded_spans(&orders, &runs, events.end_ms()) {
+            residencies.push(Residency {
                 engine: engine.to_owned(),
                 model: model.to_owned(),
                 from_ms,
@@ -52,44 +54,46 @@
             });
         }
     }
-    stays
+    residencies
 }
 
-/// The spans between loads and unloads of one model on one engine.
-fn spans(orders: &[(u64, bool)], runs: &[(u64, u64)], end_ms: u64) -> Spans {
+/// Returns the spans between loads and unloads of one model on one engine. Orders are given with
+/// their time and whether they are loads, runs with start and end, both in time order.
+fn loaded_spans(orders: &[(u64, bool)], runs: &[(u64, u64)], end_ms: u64) -> Spans {
     let mut spans = Spans::new();
-    let starts_there = orders.first().is_none_or(|(_, is_load)| !is_load);
-    let mut from = runs
+    let is_loaded_at_start = orders.first().is_none_or(|(_, is_load)| !is_load);
+    let mut start = runs
         .first()
-        .map(|(begin, _)| *begin)
-        .filter(|_| starts_there);
+        .map(|(start_ms, _)| *start_ms)
+        .filter(|_| is_loaded_at_start);
     for (at_ms, is_load) in orders {
-        match from {
-            None if *is_load => from = Some(*at_ms),
-            Some(begin) if !is_load => {
-                spans.push((begin, (*at_ms).max(begin)));
-                from = None;
+        match start {
+            None if *is_load => start = Some(*at_ms),
+            Some(start_ms) if !is_load => {
+                spans.push((start_ms, (*at_ms).max(start_ms)));
+                start = None;
             }
             _ => {}
         }
     }
-    if let Some(begin) = from {
-        spans.push((begin, end_ms.max(begin)));
+    if let Some(start_ms) = start {
+        spans.push((start_ms, end_ms.max(start_ms)));
     }
     spans
 }
 
-/// Time of a span in which at least one of the runs, sorted by their begin, went on.
+/// Returns the time between `from_ms` and `to_ms` in which at least one run was in progress. The
+/// runs must be sorted by their start.
 fn covered_ms(runs: &[(u64, u64)], from_ms: u64, to_ms: u64) -> u64 {
-    let mut covered = 0;
-    let mut reached = from_ms;
-    for (begin, end) in runs {
-        let begin = (*begin).max(reached);
-        let end = (*end).min(to_ms);
-        if end > begin {
-            covered += end - begin;
-            reached = end;
+    let mut total_ms = 0;
+    let mut covered_until_ms = from_ms;
+    for (start_ms, end_ms) in runs {
+        let start_ms = (*start_ms).max(covered_until_ms);
+        let end_ms = (*end_ms).min(to_ms);
+        if end_ms > start_ms {
+            total_ms += end_ms - start_ms;
+            covered_until_ms = end_ms;
         }
     }
-    covered
+    total_ms
 }
--- a/crates/ctl/src/commands/apply.rs
+++ b/crates/ctl/src/commands/apply.rs
@@ -1,6 +1,6 @@
-//! `passwayctl apply`, and what every change of configuration shares.
+//! `passwayctl apply`, and the steps that all commands that change the configuration share.
 
-use super::{print_json, read_document, show::REVISION_LINE};
+use super::{print_json, read_document, show::REVISION_LINE_PREFIX};
 use crate::changes::changes;
 use crate::cli::{ApplyArguments, ChangeArguments, Common, ExitCode};
 use crate::queries;
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Pause between two looks at who has the revision.
+/// Interval at which the controllers are polled for the revisions of all nodes.
 const POLL_INTERVAL: Duration = Duration::from_millis(300);
 
 pub(crate) fn run(
@@ -24,52 +24,54 @@
         Ok(read) => read,
         Err(code) => return Ok(code),
     };
-    let before = store.current()?;
+    let previous = store.current()?;
     if let Some(base) = base_revision(&text) {
-        let stands = before.as_ref().map_or(0, |(_, stored)| stored.revision);
-        if base != stands {
+        let current = previous.as_ref().map_or(0, |(_, stored)| stored.revision);
+        if base != current {
             report_conflict(
                 store,
                 base,
-                before.as_ref().map(|(_, stored)| stored),
+                previous.as_ref().map(|(_, stored)| stored),
                 &document,
             )?;
             return Ok(ExitCode::Conflict);
         }
     }
-    apply_change(common, store, &before, document, &arguments.change)
+    apply_change(common, store, &previous, document, &arguments.change)
 }
 
-/// The revision that a file says it was edited from.
+/// Returns the revision in the first line of a file, from which the file was edited; `None` without
+/// such a line.
 fn base_revision(text: &str) -> Option<Revision> {
     text.lines()
         .next()?
-        .strip_prefix(REVISION_LINE)?
+        .strip_prefix(REVISION_LINE_PREFIX)?
         .trim()
         .parse()
         .ok()
 }
 
+/// Prints the changes between the base revision, the current one and the operator's file.
 fn report_conflict(
     store: &ConfigStore,
     base: Revision,
-    stands: Option<&StoredRevision>,
-    wanted: &Document,
+    current: Option<&StoredRevision>,
+    desired: &Document,
 ) -> Result<()> {
-    let Some(stands) = stands else {
+    let Some(current) = current else {
         println!("conflict: edited from revision {base}, but there is none");
         return Ok(());
     };
     println!(
         "conflict: edited from revision {base}, but revision {} by {} is in force; nothing was written",
-        stands.revision, stands.author
+        current.revision, current.author
     );
     if let Some(base) = store.revision(base)? {
         println!("changed in the meantime:");
-        print_lines(&changes(&base.document, &stands.document));
+        print_lines(&changes(&base.document, &current.document));
     }
     println!("your file against what is in force:");
-    print_lines(&changes(&stands.document, wanted));
+    print_lines(&changes(&current.document, desired));
     Ok(())
 }
 
@@ -79,20 +81,21 @@
     }
 }
 
-/// Makes one change of configuration and, if asked, waits until it is in force.
+/// Makes `document` the current configuration. With `--wait`, also waits until the change is in
+/// effect.
 pub(crate) fn apply_change(
     common: &Common,
     store: &ConfigStore,
-    before: &CurrentRevision,
+    previous: &CurrentRevision,
     document: Document,
     change: &ChangeArguments,
 ) -> Result<ExitCode> {
     let empty = Document::default();
-    let old = before
+    let old = previous
         .as_ref()
         .map_or(&empty, |(_, stored)| &stored.document);
     let lines = changes(old, &document);
-    if lines.is_empty() && before.is_some() {
+    if lines.is_empty() && previous.is_some() {
         println!("no changes; nothing was written");
         return Ok(ExitCode::Done);
     }
@@ -100,7 +103,7 @@
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
     let next = StoredRevision {
-        revision: before.as_ref().map_or(0, |(_, stored)| stored.revision) + 1,
+        revision: previous.as_ref().map_or(0, |(_, stored)| stored.revision) + 1,
         change_id: rand::random(),
         author: change.author.clone(),
         applied_at_unix_s: elapsed.as_secs(),
@@ -108,7 +111,7 @@
         changes: lines,
         document,
     };
-    match store.change(before, &next) {
+    match store.change(previous, &next) {
         Ok(()) => {}
         Err(ChangeError::Conflict(stored)) => {
             println!("conflict: {}", ChangeError::Conflict(stored));
@@ -136,35 +139,35 @@
     Ok(ExitCode::Done)
 }
 
-/// Waits until every controller named, and every router connected to one, has
-/// the revision in force.
+/// Waits until the revision is in effect on all given controllers and all routers that are
+/// connected to them.
 fn wait(common: &Common, revision: Revision, timeout: Duration) -> ExitCode {
-    let began_at = clock::now();
-    let mut said = String::new();
+    let started_at = clock::now();
+    let mut last_printed = String::new();
     loop {
-        let lacking = lacking(common, revision);
-        if lacking.is_empty() {
+        let outdated = outdated_nodes(common, revision);
+        if outdated.is_empty() {
             println!(
                 "in force everywhere after {} ms",
-                clock::since(began_at).as_millis()
+                clock::since(started_at).as_millis()
             );
             return ExitCode::Done;
         }
-        let names = lacking.join(", ");
-        if clock::since(began_at) >= timeout {
+        let names = outdated.join(", ");
+        if clock::since(started_at) >= timeout {
             println!("not in force at: {names}");
             return ExitCode::NotInEffectEverywhere;
         }
-        if names != said {
+        if names != last_printed {
             eprintln!("waiting for: {names}");
-            said = names;
+            last_printed = names;
         }
         std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Nodes that do not report the revision.
-fn lacking(common: &Common, revision: Revision) -> Vec<String> {
+/// Returns the names of the nodes that do not report the revision or a later one.
+fn outdated_nodes(common: &Common, revision: Revision) -> Vec<String> {
     let mut revisions: BTreeMap<String, Revision> = BTreeMap::new();
     for (address, status) in queries::statuses(&common.controllers) {
         let Some(status) = status else {
@@ -174,16 +177,16 @@
         let controller = format!("controller of {}", status.instance);
         revisions.insert(controller, status.config_revision);
         for router in status.routers {
-            // A router reports to several controllers; its latest word counts.
-            let reported = revisions
+            // A router reports to several controllers; the latest revision that it reported counts.
+            let latest = revisions
                 .entry(format!("router of {}", router.instance))
                 .or_default();
-            *reported = (*reported).max(router.config_revision);
+            *latest = (*latest).max(router.config_revision);
         }
     }
     revisions
         .into_iter()
-        .filter(|(_, at)| *at < revision)
+        .filter(|(_, reported)| *reported < revision)
         .map(|(name, _)| name)
         .collect()
 }
--- a/crates/ctl/src/commands/audit.rs
+++ b/crates/ctl/src/commands/audit.rs
@@ -1,4 +1,4 @@
-//! `passwayctl audit`: who changed what and when, and what was decided.
+//! `passwayctl audit`: the configuration changes and the controllers' decisions, in time order.
 
 use super::history::latest_revisions;
 use super::print_json;
@@ -27,7 +27,7 @@
     Ok(ExitCode::Done)
 }
 
-/// Prints entries as a table or as JSON.
+/// Prints audit entries as a table or as JSON.
 pub(crate) fn print_entries(common: &Common, entries: &[AuditEntry]) {
     if common.json {
         print_json(&entries);
--- a/crates/ctl/src/commands/check.rs
+++ b/crates/ctl/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `passwayctl check`.
+//! `passwayctl check`: checks a configuration file without applying it.
 
 use super::read_document;
 use crate::cli::{Common, ExitCode};
--- a/crates/ctl/src/commands/diff.rs
+++ b/crates/ctl/src/commands/diff.rs
@@ -1,4 +1,4 @@
-//! `passwayctl diff`.
+//! `passwayctl diff`: prints what applying a file would change.
 
 use super::{print_json, read_document};
 use crate::changes::changes;
@@ -13,10 +13,10 @@
         Err(code) => return Ok(code),
     };
     let current = store.current()?;
-    let before = current
+    let old = current
         .map(|(_, stored)| stored.document)
         .unwrap_or_default();
-    let lines = changes(&before, &document);
+    let lines = changes(&old, &document);
     if common.json {
         print_json(&lines);
     } else if lines.is_empty() {
--- a/crates/ctl/src/commands/drain.rs
+++ b/crates/ctl/src/commands/drain.rs
@@ -1,4 +1,4 @@
-//! `passwayctl drain`.
+//! `passwayctl drain`: sets or clears the draining flag of an upstream in the configuration.
 
 use super::apply::apply_change;
 use crate::cli::{ChangeArguments, Common, ExitCode};
@@ -9,11 +9,11 @@
     common: &Common,
     store: &ConfigStore,
     upstream: &str,
-    draining: bool,
+    is_draining: bool,
     change: &ChangeArguments,
 ) -> Result<ExitCode> {
-    let before = store.current()?;
-    let mut document = before
+    let previous = store.current()?;
+    let mut document = previous
         .as_ref()
         .map(|(_, stored)| stored.document.clone())
         .unwrap_or_default();
@@ -25,6 +25,6 @@
         println!("no upstream {upstream}");
         return Ok(ExitCode::Failed);
     };
-    entry.draining = draining;
-    apply_change(common, store, &before, document, change)
+    entry.draining = is_draining;
+    apply_change(common, store, &previous, document, change)
 }
--- a/crates/ctl/src/commands/explain.rs
+++ b/crates/ctl/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `passwayctl explain`: why is a model loaded, or not.
+//! `passwayctl explain`: where a model is placed, and the audit entries about it.
 
 use super::audit::print_entries;
 use crate::cli::{Common, ExitCode};
@@ -18,11 +18,11 @@
     let cells = known.iter().flat_map(|status| &status.cells);
     let placements = cells
         .flat_map(|cell| &cell.placements)
-        .filter(|p| p.model == model);
+        .filter(|placement| placement.model == model);
     let placements: Vec<_> = placements.collect();
     let entries: Vec<AuditEntry> = queries::audit(&common.controllers)
         .into_iter()
-        .filter(|e| e.model == model)
+        .filter(|entry| entry.model == model)
         .collect();
     if !common.json {
         if placements.is_empty() {
--- a/crates/ctl/src/commands/history.rs
+++ b/crates/ctl/src/commands/history.rs
@@ -1,4 +1,4 @@
-//! `passwayctl history`.
+//! `passwayctl history`: lists the latest revisions of the configuration.
 
 use super::print_json;
 use crate::cli::{Common, ExitCode};
@@ -8,7 +8,7 @@
 use passway_config::StoredRevision;
 use serde::Serialize;
 
-/// Revisions listed at the most.
+/// Maximum number of listed revisions.
 const MAX_REVISIONS: u64 = 50;
 
 #[derive(Serialize)]
@@ -20,7 +20,7 @@
     changes: &'a [String],
 }
 
-/// The latest revisions, newest first.
+/// Returns the latest revisions, newest first.
 pub(crate) fn latest_revisions(store: &ConfigStore) -> Result<Vec<StoredRevision>> {
     let Some((_, current)) = store.current()? else {
         return Ok(Vec::new());
--- a/crates/ctl/src/commands/status.rs
+++ b/crates/ctl/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `passwayctl status`.
+//! `passwayctl status`: prints the status of controllers, routers and placements.
 
 use super::print_json;
 use crate::cli::{Common, ExitCode};
@@ -6,7 +6,7 @@
 
 pub(crate) fn run(common: &Common) -> ExitCode {
     let statuses = queries::statuses(&common.controllers);
-    let answered = statuses.iter().any(|(_, status)| status.is_some());
+    let is_any_reachable = statuses.iter().any(|(_, status)| status.is_some());
     if common.json {
         let known: Vec<_> = statuses
             .iter()
@@ -14,23 +14,24 @@
             .collect();
         print_json(&known);
     } else {
-        print_nodes(&statuses);
+        print_controllers(&statuses);
         print_routers(&statuses);
         print_placements(&statuses);
     }
-    if answered {
+    if is_any_reachable {
         ExitCode::Done
     } else {
         ExitCode::Unreachable
     }
 }
 
+/// Addresses of the controllers, each with its status or `None` if the controller did not answer.
 type Statuses = [(
     std::net::SocketAddr,
     Option<passway_controller::status::NodeStatus>,
 )];
 
-fn print_nodes(statuses: &Statuses) {
+fn print_controllers(statuses: &Statuses) {
     let rows = statuses.iter().map(|(address, status)| match status {
         None => vec![address.to_string(), "does not answer".into()],
         Some(status) => vec![
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,11 +1,12 @@
-//! The operators' command line.
+//! `passwayctl`, the operators' command line tool.
 //!
-//! * [`cli`]: arguments; one file a subcommand under [`commands`].
-//! * [`store`]: the configuration in the key-value service, changed by
-//!   compare-and-swap, a lost answer read back.
-//! * [`queries`]: questions to controllers.
-//! * [`changes`]: what differs between two configurations.
-//! * [`table`]: readable tables.
+//! * [`cli`]: arguments and exit codes.
+//! * [`commands`]: the subcommands, one file each.
+//! * [`store`]: the configuration in the key-value service. Changes use compare-and-swap; after a
+//!   lost answer, the stored revision is read back.
+//! * [`queries`]: queries to controllers.
+//! * [`changes`]: differences between two configurations.
+//! * [`table`]: tables on standard output.
 
 pub mod changes;
 pub mod cli;
--- a/crates/ctl/src/queries.rs
+++ b/crates/ctl/src/queries.rs
@@ -1,4 +1,4 @@
-//! Questions to controllers.
+//! Queries to controllers.
 
 use passway_controller::audit::AuditEntry;
 use passway_controller::status::NodeStatus;
@@ -8,10 +8,10 @@
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
 
-/// Longest time for a controller to answer.
-const TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum time to connect to a controller, and to wait for each message of its answer.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The status of each controller, `None` for one that does not answer.
+/// Returns the status of each controller; `None` for controllers that do not answer in time.
 pub fn statuses(controllers: &[SocketAddr]) -> Vec<(SocketAddr, Option<NodeStatus>)> {
     controllers
         .iter()
@@ -19,7 +19,7 @@
         .collect()
 }
 
-/// The decisions of all controllers that answer, oldest first.
+/// Returns the audit entries of all controllers that answer, oldest first.
 pub fn audit(controllers: &[SocketAddr]) -> Vec<AuditEntry> {
     let answers = controllers
         .iter()
@@ -29,16 +29,17 @@
     entries
 }
 
-fn query<T: DeserializeOwned>(address: SocketAddr, what: &str) -> Option<T> {
-    let (link, mut reader) = Link::connect(address, TIMEOUT).ok()?;
-    reader.set_timeout(TIMEOUT).ok()?;
+/// Sends one query on a new connection and decodes the answer; `None` on any failure.
+fn query<T: DeserializeOwned>(address: SocketAddr, kind: &str) -> Option<T> {
+    let (link, mut reader) = Link::connect(address, QUERY_TIMEOUT).ok()?;
+    reader.set_timeout(QUERY_TIMEOUT).ok()?;
     link.send(Body::Hello(Hello {
         role: Role::Operator.into(),
         ..Default::default()
     }))
     .ok()?;
     link.send(Body::Query(Query {
-        what: what.to_owned(),
+        what: kind.to_owned(),
     }))
     .ok()?;
     while let Ok(Some(body)) = reader.receive() {
--- a/crates/ctl/src/store.rs
+++ b/crates/ctl/src/store.rs
@@ -1,25 +1,26 @@
-//! The configuration in the key-value service.
+//! The configuration's revisions in the key-value service.
 
 use passway_config::revision::{self, CURRENT_KEY, StoredRevision};
 use passway_platform::key_value::{KeyValue, PutOutcome, Unavailable};
 use passway_types::prelude::*;
 use std::fmt;
 
-/// Tries to learn what became of a write before the operator is told that it is unknown.
+/// Maximum number of reads to find out whether a write took effect before its outcome is reported
+/// as unknown.
 const MAX_READ_BACKS: usize = 10;
-/// Pause between two of them.
+/// Interval between these reads.
 const READ_BACK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Why a change was not made.
+/// Reason why a change was not made or its outcome is unknown.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ChangeError {
-    /// The service does not answer; nothing was written.
+    /// The key-value service does not answer; nothing was written.
     Unreachable,
-    /// The service took the write and does not say what became of it.
+    /// The write was sent, but reading back did not show whether it took effect.
     Unknown,
-    /// Another revision stands.
+    /// Another revision, which is given, is the current one; nothing was written.
     Conflict(Box<StoredRevision>),
-    /// What stands cannot be read.
+    /// A stored revision cannot be decoded, or a new one cannot be encoded, for the given reason.
     Unreadable(String),
 }
 
@@ -40,17 +41,19 @@
                 "revision {} by {} came first; nothing was written",
                 stored.revision, stored.author
             ),
-            Self::Unreadable(reason) => write!(f, "what stands cannot be read: {reason}"),
+            Self::Unreadable(reason) => {
+                write!(f, "a revision cannot be decoded or encoded: {reason}")
+            }
         }
     }
 }
 
 impl std::error::Error for ChangeError {}
 
-/// A revision and the version of the value that holds it.
+/// A stored revision and the version of the key that holds it; `None` if the key is absent.
 pub type CurrentRevision = Option<(Version, StoredRevision)>;
 
-/// The configuration's revisions.
+/// Reads and changes the configuration's revisions.
 pub struct ConfigStore {
     key_value: Arc<dyn KeyValue>,
 }
@@ -62,23 +65,25 @@
 }
 
 impl ConfigStore {
-    /// Revisions kept in `key_value`.
+    /// Creates a store of revisions in `key_value`.
     pub fn new(key_value: Arc<dyn KeyValue>) -> Self {
         Self { key_value }
     }
 
-    /// The revision in force.
+    /// Returns the current revision.
     ///
     /// # Errors
-    /// If the service does not answer or the value cannot be read.
+    /// [`ChangeError::Unreachable`] if the service does not answer, [`ChangeError::Unreadable`] if
+    /// the value cannot be decoded.
     pub fn current(&self) -> Result<CurrentRevision, ChangeError> {
         self.read(CURRENT_KEY)
     }
 
-    /// An earlier revision.
+    /// Returns a revision from the history; `None` if the history does not have it.
     ///
     /// # Errors
-    /// If the service does not answer or the value cannot be read.
+    /// [`ChangeError::Unreachable`] if the service does not answer, [`ChangeError::Unreadable`] if
+    /// the value cannot be decoded.
     pub fn revision(&self, revision: Revision) -> Result<Option<StoredRevision>, ChangeError> {
         let found = self.read(&StoredRevision::history_key(revision))?;
         Ok(found.map(|(_, stored)| stored))
@@ -94,44 +99,45 @@
         Ok(Some((found.version, stored)))
     }
 
-    /// Puts `next` in force if `before` still stands.
+    /// Makes `next` the current revision if `previous` is still the current one.
     ///
     /// # Errors
-    /// Why the change was not made, or that this is unknown.
+    /// The reason why the change was not made, or [`ChangeError::Unknown`].
     pub fn change(
         &self,
-        before: &CurrentRevision,
+        previous: &CurrentRevision,
         next: &StoredRevision,
     ) -> Result<(), ChangeError> {
-        if let Some((_, stored)) = before {
-            // The history has every revision before its successor stands, also
-            // if whoever made it died before it could write there.
+        if let Some((_, stored)) = previous {
+            // Each revision must be in the history before its successor becomes current. The
+            // process that made the revision may have terminated before writing the history.
             self.write_history(stored)?;
         }
-        let expected = before.as_ref().map_or(0, |(version, _)| *version);
+        let expected = previous.as_ref().map_or(0, |(version, _)| *version);
         let value = revision::encode(next).map_err(unreadable)?;
         match self.key_value.put_if(CURRENT_KEY, expected, &value, None) {
             Ok(PutOutcome::Written(_)) => {}
-            Ok(PutOutcome::Conflict) => return self.conflict(next),
+            Ok(PutOutcome::Conflict) => return self.resolve_conflict(next),
             Err(Unavailable) => self.read_back(next)?,
         }
-        // The change stands; its successor writes the history if this fails.
+        // The change has taken effect. If this write fails, the next change writes the history.
         let _ = self.write_history(next);
         Ok(())
     }
 
-    fn conflict(&self, next: &StoredRevision) -> Result<(), ChangeError> {
+    /// Returns `Ok` if the write that the service rejected as a conflict had already taken effect.
+    fn resolve_conflict(&self, next: &StoredRevision) -> Result<(), ChangeError> {
         match self.current()? {
-            // Our own write, of which an earlier try took effect.
+            // The current revision is this change: an earlier attempt to write it took effect.
             Some((_, stored)) if stored.change_id == next.change_id => Ok(()),
             Some((_, stored)) => Err(ChangeError::Conflict(Box::new(stored))),
             None => Err(ChangeError::Unknown),
         }
     }
 
-    /// Finds out by the change's own id whether it took effect. A change that
-    /// has not may still arrive, so "not there" is not taken for "no" until
-    /// somebody else's revision stands in its place.
+    /// Finds out from the change id whether the change took effect. A write without an answer may
+    /// still arrive, so the absence of the change proves nothing until another change has taken its
+    /// revision number.
     fn read_back(&self, next: &StoredRevision) -> Result<(), ChangeError> {
         for _ in 0..MAX_READ_BACKS {
             std::thread::sleep(READ_BACK_INTERVAL);
@@ -141,8 +147,8 @@
             match current {
                 Some((_, stored)) if stored.change_id == next.change_id => return Ok(()),
                 Some((_, stored)) if stored.revision > next.revision => {
-                    let ours = self.revision(next.revision)?;
-                    let took_effect = ours.is_some_and(|ours| ours.change_id == next.change_id);
+                    let written = self.revision(next.revision)?;
+                    let took_effect = written.is_some_and(|w| w.change_id == next.change_id);
                     let conflict = ChangeError::Conflict(Box::new(stored));
                     return if took_effect { Ok(()) } else { Err(conflict) };
                 }
@@ -155,10 +161,11 @@
         Err(ChangeError::Unknown)
     }
 
+    /// Writes a revision to the history.
     fn write_history(&self, stored: &StoredRevision) -> Result<(), ChangeError> {
         let value = revision::encode(stored).map_err(unreadable)?;
         let key = StoredRevision::history_key(stored.revision);
-        // A conflict means that it is there already.
+        // A conflict means that the history already has the revision.
         let written = self.key_value.put_if(&key, 0, &value, None);
         written
             .map(|_| ())
--- a/crates/ctl/src/table.rs
+++ b/crates/ctl/src/table.rs
@@ -1,6 +1,6 @@
-//! Readable tables.
+//! Tables on standard output.
 
-/// Prints rows under a header, each column as wide as its widest cell.
+/// Prints the header and the rows; each column is as wide as its widest cell.
 pub fn print(header: &[&str], rows: &[Vec<String>]) {
     let mut widths: Vec<usize> = header.iter().map(|cell| cell.len()).collect();
     for row in rows {
--- a/crates/platform/src/engine.rs
+++ b/crates/platform/src/engine.rs
@@ -121,8 +121,8 @@
 
 /// The control interface of model engines.
 pub trait EngineControl: Send + Sync {
-    /// Sends an order to the engine at `address` and waits for the answer. After the order's `not_after`,
-    /// nothing is sent.
+    /// Sends an order to the engine at `address` and waits for the answer. After the order's
+    /// `not_after`, nothing is sent.
     fn order(&self, address: SocketAddr, order: &Order) -> OrderAnswer;
 
     /// Queries the status of the engine at `address`; `None` without a readable answer.
@@ -137,8 +137,8 @@
 }
 
 impl HttpEngineControl {
-    /// Creates a client whose orders take at most `order_timeout` and whose status queries take at most
-    /// `status_timeout`.
+    /// Creates a client whose orders take at most `order_timeout` and whose status queries take at
+    /// most `status_timeout`.
     pub fn new(order_timeout: Duration, status_timeout: Duration) -> Self {
         Self {
             orders: Client::new(order_timeout),
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -1,5 +1,5 @@
-//! A small blocking HTTP client based on `ureq`. Its errors distinguish requests that were never sent
-//! from requests whose response was lost.
+//! A small blocking HTTP client based on `ureq`. Its errors distinguish requests that were never
+//! sent from requests whose response was lost.
 
 use crate::key_value::VERSION_HEADER;
 use std::io::ErrorKind;
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Creates a client with keep-alive whose calls take at most `timeout`. It is meant for queries,
-    /// which can be repeated when a response is lost.
+    /// Creates a client with keep-alive whose calls take at most `timeout`. It is meant for
+    /// queries, which can be repeated when a response is lost.
     pub fn with_keep_alive(timeout: Duration) -> Self {
         Self {
             agent: agent(Some(timeout), MAX_IDLE_CONNECTIONS),
@@ -75,10 +75,11 @@
     }
 }
 
-/// Creates an agent without proxy and redirects that returns responses with error statuses as responses.
+/// Creates an agent without proxy and redirects that returns responses with error statuses as
+/// responses.
 ///
-/// Callers that must know whether a request was sent pass 0 for `max_idle`: if the peer has just closed
-/// an idle connection, the failure of a request on it looks the same as a lost response.
+/// Callers that must know whether a request was sent pass 0 for `max_idle`: if the peer has just
+/// closed an idle connection, the failure of a request on it looks the same as a lost response.
 pub fn agent(timeout: Option<Duration>, max_idle: usize) -> Agent {
     let config = Agent::config_builder()
         .timeout_global(timeout)
@@ -91,8 +92,8 @@
     config.build().new_agent()
 }
 
-/// Returns [`CallError::NotSent`] for errors that occur before the request is sent, [`CallError::Lost`]
-/// for all others.
+/// Returns [`CallError::NotSent`] for errors that occur before the request is sent,
+/// [`CallError::Lost`] for all others.
 pub fn classify(error: &ureq::Error) -> CallError {
     match error {
         ureq::Error::ConnectionFailed | ureq::Error::HostNotFound | ureq::Error::BadUri(_) => {
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,4 +1,5 @@
-//! Traits for the services of the platform and the upstreams, and HTTP adapters that implement them.
+//! Traits for the services of the platform and the upstreams, and HTTP adapters that implement
+//! them.
 //!
 //! The adapters in this crate speak the protocols of the stand-ins. A different platform protocol
 //! needs a new adapter that implements the same trait.
