--- a/tests/all/docs_match.rs
+++ b/tests/all/docs_match.rs
@@ -1,11 +1,12 @@
-//! Pages that describe the code agree with it; `UPDATE_EXPECT=1` writes them anew.
+//! Documentation pages that describe the code must match it; `UPDATE_EXPECT=1` rewrites them.
 
 use expect_test::expect_file;
 use passway_config::settings::{ControllerSettings, RouterSettings, Settings};
 use passway_types::outcome::ResultCode;
 use std::fmt::Write;
 
-/// What `passway-instance` answers by itself: there a refusal is a status alone.
+/// Section about the answers that `passway-instance` itself produces: its refusals have a status
+/// but no result code.
 const PLATFORM_CODES: &str = "
 ## On the users' platform
 
@@ -23,29 +24,30 @@
 | 504 | unknown | The time is over while an upstream works. | |
 ";
 
-/// The fields of a program's settings, as its own fault for an unknown one lists them.
-fn fields_of<S: Settings + std::fmt::Debug>() -> Vec<String> {
-    let faults = S::parse(r#"{ "nonsense": 1 }"#)
+/// Returns the names of the fields of a program's settings, as listed in its error for an unknown
+/// field.
+fn field_names<S: Settings + std::fmt::Debug>() -> Vec<String> {
+    let error = S::parse(r#"{ "nonsense": 1 }"#)
         .expect_err("a fault")
         .to_string();
-    let listed = faults.split("expected one of ").nth(1).expect("a list");
-    let line = listed.lines().next().expect("a line");
+    let field_list = error.split("expected one of ").nth(1).expect("a list");
+    let line = field_list.lines().next().expect("a line");
     line.split(", ").map(str::to_owned).collect()
 }
 
 #[test]
-fn settings_reference() {
+fn settings_are_documented() {
     let page = std::fs::read_to_string("docs/operators/run.md").expect("page");
-    for field in fields_of::<RouterSettings>()
+    for field in field_names::<RouterSettings>()
         .into_iter()
-        .chain(fields_of::<ControllerSettings>())
+        .chain(field_names::<ControllerSettings>())
     {
         assert!(page.contains(&field), "{field} is not in the page");
     }
 }
 
 #[test]
-fn result_codes() {
+fn result_codes_page_matches() {
     let mut page = String::from(
         "# Result codes\n\nEvery refusal carries its code in the header `x-passway-code`, whether the \
          request ran in\n`x-passway-ran`, and both in its body, with `retry_after_ms` where a repeat may \
@@ -69,7 +71,7 @@
 }
 
 #[test]
-fn codes_are_unique() {
+fn result_codes_are_unique() {
     let mut numbers: Vec<u16> = ResultCode::ALL.iter().map(|code| *code as u16).collect();
     numbers.dedup();
     assert_eq!(numbers.len(), ResultCode::ALL.len());
--- a/tests/all/foreign_entries.rs
+++ b/tests/all/foreign_entries.rs
@@ -1,5 +1,6 @@
-//! Entries that something else wrote where upstreams keep themselves name no upstream to use;
-//! the others hold, and an upstream whose entry comes back is used again.
+//! Another program may write invalid entries under the upstreams' keys of the store. Instances must
+//! ignore such entries, keep using the other upstreams, and use an upstream again once its entry is
+//! valid.
 
 use crate::cluster::{self, until};
 use passway_serving::ports::{Directory, StoredValue};
@@ -10,7 +11,8 @@
 use proptest::test_runner::RngSeed;
 use serde_json::{Value, json};
 
-fn entry() -> Value {
+/// A valid entry of an engine.
+fn valid_entry() -> Value {
     json!({"service": "engines", "address": "127.0.0.1:9", "zone": "hall0", "version": "v1",
         "slots": 12, "state": "ready", "cold_left_ms": 0, "stage": "colocated",
         "models": [{"name": "m0", "version": 1, "adapters": []}], "sequence": 4,
@@ -26,7 +28,7 @@
     PlatformDirectory.upstream(&value, Instant::now())
 }
 
-/// Values of every type that JSON has, large and small ones.
+/// Values of all JSON types, large and small ones.
 fn any_value() -> impl Strategy<Value = Value> {
     prop_oneof![
         Just(Value::Null),
@@ -41,8 +43,8 @@
     ]
 }
 
-/// Fields that every upstream tells.
-const REQUIRED: [&str; 8] = [
+/// Fields that all entries must have.
+const REQUIRED_FIELDS: [&str; 8] = [
     "service",
     "address",
     "zone",
@@ -52,15 +54,16 @@
     "cold_left_ms",
     "sequence",
 ];
-/// Fields that only engines tell, or only some of them.
-const OTHERS: [&str; 3] = ["models", "at_hand", "born"];
+/// Fields that only entries of engines have, or only some of them.
+const OPTIONAL_FIELDS: [&str; 3] = ["models", "at_hand", "born"];
 
-/// Whether two values are of one type; numbers are told apart as whole and other ones.
-fn is_alike(one: &Value, other: &Value) -> bool {
-    std::mem::discriminant(one) == std::mem::discriminant(other) && one.is_u64() == other.is_u64()
+/// Returns whether two values have the same JSON type. Unsigned integers and other numbers are
+/// different types.
+fn has_same_type(a: &Value, b: &Value) -> bool {
+    std::mem::discriminant(a) == std::mem::discriminant(b) && a.is_u64() == b.is_u64()
 }
 
-/// The same cases in each run.
+/// Generates the same cases in each run.
 fn config() -> ProptestConfig {
     ProptestConfig {
         rng_seed: RngSeed::Fixed(1),
@@ -73,43 +76,43 @@
     #![proptest_config(config())]
 
     #[test]
-    fn bytes_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let _ = decode(&bytes);
     }
 
     #[test]
-    fn spoilt_bytes(at in 0_usize..200, byte in any::<u8>()) {
-        let mut bytes = entry().to_string().into_bytes();
-        let at = at % bytes.len();
-        bytes[at] = byte;
+    fn corrupted_byte(index in 0_usize..200, byte in any::<u8>()) {
+        let mut bytes = valid_entry().to_string().into_bytes();
+        let index = index % bytes.len();
+        bytes[index] = byte;
         if let Ok(entry) = decode(&bytes) {
             prop_assert!(entry.slots <= 65_536);
         }
     }
 
     #[test]
-    fn missing_field(which in 0..REQUIRED.len()) {
-        let mut entry = entry();
-        entry.as_object_mut().expect("an object").remove(REQUIRED[which]);
+    fn missing_field(index in 0..REQUIRED_FIELDS.len()) {
+        let mut entry = valid_entry();
+        entry.as_object_mut().expect("an object").remove(REQUIRED_FIELDS[index]);
         prop_assert!(decode(entry.to_string().as_bytes()).is_err());
     }
 
     #[test]
-    fn other_type(which in 0..REQUIRED.len() + OTHERS.len(), value in any_value()) {
-        let all = [&REQUIRED[..], &OTHERS[..]].concat();
-        let field = all[which];
-        let mut entry = entry();
-        let is_alike = is_alike(&entry[field], &value);
-        // A number with a fraction is one all the same.
-        let is_number = field == "cold_left_ms" && value.is_number();
+    fn wrong_type(index in 0..REQUIRED_FIELDS.len() + OPTIONAL_FIELDS.len(), value in any_value()) {
+        let all = [&REQUIRED_FIELDS[..], &OPTIONAL_FIELDS[..]].concat();
+        let field = all[index];
+        let mut entry = valid_entry();
+        let has_same_type = has_same_type(&entry[field], &value);
+        // This field accepts integers and fractions.
+        let is_valid_number = field == "cold_left_ms" && value.is_number();
         entry[field] = value;
         let decoded = decode(entry.to_string().as_bytes());
-        prop_assert!(is_alike || is_number || decoded.is_err(), "{entry}");
+        prop_assert!(has_same_type || is_valid_number || decoded.is_err(), "{entry}");
     }
 
     #[test]
-    fn other_state(state in "[a-z]{0,12}") {
-        let mut entry = entry();
+    fn unknown_state(state in "[a-z]{0,12}") {
+        let mut entry = valid_entry();
         entry["state"] = state.clone().into();
         let decoded = decode(entry.to_string().as_bytes());
         let is_known = state == "ready" || state == "draining";
@@ -119,75 +122,80 @@
 
 #[test]
 fn huge_values() {
-    let text = |entry: &Value| entry.to_string().into_bytes();
-    assert!(decode(&text(&entry())).is_ok());
-    let mut many_slots = entry();
+    let encode = |entry: &Value| entry.to_string().into_bytes();
+    assert!(decode(&encode(&valid_entry())).is_ok());
+    let mut many_slots = valid_entry();
     many_slots["slots"] = u32::MAX.into();
-    assert!(decode(&text(&many_slots)).is_err());
-    let mut long = entry();
-    long["zone"] = "z".repeat(1 << 20).into();
-    assert!(decode(&text(&long)).is_err());
-    let mut late = entry();
-    late["remaining_ms"] = 1e308.into();
-    assert!(decode(&text(&late)).is_ok());
+    assert!(decode(&encode(&many_slots)).is_err());
+    let mut long_zone = valid_entry();
+    long_zone["zone"] = "z".repeat(1 << 20).into();
+    assert!(decode(&encode(&long_zone)).is_err());
+    let mut long_remaining = valid_entry();
+    long_remaining["remaining_ms"] = 1e308.into();
+    assert!(decode(&encode(&long_remaining)).is_ok());
     for (cold_left_ms, is_cold) in [(1e308, true), (0.0, false), (-1e308, false)] {
-        let mut cold = entry();
+        let mut cold = valid_entry();
         cold["cold_left_ms"] = cold_left_ms.into();
-        let decoded = decode(&text(&cold)).expect("an entry");
+        let decoded = decode(&encode(&cold)).expect("an entry");
         assert_eq!(decoded.cold_until.is_some(), is_cold, "{cold_left_ms}");
     }
 }
 
-/// What callers get of the plain service: its status.
-fn status(instance: &passway_instance::Instance, id: &str) -> u16 {
+/// Sends a request with this id to the plain service and returns the status of the answer.
+fn request_status(instance: &passway_instance::Instance, id: &str) -> u16 {
     let request = cluster::request("GET", "/read/", id, "", "");
     let answer = cluster::ask(instance.callers_address(), &request);
     answer.expect("an answer").status
 }
 
 #[test]
-fn others_hold() {
+fn other_upstreams_are_used() {
     let store = cluster::store(&["m0"]);
-    let (one, two) = (cluster::plain_server(), cluster::plain_server());
-    cluster::list_plain(&store, "i-0", one.address, "ready");
-    cluster::list_plain(&store, "i-1", two.address, "ready");
+    let (overwritten, other) = (cluster::plain_server(), cluster::plain_server());
+    cluster::list_plain(&store, "i-0", overwritten.address, "ready");
+    cluster::list_plain(&store, "i-1", other.address, "ready");
     let instance = cluster::start_ready("one", &store);
-    // Something else writes over one of them, in every way, and beside them.
-    let spoilt: [&[u8]; 4] = [b"", b"\xff\xfe{", b"{\"service\": 3}", b"[1, 2]"];
-    for (number, bytes) in spoilt.into_iter().enumerate() {
+    // Another program overwrites one entry with invalid values, and adds entries with the same
+    // values.
+    let invalid: [&[u8]; 4] = [b"", b"\xff\xfe{", b"{\"service\": 3}", b"[1, 2]"];
+    for (number, bytes) in invalid.into_iter().enumerate() {
         store.put_bytes("servers/i-0", bytes);
         store.put_bytes(&format!("servers/other-{number}"), bytes);
     }
-    until("one upstream is left out", || {
-        let before = one.received().len();
-        let all = (0..6).all(|n| status(&instance, &format!("a{n}")) == 200);
-        assert!(all, "the other one holds");
-        one.received().len() == before
+    until("the overwritten upstream gets no requests", || {
+        let requests_before = overwritten.received().len();
+        let all_answered = (0..6).all(|n| request_status(&instance, &format!("a{n}")) == 200);
+        assert!(all_answered, "the other upstream answers all requests");
+        overwritten.received().len() == requests_before
     });
-    cluster::list_plain(&store, "i-0", one.address, "ready");
-    let before = one.received().len();
+    cluster::list_plain(&store, "i-0", overwritten.address, "ready");
+    let requests_before = overwritten.received().len();
     let mut number = 0;
-    until("it is used again", || {
+    until("the overwritten upstream is used again", || {
         number += 1;
-        assert_eq!(status(&instance, &format!("b{number}")), 200);
-        one.received().len() > before
+        assert_eq!(request_status(&instance, &format!("b{number}")), 200);
+        overwritten.received().len() > requests_before
     });
 }
 
-/// An entry that puts an upstream into a service that nobody knows, with a number above all
-/// that the upstream itself will tell, does not pass for its newest word.
+/// Another program may overwrite an entry with an unknown service and a higher sequence number than
+/// the upstream ever reports. Later entries of the upstream must not be ignored as outdated.
 #[test]
-fn foreign_service() {
+fn unknown_service_with_high_sequence() {
     let store = cluster::store(&["m0"]);
     let server = cluster::plain_server();
     cluster::list_plain(&store, "i-0", server.address, "ready");
     let instance = cluster::start_ready("one", &store);
-    assert_eq!(status(&instance, "a0"), 200);
+    assert_eq!(request_status(&instance, "a0"), 200);
     let foreign = json!({"service": "nobodys", "address": "127.0.0.1:9", "zone": "hall0",
         "version": "v1", "slots": 6, "state": "draining", "sequence": u64::MAX,
         "cold_left_ms": 0});
     store.put("servers/i-0", &foreign);
-    until("it is left out", || status(&instance, "a1") == 503);
+    until("the upstream gets no requests", || {
+        request_status(&instance, "a1") == 503
+    });
     cluster::list_plain(&store, "i-0", server.address, "ready");
-    until("it is used again", || status(&instance, "a2") == 200);
+    until("the upstream is used again", || {
+        request_status(&instance, "a2") == 200
+    });
 }
--- a/tests/all/log_analysis.rs
+++ b/tests/all/log_analysis.rs
@@ -1,4 +1,5 @@
-//! `passwayctl analyze`: what binds, out of instances' logs.
+//! `passwayctl analyze` must compute the right tables from the logs of several instances, and
+//! ignore lines that it cannot parse.
 
 use expect_test::expect;
 use passway_ctl::commands::analyze;
@@ -19,7 +20,7 @@
 "#;
 
 #[test]
-fn tables_of_log() {
+fn analyzes_log() {
     let report = analyze::analyze(LOG, 2);
     expect![[r#"
         second                 asked  served refused  waited       wait ms      first ms
@@ -55,7 +56,7 @@
 }
 
 #[test]
-fn empty_log() {
+fn accepts_empty_log() {
     let report = analyze::analyze("nothing\n", 2);
     assert!(report.windows.is_empty() && report.causes.is_empty());
     assert_eq!(report.idle_percent, 0);
--- a/tests/all/platform_words.rs
+++ b/tests/all/platform_words.rs
@@ -1,9 +1,10 @@
-//! The platform's words stay in `platform/`: everything else speaks the product's own.
+//! Names of the platform's protocol appear only in `platform/`; all other sources use passway's own
+//! terms.
 
 use std::path::{Path, PathBuf};
 
-/// Words of headers, calls, fields and settings that nothing else may know.
-const WORDS: [&str; 20] = [
+/// Names of the platform's headers, calls, fields and settings.
+const PLATFORM_NAMES: [&str; 20] = [
     "Response-Seal",
     "Not-Executed",
     "Token-Usage",
@@ -26,11 +27,12 @@
     "op/config",
 ];
 
-fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
+/// Adds the Rust sources under `folder` to `found`.
+fn find_sources(folder: &Path, found: &mut Vec<PathBuf>) {
     for entry in std::fs::read_dir(folder).expect("a folder") {
         let path = entry.expect("an entry").path();
         if path.is_dir() {
-            sources(&path, found);
+            find_sources(&path, found);
         } else if path.extension().is_some_and(|extension| extension == "rs") {
             found.push(path);
         }
@@ -38,21 +40,21 @@
 }
 
 #[test]
-fn words_stay_inside() {
+fn platform_names_only_in_adapter() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut files = Vec::new();
     for folder in ["src", "crates", "benches"] {
-        sources(&root.join(folder), &mut files);
+        find_sources(&root.join(folder), &mut files);
     }
     assert!(files.len() > 100);
     for file in files {
-        // Stand-ins speak the platform's protocol to test it.
+        // The stand-ins implement the platform's protocol for tests.
         if file.starts_with(root.join("crates/standins")) {
             continue;
         }
         let text = std::fs::read_to_string(&file).expect("a source");
-        for word in WORDS {
-            assert!(!text.contains(word), "{}: {word}", file.display());
+        for name in PLATFORM_NAMES {
+            assert!(!text.contains(name), "{}: {name}", file.display());
         }
     }
 }
