--- a/crates/instance/src/report.rs
+++ b/crates/instance/src/report.rs
@@ -184,7 +184,7 @@
                 until,
             } => self.add_waiter(demand_key(service, model_ref), until),
             ReportEvent::WaitEnded { service, model_ref } => {
-                self.remove_waiter(demand_key(service, model_ref))
+                self.remove_waiter(demand_key(service, model_ref));
             }
             ReportEvent::RefusedAsTooLate {
                 service,
