--- a/crates/ctl/src/commands/analyze/chart.rs
+++ b/crates/ctl/src/commands/analyze/chart.rs
@@ -24,10 +24,10 @@
 /// grey, the served ones in green and the refused ones in red. The lower part has a row for each
 /// engine and a rectangle for each residency of a model.
 pub(super) fn draw(events: &Events, report: &Report) -> String {
-    let (begin_ms, end_ms) = (events.start_ms(), events.end_ms());
-    let total_ms = (end_ms - begin_ms).max(1);
+    let (start_ms, end_ms) = (events.start_ms(), events.end_ms());
+    let total_ms = (end_ms - start_ms).max(1);
     let x = |at_ms: u64| {
-        let since_ms = at_ms.saturating_sub(begin_ms).min(total_ms);
+        let since_ms = at_ms.saturating_sub(start_ms).min(total_ms);
         MARGIN_PX + since_ms * WIDTH_PX / total_ms
     };
     let height = HEIGHT_PX + 30 + ROW_HEIGHT_PX * u64::try_from(report.engines.len()).unwrap_or(0);
--- a/crates/ctl/src/commands/analyze/events.rs
+++ b/crates/ctl/src/commands/analyze/events.rs
@@ -15,7 +15,7 @@
     pub(super) status: u64,
     /// How often the request was offered to an upstream.
     pub(super) offers: u64,
-    /// How often an upstream may have run the request.
+    /// Number of failed attempts in which an upstream may have run the request.
     pub(super) runs: u64,
     pub(super) end: String,
     /// Time from arrival until the request was first offered to an upstream.
@@ -70,7 +70,7 @@
 }
 
 impl Events {
-    /// Parses logs and ignores lines without a JSON object.
+    /// Parses logs; lines without a JSON object are ignored.
     pub(super) fn parse(text: &str) -> Self {
         let mut events = Self::default();
         for line in text.lines().filter_map(LogLine::parse) {
--- a/crates/ctl/src/commands/analyze/residency.rs
+++ b/crates/ctl/src/commands/analyze/residency.rs
@@ -22,27 +22,27 @@
 /// the order to unload the model or with the logs. Models that were loaded before and got no
 /// request are left out.
 pub(super) fn residencies(events: &Events) -> Vec<Residency> {
-    let mut runs_by_place: BTreeMap<(&str, &str), Spans> = BTreeMap::new();
+    let mut runs_by_replica: BTreeMap<(&str, &str), Spans> = BTreeMap::new();
     for request in events.requests.iter().filter(|r| !r.model.is_empty()) {
         if request.upstream.is_empty() {
             continue;
         }
         let span = (request.arrived_ms + request.waited_ms, request.ended_ms);
-        let place = (request.upstream.as_str(), request.model.as_str());
-        runs_by_place.entry(place).or_default().push(span);
+        let replica = (request.upstream.as_str(), request.model.as_str());
+        runs_by_replica.entry(replica).or_default().push(span);
     }
-    let mut orders_by_place: BTreeMap<(&str, &str), Vec<(u64, bool)>> = BTreeMap::new();
+    let mut orders_by_replica: BTreeMap<(&str, &str), Vec<(u64, bool)>> = BTreeMap::new();
     for order in &events.orders {
-        let place = (order.engine.as_str(), order.model.as_str());
-        let orders = orders_by_place.entry(place).or_default();
+        let replica = (order.engine.as_str(), order.model.as_str());
+        let orders = orders_by_replica.entry(replica).or_default();
         orders.push((order.at_ms, order.is_load));
     }
-    for place in runs_by_place.keys() {
-        orders_by_place.entry(*place).or_default();
+    for replica in runs_by_replica.keys() {
+        orders_by_replica.entry(*replica).or_default();
     }
     let mut residencies = Vec::new();
-    for ((engine, model), orders) in orders_by_place {
-        let mut runs = runs_by_place.remove(&(engine, model)).unwrap_or_default();
+    for ((engine, model), orders) in orders_by_replica {
+        let mut runs = runs_by_replica.remove(&(engine, model)).unwrap_or_default();
         runs.sort_unstable();
         for (from_ms, to_ms) in loaded_spans(&orders, &runs, events.end_ms()) {
             residencies.push(Residency {
