--- a/crates/instance/src/allotments.rs
+++ b/crates/instance/src/allotments.rs
@@ -9,7 +9,7 @@
 use crate::leadership::LeadershipDriver;
 use crate::shared::Shared;
 use crossbeam::channel::{Receiver, Sender, bounded};
-use passway_serving::allotment::{Parts, QuotaBounds};
+use passway_serving::allotment::{FallbackQuotas, QuotaBounds};
 use passway_serving::ports::{ConditionalWrite, SharedStore, StoreRevision, WriteAnswer};
 use passway_serving::routes::RouteTable;
 use passway_serving::workspaces::{Allotment, Workspace};
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 pub struct Allotments {
     coordinator: TermCoordinator,
-    parts: Mutex<Parts>,
+    parts: Mutex<FallbackQuotas>,
     stored: Mutex<StoredNames>,
     /// Wakes the thread that writes the names to the store.
     wakeup_sender: Sender<()>,
@@ -97,7 +97,7 @@
         let window = shared.bounds.load().quota.window;
         let mut parts = lock(&self.parts);
         let Ok(answer) = answer else {
-            let is_granted = parts.take(&workspace.name, cost, rand::random(), now);
+            let is_granted = parts.try_take(&workspace.name, cost, rand::random(), now);
             return if is_granted {
                 Decision::Granted
             } else {
@@ -105,7 +105,7 @@
             };
         };
         if answer.verdict() == UseVerdict::Granted {
-            parts.told(&workspace.name, answer.part_per_s, window, now);
+            parts.set_rate(&workspace.name, answer.instance_rate_per_s, window, now);
             return Decision::Granted;
         }
         Decision::Refused(Duration::from_millis(answer.retry_after_ms))
@@ -153,7 +153,7 @@
         let decision = self
             .coordinator
             .in_term(fence, quota(shared), |coordinator| {
-                coordinator.ask(&name, allotment, from, request.cost, clock::now())
+                coordinator.decide(&name, allotment, from, request.cost, clock::now())
             });
         coordinator::encode_decision(request, decision)
     }
@@ -165,7 +165,7 @@
             return;
         };
         self.coordinator.in_latest_term(|coordinator| {
-            coordinator.give_back(
+            coordinator.release(
                 &released.workspace,
                 allotment,
                 from,
@@ -262,7 +262,7 @@
                 let allotment = |name: &str| allotment_of(routes.as_deref(), name);
                 self.coordinator
                     .in_term(fence, quota(shared), |coordinator| {
-                        coordinator.begin_half_full(names, allotment);
+                        coordinator.start_half_full(names, allotment);
                     });
                 return;
             }
@@ -287,7 +287,7 @@
     pub fn retain(&self, table: &RouteTable) {
         let is_configured = |name: &str| {
             let workspaces = table.workspaces.as_ref();
-            workspaces.is_some_and(|workspaces| workspaces.named(name).is_some())
+            workspaces.is_some_and(|workspaces| workspaces.find_by_name(name).is_some())
         };
         lock(&self.parts).retain(is_configured);
         self.coordinator
@@ -301,5 +301,5 @@
 
 fn allotment_of(table: Option<&RouteTable>, workspace: &str) -> Option<Allotment> {
     let workspaces = table?.workspaces.as_ref()?;
-    workspaces.named(workspace)?.allotment
+    workspaces.find_by_name(workspace)?.allotment
 }
--- a/crates/instance/src/callers.rs
+++ b/crates/instance/src/callers.rs
@@ -207,7 +207,7 @@
             Err(HttpError::Malformed(_)) => return refuse(shared, caller, Refusal::Malformed),
             Err(HttpError::TooLarge) => return refuse(shared, caller, Refusal::BodyTooLarge),
             Err(HttpError::Stopping) => {
-                let facts = shared.vocabulary.request(&head.headers);
+                let facts = shared.vocabulary.parse_request(&head.headers);
                 return refuse_half_read(shared, caller, &facts.id);
             }
             Err(_) => return,
@@ -236,7 +236,7 @@
 
 /// Refuses a request whose body does not fit into the memory bound for bodies.
 fn refuse_for_memory(shared: &Shared, caller: Connection, head: &RequestHead) {
-    let facts = shared.vocabulary.request(&head.headers);
+    let facts = shared.vocabulary.parse_request(&head.headers);
     refuse_not_run(shared, caller, &facts.id, "no room for its body");
 }
 
--- a/crates/instance/src/coordinator.rs
+++ b/crates/instance/src/coordinator.rs
@@ -7,8 +7,8 @@
 use crate::queries::PendingQueries;
 use crate::relay::millis;
 use crate::shared::Shared;
-use passway_serving::allotment::{Keeper, QuotaBounds, Ruling};
-use passway_serving::tenure::Holder;
+use passway_serving::allotment::{QuotaBounds, QuotaCoordinator, QuotaDecision};
+use passway_serving::leadership::Holder;
 use passway_types::clock;
 use passway_types::prelude::*;
 use passway_wire::dispatch::Dispatch as Body;
@@ -151,17 +151,19 @@
 }
 
 /// Encodes a decision as the answer to a request.
-pub fn encode_decision(request: &UseAsk, decision: Ruling) -> UseTold {
+pub fn encode_decision(request: &UseAsk, decision: QuotaDecision) -> UseTold {
     let mut answer = UseTold {
         id: request.id,
         ..UseTold::default()
     };
     match decision {
-        Ruling::Granted { part_per_s } => {
+        QuotaDecision::Granted {
+            instance_rate_per_s,
+        } => {
             answer.set_verdict(UseVerdict::Granted);
-            answer.part_per_s = part_per_s;
+            answer.instance_rate_per_s = instance_rate_per_s;
         }
-        Ruling::Refused { retry_after } => {
+        QuotaDecision::Refused { retry_after } => {
             answer.set_verdict(UseVerdict::Refused);
             answer.retry_after_ms = millis(retry_after);
         }
@@ -172,7 +174,7 @@
 #[derive(Debug)]
 struct TermCounts {
     fence: Fence,
-    coordinator: Keeper,
+    coordinator: QuotaCoordinator,
 }
 
 /// The counts of the latest term of this instance.
@@ -185,19 +187,19 @@
         &self,
         fence: Fence,
         bounds: QuotaBounds,
-        act: impl FnOnce(&mut Keeper) -> T,
+        act: impl FnOnce(&mut QuotaCoordinator) -> T,
     ) -> T {
         let mut counts = lock(&self.0);
         counts.take_if(|counts| counts.fence != fence);
         let new_counts = || TermCounts {
             fence,
-            coordinator: Keeper::new(bounds, clock::now()),
+            coordinator: QuotaCoordinator::new(bounds, clock::now()),
         };
         act(&mut counts.get_or_insert_with(new_counts).coordinator)
     }
 
     /// Calls `act` on the counts of the latest term, if there was one.
-    pub fn in_latest_term(&self, act: impl FnOnce(&mut Keeper)) {
+    pub fn in_latest_term(&self, act: impl FnOnce(&mut QuotaCoordinator)) {
         if let Some(counts) = lock(&self.0).as_mut() {
             act(&mut counts.coordinator);
         }
--- a/crates/instance/src/forward/limits.rs
+++ b/crates/instance/src/forward/limits.rs
@@ -74,7 +74,7 @@
     /// grant, and those that have asked this instance to back off.
     fn deferred_upstreams(&self, now: Instant) -> Vec<DeferredUpstream> {
         let upstreams = self.shared.upstreams();
-        let backing_off = upstreams.closed_to(self.wanted(), now);
+        let backing_off = upstreams.backing_off_for(self.wanted(), now);
         drop(upstreams);
         let backing_off = backing_off
             .into_iter()
@@ -126,7 +126,7 @@
         let ready_at = self.load_time().map(|load_time| now + load_time);
         let upstreams = self.shared.upstreams();
         ready_at.is_some_and(|at| at <= wait_until)
-            || upstreams.lies_elsewhere(
+            || upstreams.is_cached_on_available_engine(
                 &self.service,
                 &model_ref.model,
                 &self.access.allowed_regions,
--- a/crates/instance/src/forward/refusal.rs
+++ b/crates/instance/src/forward/refusal.rs
@@ -6,7 +6,7 @@
 use crate::poison::ExclusivePermit;
 use crate::relay::millis;
 use crate::reply::{self, Refusal};
-use passway_serving::poison::Standing;
+use passway_serving::poison::RunPermission;
 use passway_types::clock;
 
 /// `Retry-After` of a request that may crash upstreams, in milliseconds. By then an upstream that
@@ -36,7 +36,7 @@
             .exclusive_permit
             .as_ref()
             .is_some_and(ExclusivePermit::is_granted);
-        let is_on_hold = self.run_permission != Standing::Free && !has_permit;
+        let is_on_hold = self.run_permission != RunPermission::Free && !has_permit;
         let refusal = if self.runs == 0 {
             // A request that crashes engines is not run until its entry expires.
             let available_ms = self
--- a/crates/instance/src/forward/send_permit.rs
+++ b/crates/instance/src/forward/send_permit.rs
@@ -23,8 +23,7 @@
             target.has_limit_grant || upstreams.limit_per_s(&target.id, now).is_none();
         let is_allowed =
             has_limit_grant && upstreams.admits(&target.id, &self.access.allowed_regions);
-        let is_admitted =
-            is_allowed && upstreams.let_through(&target.id, target.started_at_ms, now);
+        let is_admitted = is_allowed && upstreams.try_admit(&target.id, target.started_at_ms, now);
         is_admitted.then_some(SendPermit(()))
     }
 }
--- a/crates/instance/src/freshness.rs
+++ b/crates/instance/src/freshness.rs
@@ -58,24 +58,24 @@
 
     /// Records the version in effect. The version must take effect before this is called.
     pub fn set_in_force(&self, version: Revision) {
-        self.update(|freshness| freshness.set_in_force(version));
+        self.update(|freshness| freshness.set_active_version(version));
     }
 
-    /// Records that the store, queried at `asked_at`, had no newer version than `version`, which
+    /// Records that the store, queried at `sent_at`, had no newer version than `version`, which
     /// is in effect.
-    pub fn record_store_answer(&self, version: Revision, asked_at: Instant) {
-        self.update(|freshness| freshness.confirm(Confirmation { version, asked_at }));
+    pub fn record_store_answer(&self, version: Revision, sent_at: Instant) {
+        self.update(|freshness| freshness.confirm(Confirmation { version, sent_at }));
     }
 
     /// Age of the proof; `None` before the first.
     pub fn age(&self) -> Option<Duration> {
         let proof = self.state().proof()?;
-        Some(clock::since(proof.asked_at))
+        Some(clock::since(proof.sent_at))
     }
 
     /// Whether the proof is recent enough to act on workspaces' keys.
     pub fn is_proved_within(&self, bound: Duration) -> bool {
-        let until = self.state().permits_until(bound);
+        let until = self.state().keys_valid_until(bound);
         until.is_some_and(|until| clock::now() < until)
     }
 
@@ -116,7 +116,7 @@
         VersionTold {
             id: query.id,
             version: proof.map_or(0, |proof| proof.version),
-            age_ms: proof.map_or(0, |proof| millis_since(proof.asked_at, clock::now()) + 1),
+            age_ms: proof.map_or(0, |proof| millis_since(proof.sent_at, clock::now()) + 1),
         }
     }
 
@@ -128,7 +128,7 @@
     /// Queries an instance. Returns whether it proved anything.
     fn query(&self, shared: &Shared, address: SocketAddr) -> bool {
         let id = rand::random();
-        let asked_at = clock::now();
+        let sent_at = clock::now();
         let query = Body::VersionAsk(VersionAsk { id });
         let answer = self
             .pending
@@ -137,13 +137,13 @@
             return false;
         };
         let age = Duration::from_millis(answer.age_ms);
-        let Some(asked_at) = asked_at.checked_sub(age) else {
+        let Some(sent_at) = sent_at.checked_sub(age) else {
             return false;
         };
         self.update(|freshness| {
             freshness.confirm(Confirmation {
                 version: answer.version,
-                asked_at,
+                sent_at,
             });
         });
         true
--- a/crates/instance/src/holder/publishing.rs
+++ b/crates/instance/src/holder/publishing.rs
@@ -103,7 +103,7 @@
         // Many instances see the same upstream break off; it is published once.
         self.published_breaks.retain(|_, until| now < *until);
         breaks.retain(|(start, _)| !self.published_breaks.contains_key(start));
-        let until = now + poison::OPEN_TIME;
+        let until = now + poison::UNCONFIRMED_TIMEOUT;
         let published = breaks.iter().map(|(start, _)| (start.clone(), until));
         self.published_breaks.extend(published);
         let breaks = poison::encode_breaks(&breaks);
@@ -145,7 +145,7 @@
     /// Updates the limit of an upstream. Returns whether it must be published.
     fn update_limit(&mut self, id: &UpstreamId) -> bool {
         let published = self.published_limits.get(id).copied();
-        let current = self.shared.upstreams().named_limit_per_s(id);
+        let current = self.shared.upstreams().advertised_limit_per_s(id);
         self.planner.set_limit(id, current);
         let must_publish = match (published, current) {
             (Some(published), Some(current)) => {
@@ -179,7 +179,7 @@
         let Some(instances) = instances else {
             return;
         };
-        let wanted = dispatch::dispatchers_wanted(instances, self.planner.engines());
+        let wanted = dispatch::required_dispatchers(instances, self.planner.engines());
         let this_instance = &self.shared.settings.instance;
         let chosen = self
             .candidates
--- a/crates/instance/src/lifecycle.rs
+++ b/crates/instance/src/lifecycle.rs
@@ -12,8 +12,8 @@
 use crate::{callers, holder, ready, report};
 use anyhow::{Context, Result};
 use crossbeam::channel;
-use passway_serving::ports::{Directory, Engines, InstanceSettings, SharedStore, Vocabulary};
-use passway_serving::tenure::Holder;
+use passway_serving::leadership::Holder;
+use passway_serving::ports::{Directory, Engines, HeaderProtocol, InstanceSettings, SharedStore};
 use passway_types::clock;
 use passway_types::prelude::*;
 use std::net::SocketAddr;
@@ -39,7 +39,7 @@
     /// The encoding of the store's contents.
     pub directory: Arc<dyn Directory>,
     /// The headers that callers and upstreams use.
-    pub vocabulary: Box<dyn Vocabulary>,
+    pub vocabulary: Box<dyn HeaderProtocol>,
     /// The control interface of engines.
     pub engines: Arc<dyn Engines>,
 }
@@ -170,7 +170,7 @@
     /// must first receive its share of the fleet's allowance.
     pub fn has_spare_retry(&self, service: &str) -> bool {
         let now = clock::now();
-        self.shared.retry_budget().has_spare(&service.into(), now)
+        self.shared.retry_budget().can_spend(&service.into(), now)
     }
 
     /// Number of other instances that this one knows.
--- a/crates/instance/src/poison/probe.rs
+++ b/crates/instance/src/poison/probe.rs
@@ -10,7 +10,7 @@
 use crate::poison::PoisonTracker;
 use crate::shared::Shared;
 use passway_process::logging::json::DECISION_TARGET;
-use passway_serving::poison::{OPEN_TIME, RequestDigest, UpstreamStart};
+use passway_serving::poison::{RequestDigest, UNCONFIRMED_TIMEOUT, UpstreamStart};
 use passway_serving::ports::Engines;
 use passway_types::clock;
 use passway_types::prelude::*;
@@ -120,7 +120,7 @@
     let broke_at = clock::now();
     let mut delay = FIRST_PROBE_DELAY;
     let mut found = None;
-    while found.is_none() && clock::since(broke_at) < OPEN_TIME {
+    while found.is_none() && clock::since(broke_at) < UNCONFIRMED_TIMEOUT {
         std::thread::sleep(delay);
         delay = PROBE_INTERVAL;
         if control::is_backing_off(shared, &start.upstream) {
@@ -132,7 +132,9 @@
             verdict(start, report.started_at_ms, since_break)
         } else {
             // Requests sent there would break off, too.
-            shared.upstreams().doubt(&start.upstream, clock::now());
+            shared
+                .upstreams()
+                .mark_unreachable(&start.upstream, clock::now());
             refuses_connections(shared, start, address).then_some(Verdict::Ended {
                 before_ms: start.started_at_ms + 1,
             })
@@ -142,7 +144,9 @@
     let digests = shared.poison.probed_engines.take(start);
     match found {
         Some(Verdict::Lives) => {
-            shared.upstreams().trust(&start.upstream, clock::now());
+            shared
+                .upstreams()
+                .mark_reachable(&start.upstream, clock::now());
             for digest in digests {
                 if let Some(update) = shared.poison.record_alive(digest, start.clone()) {
                     PoisonTracker::publish(shared, update);
--- a/tests/all/config_paths.rs
+++ b/tests/all/config_paths.rs
@@ -44,7 +44,7 @@
             Err(StoreError::NotDone)
         }
     };
-    let store = ScriptedStore::new(list_once, |_| Ok(WatchAnswer::HistoryGone));
+    let store = ScriptedStore::new(list_once, |_| Ok(WatchAnswer::HistoryCompacted));
     let revisions = follow_store(store, receiver, &shared());
     until("the listing", || revisions.contains(10));
     until("the holder's update", || {
@@ -133,7 +133,7 @@
             revision,
         })
     };
-    let store = ScriptedStore::new(list, |_| Ok(WatchAnswer::HistoryGone));
+    let store = ScriptedStore::new(list, |_| Ok(WatchAnswer::HistoryCompacted));
     let revisions = follow_store(store, receiver, &shared());
     until("the listing", || revisions.contains(10));
     relay.receive(update_message(25, 28));
--- a/tests/all/holder_heard.rs
+++ b/tests/all/holder_heard.rs
@@ -1,7 +1,7 @@
 //! An instance that is cut off from the store learns of a new holder from that holder.
 
 use crate::cluster::{self, until};
-use passway_serving::tenure::{Holder, Tenure, TenureLimits};
+use passway_serving::leadership::{Holder, Leadership, LeadershipSettings};
 use passway_standins::platform::store::Faults;
 use passway_types::prelude::*;
 use passway_wire::message::{Subscribe, Successor};
@@ -16,31 +16,34 @@
     }
 }
 
-fn tenure() -> Tenure {
-    let limits = TenureLimits {
-        lease: Duration::from_millis(1_200),
-        gap: Duration::from_secs(1),
-        is_weak: false,
+fn leadership() -> Leadership {
+    let limits = LeadershipSettings {
+        min_lease_ttl: Duration::from_millis(1_200),
+        holder_gap: Duration::from_secs(1),
+        has_low_cpu: false,
     };
-    Tenure::new("one".into(), limits, Instant::now())
+    Leadership::new("one".into(), limits, Instant::now())
 }
 
 #[test]
 fn only_newer_holder_accepted() {
-    let mut tenure = tenure();
-    tenure.seen(Some(holder("two", 5)));
-    assert!(!tenure.told(holder("three", 4)), "an older term");
-    assert!(!tenure.told(holder("two", 5)), "already known");
+    let mut leadership = leadership();
+    leadership.observe_holder(Some(holder("two", 5)));
+    assert!(
+        !leadership.learn_holder(holder("three", 4)),
+        "an older term"
+    );
+    assert!(!leadership.learn_holder(holder("two", 5)), "already known");
     assert!(
-        !tenure.told(holder("one", 9)),
+        !leadership.learn_holder(holder("one", 9)),
         "no other instance announces this one"
     );
-    assert!(tenure.told(holder("three", 6)));
-    assert_eq!(tenure.holder().map(|h| h.fence), Some(6));
+    assert!(leadership.learn_holder(holder("three", 6)));
+    assert_eq!(leadership.holder().map(|h| h.fence), Some(6));
     // The store reports that the holder is gone; a late message changes nothing.
-    tenure.seen(None);
-    assert!(!tenure.told(holder("three", 6)));
-    assert_eq!(tenure.holder(), None);
+    leadership.observe_holder(None);
+    assert!(!leadership.learn_holder(holder("three", 6)));
+    assert_eq!(leadership.holder(), None);
 }
 
 /// Leadership changes while one instance reaches the other instances but not the store.
--- a/tests/all/resting_upstreams.rs
+++ b/tests/all/resting_upstreams.rs
@@ -145,22 +145,22 @@
     let started_at = passway_types::clock::now();
     let at = |ms| started_at + Duration::from_millis(ms);
     let mut table = table(started_at);
-    let is_admitted = |table: &mut UpstreamTable, ms| table.let_through("i-0", 0, at(ms));
-    table.note_rest(&"i-0".into(), at(3_000));
-    table.note_rest(&"i-0".into(), at(1_000));
-    table.note_no_rest("i-0", at(2_999));
+    let is_admitted = |table: &mut UpstreamTable, ms| table.try_admit("i-0", 0, at(ms));
+    table.record_backoff(&"i-0".into(), at(3_000));
+    table.record_backoff(&"i-0".into(), at(1_000));
+    table.record_no_backoff("i-0", at(2_999));
     assert!(!is_admitted(&mut table, 2_999));
     // Afterwards one request at a time, until an answer shows that the upstream accepts requests.
     assert!(is_admitted(&mut table, 3_000));
     assert!(!is_admitted(&mut table, 3_001));
     assert!(!is_admitted(&mut table, 3_249));
     assert!(is_admitted(&mut table, 3_250));
-    table.note_no_rest("i-0", at(3_250));
+    table.record_no_backoff("i-0", at(3_250));
     assert!(is_admitted(&mut table, 3_251) && is_admitted(&mut table, 3_251));
     // A backoff belongs to one start of the upstream.
-    table.note_rest(&"i-0".into(), at(9_000));
+    table.record_backoff(&"i-0".into(), at(9_000));
     table.update(plain("i-0", 5), at(3_300));
-    assert!(table.let_through("i-0", 5, at(3_300)));
+    assert!(table.try_admit("i-0", 5, at(3_300)));
 }
 
 fn plain(id: &str, started_at_ms: u64) -> UpstreamEntry {
