--- a/crates/instance/src/holder.rs
+++ b/crates/instance/src/holder.rs
@@ -24,7 +24,7 @@
 use passway_process::logging::json::DECISION_TARGET;
 use passway_process::outbox::Outbox;
 use passway_serving::leadership::Candidate;
-use passway_serving::placement::{Action, ModelRuns, Planner, Waiters};
+use passway_serving::placement::{Action, Planner, RunningRequests, Waiters};
 use passway_serving::poison::UpstreamStart;
 use passway_serving::ports::{Engines, OrderAnswer};
 use passway_serving::retry::InstanceCount;
@@ -85,7 +85,7 @@
         input_sender: input_sender.clone(),
         planner: Planner::new(
             shared.bounds.load().load_window,
-            shared.settings.placement.policy(),
+            shared.settings.placement.build(),
         ),
         peers: BTreeMap::new(),
         subscribers: Subscribers::default(),
@@ -173,9 +173,12 @@
         loop {
             let now = clock::now();
             let wake_at = if self.fence.is_some() {
-                let publish_at = self.planner.has_changed().then_some(self.publish_at);
+                let publish_at = self
+                    .planner
+                    .has_changed_placements()
+                    .then_some(self.publish_at);
                 let next = if self.leadership.fence().is_some() {
-                    self.planner.next_look_at(now)
+                    self.planner.next_decision_at(now)
                 } else {
                     now + LEADERSHIP_CHECK_INTERVAL
                 };
@@ -221,7 +224,7 @@
                     self.candidates.mark_disconnected(&name, now);
                 }
                 if let Some(instance) = instance {
-                    self.planner.instance_gone(&instance);
+                    self.planner.remove_instance(&instance);
                 }
             }
             Input::Needs(needs) => self.handle_needs(&needs, now),
@@ -232,18 +235,18 @@
             Input::Suspects(suspects) => self.merge_and_publish_suspects(suspects),
             Input::Signals(signals) => self.merge_and_publish_signals(signals),
             Input::Promised(promise) => self.handle_promise(&promise),
-            Input::UpstreamSeen(entry) => self.planner.heard(entry, now),
+            Input::UpstreamSeen(entry) => self.planner.update_engine(entry, now),
             Input::UpstreamsListed(ids) => self.planner.retain(&ids),
             Input::OrderAnswered(order, answer) => {
                 log::info!(target: DECISION_TARGET, engine:% = order.engine, action:? = order.action,
-                    model:% = order.wish.model, adapter:? = order.wish.adapter,
+                    model:% = order.model_ref.model, adapter:? = order.model_ref.adapter,
                     expected = order.expected_orders, answer:? = answer; "order");
                 self.shared.metrics.order(name_of(answer));
-                self.planner.answered(&order, answer, now);
+                self.planner.apply_answer(&order, answer, now);
             }
             Input::EngineReported(engine, report) => {
                 log::info!(engine:% = engine, report:? = report.as_ref().map(|report| (report.busy, report.orders_taken, report.models.len())); "report");
-                self.planner.reported(&engine, report, now);
+                self.planner.apply_report(&engine, report, now);
             }
         }
     }
@@ -278,7 +281,7 @@
             self.send_to(number, &Body::Words(signals));
         }
         let known = subscribe.placements.iter().copied().collect();
-        let missing = self.planner.placements_unlike(&known);
+        let missing = self.planner.placements_differing_from(&known);
         if !missing.is_empty() {
             self.send_to(number, &placements_body(missing));
         }
@@ -382,24 +385,25 @@
             let waiters = Waiters {
                 instance: needs.instance.as_str().into(),
                 service,
-                wish: wanted,
+                model_ref: wanted,
                 count: waiting.count,
-                until: now + Duration::from_millis(waiting.wait_ms.into()),
+                latest_deadline: now + Duration::from_millis(waiting.wait_ms.into()),
             };
-            self.planner.waiting(waiters, now);
+            self.planner.set_waiters(waiters, now);
         }
         for taken in &needs.taken {
             let (service, wanted) = decode_demand(taken);
-            self.planner.taken(&service, &wanted, taken.count, now);
+            self.planner
+                .record_arrivals(&service, &wanted, taken.count, now);
         }
-        let running = needs.running.iter().map(|running| ModelRuns {
+        let running = needs.running.iter().map(|running| RunningRequests {
             engine: running.engine.as_str().into(),
             model: running.model.as_str().into(),
             count: running.count,
         });
         let running: Vec<_> = running.collect();
         let instance = InstanceId::from(needs.instance.as_str());
-        self.planner.running(&instance, &running);
+        self.planner.set_running(&instance, &running);
     }
 
     fn decide(&mut self) {
@@ -410,15 +414,15 @@
             self.planner.set_table(&table);
             let upstreams = self.shared.upstreams();
             for entry in upstreams.entries() {
-                self.planner.heard(entry.clone(), clock::now());
+                self.planner.update_engine(entry.clone(), clock::now());
             }
         }
         let upstreams = self.shared.upstreams();
         let emptied = upstreams.evacuated();
-        let emptied = (emptied != self.planner.emptied()).then(|| emptied.clone());
+        let emptied = (emptied != self.planner.evacuated_halls()).then(|| emptied.clone());
         drop(upstreams);
         if let Some(emptied) = emptied {
-            self.planner.set_emptied(emptied);
+            self.planner.set_evacuated_halls(emptied);
         }
         let fence = self.leadership.term();
         if fence != self.fence {
@@ -455,7 +459,7 @@
             let backing_off = upstreams.backing_off(now);
             let backing_off = backing_off.map(|(id, until)| (id.clone(), until)).collect();
             drop(upstreams);
-            self.planner.set_resting(backing_off);
+            self.planner.set_backing_off(backing_off);
             let actions = self.planner.decide(now);
             let pass_duration = clock::since(now);
             // The planner takes at most half of the thread's time, so that other work is not
--- a/tests/all/fleet_start.rs
+++ b/tests/all/fleet_start.rs
@@ -8,10 +8,10 @@
 //! instance took 430 MB, and all placements were sent at each connection and each term's start, 19
 //! kB each time; leadership changed five times in 14 s.
 
-use crate::planned::{Planned, entry, resident};
+use crate::test_planner::{TestPlanner, entry, resident};
 use passway_instance::members::{Addresses, MemberListTracker, encode};
 use passway_serving::placement::policy::PolicyName;
-use passway_serving::placement::{Placement, Planner, USUAL_LOAD_WINDOW};
+use passway_serving::placement::{DEFAULT_LOAD_WINDOW, Placement, Planner};
 use passway_serving::ports::{Directory, StoredValue};
 use passway_serving::upstreams::{UpstreamEntry, UpstreamTable};
 use passway_types::prelude::*;
@@ -74,7 +74,7 @@
 }
 
 fn planner() -> Planner {
-    let mut planner = Planner::new(USUAL_LOAD_WINDOW, PolicyName::Balanced.policy());
+    let mut planner = Planner::new(DEFAULT_LOAD_WINDOW, PolicyName::Balanced.build());
     let value = StoredValue {
         key: "op/config".into(),
         value: crate::cluster::configuration(1, &["m0", "m1", "m2"])
@@ -96,7 +96,7 @@
     let mut planner = planner();
     planner.begin_term(entries(), &BTreeSet::new(), now);
     assert_eq!(
-        planner.take_changed(),
+        planner.take_changed_placements(),
         [],
         "nothing is sent at the start of the term"
     );
@@ -105,20 +105,20 @@
         table.update(entry, now);
     }
     let known = |table: &UpstreamTable| table.placement_digests().collect();
-    assert_eq!(planner.placements_unlike(&known(&table)), []);
+    assert_eq!(planner.placements_differing_from(&known(&table)), []);
     // One engine has changed meanwhile, and another is not known to the instance at all.
     let changed = UpstreamEntry {
         heartbeat: 2,
         ..engine(7, &["m2", "m0"])
     };
-    planner.heard(changed.clone(), now);
-    planner.heard(engine(ENGINES, &["m1"]), now);
-    let unlike = planner.placements_unlike(&known(&table));
+    planner.update_engine(changed.clone(), now);
+    planner.update_engine(engine(ENGINES, &["m1"]), now);
+    let unlike = planner.placements_differing_from(&known(&table));
     let engines: Vec<&str> = unlike.iter().map(|p| &*p.engine).collect();
     assert_eq!(engines, [&*format!("i-{ENGINES}"), "i-7"]);
     // Changes are sent to all once; the order in which an engine names its models does not matter.
-    assert_eq!(planner.take_changed().len(), 2);
-    let unlike = planner.placements_unlike(&known(&table));
+    assert_eq!(planner.take_changed_placements().len(), 2);
+    let unlike = planner.placements_differing_from(&known(&table));
     assert_eq!(
         unlike.len(),
         2,
@@ -128,8 +128,8 @@
         heartbeat: 3,
         ..engine(7, &["m0", "m2"])
     };
-    planner.heard(reordered, now);
-    assert_eq!(planner.take_changed(), [] as [Placement; 0]);
+    planner.update_engine(reordered, now);
+    assert_eq!(planner.take_changed_placements(), [] as [Placement; 0]);
 }
 
 /// An eviction that the previous holder planned is part of what an instance knows.
@@ -142,28 +142,28 @@
     table.update(engine(0, &["m0"]), now);
     table.set_placement("i-0", vec![resident("m0")], vec!["m0".into()]);
     let known = table.placement_digests().collect();
-    assert_eq!(planner.placements_unlike(&known).len(), 1);
+    assert_eq!(planner.placements_differing_from(&known).len(), 1);
     table.clear_evicting();
     let known = table.placement_digests().collect();
-    assert_eq!(planner.placements_unlike(&known), []);
+    assert_eq!(planner.placements_differing_from(&known), []);
 }
 
 /// Only instances with requests that wait for a model learn at once that it is loaded.
 #[test]
 fn awaited_model_sent_at_once() {
-    let mut planned = Planned::new();
-    planned.orders(passway_serving::ports::OrderAnswer::Taken);
-    planned.report(false, 0, &["m0"]);
-    planned.planner.take_awaited();
-    planned.need("m2");
-    planned.orders(passway_serving::ports::OrderAnswer::Taken);
-    assert_eq!(planned.planner.take_awaited(), []);
-    planned.report(false, 1, &["m0", "m2"]);
-    let awaited = planned.planner.take_awaited();
+    let mut planned = TestPlanner::new();
+    planned.orders_within_second(passway_serving::ports::OrderAnswer::Taken);
+    planned.send_report(false, 0, &["m0"]);
+    planned.planner.take_awaited_placements();
+    planned.add_waiter("m2");
+    planned.orders_within_second(passway_serving::ports::OrderAnswer::Taken);
+    assert_eq!(planned.planner.take_awaited_placements(), []);
+    planned.send_report(false, 1, &["m0", "m2"]);
+    let awaited = planned.planner.take_awaited_placements();
     let placements: Vec<_> = awaited
         .iter()
         .map(|(placement, instances)| (&*placement.engine, instances.len()))
         .collect();
     assert_eq!(placements, [("i-0", 1)]);
-    assert_eq!(planned.planner.take_awaited(), []);
+    assert_eq!(planned.planner.take_awaited_placements(), []);
 }
