--- a/crates/ctl/src/commands/history.rs
+++ b/crates/ctl/src/commands/history.rs
@@ -1,4 +1,4 @@
-//! `passwayctl history`.
+//! `passwayctl history`: lists the latest revisions of the configuration.
 
 use super::print_json;
 use crate::cli::{Common, ExitCode};
@@ -8,8 +8,8 @@
 use passway_config::StoredRevision;
 use serde::Serialize;
 
-/// Revisions listed at the most.
-const MOST: u64 = 50;
+/// Maximum number of listed revisions.
+const MAX_REVISIONS: u64 = 50;
 
 #[derive(Serialize)]
 struct Row<'a> {
@@ -20,12 +20,12 @@
     changes: &'a [String],
 }
 
-/// The latest revisions, newest first.
-pub(crate) fn latest(store: &ConfigStore) -> Result<Vec<StoredRevision>> {
+/// Returns the latest revisions, newest first.
+pub(crate) fn latest_revisions(store: &ConfigStore) -> Result<Vec<StoredRevision>> {
     let Some((_, current)) = store.current()? else {
         return Ok(Vec::new());
     };
-    let oldest = current.revision.saturating_sub(MOST - 1).max(1);
+    let oldest = current.revision.saturating_sub(MAX_REVISIONS - 1).max(1);
     let mut revisions = Vec::new();
     for revision in (oldest..current.revision).rev() {
         revisions.extend(store.revision(revision)?);
@@ -35,7 +35,7 @@
 }
 
 pub(crate) fn run(common: &Common, store: &ConfigStore) -> Result<ExitCode> {
-    let revisions = latest(store)?;
+    let revisions = latest_revisions(store)?;
     let rows = revisions.iter().map(|stored| Row {
         revision: stored.revision,
         applied_at_unix_s: stored.applied_at_unix_s,
--- a/tests/all/log_lines.rs
+++ b/tests/all/log_lines.rs
@@ -139,7 +139,7 @@
   9.90 front-1 {"at_ms":9900,"level":"INFO","target":"t","message":"request ended","request":"r1","model":"m1","adapter":"","status":503,"end":"refused","runs":0}
   9.91 front-1 {"at_ms":9910,"message":"request ended","request":"r2","status":200}
 "#;
-    let request_trace = trace::story(log, "r1").expect("a trace");
+    let request_trace = trace::trace_request(log, "r1").expect("a trace");
     expect![[r#"
         -2.300s front-2                  lost the right to order fence=2
         -0.800s front-3                  holds the right to order fence=70
@@ -147,5 +147,5 @@
         +0.000s front-1                  request ended end=refused model=m1 runs=0 status=503
     "#]]
     .assert_eq(&request_trace);
-    assert_eq!(trace::story(log, "r3"), None);
+    assert_eq!(trace::trace_request(log, "r3"), None);
 }
--- a/tests/all/processes.rs
+++ b/tests/all/processes.rs
@@ -145,7 +145,7 @@
     pub fn wait_for_revision(&self, revision: Revision, routers: usize) {
         let deadline_at = Instant::now() + READY_TIMEOUT;
         loop {
-            let responses = passway_ctl::ask::statuses(&self.controller_addresses);
+            let responses = passway_ctl::queries::statuses(&self.controller_addresses);
             let statuses: Vec<_> = responses
                 .iter()
                 .filter_map(|(_, status)| status.as_ref())
