--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -87,7 +87,7 @@
         name: "hundreds",
         engines: 256,
         models: 1_375,
-        busy: 60,
+        busy_models: 60,
         busy_per_s: 532.0,
         rare_per_s: 160.0,
         slots: 12,
@@ -111,7 +111,7 @@
                 let instance: InstanceId = format!("instance-{}", number % INSTANCES).into();
                 let running = (0..RUNNING_PER_INSTANCE).map(|run| RunningRequests {
                     engine: format!("e{}", (number * 7 + run * 31) % size.engines).into(),
-                    model: FleetSize::model((number + run) % size.busy),
+                    model: FleetSize::model((number + run) % size.busy_models),
                     count: 1,
                 });
                 let running: Vec<RunningRequests> = running.collect();
@@ -120,7 +120,7 @@
                 let waiters = Waiters {
                     instance,
                     service: service.clone(),
-                    model_ref: model_ref(size.busy + number % AWAITED_MODELS * 5),
+                    model_ref: model_ref(size.busy_models + number % AWAITED_MODELS * 5),
                     count: u32::from(!number.is_multiple_of(3)),
                     latest_deadline: now + Duration::from_secs(3),
                 };
--- a/crates/standins/src/allotment_model.rs
+++ b/crates/standins/src/allotment_model.rs
@@ -2,14 +2,14 @@
 //! instances, played in a model of a fleet without sockets: who admits what, and what an exact count
 //! would have said.
 //!
-//! * [`ways`]: the ways, behind one trait. [`limit_ways`]: those for limits.
+//! * [`strategies`]: the ways, behind one trait. [`limit_strategies`]: those for limits.
 //! * [`cases`]: what callers and instances do.
 
 pub mod cases;
-pub mod limit_ways;
-pub mod ways;
+pub mod limit_strategies;
+pub mod strategies;
 
-use cases::{Case, State};
+use cases::{Case, FleetState};
 use passway_serving::allotment::QuotaBounds;
 use passway_serving::limits;
 use passway_serving::workspaces::Allotment;
@@ -18,38 +18,38 @@
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
 use std::collections::VecDeque;
-use ways::{Decision, Way};
+use strategies::{Decision, Strategy};
 
 /// Requests that nobody but the requests' own luck times come so far apart: the model's step.
 const STEP: Duration = Duration::from_millis(2);
 
 /// A request of which nobody can say whether it may pass is asked again after this.
-const ASK_PAUSE: Duration = Duration::from_millis(50);
+const UNKNOWN_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// And for so long: the shortest wait of the product for streams of the users' pages, 0.45 of 2.4 s.
-const ASKED_FOR: Duration = Duration::from_millis(1_080);
+const MAX_WAIT: Duration = Duration::from_millis(1_080);
 /// Callers come back once, to an instance drawn anew, after the time that they are told: this one
 /// where nobody can say.
-const COMES_BACK: Duration = Duration::from_millis(500);
+const CALLER_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// A request that waits for a decision.
 #[derive(Debug, Clone, Copy)]
-struct Waiting {
+struct PendingRequest {
     workspace: usize,
     instance: usize,
-    ask_at: Instant,
-    until: Instant,
-    has_returned: bool,
+    decide_at: Instant,
+    expires_at: Instant,
+    is_retry: bool,
 }
 
 /// A workspace and how much its callers ask.
 #[derive(Debug, Clone)]
-pub struct Asking {
+pub struct WorkspaceDemand {
     /// Its name.
     pub name: WorkspaceName,
     /// What it may use.
     pub allotment: Allotment,
     /// Units a second that its callers ask on a usual day.
-    pub usual_per_s: f64,
+    pub typical_units_per_s: f64,
 }
 
 /// A fleet and its work.
@@ -58,15 +58,15 @@
     /// Instances.
     pub instances: usize,
     /// Workspaces.
-    pub workspaces: Vec<Asking>,
+    pub workspaces: Vec<WorkspaceDemand>,
     /// Units of one request.
     pub cost: f64,
     /// What may be used beyond allotments.
     pub bounds: QuotaBounds,
     /// Whether what may go at once counts towards what is allowed in a window, besides the rate.
-    pub allows_burst: bool,
+    pub counts_burst: bool,
     /// Length of a play.
-    pub time: Duration,
+    pub duration: Duration,
     /// Fixes the requests.
     pub seed: u64,
 }
@@ -74,17 +74,17 @@
 impl Plan {
     /// Sixteen workspaces, a few of them large, as on the users' shifted deployment: the smallest may
     /// use 4,200 units a second, each asks 1 / 1.8 of what it may, a request counts 1,500.
-    pub fn usual(instances: usize, seed: u64) -> Self {
-        let allotted = |number: u32| 273_000.0 / f64::from(number * number);
+    pub fn typical_workspaces(instances: usize, seed: u64) -> Self {
+        let rate_of = |number: u32| 273_000.0 / f64::from(number * number);
         let workspaces = (1..=16).map(|number| {
-            let rate_per_s = allotted(number).max(4_200.0);
-            Asking {
+            let rate_per_s = rate_of(number).max(4_200.0);
+            WorkspaceDemand {
                 name: format!("w{number}").into(),
                 allotment: Allotment {
                     rate_per_s,
                     burst: rate_per_s,
                 },
-                usual_per_s: rate_per_s / 1.8,
+                typical_units_per_s: rate_per_s / 1.8,
             }
         });
         Self {
@@ -96,8 +96,8 @@
                 overage: 0.1,
                 slack: 17_000.0,
             },
-            allows_burst: true,
-            time: Duration::from_secs(24),
+            counts_burst: true,
+            duration: Duration::from_secs(24),
             seed,
         }
     }
@@ -105,12 +105,12 @@
     /// Upstreams in need instead of workspaces: each names how many requests a second it takes, and
     /// callers ask for five times that. In four seconds one and a half times the limit and five
     /// requests are allowed.
-    pub fn upstreams_in_need(instances: usize, seed: u64) -> Self {
+    pub fn limited_upstreams(instances: usize, seed: u64) -> Self {
         let limits = [50.0, 12.0, 5.0, 2.3, 1.1, 0.5];
-        let upstreams = limits.iter().map(|per_s| Asking {
+        let upstreams = limits.iter().map(|per_s| WorkspaceDemand {
             name: format!("{per_s}/s").into(),
             allotment: limits::allotment(*per_s),
-            usual_per_s: per_s * 5.0,
+            typical_units_per_s: per_s * 5.0,
         });
         Self {
             instances,
@@ -121,8 +121,8 @@
                 overage: 0.5,
                 slack: 5.0,
             },
-            allows_burst: false,
-            time: Duration::from_secs(24),
+            counts_burst: false,
+            duration: Duration::from_secs(24),
             seed,
         }
     }
@@ -130,7 +130,7 @@
 
 /// What came of a play.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
-pub struct Figures {
+pub struct SimulationResult {
     /// Most units that a workspace used beyond the rule in a window.
     pub over_rule: f64,
     /// Part of what an exact count would have admitted that was missing, window by window: which of
@@ -144,161 +144,170 @@
 }
 
 /// What one workspace used and was owed.
-struct Ledger {
-    asking: Asking,
+struct WorkspaceLedger {
+    demand: WorkspaceDemand,
     /// The level of an exact count.
-    level: f64,
-    owed: f64,
+    exact_level: f64,
+    due: f64,
     refused_below: f64,
     /// Of the present window.
-    owed_now: f64,
-    granted_now: f64,
-    used: VecDeque<(Instant, f64)>,
-    in_window: f64,
-    over: f64,
+    due_in_window: f64,
+    granted_in_window: f64,
+    recent_grants: VecDeque<(Instant, f64)>,
+    used_in_window: f64,
+    max_excess: f64,
 }
 
-impl Ledger {
-    fn new(asking: &Asking) -> Self {
+impl WorkspaceLedger {
+    fn new(demand: &WorkspaceDemand) -> Self {
         Self {
-            asking: asking.clone(),
-            level: asking.allotment.burst,
-            owed: 0.0,
+            demand: demand.clone(),
+            exact_level: demand.allotment.burst,
+            due: 0.0,
             refused_below: 0.0,
-            owed_now: 0.0,
-            granted_now: 0.0,
-            used: VecDeque::new(),
-            in_window: 0.0,
-            over: 0.0,
+            due_in_window: 0.0,
+            granted_in_window: 0.0,
+            recent_grants: VecDeque::new(),
+            used_in_window: 0.0,
+            max_excess: 0.0,
         }
     }
 
-    fn pass_time(&mut self, time: Duration) {
-        let Allotment { rate_per_s, burst } = self.asking.allotment;
-        self.level = (self.level + rate_per_s * time.as_secs_f64()).min(burst);
+    fn refill(&mut self, time: Duration) {
+        let Allotment { rate_per_s, burst } = self.demand.allotment;
+        self.exact_level = (self.exact_level + rate_per_s * time.as_secs_f64()).min(burst);
     }
 
     /// A window is over.
     fn end_window(&mut self) {
-        self.refused_below += (self.owed_now - self.granted_now).max(0.0);
-        (self.owed_now, self.granted_now) = (0.0, 0.0);
+        self.refused_below += (self.due_in_window - self.granted_in_window).max(0.0);
+        (self.due_in_window, self.granted_in_window) = (0.0, 0.0);
     }
 
     /// A request is asked for the first time.
-    fn asked(&mut self, cost: f64) {
-        if self.level >= cost {
-            self.level -= cost;
-            self.owed += cost;
-            self.owed_now += cost;
+    fn record_arrival(&mut self, cost: f64) {
+        if self.exact_level >= cost {
+            self.exact_level -= cost;
+            self.due += cost;
+            self.due_in_window += cost;
         }
     }
 
     /// A request passes.
-    fn granted(&mut self, plan: &Plan, now: Instant) {
+    fn record_grant(&mut self, plan: &Plan, now: Instant) {
         let (cost, bounds) = (plan.cost, plan.bounds);
-        self.granted_now += cost;
-        self.used.push_back((now, cost));
-        self.in_window += cost;
+        self.granted_in_window += cost;
+        self.recent_grants.push_back((now, cost));
+        self.used_in_window += cost;
         while let Some((_, cost)) = self
-            .used
+            .recent_grants
             .pop_front_if(|(at, _)| now.saturating_duration_since(*at) > bounds.window)
         {
-            self.in_window -= cost;
+            self.used_in_window -= cost;
         }
-        let Allotment { rate_per_s, burst } = self.asking.allotment;
-        let burst = if plan.allows_burst { burst } else { 0.0 };
+        let Allotment { rate_per_s, burst } = self.demand.allotment;
+        let burst = if plan.counts_burst { burst } else { 0.0 };
         let allotted = rate_per_s * bounds.window.as_secs_f64() + burst;
-        let most = allotted * (1.0 + bounds.overage) + bounds.slack;
-        self.over = self.over.max(self.in_window - most);
+        let allowed = allotted * (1.0 + bounds.overage) + bounds.slack;
+        self.max_excess = self.max_excess.max(self.used_in_window - allowed);
     }
 }
 
 /// Plays a way in a case.
-pub fn play(plan: &Plan, case: Case, way: &mut dyn Way) -> Figures {
+pub fn simulate(plan: &Plan, case: Case, strategy: &mut dyn Strategy) -> SimulationResult {
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
-    let begun_at = clock();
-    let mut ledgers: Vec<Ledger> = plan.workspaces.iter().map(Ledger::new).collect();
-    let mut waiting = Vec::new();
-    let mut passed = Duration::ZERO;
-    while passed < plan.time {
-        let now = begun_at + passed;
-        let state = case.state(plan, passed);
+    let started_at = clock();
+    let mut ledgers: Vec<WorkspaceLedger> =
+        plan.workspaces.iter().map(WorkspaceLedger::new).collect();
+    let mut pending = Vec::new();
+    let mut elapsed = Duration::ZERO;
+    while elapsed < plan.duration {
+        let now = started_at + elapsed;
+        let state = case.state(plan, elapsed);
         let window_ms = plan.bounds.window.as_millis();
-        if passed.as_millis().is_multiple_of(window_ms) {
-            ledgers.iter_mut().for_each(Ledger::end_window);
+        if elapsed.as_millis().is_multiple_of(window_ms) {
+            ledgers.iter_mut().for_each(WorkspaceLedger::end_window);
         }
-        way.pass_time(&state, now);
-        let mut asked = take_due(&mut waiting, now);
-        for (number, ledger) in ledgers.iter_mut().enumerate() {
-            ledger.pass_time(STEP);
-            let asked_per_s = ledger.asking.usual_per_s * state.times(number);
-            let mean = asked_per_s * STEP.as_secs_f64() / plan.cost;
-            for _ in 0..poisson(&mut rng, mean) {
+        strategy.advance(&state, now);
+        let mut due_requests = take_due(&mut pending, now);
+        for (index, ledger) in ledgers.iter_mut().enumerate() {
+            ledger.refill(STEP);
+            let units_per_s = ledger.demand.typical_units_per_s * state.demand_factor(index);
+            let mean = units_per_s * STEP.as_secs_f64() / plan.cost;
+            for _ in 0..random_poisson(&mut rng, mean) {
                 // An instance that is not there takes no request.
-                let instance = state.instance(&mut rng);
-                if !state.is_gone(instance) {
-                    ledger.asked(plan.cost);
-                    asked.push(Waiting {
-                        workspace: number,
+                let instance = state.random_instance(&mut rng);
+                if !state.is_down(instance) {
+                    ledger.record_arrival(plan.cost);
+                    due_requests.push(PendingRequest {
+                        workspace: index,
                         instance,
-                        ask_at: now,
-                        until: now + ASKED_FOR,
-                        has_returned: false,
+                        decide_at: now,
+                        expires_at: now + MAX_WAIT,
+                        is_retry: false,
                     });
                 }
             }
         }
-        for request in asked {
+        for request in due_requests {
             let ledger = &mut ledgers[request.workspace];
-            let asking = &ledger.asking;
-            match way.ask(&state, request.instance, asking, plan.cost, now) {
-                Decision::Granted => ledger.granted(plan, now),
-                Decision::Refused(after) => {
-                    waiting.extend(comes_back(request, &state, &mut rng, now + after));
+            let demand = &ledger.demand;
+            match strategy.decide(&state, request.instance, demand, plan.cost, now) {
+                Decision::Granted => ledger.record_grant(plan, now),
+                Decision::Refused(retry_after) => {
+                    pending.extend(caller_retry(request, &state, &mut rng, now + retry_after));
                 }
-                Decision::Unknown if now < request.until => waiting.push(Waiting {
-                    ask_at: now + ASK_PAUSE,
+                Decision::Unknown if now < request.expires_at => pending.push(PendingRequest {
+                    decide_at: now + UNKNOWN_RETRY_INTERVAL,
                     ..request
                 }),
                 Decision::Unknown => {
-                    waiting.extend(comes_back(request, &state, &mut rng, now + COMES_BACK));
+                    pending.extend(caller_retry(
+                        request,
+                        &state,
+                        &mut rng,
+                        now + CALLER_RETRY_DELAY,
+                    ));
                 }
             }
         }
-        passed += STEP;
+        elapsed += STEP;
     }
-    ledgers.iter_mut().for_each(Ledger::end_window);
-    let owed: f64 = ledgers.iter().map(|ledger| ledger.owed).sum();
-    let refused: f64 = ledgers.iter().map(|ledger| ledger.refused_below).sum();
-    let parts = ledgers.iter().map(|l| l.refused_below / l.owed.max(1.0));
-    let sent = count(way.messages()) / count(plan.instances as u64);
-    Figures {
-        over_rule: ledgers.iter().map(|ledger| ledger.over).fold(0.0, f64::max),
-        refused_below: refused / owed.max(1.0),
-        refused_worst: parts.fold(0.0, f64::max),
-        messages_per_s: sent / plan.time.as_secs_f64(),
+    ledgers.iter_mut().for_each(WorkspaceLedger::end_window);
+    let due: f64 = ledgers.iter().map(|ledger| ledger.due).sum();
+    let shortfall: f64 = ledgers.iter().map(|ledger| ledger.refused_below).sum();
+    let ratios = ledgers.iter().map(|l| l.refused_below / l.due.max(1.0));
+    let messages = count_f64(strategy.messages()) / count_f64(plan.instances as u64);
+    SimulationResult {
+        over_rule: ledgers
+            .iter()
+            .map(|ledger| ledger.max_excess)
+            .fold(0.0, f64::max),
+        refused_below: shortfall / due.max(1.0),
+        refused_worst: ratios.fold(0.0, f64::max),
+        messages_per_s: messages / plan.duration.as_secs_f64(),
     }
 }
 
 /// Takes out the requests that are asked again now.
-fn take_due(waiting: &mut Vec<Waiting>, now: Instant) -> Vec<Waiting> {
-    waiting
-        .extract_if(.., |request| request.ask_at <= now)
+fn take_due(pending: &mut Vec<PendingRequest>, now: Instant) -> Vec<PendingRequest> {
+    pending
+        .extract_if(.., |request| request.decide_at <= now)
         .collect()
 }
 
 /// A request that was refused comes back, if it has not yet.
-fn comes_back(
-    request: Waiting,
-    state: &State,
+fn caller_retry(
+    request: PendingRequest,
+    state: &FleetState,
     rng: &mut ChaCha8Rng,
-    back_at: Instant,
-) -> Option<Waiting> {
-    (!request.has_returned).then(|| Waiting {
-        instance: state.instance(rng),
-        ask_at: back_at,
-        until: back_at + ASKED_FOR,
-        has_returned: true,
+    retry_at: Instant,
+) -> Option<PendingRequest> {
+    (!request.is_retry).then(|| PendingRequest {
+        instance: state.random_instance(rng),
+        decide_at: retry_at,
+        expires_at: retry_at + MAX_WAIT,
+        is_retry: true,
         ..request
     })
 }
@@ -308,16 +317,16 @@
 }
 
 /// A count as a number.
-fn count(number: u64) -> f64 {
+fn count_f64(number: u64) -> f64 {
     f64::from(u32::try_from(number).unwrap_or(u32::MAX))
 }
 
 /// Requests in a step; two at a time are as likely as by chance.
-fn poisson(rng: &mut ChaCha8Rng, mean: f64) -> u32 {
-    let (limit, mut product, mut number) = ((-mean).exp(), 1.0, 0);
+fn random_poisson(rng: &mut ChaCha8Rng, mean: f64) -> u32 {
+    let (threshold, mut product, mut number) = ((-mean).exp(), 1.0, 0);
     loop {
         product *= rng.random_range(0.0..1.0_f64);
-        if product <= limit {
+        if product <= threshold {
             return number;
         }
         number += 1;
--- a/crates/standins/src/allotment_model/cases.rs
+++ b/crates/standins/src/allotment_model/cases.rs
@@ -6,31 +6,31 @@
 use rand_chacha::ChaCha8Rng;
 
 /// Trouble begins so long after the start, when counts have come to rest.
-const BEGIN: Duration = Duration::from_secs(6);
+const FAULT_START: Duration = Duration::from_secs(6);
 /// And lasts so long: longer than the window.
-const LASTS: Duration = Duration::from_secs(10);
+const FAULT_DURATION: Duration = Duration::from_secs(10);
 /// The time from a holder's loss to its successor's first word: its lease of 1.2 s and some.
-const SUCCESSION: Duration = Duration::from_millis(1_600);
+const SUCCESSION_DURATION: Duration = Duration::from_millis(1_600);
 
 /// An instance that does not hear the keeper says after 2 s that it is not ready, and the balancer
 /// believes that after two questions, one a second.
-const NOTICED: Duration = Duration::from_secs(4);
+const BALANCER_DETECTION_DELAY: Duration = Duration::from_secs(4);
 
 /// What happens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Case {
     /// Nothing.
-    Calm,
+    NoFault,
     /// The largest workspace asks ten times its usual.
     OneTenfold,
     /// Five small ones do.
     FiveTenfold,
     /// All callers move to a third of the instances.
-    Moved,
+    CallersMoved,
     /// A third of the instances reach no other one, and serve.
-    CutOff,
+    Partition,
     /// The same while the largest asks tenfold.
-    CutOffTenfold,
+    PartitionTenfold,
     /// The holder is lost.
     HolderLost,
     /// The same while the largest asks tenfold.
@@ -44,12 +44,12 @@
 impl Case {
     /// All of them.
     pub const ALL: [Self; 10] = [
-        Self::Calm,
+        Self::NoFault,
         Self::OneTenfold,
         Self::FiveTenfold,
-        Self::Moved,
-        Self::CutOff,
-        Self::CutOffTenfold,
+        Self::CallersMoved,
+        Self::Partition,
+        Self::PartitionTenfold,
         Self::HolderLost,
         Self::HolderLostTenfold,
         Self::AllRestart,
@@ -59,12 +59,12 @@
     /// For tables.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Calm => "calm",
+            Self::NoFault => "calm",
             Self::OneTenfold => "the largest asks tenfold",
             Self::FiveTenfold => "five small ones ask tenfold",
-            Self::Moved => "all callers at a third",
-            Self::CutOff => "a third cut off",
-            Self::CutOffTenfold => "a third cut off, tenfold",
+            Self::CallersMoved => "all callers at a third",
+            Self::Partition => "a third cut off",
+            Self::PartitionTenfold => "a third cut off, tenfold",
             Self::HolderLost => "the holder lost",
             Self::HolderLostTenfold => "the holder lost, tenfold",
             Self::AllRestart => "all start again",
@@ -72,80 +72,83 @@
         }
     }
 
-    fn cuts_off(self) -> bool {
-        matches!(self, Self::CutOff | Self::CutOffTenfold)
+    fn is_partition(self) -> bool {
+        matches!(self, Self::Partition | Self::PartitionTenfold)
     }
 
     /// What holds so long after the start.
-    pub fn state(self, plan: &Plan, passed: Duration) -> State {
-        let in_trouble = passed >= BEGIN && passed < BEGIN + LASTS;
-        let since = passed.saturating_sub(BEGIN);
+    pub fn state(self, plan: &Plan, elapsed: Duration) -> FleetState {
+        let in_fault = elapsed >= FAULT_START && elapsed < FAULT_START + FAULT_DURATION;
+        let fault_age = elapsed.saturating_sub(FAULT_START);
         let third = (plan.instances / 3).max(1);
         let tenfold = match self {
-            Self::OneTenfold | Self::CutOffTenfold | Self::HolderLostTenfold => 0..1,
+            Self::OneTenfold | Self::PartitionTenfold | Self::HolderLostTenfold => 0..1,
             Self::FiveTenfold => plan.workspaces.len() - 5..plan.workspaces.len(),
             _ => 0..0,
         };
-        let loses = matches!(
+        let loses_holder = matches!(
             self,
             Self::HolderLost | Self::HolderLostTenfold | Self::AllRestart
         );
-        let lost = loses && in_trouble && since < SUCCESSION;
-        let lives = match self {
-            Self::AllRestart if passed >= BEGIN => 1,
-            Self::Churn if in_trouble => 1 + since.as_secs(),
+        let is_lost = loses_holder && in_fault && fault_age < SUCCESSION_DURATION;
+        let restarts = match self {
+            Self::AllRestart if elapsed >= FAULT_START => 1,
+            Self::Churn if in_fault => 1 + fault_age.as_secs(),
             _ => 0,
         };
-        State {
-            tenfold: if in_trouble { tenfold } else { 0..0 },
-            callers_from: if self.cuts_off() && in_trouble && since >= NOTICED {
+        FleetState {
+            tenfold: if in_fault { tenfold } else { 0..0 },
+            first_target: if self.is_partition()
+                && in_fault
+                && fault_age >= BALANCER_DETECTION_DELAY
+            {
                 third
             } else {
                 0
             },
-            callers_at: if self == Self::Moved && in_trouble {
+            end_target: if self == Self::CallersMoved && in_fault {
                 third
             } else {
                 plan.instances
             },
-            cut: if self.cuts_off() && in_trouble {
+            partitioned: if self.is_partition() && in_fault {
                 third
             } else {
                 0
             },
-            holder_lost: lost,
-            term: u64::from(loses && passed >= BEGIN),
+            is_holder_lost: is_lost,
+            term: u64::from(loses_holder && elapsed >= FAULT_START),
             instances: plan.instances,
-            lives,
+            restarts,
             all_restart: self == Self::AllRestart,
             // A process is back after a second.
-            all_gone: self == Self::AllRestart && in_trouble && since < Duration::from_secs(1),
+            all_down: self == Self::AllRestart && in_fault && fault_age < Duration::from_secs(1),
         }
     }
 }
 
 /// What holds at a moment.
 #[derive(Debug, Clone)]
-pub struct State {
+pub struct FleetState {
     tenfold: std::ops::Range<usize>,
     /// Callers are sent to instances from this on,
-    callers_from: usize,
+    first_target: usize,
     /// and up to this.
-    callers_at: usize,
-    cut: usize,
+    end_target: usize,
+    partitioned: usize,
     /// Whether there is no holder.
-    pub holder_lost: bool,
+    pub is_holder_lost: bool,
     /// The term of the holder.
     pub term: u64,
     instances: usize,
-    lives: u64,
+    restarts: u64,
     all_restart: bool,
-    all_gone: bool,
+    all_down: bool,
 }
 
-impl State {
+impl FleetState {
     /// How many times its usual a workspace asks.
-    pub fn times(&self, workspace: usize) -> f64 {
+    pub fn demand_factor(&self, workspace: usize) -> f64 {
         if self.tenfold.contains(&workspace) {
             10.0
         } else {
@@ -154,33 +157,33 @@
     }
 
     /// Where a request comes in.
-    pub fn instance(&self, rng: &mut ChaCha8Rng) -> usize {
-        rng.random_range(self.callers_from..self.callers_at)
+    pub fn random_instance(&self, rng: &mut ChaCha8Rng) -> usize {
+        rng.random_range(self.first_target..self.end_target)
     }
 
     /// Whether an instance is not there.
-    pub fn is_gone(&self, _instance: usize) -> bool {
-        self.all_gone
+    pub fn is_down(&self, _instance: usize) -> bool {
+        self.all_down
     }
 
     /// Whether an instance reaches no other one. The holder is the last instance, which does.
-    pub fn is_cut(&self, instance: usize) -> bool {
-        instance < self.cut
+    pub fn is_partitioned(&self, instance: usize) -> bool {
+        instance < self.partitioned
     }
 
     /// How many times an instance has started, which then knows nothing.
-    pub fn life(&self, instance: usize) -> u64 {
-        let in_turn = u64::try_from(instance % 10).unwrap_or(0);
+    pub fn incarnation(&self, instance: usize) -> u64 {
+        let restart_order = u64::try_from(instance % 10).unwrap_or(0);
         if self.all_restart {
-            self.lives
+            self.restarts
         } else {
             // One in ten each second.
-            u64::from(self.lives > in_turn)
+            u64::from(self.restarts > restart_order)
         }
     }
 
     /// How many instances there are.
-    pub fn instances(&self) -> usize {
+    pub fn instance_count(&self) -> usize {
         self.instances
     }
 }
--- a/crates/standins/src/bin/passway-allotments.rs
+++ b/crates/standins/src/bin/passway-allotments.rs
@@ -1,55 +1,65 @@
-//! Compares ways to keep workspaces to their allotments and upstreams to their limits, as tables for
-//! `docs/design/workspaces.md` and `docs/design/limits.md`.
+//! Simulates the strategies for enforcing allotments of workspaces and limits of upstreams, and
+//! prints the tables for `docs/design/workspaces.md` and `docs/design/limits.md`.
 //!
 //! ```sh
 //! cargo run --release -p passway-standins --bin passway-allotments
 //! ```
 
 use passway_standins::allotment_model::cases::Case;
-use passway_standins::allotment_model::limit_ways::{AskedCounter, EqualParts, OneSender};
-use passway_standins::allotment_model::ways::{AskedKeeper, LeasedParts, ToldCounts, Way};
-use passway_standins::allotment_model::{Figures, Plan, play};
+use passway_standins::allotment_model::limit_strategies::{
+    CoordinatorLimits, EqualSplit, SingleSender,
+};
+use passway_standins::allotment_model::strategies::{
+    BroadcastLevels, CoordinatorQuotas, LeasedRates, Strategy,
+};
+use passway_standins::allotment_model::{Plan, SimulationResult, simulate};
 
-/// Seeds of each row.
+/// Number of seeds for each row; a row shows the worst result.
 const SEEDS: u64 = 3;
 
-/// Makes a way for a plan.
-type MakeWay = fn(&Plan) -> Box<dyn Way>;
+/// Creates a strategy for a plan.
+type NewStrategy = fn(&Plan) -> Box<dyn Strategy>;
 
 fn main() {
-    let ways: [(&str, MakeWay); 3] = [
-        ("asked keeper", |plan| Box::new(AskedKeeper::new(plan))),
-        ("leased parts", |plan| Box::new(LeasedParts::new(plan))),
-        ("told counts", |plan| Box::new(ToldCounts::new(plan))),
+    // The labels of the rows are those of the tables in the documents.
+    let strategies: [(&str, NewStrategy); 3] = [
+        ("asked keeper", |plan| {
+            Box::new(CoordinatorQuotas::new(plan))
+        }),
+        ("leased parts", |plan| Box::new(LeasedRates::new(plan))),
+        ("told counts", |plan| Box::new(BroadcastLevels::new(plan))),
     ];
     println!("Workspaces with allotments.\n");
-    compare(Plan::usual, &ways);
-    let ways: [(&str, MakeWay); 5] = [
-        ("asked counter", |plan| Box::new(AskedCounter::new(plan))),
+    compare(Plan::typical_workspaces, &strategies);
+    let strategies: [(&str, NewStrategy); 5] = [
+        ("asked counter", |plan| {
+            Box::new(CoordinatorLimits::new(plan))
+        }),
         ("asked keeper of allotments", |plan| {
-            Box::new(AskedKeeper::new(plan))
+            Box::new(CoordinatorQuotas::new(plan))
         }),
-        ("told counts", |plan| Box::new(ToldCounts::new(plan))),
-        ("equal parts", |_| Box::new(EqualParts::default())),
-        ("one sender", |_| Box::new(OneSender::default())),
+        ("told counts", |plan| Box::new(BroadcastLevels::new(plan))),
+        ("equal parts", |_| Box::new(EqualSplit::default())),
+        ("one sender", |_| Box::new(SingleSender::default())),
     ];
     println!("\nUpstreams with limits.\n");
-    compare(Plan::upstreams_in_need, &ways);
+    compare(Plan::limited_upstreams, &strategies);
 }
 
-fn compare(plan: fn(usize, u64) -> Plan, ways: &[(&str, MakeWay)]) {
+/// Prints a table with a row for each fleet size, case and strategy.
+fn compare(new_plan: fn(usize, u64) -> Plan, strategies: &[(&str, NewStrategy)]) {
     println!(
         "| instances | case | way | units over the rule | refused below, all | worst name | messages/s |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for instances in [6, 71, 300] {
         for case in Case::ALL {
-            for (name, make) in ways {
-                let plays = (0..SEEDS).map(|seed| {
-                    let plan = plan(instances, seed);
-                    play(&plan, case, &mut *make(&plan))
+            for (name, build) in strategies {
+                let results = (0..SEEDS).map(|seed| {
+                    let plan = new_plan(instances, seed);
+                    simulate(&plan, case, &mut *build(&plan))
                 });
-                let worst = plays.fold(Figures::default(), |a, b| Figures {
+                let worst = results.fold(SimulationResult::default(), |a, b| SimulationResult {
                     over_rule: a.over_rule.max(b.over_rule),
                     refused_below: a.refused_below.max(b.refused_below),
                     refused_worst: a.refused_worst.max(b.refused_worst),
--- a/crates/standins/src/bin/passway-experiment.rs
+++ b/crates/standins/src/bin/passway-experiment.rs
@@ -4,7 +4,7 @@
 use anyhow::{Context, Result};
 use clap::Parser;
 use passway_serving::placement::policy::PolicyName;
-use passway_standins::fleet_model::{Disks, FleetSize, Outcome, Run};
+use passway_standins::fleet_model::{FleetSize, InitialDisks, Outcome, Run};
 use std::fmt::Write;
 use std::path::PathBuf;
 
@@ -38,15 +38,15 @@
 }
 
 fn size(name: &str) -> Result<FleetSize, String> {
-    FleetSize::named(name).ok_or_else(|| format!("{name} is neither today, grown nor target"))
+    FleetSize::by_name(name).ok_or_else(|| format!("{name} is neither today, grown nor target"))
 }
 
 fn main() -> Result<()> {
     let arguments = Arguments::parse();
     let disks = if arguments.cold {
-        Disks::Empty
+        InitialDisks::Empty
     } else {
-        Disks::Filled
+        InitialDisks::Filled
     };
     let mut outcomes = Vec::new();
     println!(
@@ -55,7 +55,7 @@
     for policy in &arguments.policies {
         for seed in arguments.seed..arguments.seed + arguments.runs {
             let run = Run::new(arguments.size, *policy, disks, seed);
-            let outcome = run.run(arguments.seconds);
+            let outcome = run.simulate(arguments.seconds);
             println!("{}", line(&outcome));
             outcomes.push(outcome);
         }
@@ -75,10 +75,10 @@
         "{:<15} {:>4}  {:>11.3}  {:>6} ms  {:>5} ms  {:>11.3}  {:>7}  {:.2}  {:>5}  {:>4}",
         outcome.policy,
         outcome.seed,
-        outcome.rare.in_aim_part(),
+        outcome.rare.in_aim_ratio(),
         outcome.rare.p50_ms,
         outcome.rare.p99_ms,
-        outcome.busy.in_aim_part(),
+        outcome.busy.in_aim_ratio(),
         outcome.rare.refused + outcome.busy.refused,
         outcome.idle_part,
         outcome.store_loads,
--- a/crates/standins/src/fleet_model.rs
+++ b/crates/standins/src/fleet_model.rs
@@ -22,4 +22,4 @@
 pub use outcome::Outcome;
 pub use run::Run;
 pub use size::{FleetSize, SIZES};
-pub use start::{Disks, warm_planner};
+pub use start::{InitialDisks, warm_planner};
--- a/crates/standins/src/fleet_model/engine.rs
+++ b/crates/standins/src/fleet_model/engine.rs
@@ -1,6 +1,9 @@
 //! One engine of the model: places, disk, memory, one order at a time.
 
-use super::size::{DISK_MS, DISK_PLACES, LOAD_MS, MEMORY_MS, MEMORY_PLACES, PLACES, UNLOAD_MS};
+use super::size::{
+    DISK_LOAD_MS, DISK_MODELS, MEMORY_LOAD_MS, MEMORY_MODELS, RESIDENT_MODELS, STORE_LOAD_MS,
+    UNLOAD_DURATION_MS,
+};
 use passway_serving::placement::PlannedOrder;
 use passway_serving::ports::{EngineReport, OrderAction, OrderAnswer};
 use passway_serving::upstreams::{ResidentModel, UpstreamEntry};
@@ -9,7 +12,7 @@
 
 /// Where a load comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Source {
+pub enum LoadSource {
     /// The engine's memory.
     Memory,
     /// Its disk.
@@ -20,13 +23,13 @@
 
 /// An order that is carried out.
 #[derive(Debug, Clone)]
-pub struct Busy {
+pub struct OrderInProgress {
     /// The order.
     pub order: PlannedOrder,
     /// Where a load comes from.
-    pub source: Source,
+    pub source: LoadSource,
     /// What is left of it, in milliseconds at full speed; an unload waits for its runs.
-    pub left_ms: f64,
+    pub remaining_ms: f64,
 }
 
 /// An engine.
@@ -41,27 +44,27 @@
     disk: VecDeque<ModelName>,
     orders_taken: u64,
     /// The order under way.
-    pub busy: Option<Busy>,
-    beat: u64,
+    pub current_order: Option<OrderInProgress>,
+    heartbeat: u64,
     /// Places where memory would have been overcommitted; never.
-    pub overfull: u32,
+    pub overcommits: u32,
 }
 
 /// Puts a model last on a list that drops its first ones when it is full.
-fn keep(list: &mut VecDeque<ModelName>, model: &ModelName, most: usize) {
-    list.retain(|kept| kept != model);
-    list.push_back(model.clone());
-    while list.len() > most {
-        list.pop_front();
+fn push_bounded(models: &mut VecDeque<ModelName>, model: &ModelName, capacity: usize) {
+    models.retain(|name| name != model);
+    models.push_back(model.clone());
+    while models.len() > capacity {
+        models.pop_front();
     }
 }
 
 impl Engine {
     /// An engine with some models in its places and some more on its disk.
-    pub fn new(number: usize, slots: u32, models: &[ModelName], near: &[ModelName]) -> Self {
+    pub fn new(number: usize, slots: u32, models: &[ModelName], cached: &[ModelName]) -> Self {
         let mut disk = VecDeque::new();
-        for model in near.iter().chain(models) {
-            keep(&mut disk, model, DISK_PLACES);
+        for model in cached.iter().chain(models) {
+            push_bounded(&mut disk, model, DISK_MODELS);
         }
         Self {
             id: format!("e{number}").into(),
@@ -70,9 +73,9 @@
             memory: VecDeque::new(),
             disk,
             orders_taken: 0,
-            busy: None,
-            beat: 0,
-            overfull: 0,
+            current_order: None,
+            heartbeat: 0,
+            overcommits: 0,
         }
     }
 
@@ -88,7 +91,7 @@
 
     /// What it says of itself.
     pub fn entry(&mut self) -> UpstreamEntry {
-        self.beat += 1;
+        self.heartbeat += 1;
         UpstreamEntry {
             id: self.id.clone(),
             service: super::FleetSize::service(),
@@ -100,7 +103,7 @@
             models: self.residents(),
             in_memory: self.memory.iter().cloned().collect(),
             on_disk: self.disk.iter().cloned().collect(),
-            heartbeat: self.beat,
+            heartbeat: self.heartbeat,
             started_at_ms: 0,
         }
     }
@@ -109,7 +112,7 @@
     pub fn report(&self) -> EngineReport {
         EngineReport {
             models: self.residents(),
-            busy: self.busy.is_some(),
+            busy: self.current_order.is_some(),
             orders_taken: self.orders_taken,
             in_memory: self.memory.iter().cloned().collect(),
             on_disk: self.disk.iter().cloned().collect(),
@@ -124,72 +127,77 @@
     }
 
     /// Whether one more request may run.
-    pub fn has_room(&self) -> bool {
+    pub fn has_free_slot(&self) -> bool {
         self.running() < self.slots
     }
 
     /// Where a load of a model would come from.
-    fn source(&self, model: &ModelName) -> Source {
+    fn source(&self, model: &ModelName) -> LoadSource {
         if self.memory.contains(model) {
-            Source::Memory
+            LoadSource::Memory
         } else if self.disk.contains(model) {
-            Source::Disk
+            LoadSource::Disk
         } else {
-            Source::Store
+            LoadSource::Store
         }
     }
 
     /// Takes an order, or does not.
-    pub fn take(&mut self, order: &PlannedOrder) -> OrderAnswer {
-        if self.busy.is_some() || order.expected_orders != self.orders_taken {
+    pub fn accept_order(&mut self, order: &PlannedOrder) -> OrderAnswer {
+        if self.current_order.is_some() || order.expected_orders != self.orders_taken {
             return OrderAnswer::Conflict;
         }
         self.orders_taken += 1;
         let source = self.source(&order.model_ref.model);
-        let time_ms = match (order.action, source) {
-            (OrderAction::Unload, _) => UNLOAD_MS,
-            (OrderAction::Load, Source::Memory) => MEMORY_MS,
-            (OrderAction::Load, Source::Disk) => DISK_MS,
-            (OrderAction::Load, Source::Store) => LOAD_MS,
+        let duration_ms = match (order.action, source) {
+            (OrderAction::Unload, _) => UNLOAD_DURATION_MS,
+            (OrderAction::Load, LoadSource::Memory) => MEMORY_LOAD_MS,
+            (OrderAction::Load, LoadSource::Disk) => DISK_LOAD_MS,
+            (OrderAction::Load, LoadSource::Store) => STORE_LOAD_MS,
         };
-        if order.action == OrderAction::Load && self.resident.len() >= PLACES {
-            self.overfull += 1;
+        if order.action == OrderAction::Load && self.resident.len() >= RESIDENT_MODELS {
+            self.overcommits += 1;
         }
-        self.busy = Some(Busy {
+        self.current_order = Some(OrderInProgress {
             order: order.clone(),
             source,
-            left_ms: time_ms.into(),
+            remaining_ms: duration_ms.into(),
         });
         OrderAnswer::Taken
     }
 
     /// Whether a load from the weight store is under way.
-    pub fn loads_from_store(&self) -> bool {
-        let busy = self.busy.as_ref();
-        busy.is_some_and(|b| b.source == Source::Store && b.order.action == OrderAction::Load)
+    pub fn is_loading_from_store(&self) -> bool {
+        let current = self.current_order.as_ref();
+        current
+            .is_some_and(|o| o.source == LoadSource::Store && o.order.action == OrderAction::Load)
     }
 
     /// Goes on with the order under way for so long; the order if it is done.
     /// `store_speed` is 1 while the weight store gives full speed.
-    pub fn progress(&mut self, step_ms: f64, store_speed: f64) -> Option<PlannedOrder> {
-        let busy = self.busy.as_mut()?;
-        let model = busy.order.model_ref.model.clone();
-        let is_load = busy.order.action == OrderAction::Load;
-        let speed = if is_load && busy.source == Source::Store {
+    pub fn advance(&mut self, step_ms: f64, store_speed: f64) -> Option<PlannedOrder> {
+        let current = self.current_order.as_mut()?;
+        let model = current.order.model_ref.model.clone();
+        let is_load = current.order.action == OrderAction::Load;
+        let speed = if is_load && current.source == LoadSource::Store {
             store_speed
         } else {
             1.0
         };
-        busy.left_ms -= step_ms * speed;
-        let runs_end = is_load || self.resident.get(&model).is_none_or(|runs| *runs == 0);
-        if busy.left_ms > 0.0 || !runs_end {
+        current.remaining_ms -= step_ms * speed;
+        let is_idle = is_load
+            || self
+                .resident
+                .get(&model)
+                .is_none_or(|requests| *requests == 0);
+        if current.remaining_ms > 0.0 || !is_idle {
             return None;
         }
-        let done = self.busy.take()?.order;
+        let done = self.current_order.take()?.order;
         if is_load {
             self.resident.insert(model.clone(), 0);
-            keep(&mut self.disk, &model, DISK_PLACES);
-            keep(&mut self.memory, &model, MEMORY_PLACES);
+            push_bounded(&mut self.disk, &model, DISK_MODELS);
+            push_bounded(&mut self.memory, &model, MEMORY_MODELS);
         } else {
             self.resident.remove(&model);
         }
--- a/crates/standins/src/fleet_model/outcome.rs
+++ b/crates/standins/src/fleet_model/outcome.rs
@@ -4,7 +4,7 @@
 
 /// What a class of requests got.
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct Served {
+pub struct ClassOutcome {
     /// Requests that came.
     pub asked: usize,
     /// Requests whose first token came within the aim.
@@ -19,8 +19,8 @@
     pub(super) times_ms: Vec<u64>,
 }
 
-impl Served {
-    pub(super) fn finish(&mut self) {
+impl ClassOutcome {
+    pub(super) fn compute_quantiles(&mut self) {
         self.times_ms.sort_unstable();
         let at = |percent: usize| {
             let index = self.times_ms.len() * percent / 100;
@@ -31,7 +31,7 @@
     }
 
     /// Part of the requests that came in time.
-    pub fn in_aim_part(&self) -> f64 {
+    pub fn in_aim_ratio(&self) -> f64 {
         if self.asked == 0 {
             return 0.0;
         }
@@ -57,9 +57,9 @@
     /// Virtual time, in seconds.
     pub seconds: u64,
     /// Requests for busy models.
-    pub busy: Served,
+    pub busy: ClassOutcome,
     /// Requests for all others: their waits are the cold starts.
-    pub rare: Served,
+    pub rare: ClassOutcome,
     /// Part of the places' time in which the model there ran nothing.
     pub idle_part: f64,
     /// Loads from the weight store.
--- a/crates/standins/src/fleet_model/requests.rs
+++ b/crates/standins/src/fleet_model/requests.rs
@@ -1,6 +1,6 @@
 //! Requests of a run: they come, wait for an engine, and give up.
 
-use super::outcome::Served;
+use super::outcome::ClassOutcome;
 use super::run::{Run, STEP_MS};
 use super::size::FleetSize;
 use passway_serving::placement::Waiters;
@@ -10,51 +10,51 @@
 use std::collections::BTreeMap;
 
 /// Aims for the first token (market sheet).
-const BUSY_AIM_MS: u64 = 400;
-const RARE_AIM_MS: u64 = 2_500;
+const BUSY_TARGET_MS: u64 = 400;
+const RARE_TARGET_MS: u64 = 2_500;
 /// A request waits at most this long for an engine: 0.45 of a caller's patience.
-const BUSY_WAIT_MS: u64 = 1_080;
-const RARE_WAIT_MS: u64 = 4_500;
+const BUSY_MAX_WAIT_MS: u64 = 1_080;
+const RARE_MAX_WAIT_MS: u64 = 4_500;
 /// Demand moves on to other busy models every so often.
-const SHIFT_MS: u64 = 15_000;
+const BUSY_SHIFT_INTERVAL_MS: u64 = 15_000;
 /// Busy models fall off by this part from one to the next.
-const BUSY_FALL: f64 = 0.7;
+const BUSY_DECAY_RATIO: f64 = 0.7;
 
 /// Which models a request is for.
 #[derive(Debug, Clone, Copy)]
-pub(super) enum Class {
+pub(super) enum RequestClass {
     /// The models that most requests go to.
     Busy,
     /// All others.
     Rare,
 }
 
-impl Class {
+impl RequestClass {
     /// Aim for the first token.
-    pub(super) fn aim_ms(self) -> u64 {
+    pub(super) fn target_ms(self) -> u64 {
         match self {
-            Self::Busy => BUSY_AIM_MS,
-            Self::Rare => RARE_AIM_MS,
+            Self::Busy => BUSY_TARGET_MS,
+            Self::Rare => RARE_TARGET_MS,
         }
     }
 
     /// How long a request waits before it gives up.
-    fn wait_ms(self) -> u64 {
+    fn max_wait_ms(self) -> u64 {
         match self {
-            Self::Busy => BUSY_WAIT_MS,
-            Self::Rare => RARE_WAIT_MS,
+            Self::Busy => BUSY_MAX_WAIT_MS,
+            Self::Rare => RARE_MAX_WAIT_MS,
         }
     }
 }
 
 /// A request that waits for an engine.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Waiting {
-    pub(super) since_ms: u64,
-    pub(super) class: Class,
+pub(super) struct WaitingRequest {
+    pub(super) arrived_at_ms: u64,
+    pub(super) class: RequestClass,
 }
 
-fn wish(model: ModelName) -> ModelRef {
+fn base_model_ref(model: ModelName) -> ModelRef {
     ModelRef {
         model,
         adapter: None,
@@ -63,101 +63,106 @@
 
 impl Run {
     /// What the requests of a class got.
-    pub(super) fn served(&mut self, class: Class) -> &mut Served {
+    pub(super) fn class_outcome(&mut self, class: RequestClass) -> &mut ClassOutcome {
         match class {
-            Class::Busy => &mut self.outcome.busy,
-            Class::Rare => &mut self.outcome.rare,
+            RequestClass::Busy => &mut self.outcome.busy,
+            RequestClass::Rare => &mut self.outcome.rare,
         }
     }
 
     /// Which model is the busiest now; the others follow it.
-    fn first_busy(&self) -> usize {
-        usize::try_from(self.now_ms / SHIFT_MS).unwrap_or(0)
+    fn busiest_model(&self) -> usize {
+        usize::try_from(self.now_ms / BUSY_SHIFT_INTERVAL_MS).unwrap_or(0)
     }
 
-    fn draw_busy(&mut self) -> usize {
+    fn random_busy_model(&mut self) -> usize {
         let mut rank = 0;
-        while rank + 1 < self.size.busy && self.rng.random_bool(BUSY_FALL) {
+        while rank + 1 < self.size.busy_models && self.rng.random_bool(BUSY_DECAY_RATIO) {
             rank += 1;
         }
-        (self.first_busy() + rank) % self.size.models
+        (self.busiest_model() + rank) % self.size.models
     }
 
     /// The requests of one step come.
-    pub(super) fn arrive(&mut self) {
+    pub(super) fn add_arrivals(&mut self) {
         let step_s = Duration::from_millis(STEP_MS).as_secs_f64();
-        let rates_s = [
-            (Class::Busy, self.size.busy_per_s),
-            (Class::Rare, self.size.rare_per_s),
+        let rates_per_s = [
+            (RequestClass::Busy, self.size.busy_per_s),
+            (RequestClass::Rare, self.size.rare_per_s),
         ];
-        for (class, per_s) in rates_s {
-            let mut left = per_s * step_s;
-            while left > 0.0 {
-                if self.rng.random_bool(left.min(1.0)) {
-                    self.arrive_one(class);
+        for (class, per_s) in rates_per_s {
+            let mut mean = per_s * step_s;
+            while mean > 0.0 {
+                if self.rng.random_bool(mean.min(1.0)) {
+                    self.add_arrival(class);
                 }
-                left -= 1.0;
+                mean -= 1.0;
             }
         }
     }
 
-    fn arrive_one(&mut self, class: Class) {
+    fn add_arrival(&mut self, class: RequestClass) {
         let model = match class {
-            Class::Busy => self.draw_busy(),
-            Class::Rare => self.rng.random_range(self.size.busy..self.size.models),
+            RequestClass::Busy => self.random_busy_model(),
+            RequestClass::Rare => self
+                .rng
+                .random_range(self.size.busy_models..self.size.models),
         };
-        self.served(class).asked += 1;
-        let waiting = Waiting {
-            since_ms: self.now_ms,
+        self.class_outcome(class).asked += 1;
+        let waiting = WaitingRequest {
+            arrived_at_ms: self.now_ms,
             class,
         };
         self.waiting.entry(model).or_default().push_back(waiting);
         let now = self.now();
-        let wish = wish(FleetSize::model(model));
+        let model_ref = base_model_ref(FleetSize::model(model));
         self.planner
-            .record_arrivals(&FleetSize::service(), &wish, 1, now);
+            .record_arrivals(&FleetSize::service(), &model_ref, 1, now);
     }
 
     /// Requests that have waited too long are refused.
-    pub(super) fn give_up(&mut self) {
+    pub(super) fn refuse_expired(&mut self) {
         let now_ms = self.now_ms;
         let mut refused = Vec::new();
         for queue in self.waiting.values_mut() {
             queue.retain(|waiting| {
-                let waits = now_ms < waiting.since_ms + waiting.class.wait_ms();
-                if !waits {
+                let can_wait = now_ms < waiting.arrived_at_ms + waiting.class.max_wait_ms();
+                if !can_wait {
                     refused.push(waiting.class);
                 }
-                waits
+                can_wait
             });
         }
         self.waiting.retain(|_, queue| !queue.is_empty());
         for class in refused {
-            self.served(class).refused += 1;
+            self.class_outcome(class).refused += 1;
         }
     }
 
     /// Tells the planner how many requests wait for each model that stands nowhere.
-    pub(super) fn tell_needs(&mut self) {
+    pub(super) fn report_waiters(&mut self) {
         let now = self.now();
-        let latest_deadline = now + Duration::from_millis(RARE_WAIT_MS);
+        let latest_deadline = now + Duration::from_millis(RARE_MAX_WAIT_MS);
         let waiting = self.waiting.iter().filter(|(number, _)| {
             let model = FleetSize::model(**number);
-            !self.engines.iter().any(|engine| self.stays(engine, &model))
+            !self
+                .engines
+                .iter()
+                .any(|engine| self.is_available(engine, &model))
         });
         let counts = waiting.map(|(number, queue)| {
             let count = u32::try_from(queue.len()).unwrap_or(u32::MAX);
             (*number, count)
         });
         let counts: BTreeMap<usize, u32> = counts.collect();
-        let told = std::mem::replace(&mut self.told, counts.clone());
-        let ended = told.into_keys().map(|number| (number, 0));
+        let reported = std::mem::replace(&mut self.reported, counts.clone());
+        let ended = reported.into_keys().map(|number| (number, 0));
         let changes: BTreeMap<usize, u32> = ended.chain(counts).collect();
         for (number, count) in changes {
             let waiters = Waiters {
                 instance: "all".into(),
                 service: FleetSize::service(),
-                model_ref: wish(FleetSize::model(number)),
+                model_ref: base_model_ref(FleetSize::model(number)),
                 count,
                 latest_deadline,
             };
--- a/crates/standins/src/fleet_model/run.rs
+++ b/crates/standins/src/fleet_model/run.rs
@@ -1,10 +1,10 @@
 //! A run of one policy, step by step in virtual time.
 
-use super::engine::{Engine, Source};
+use super::engine::{Engine, LoadSource};
 use super::outcome::{Outcome, as_f64};
-use super::requests::Waiting;
-use super::size::{FULL_SPEED_LOADS, FleetSize, PLACES};
-use super::start::{Disks, first_engines};
+use super::requests::WaitingRequest;
+use super::size::{FULL_SPEED_LOADS, FleetSize, RESIDENT_MODELS};
+use super::start::{InitialDisks, initial_engines};
 use passway_serving::placement::policy::PolicyName;
 use passway_serving::placement::{
     Action, DEFAULT_LOAD_WINDOW, Placement, PlannedOrder, Planner, RunningRequests,
@@ -18,51 +18,51 @@
 /// Step of the virtual time: what a holder's batches of needs come to.
 pub(super) const STEP_MS: u64 = 10;
 /// Time to a first token where the model stands.
-const FIRST_TOKEN_MS: u64 = 55;
+const WARM_FIRST_TOKEN_MS: u64 = 55;
 /// Time that a request runs (users' sheet: 58 events of five tokens).
-const RUN_MS: u64 = 1_500;
+const REQUEST_DURATION_MS: u64 = 1_500;
 
 /// One policy among engines, weight store and demand.
 #[derive(Debug)]
 pub struct Run {
     pub(super) size: FleetSize,
     pub(super) rng: ChaCha8Rng,
-    begun_at: Instant,
+    started_at: Instant,
     pub(super) now_ms: u64,
     pub(super) planner: Planner,
     pub(super) engines: Vec<Engine>,
     by_id: HashMap<UpstreamId, usize>,
     /// What the planner last told of each engine.
-    placed: HashMap<UpstreamId, Placement>,
+    placements: HashMap<UpstreamId, Placement>,
     /// Requests that wait, by the number of their model.
-    pub(super) waiting: BTreeMap<usize, VecDeque<Waiting>>,
+    pub(super) waiting: BTreeMap<usize, VecDeque<WaitingRequest>>,
     /// Requests that the planner was told of as waiting, by the number of their model.
-    pub(super) told: BTreeMap<usize, u32>,
+    pub(super) reported: BTreeMap<usize, u32>,
     /// Runs in the order in which they end: when, engine, model.
-    ends: VecDeque<(u64, usize, ModelName)>,
+    request_ends: VecDeque<(u64, usize, ModelName)>,
     idle_ms: f64,
     pub(super) outcome: Outcome,
 }
 
 /// Milliseconds as a number to calculate with.
-fn duration_ms(time_ms: u64) -> f64 {
-    Duration::from_millis(time_ms).as_secs_f64() * 1_000.0
+fn as_ms_f64(duration_ms: u64) -> f64 {
+    Duration::from_millis(duration_ms).as_secs_f64() * 1_000.0
 }
 
 impl Run {
     /// A run that has not begun.
-    pub fn new(size: FleetSize, policy: PolicyName, disks: Disks, seed: u64) -> Self {
-        let begun_at = Instant::now();
+    pub fn new(size: FleetSize, policy: PolicyName, disks: InitialDisks, seed: u64) -> Self {
+        let started_at = Instant::now();
         let mut planner = Planner::new(DEFAULT_LOAD_WINDOW, policy.build());
         planner.set_table(&size.table());
-        let mut engines = first_engines(&size, disks);
+        let mut engines = initial_engines(&size, disks);
         for engine in &mut engines {
-            planner.update_engine(engine.entry(), begun_at);
+            planner.update_engine(engine.entry(), started_at);
         }
         planner.begin_term(
             std::iter::empty(),
             &std::collections::BTreeSet::new(),
-            begun_at,
+            started_at,
         );
         let ids = engines.iter().enumerate();
         Self {
@@ -72,12 +72,12 @@
             engines,
             planner,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            begun_at,
+            started_at,
             now_ms: 0,
-            placed: HashMap::new(),
+            placements: HashMap::new(),
             waiting: BTreeMap::new(),
-            told: BTreeMap::new(),
-            ends: VecDeque::new(),
+            reported: BTreeMap::new(),
+            request_ends: VecDeque::new(),
             idle_ms: 0.0,
             outcome: Outcome {
                 policy: policy.to_string(),
@@ -90,41 +90,45 @@
     }
 
     pub(super) fn now(&self) -> Instant {
-        self.begun_at + Duration::from_millis(self.now_ms)
+        self.started_at + Duration::from_millis(self.now_ms)
     }
 
     /// Runs for so long.
-    pub fn run(mut self, seconds: u64) -> Outcome {
+    pub fn simulate(mut self, seconds: u64) -> Outcome {
         while self.now_ms < seconds * 1_000 {
             self.step();
         }
-        let places = as_f64(self.size.engines * PLACES);
-        let whole_ms = duration_ms(self.now_ms);
+        let model_slots = as_f64(self.size.engines * RESIDENT_MODELS);
+        let total_ms = as_ms_f64(self.now_ms);
         self.outcome.seconds = seconds;
-        self.outcome.idle_part = self.idle_ms / (whole_ms * places);
-        self.outcome.overfull = self.engines.iter().map(|engine| engine.overfull).sum();
-        self.outcome.busy.finish();
-        self.outcome.rare.finish();
+        self.outcome.idle_part = self.idle_ms / (total_ms * model_slots);
+        self.outcome.overfull = self.engines.iter().map(|engine| engine.overcommits).sum();
+        self.outcome.busy.compute_quantiles();
+        self.outcome.rare.compute_quantiles();
         self.outcome
     }
 
     fn step(&mut self) {
         self.now_ms += STEP_MS;
-        self.arrive();
-        self.end_runs();
-        self.progress();
-        self.give_up();
-        self.tell_needs();
-        self.tell_runs();
+        self.add_arrivals();
+        self.end_requests();
+        self.advance_orders();
+        self.refuse_expired();
+        self.report_waiters();
+        self.report_running();
         self.decide();
-        self.start_runs();
-        self.count_idle();
+        self.start_requests();
+        self.add_idle_time();
     }
 
     /// Ends the runs whose time is over.
-    fn end_runs(&mut self) {
-        while self.ends.front().is_some_and(|(at, ..)| *at <= self.now_ms) {
-            if let Some((_, engine, model)) = self.ends.pop_front()
+    fn end_requests(&mut self) {
+        while self
+            .request_ends
+            .front()
+            .is_some_and(|(at, ..)| *at <= self.now_ms)
+        {
+            if let Some((_, engine, model)) = self.request_ends.pop_front()
                 && let Some(runs) = self.engines[engine].resident.get_mut(&model)
             {
                 *runs -= 1;
@@ -133,20 +137,24 @@
     }
 
     /// Goes on with the engines' orders; loads from the weight store share its speed.
-    fn progress(&mut self) {
-        let loads = self.engines.iter().filter(|e| e.loads_from_store()).count();
+    fn advance_orders(&mut self) {
+        let loads = self
+            .engines
+            .iter()
+            .filter(|e| e.is_loading_from_store())
+            .count();
         let speed = as_f64(FULL_SPEED_LOADS) / as_f64(loads.max(FULL_SPEED_LOADS));
         let now = self.now();
-        let step_ms = duration_ms(STEP_MS);
+        let step_ms = as_ms_f64(STEP_MS);
         for engine in &mut self.engines {
-            if engine.progress(step_ms, speed).is_some() {
+            if engine.advance(step_ms, speed).is_some() {
                 self.planner.update_engine(engine.entry(), now);
             }
         }
     }
 
     /// Tells the planner what runs on the engines.
-    fn tell_runs(&mut self) {
+    fn report_running(&mut self) {
         let mut runs = Vec::new();
         for engine in &self.engines {
             for (model, count) in engine.resident.iter().filter(|(_, count)| **count > 0) {
@@ -169,77 +177,78 @@
                     let report = self.engines[self.by_id[&engine]].report();
                     self.planner.apply_report(&engine, Some(report), now);
                 }
-                Action::Order(order) => self.order(&order),
+                Action::Order(order) => self.send_order(&order),
             }
         }
         for placement in self.planner.take_changed_placements() {
-            self.placed.insert(placement.engine.clone(), placement);
+            self.placements.insert(placement.engine.clone(), placement);
         }
     }
 
     /// Gives an engine an order and the planner its answer.
-    fn order(&mut self, order: &PlannedOrder) {
+    fn send_order(&mut self, order: &PlannedOrder) {
         let now = self.now();
         let engine = &mut self.engines[self.by_id[&order.engine]];
-        let answer = engine.take(order);
-        let source = engine.busy.as_ref().map(|busy| busy.source);
+        let answer = engine.accept_order(order);
+        let source = engine.current_order.as_ref().map(|current| current.source);
         self.planner.apply_answer(order, answer, now);
         self.outcome.orders += 1;
         if order.action == OrderAction::Load {
-            let from_store = source == Some(Source::Store);
+            let from_store = source == Some(LoadSource::Store);
             self.outcome.store_loads += usize::from(from_store);
             self.outcome.near_loads += usize::from(!from_store);
         }
     }
 
     /// Whether a model stands on an engine and is not about to go.
-    pub(super) fn stays(&self, engine: &Engine, model: &ModelName) -> bool {
-        let placed = self.placed.get(&engine.id);
-        let closing = placed.is_some_and(|p| p.evicting.contains(model));
-        engine.resident.contains_key(model) && !closing
+    pub(super) fn is_available(&self, engine: &Engine, model: &ModelName) -> bool {
+        let placement = self.placements.get(&engine.id);
+        let evicting = placement.is_some_and(|p| p.evicting.contains(model));
+        engine.resident.contains_key(model) && !evicting
     }
 
     /// The engine with the model that runs least.
-    fn engine_for(&self, model: &ModelName) -> Option<usize> {
+    fn least_loaded_engine(&self, model: &ModelName) -> Option<usize> {
         let engines = self.engines.iter().enumerate();
-        let having = engines.filter(|(_, engine)| engine.has_room() && self.stays(engine, model));
-        let least = having.min_by_key(|(_, engine)| engine.running());
-        least.map(|(index, _)| index)
+        let available = engines
+            .filter(|(_, engine)| engine.has_free_slot() && self.is_available(engine, model));
+        let least_loaded = available.min_by_key(|(_, engine)| engine.running());
+        least_loaded.map(|(index, _)| index)
     }
 
     /// Sends requests that wait to engines that have room for them.
-    fn start_runs(&mut self) {
+    fn start_requests(&mut self) {
         let models: Vec<usize> = self.waiting.keys().copied().collect();
         for number in models {
             let model = FleetSize::model(number);
-            while let Some(index) = self.engine_for(&model) {
+            while let Some(index) = self.least_loaded_engine(&model) {
                 let queue = self.waiting.get_mut(&number);
                 let Some(waiting) = queue.and_then(VecDeque::pop_front) else {
                     break;
                 };
-                self.start_run(index, &model, waiting);
+                self.start_request(index, &model, waiting);
             }
         }
     }
 
-    fn start_run(&mut self, index: usize, model: &ModelName, waiting: Waiting) {
+    fn start_request(&mut self, index: usize, model: &ModelName, waiting: WaitingRequest) {
         let resident = &mut self.engines[index].resident;
         *resident.entry(model.clone()).or_default() += 1;
-        let end = (self.now_ms + RUN_MS, index, model.clone());
-        self.ends.push_back(end);
-        let first_ms = self.now_ms - waiting.since_ms + FIRST_TOKEN_MS;
-        let served = self.served(waiting.class);
-        served.in_aim += usize::from(first_ms <= waiting.class.aim_ms());
-        served.times_ms.push(first_ms);
+        let end = (self.now_ms + REQUEST_DURATION_MS, index, model.clone());
+        self.request_ends.push_back(end);
+        let first_token_ms = self.now_ms - waiting.arrived_at_ms + WARM_FIRST_TOKEN_MS;
+        let outcome = self.class_outcome(waiting.class);
+        outcome.in_aim += usize::from(first_token_ms <= waiting.class.target_ms());
+        outcome.times_ms.push(first_token_ms);
     }
 
     /// Adds up the time of places whose model runs nothing.
-    fn count_idle(&mut self) {
+    fn add_idle_time(&mut self) {
         let idle: usize = self
             .engines
             .iter()
             .map(|engine| engine.resident.values().filter(|runs| **runs == 0).count())
             .sum();
-        self.idle_ms += duration_ms(STEP_MS) * as_f64(idle);
+        self.idle_ms += as_ms_f64(STEP_MS) * as_f64(idle);
     }
 }
--- a/crates/standins/src/fleet_model/size.rs
+++ b/crates/standins/src/fleet_model/size.rs
@@ -14,7 +14,7 @@
     /// Models.
     pub models: usize,
     /// Models that most requests go to at one time.
-    pub busy: usize,
+    pub busy_models: usize,
     /// Requests a second for busy models.
     pub busy_per_s: f64,
     /// Requests a second for all other models.
@@ -31,7 +31,7 @@
         name: "today",
         engines: 9,
         models: 50,
-        busy: 5,
+        busy_models: 5,
         busy_per_s: 26.9,
         rare_per_s: 3.15,
         slots: 64,
@@ -41,7 +41,7 @@
         name: "grown",
         engines: 90,
         models: 481,
-        busy: 26,
+        busy_models: 26,
         busy_per_s: 146.0,
         rare_per_s: 31.1,
         slots: 16,
@@ -51,7 +51,7 @@
         name: "target",
         engines: 600,
         models: 730,
-        busy: 60,
+        busy_models: 60,
         busy_per_s: 2_000.0,
         rare_per_s: 60.0,
         slots: 64,
@@ -60,30 +60,30 @@
 ];
 
 /// Places for models on one engine: 230 GB for models of 65 to 73 GB (users' sheets).
-pub const PLACES: usize = 3;
+pub const RESIDENT_MODELS: usize = 3;
 /// Models that an engine's memory keeps beside them (sheet: 150 GB).
-pub const MEMORY_PLACES: usize = 2;
+pub const MEMORY_MODELS: usize = 2;
 /// Models that an engine's disk keeps (sheet: 1,300 GB).
-pub const DISK_PLACES: usize = 17;
+pub const DISK_MODELS: usize = 17;
 /// Loads from the weight store that run at full speed together (sheet).
 pub const FULL_SPEED_LOADS: usize = 4;
 
 /// Time of a load from the weight store at full speed.
-pub(super) const LOAD_MS: u32 = 6_000;
+pub(super) const STORE_LOAD_MS: u32 = 6_000;
 /// Time of a load from an engine's disk.
-pub(super) const DISK_MS: u32 = 840;
+pub(super) const DISK_LOAD_MS: u32 = 840;
 /// Time of a load from an engine's memory.
-pub(super) const MEMORY_MS: u32 = 470;
+pub(super) const MEMORY_LOAD_MS: u32 = 470;
 /// Time of an unload that no run holds up.
-pub(super) const UNLOAD_MS: u32 = 30;
+pub(super) const UNLOAD_DURATION_MS: u32 = 30;
 /// A model's size.
-const MODEL_MB: f64 = 72_700.0;
+const MODEL_WEIGHTS_MB: f64 = 72_700.0;
 /// Accelerator memory of one engine.
-const ENGINE_MB: f64 = 230_000.0;
+const ENGINE_MEMORY_MB: f64 = 230_000.0;
 
 impl FleetSize {
     /// The size of a name.
-    pub fn named(name: &str) -> Option<Self> {
+    pub fn by_name(name: &str) -> Option<Self> {
         SIZES.into_iter().find(|size| size.name == name)
     }
 
@@ -101,15 +101,15 @@
     pub fn pool(&self) -> EnginePool {
         let spec = |number| ModelSpec {
             name: Self::model(number),
-            weights_mb: MODEL_MB,
+            weights_mb: MODEL_WEIGHTS_MB,
             adapter_mb: 66.0,
-            load_ms: LOAD_MS.into(),
-            disk_ms: DISK_MS.into(),
-            memory_ms: MEMORY_MS.into(),
+            load_ms: STORE_LOAD_MS.into(),
+            disk_ms: DISK_LOAD_MS.into(),
+            memory_ms: MEMORY_LOAD_MS.into(),
         };
         EnginePool {
             slots: self.slots,
-            weights_mb: ENGINE_MB,
+            weights_mb: ENGINE_MEMORY_MB,
             adapter_slots: 8,
             loads_per_s: self.loads_per_s,
             models: (0..self.models).map(spec).collect(),
--- a/tests/all/allotment_load.rs
+++ b/tests/all/allotment_load.rs
@@ -7,48 +7,48 @@
 //! time are held to the rule alone.
 
 use passway_standins::allotment_model::cases::Case;
-use passway_standins::allotment_model::ways::AskedKeeper;
-use passway_standins::allotment_model::{Figures, Plan, play};
+use passway_standins::allotment_model::strategies::CoordinatorQuotas;
+use passway_standins::allotment_model::{Plan, SimulationResult, simulate};
 
-fn figures(instances: usize, case: Case, seed: u64) -> Figures {
-    let plan = Plan::usual(instances, seed);
-    play(&plan, case, &mut AskedKeeper::new(&plan))
+fn run(instances: usize, case: Case, seed: u64) -> SimulationResult {
+    let plan = Plan::typical_workspaces(instances, seed);
+    simulate(&plan, case, &mut CoordinatorQuotas::new(&plan))
 }
 
-fn kept(instances: usize, cases: impl IntoIterator<Item = Case>) {
+fn check_bounds(instances: usize, cases: impl IntoIterator<Item = Case>) {
     for case in cases {
         for seed in 0..2 {
-            let figures = figures(instances, case, seed);
-            let most = match case {
-                Case::Calm => 0.01,
-                Case::CutOffTenfold | Case::HolderLostTenfold => 1.0,
+            let result = run(instances, case, seed);
+            let max_refused = match case {
+                Case::NoFault => 0.01,
+                Case::PartitionTenfold | Case::HolderLostTenfold => 1.0,
                 _ => 0.03,
             };
-            let what = format!("{} of {instances}, seed {seed}: {figures:?}", case.name());
-            assert!(figures.over_rule <= 0.0, "{what}");
-            assert!(figures.refused_below <= most, "{what}");
+            let message = format!("{} of {instances}, seed {seed}: {result:?}", case.name());
+            assert!(result.over_rule <= 0.0, "{message}");
+            assert!(result.refused_below <= max_refused, "{message}");
         }
     }
 }
 
 #[test]
 fn small_fleet() {
-    kept(6, Case::ALL);
+    check_bounds(6, Case::ALL);
 }
 
 #[test]
 fn grown_fleet() {
-    kept(71, Case::ALL);
+    check_bounds(71, Case::ALL);
 }
 
 #[test]
 fn large_fleet() {
     let cases = Case::ALL.into_iter();
-    kept(300, cases.filter(|case| *case != Case::HolderLost));
+    check_bounds(300, cases.filter(|case| *case != Case::HolderLost));
 }
 
 /// Apart from the others, since what is refused then is known to be too much.
 #[test]
 fn large_fleet_succession() {
-    kept(300, [Case::HolderLost]);
+    check_bounds(300, [Case::HolderLost]);
 }
--- a/tests/all/limit_load.rs
+++ b/tests/all/limit_load.rs
@@ -6,40 +6,43 @@
 //! nobody counts, and a hundredth.
 
 use passway_standins::allotment_model::cases::Case;
-use passway_standins::allotment_model::limit_ways::AskedCounter;
-use passway_standins::allotment_model::{Figures, Plan, play};
+use passway_standins::allotment_model::limit_strategies::CoordinatorLimits;
+use passway_standins::allotment_model::{Plan, SimulationResult, simulate};
 
 /// Seconds of a play in which nobody counts, in the cases that lose the holder: its lease and some.
-const UNCOUNTED_S: f64 = 1.6;
+const NO_COORDINATOR_S: f64 = 1.6;
 
-fn kept(instances: usize) {
+fn check_bounds(instances: usize) {
     for case in Case::ALL {
         for seed in 0..2 {
-            let plan = Plan::upstreams_in_need(instances, seed);
-            let Figures {
+            let plan = Plan::limited_upstreams(instances, seed);
+            let SimulationResult {
                 over_rule,
                 refused_below,
                 ..
-            } = play(&plan, case, &mut AskedCounter::new(&plan));
-            let what = format!("{} of {instances}, seed {seed}", case.name());
-            assert!(over_rule <= 0.0, "{what}: {over_rule} over the rule");
-            let most = 0.01 + UNCOUNTED_S / plan.time.as_secs_f64();
-            assert!(refused_below <= most, "{what}: {refused_below} missing");
+            } = simulate(&plan, case, &mut CoordinatorLimits::new(&plan));
+            let message = format!("{} of {instances}, seed {seed}", case.name());
+            assert!(over_rule <= 0.0, "{message}: {over_rule} over the rule");
+            let max_refused = 0.01 + NO_COORDINATOR_S / plan.duration.as_secs_f64();
+            assert!(
+                refused_below <= max_refused,
+                "{message}: {refused_below} missing"
+            );
         }
     }
 }
 
 #[test]
 fn small_fleet() {
-    kept(6);
+    check_bounds(6);
 }
 
 #[test]
 fn grown_fleet() {
-    kept(71);
+    check_bounds(71);
 }
 
 #[test]
 fn large_fleet() {
-    kept(300);
+    check_bounds(300);
 }
