--- a/crates/standins/src/allotment_model.rs
+++ b/crates/standins/src/allotment_model.rs
@@ -1,9 +1,12 @@
-//! Ways to keep workspaces to their allotments, and upstreams in need to their limits, over many
-//! instances, played in a model of a fleet without sockets: who admits what, and what an exact count
-//! would have said.
+//! A simulation of a fleet, without sockets, that compares strategies for enforcing the allotments
+//! of workspaces and the advertised limits of upstreams across many instances.
 //!
-//! * [`strategies`]: the ways, behind one trait. [`limit_strategies`]: those for limits.
-//! * [`cases`]: what callers and instances do.
+//! The simulation compares the requests that a strategy admits with those that one exact token
+//! bucket per workspace would admit.
+//!
+//! * [`strategies`]: the strategies for allotments, and the trait that all strategies implement.
+//! * [`limit_strategies`]: the strategies for the limits of upstreams.
+//! * [`cases`]: faults and changes of demand during a simulation.
 
 pub mod cases;
 pub mod limit_strategies;
@@ -20,18 +23,19 @@
 use std::collections::VecDeque;
 use strategies::{Decision, Strategy};
 
-/// Requests that nobody but the requests' own luck times come so far apart: the model's step.
+/// Step of the simulated time. The requests that arrive in one step are a random Poisson count.
 const STEP: Duration = Duration::from_millis(2);
 
-/// A request of which nobody can say whether it may pass is asked again after this.
+/// Time until a request is tried again after [`Decision::Unknown`].
 const UNKNOWN_RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// And for so long: the shortest wait of the product for streams of the users' pages, 0.45 of 2.4 s.
+/// Maximum time that an instance holds a request without a decision. An instance waits at least
+/// this long for streams of the users' pages: 0.45 of their deadline of 2.4 s.
 const MAX_WAIT: Duration = Duration::from_millis(1_080);
-/// Callers come back once, to an instance drawn anew, after the time that they are told: this one
-/// where nobody can say.
+/// Time after which a caller retries a request that expired without a decision. After a refusal, a
+/// caller uses the delay in [`Decision::Refused`]. Callers retry once, at a random instance.
 const CALLER_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// A request that waits for a decision.
+/// A request that needs a decision at `decide_at`.
 #[derive(Debug, Clone, Copy)]
 struct PendingRequest {
     workspace: usize,
@@ -41,39 +45,41 @@
     is_retry: bool,
 }
 
-/// A workspace and how much its callers ask.
+/// A workspace or a limited upstream, and the demand of its callers.
 #[derive(Debug, Clone)]
 pub struct WorkspaceDemand {
-    /// Its name.
+    /// Name of the workspace or upstream.
     pub name: WorkspaceName,
-    /// What it may use.
+    /// Rate and burst that the workspace or upstream is allowed.
     pub allotment: Allotment,
-    /// Units a second that its callers ask on a usual day.
+    /// Demand of the callers without an overload, in units per second.
     pub typical_units_per_s: f64,
 }
 
-/// A fleet and its work.
+/// Parameters of a simulation: the fleet, its workspaces and the rule to check.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// Instances.
+    /// Number of instances.
     pub instances: usize,
-    /// Workspaces.
+    /// Workspaces or limited upstreams.
     pub workspaces: Vec<WorkspaceDemand>,
-    /// Units of one request.
+    /// Units that each request uses.
     pub cost: f64,
-    /// What may be used beyond allotments.
+    /// Window and tolerance within which use may exceed the allotment.
     pub bounds: QuotaBounds,
-    /// Whether what may go at once counts towards what is allowed in a window, besides the rate.
+    /// Whether the rule allows the burst in each window in addition to the rate.
     pub counts_burst: bool,
-    /// Length of a play.
+    /// Simulated time.
     pub duration: Duration,
-    /// Fixes the requests.
+    /// Seed of the random arrivals.
     pub seed: u64,
 }
 
 impl Plan {
-    /// Sixteen workspaces, a few of them large, as on the users' shifted deployment: the smallest may
-    /// use 4,200 units a second, each asks 1 / 1.8 of what it may, a request counts 1,500.
+    /// Returns a plan with 16 workspaces, a few of them large, as on the users' shifted deployment.
+    ///
+    /// The smallest allotment is 4,200 units per second, the demand of each workspace is 1 / 1.8 of
+    /// its allotment, and a request uses 1,500 units.
     pub fn typical_workspaces(instances: usize, seed: u64) -> Self {
         let rate_of = |number: u32| 273_000.0 / f64::from(number * number);
         let workspaces = (1..=16).map(|number| {
@@ -102,9 +108,10 @@
         }
     }
 
-    /// Upstreams in need instead of workspaces: each names how many requests a second it takes, and
-    /// callers ask for five times that. In four seconds one and a half times the limit and five
-    /// requests are allowed.
+    /// Returns a plan with upstreams that advertise a limit in requests per second.
+    ///
+    /// The demand for each upstream is five times its limit. The rule allows 1.5 times the limit
+    /// plus five requests in each window of four seconds.
     pub fn limited_upstreams(instances: usize, seed: u64) -> Self {
         let limits = [50.0, 12.0, 5.0, 2.3, 1.1, 0.5];
         let upstreams = limits.iter().map(|per_s| WorkspaceDemand {
@@ -128,33 +135,40 @@
     }
 }
 
-/// What came of a play.
+/// Result of a simulation.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub struct SimulationResult {
-    /// Most units that a workspace used beyond the rule in a window.
+    /// Maximum number of units by which a workspace exceeded the rule in a window.
     pub over_rule: f64,
-    /// Part of what an exact count would have admitted that was missing, window by window: which of
-    /// many requests pass is the same to their workspace, how many do is not. One that waited and
-    /// passed then isn't missing.
+    /// Ratio of the units that an exact bucket would have admitted but the strategy did not.
+    ///
+    /// The shortfall is summed per window, because a workspace cares how many of its requests pass
+    /// and not which ones. A request that waited and then passed does not count as missing.
     pub refused_below: f64,
-    /// The same of the workspace that had most of its own refused.
+    /// Maximum of this ratio over the workspaces.
     pub refused_worst: f64,
-    /// Messages of an instance in a second, sent and received.
+    /// Messages per second and instance, sent and received.
     pub messages_per_s: f64,
 }
 
-/// What one workspace used and was owed.
+/// The use of one workspace, compared with an exact token bucket and with the rule.
 struct WorkspaceLedger {
     demand: WorkspaceDemand,
-    /// The level of an exact count.
+    /// Level of the exact bucket, in units.
     exact_level: f64,
+    /// Units that the exact bucket admitted.
     due: f64,
+    /// Sum of the shortfalls of all windows, in units.
     refused_below: f64,
-    /// Of the present window.
+    /// Units that the exact bucket admitted in the current window.
     due_in_window: f64,
+    /// Units that the strategy granted in the current window.
     granted_in_window: f64,
+    /// Grants in the sliding window before the last grant.
     recent_grants: VecDeque<(Instant, f64)>,
+    /// Sum of `recent_grants`, in units.
     used_in_window: f64,
+    /// Maximum number of units above the rule.
     max_excess: f64,
 }
 
@@ -178,13 +192,13 @@
         self.exact_level = (self.exact_level + rate_per_s * time.as_secs_f64()).min(burst);
     }
 
-    /// A window is over.
+    /// Adds the shortfall of the current window and starts the next window.
     fn end_window(&mut self) {
         self.refused_below += (self.due_in_window - self.granted_in_window).max(0.0);
         (self.due_in_window, self.granted_in_window) = (0.0, 0.0);
     }
 
-    /// A request is asked for the first time.
+    /// Takes a request from the exact bucket if it fits. Retries are not recorded again.
     fn record_arrival(&mut self, cost: f64) {
         if self.exact_level >= cost {
             self.exact_level -= cost;
@@ -193,7 +207,7 @@
         }
     }
 
-    /// A request passes.
+    /// Records a granted request and the excess over the rule.
     fn record_grant(&mut self, plan: &Plan, now: Instant) {
         let (cost, bounds) = (plan.cost, plan.bounds);
         self.granted_in_window += cost;
@@ -213,7 +227,7 @@
     }
 }
 
-/// Plays a way in a case.
+/// Simulates a strategy in a case.
 pub fn simulate(plan: &Plan, case: Case, strategy: &mut dyn Strategy) -> SimulationResult {
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
     let started_at = clock();
@@ -235,7 +249,7 @@
             let units_per_s = ledger.demand.typical_units_per_s * state.demand_factor(index);
             let mean = units_per_s * STEP.as_secs_f64() / plan.cost;
             for _ in 0..random_poisson(&mut rng, mean) {
-                // An instance that is not there takes no request.
+                // An instance that is down accepts no request.
                 let instance = state.random_instance(&mut rng);
                 if !state.is_down(instance) {
                     ledger.record_arrival(plan.cost);
@@ -289,14 +303,14 @@
     }
 }
 
-/// Takes out the requests that are asked again now.
+/// Removes and returns the requests whose decision is due.
 fn take_due(pending: &mut Vec<PendingRequest>, now: Instant) -> Vec<PendingRequest> {
     pending
         .extract_if(.., |request| request.decide_at <= now)
         .collect()
 }
 
-/// A request that was refused comes back, if it has not yet.
+/// Returns the retry of a request that failed, or `None` if the request was a retry already.
 fn caller_retry(
     request: PendingRequest,
     state: &FleetState,
@@ -316,12 +330,12 @@
     passway_types::clock::now()
 }
 
-/// A count as a number.
+/// Converts a count to `f64`, at most [`u32::MAX`].
 fn count_f64(number: u64) -> f64 {
     f64::from(u32::try_from(number).unwrap_or(u32::MAX))
 }
 
-/// Requests in a step; two at a time are as likely as by chance.
+/// Returns a Poisson-distributed number of requests, drawn by Knuth's method.
 fn random_poisson(rng: &mut ChaCha8Rng, mean: f64) -> u32 {
     let (threshold, mut product, mut number) = ((-mean).exp(), 1.0, 0);
     loop {
--- a/crates/standins/src/allotment_model/cases.rs
+++ b/crates/standins/src/allotment_model/cases.rs
@@ -1,48 +1,50 @@
-//! What callers and instances do while a way is played.
+//! Faults and changes of demand during a simulation.
 
 use super::Plan;
 use passway_types::prelude::*;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// Trouble begins so long after the start, when counts have come to rest.
+/// Start of the fault. By then the bucket levels have settled.
 const FAULT_START: Duration = Duration::from_secs(6);
-/// And lasts so long: longer than the window.
+/// Duration of the fault, longer than the window of the rule.
 const FAULT_DURATION: Duration = Duration::from_secs(10);
-/// The time from a holder's loss to its successor's first word: its lease of 1.2 s and some.
+/// Time from the loss of the holder until its successor sends its first message: the lease of
+/// 1.2 s plus a margin.
 const SUCCESSION_DURATION: Duration = Duration::from_millis(1_600);
 
-/// An instance that does not hear the keeper says after 2 s that it is not ready, and the balancer
-/// believes that after two questions, one a second.
+/// Time until the load balancer stops sending requests to instances that are cut off. An instance
+/// without contact to the coordinator reports that it is not ready after 2 s, and the balancer
+/// removes it after two failed probes, which it sends every second.
 const BALANCER_DETECTION_DELAY: Duration = Duration::from_secs(4);
 
-/// What happens.
+/// A fault or a change of demand.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Case {
-    /// Nothing.
+    /// No fault.
     NoFault,
-    /// The largest workspace asks ten times its usual.
+    /// The demand of the largest workspace is ten times its typical demand.
     OneTenfold,
-    /// Five small ones do.
+    /// The demand of the five smallest workspaces is ten times their typical demand.
     FiveTenfold,
-    /// All callers move to a third of the instances.
+    /// All callers send to the same third of the instances.
     CallersMoved,
-    /// A third of the instances reach no other one, and serve.
+    /// A third of the instances reach no other instance but still serve requests.
     Partition,
-    /// The same while the largest asks tenfold.
+    /// [`Case::Partition`] and [`Case::OneTenfold`] at the same time.
     PartitionTenfold,
-    /// The holder is lost.
+    /// The holder is lost and a successor takes over.
     HolderLost,
-    /// The same while the largest asks tenfold.
+    /// [`Case::HolderLost`] and [`Case::OneTenfold`] at the same time.
     HolderLostTenfold,
-    /// All instances start again at one time.
+    /// All instances restart at the same time.
     AllRestart,
-    /// A tenth of the instances go and as many come, every second.
+    /// A tenth of the instances are replaced every second, each instance once.
     Churn,
 }
 
 impl Case {
-    /// All of them.
+    /// All cases.
     pub const ALL: [Self; 10] = [
         Self::NoFault,
         Self::OneTenfold,
@@ -56,7 +58,7 @@
         Self::Churn,
     ];
 
-    /// For tables.
+    /// Returns the label in printed tables.
     pub fn name(self) -> &'static str {
         match self {
             Self::NoFault => "calm",
@@ -76,7 +78,7 @@
         matches!(self, Self::Partition | Self::PartitionTenfold)
     }
 
-    /// What holds so long after the start.
+    /// Returns the state of the fleet `elapsed` after the start.
     pub fn state(self, plan: &Plan, elapsed: Duration) -> FleetState {
         let in_fault = elapsed >= FAULT_START && elapsed < FAULT_START + FAULT_DURATION;
         let fault_age = elapsed.saturating_sub(FAULT_START);
@@ -121,33 +123,36 @@
             instances: plan.instances,
             restarts,
             all_restart: self == Self::AllRestart,
-            // A process is back after a second.
+            // A process needs a second to restart.
             all_down: self == Self::AllRestart && in_fault && fault_age < Duration::from_secs(1),
         }
     }
 }
 
-/// What holds at a moment.
+/// State of the fleet at a point in time.
 #[derive(Debug, Clone)]
 pub struct FleetState {
+    /// Workspaces whose demand is tenfold, by index.
     tenfold: std::ops::Range<usize>,
-    /// Callers are sent to instances from this on,
+    /// First instance that receives requests.
     first_target: usize,
-    /// and up to this.
+    /// End (exclusive) of the instances that receive requests.
     end_target: usize,
+    /// Number of instances that are cut off; these have the lowest indices.
     partitioned: usize,
-    /// Whether there is no holder.
+    /// Whether the fleet has no holder.
     pub is_holder_lost: bool,
-    /// The term of the holder.
+    /// Term of the holder.
     pub term: u64,
     instances: usize,
+    /// Number of restarts: of the fleet if `all_restart`, otherwise of tenths of the fleet.
     restarts: u64,
     all_restart: bool,
     all_down: bool,
 }
 
 impl FleetState {
-    /// How many times its usual a workspace asks.
+    /// Returns the factor on the typical demand of a workspace.
     pub fn demand_factor(&self, workspace: usize) -> f64 {
         if self.tenfold.contains(&workspace) {
             10.0
@@ -156,33 +161,34 @@
         }
     }
 
-    /// Where a request comes in.
+    /// Returns a random instance that receives a request.
     pub fn random_instance(&self, rng: &mut ChaCha8Rng) -> usize {
         rng.random_range(self.first_target..self.end_target)
     }
 
-    /// Whether an instance is not there.
+    /// Whether an instance is down.
     pub fn is_down(&self, _instance: usize) -> bool {
         self.all_down
     }
 
-    /// Whether an instance reaches no other one. The holder is the last instance, which does.
+    /// Whether an instance reaches no other instance. The holder is the last instance and is never
+    /// cut off.
     pub fn is_partitioned(&self, instance: usize) -> bool {
         instance < self.partitioned
     }
 
-    /// How many times an instance has started, which then knows nothing.
+    /// Returns how many times an instance has restarted. A restart loses all its state.
     pub fn incarnation(&self, instance: usize) -> u64 {
         let restart_order = u64::try_from(instance % 10).unwrap_or(0);
         if self.all_restart {
             self.restarts
         } else {
-            // One in ten each second.
+            // Each second, one instance in ten restarts.
             u64::from(self.restarts > restart_order)
         }
     }
 
-    /// How many instances there are.
+    /// Returns the number of instances.
     pub fn instance_count(&self) -> usize {
         self.instances
     }
--- a/crates/standins/src/allotment_model/limit_strategies.rs
+++ b/crates/standins/src/allotment_model/limit_strategies.rs
@@ -1,4 +1,4 @@
-//! Ways to keep upstreams in need to their limits.
+//! Strategies for enforcing the limits that upstreams advertise.
 
 use super::cases::FleetState;
 use super::strategies::{Decision, Strategy, address};
@@ -10,11 +10,11 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashMap;
 
-/// A refused request comes back after this where a way knows no better.
+/// Time until the retry of a refused request where a strategy has no better estimate.
 const RETRY_AFTER: Duration = Duration::from_millis(400);
 
-/// One instance counts for all and is asked for each request; without it, a quarter of the limit,
-/// shared by all. What the product does.
+/// A coordinator counts the requests of all instances, which query it for each request. Instances
+/// that do not reach the coordinator share a quarter of the limit. passway uses this strategy.
 #[derive(Debug)]
 pub struct CoordinatorLimits {
     coordinator: QuotaCoordinator,
@@ -25,7 +25,7 @@
 }
 
 impl CoordinatorLimits {
-    /// Before anything was asked.
+    /// Creates the strategy without any recorded request.
     pub fn new(plan: &Plan) -> Self {
         Self {
             coordinator: QuotaCoordinator::new(NO_OVERAGE, passway_types::clock::now()),
@@ -80,9 +80,10 @@
     }
 }
 
-/// Buckets by instance and its life.
+/// Level and last update of each bucket, by instance, its incarnation, and upstream.
 type Buckets = HashMap<(usize, u64, UpstreamId), (f64, Instant)>;
 
+/// Takes one request from a bucket, which is empty at first.
 fn try_take(
     buckets: &mut Buckets,
     key: (usize, u64, UpstreamId),
@@ -101,7 +102,7 @@
     Decision::Granted
 }
 
-/// Each instance has an equal part of the limit.
+/// Each instance may use an equal share of the limit.
 #[derive(Debug, Default)]
 pub struct EqualSplit(Buckets);
 
@@ -127,7 +128,7 @@
     }
 }
 
-/// One instance alone sends to an upstream in need.
+/// Only one instance, chosen by a hash of the upstream, sends to a limited upstream.
 #[derive(Debug, Default)]
 pub struct SingleSender(Buckets);
 
--- a/crates/standins/src/allotment_model/strategies.rs
+++ b/crates/standins/src/allotment_model/strategies.rs
@@ -1,4 +1,4 @@
-//! Ways to keep allotments.
+//! Strategies for enforcing allotments.
 
 use super::cases::FleetState;
 use super::{Plan, WorkspaceDemand};
@@ -10,18 +10,19 @@
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 
-/// What a way says to a request.
+/// Decision of a strategy about a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// It may pass.
+    /// The request may pass.
     Granted,
-    /// Its workspace has used what it may; when to come back.
+    /// The workspace has used up its allotment. Holds the time until the caller should retry.
     Refused(Duration),
-    /// Nobody can say now.
+    /// The instance cannot decide now.
     Unknown,
 }
 
 impl Decision {
+    /// Returns `Granted` if the request fits, otherwise `Refused`.
     fn if_fits(fits: bool) -> Self {
         if fits {
             Self::Granted
@@ -31,11 +32,11 @@
     }
 }
 
-/// A way to keep workspaces to their allotments.
+/// A strategy for enforcing the allotments of workspaces or the limits of upstreams.
 pub trait Strategy {
-    /// Time goes on.
+    /// Does the periodic work that is due at `now`.
     fn advance(&mut self, state: &FleetState, now: Instant);
-    /// Whether an instance lets a request pass.
+    /// Decides whether an instance lets a request of `cost` units pass.
     fn decide(
         &mut self,
         state: &FleetState,
@@ -44,27 +45,30 @@
         cost: f64,
         now: Instant,
     ) -> Decision;
-    /// Messages so far, over all instances, each counted where it is sent and where it is received.
+    /// Returns the number of messages of all instances so far. Each message counts twice: at its
+    /// sender and at its receiver.
     fn messages(&self) -> u64;
 }
 
-/// Pause between two looks of the keeper whether what lies in the store has changed.
+/// Interval at which the coordinator checks whether its state in the store needs an update.
 const STORE_INTERVAL: Duration = Duration::from_secs(1);
 
+/// Returns a distinct address for each instance.
 pub(super) fn address(instance: usize) -> SocketAddr {
     let port = u16::try_from(instance).unwrap_or(u16::MAX);
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// One instance has the bucket of each workspace and is asked for each request; without it,
-/// parts of the rate for a short time. What the product does.
+/// A coordinator holds the buckets of all workspaces, and instances query it for each request.
+/// Instances that do not reach the coordinator use a share of the rate for a short time. passway
+/// uses this strategy.
 #[derive(Debug)]
 pub struct CoordinatorQuotas {
     bounds: QuotaBounds,
     coordinator: QuotaCoordinator,
     term: u64,
     fallback: HashMap<(usize, u64), FallbackQuotas>,
-    /// What a successor finds in the store, as it was told last.
+    /// Workspaces whose buckets are at least half full, as last written to the store for a successor.
     stored_half_full: BTreeSet<WorkspaceName>,
     sync_at: Option<Instant>,
     allotments: HashMap<WorkspaceName, Allotment>,
@@ -73,7 +77,7 @@
 }
 
 impl CoordinatorQuotas {
-    /// Before anything was asked.
+    /// Creates the strategy without any recorded request.
     pub fn new(plan: &Plan) -> Self {
         let allotment = |demand: &WorkspaceDemand| (demand.name.clone(), demand.allotment);
         Self {
@@ -145,11 +149,12 @@
     }
 }
 
-/// Pause between two words of the holder on parts or counts.
+/// Interval at which the holder sends leases or bucket levels.
 const SYNC_INTERVAL: Duration = Duration::from_millis(400);
-/// A part that was leased lapses after this.
+/// Time after which the lease of a rate expires.
 const LEASE_TTL: Duration = Duration::from_millis(1_500);
 
+/// The share of a workspace's rate that one instance may use, with its own token bucket.
 #[derive(Debug, Clone, Copy)]
 struct LeasedRate {
     rate_per_s: f64,
@@ -159,8 +164,8 @@
     incarnation: u64,
 }
 
-/// The holder leases each instance a part of each workspace's rate, by where its requests came in
-/// lately; a part is a bucket of its own.
+/// The holder leases a share of each workspace's rate to each instance, in proportion to the recent
+/// requests at that instance. Each lease has its own token bucket.
 #[derive(Debug)]
 pub struct LeasedRates {
     workspaces: Vec<WorkspaceDemand>,
@@ -171,7 +176,7 @@
 }
 
 impl LeasedRates {
-    /// Before anything was asked.
+    /// Creates the strategy without any recorded request.
     pub fn new(plan: &Plan) -> Self {
         Self {
             workspaces: plan.workspaces.clone(),
@@ -182,6 +187,7 @@
         }
     }
 
+    /// Renews the leases of all reachable instances.
     fn lease(&mut self, state: &FleetState, now: Instant) {
         for demand in &self.workspaces {
             let recent_units = |instance: usize| {
@@ -191,7 +197,8 @@
             let reachable =
                 (0..state.instance_count()).filter(|instance| !state.is_partitioned(*instance));
             let reachable: Vec<usize> = reachable.collect();
-            // A little for each, so that one that was not asked yet can begin.
+            // Each instance gets a small share, so that an instance without recent requests can
+            // admit its first ones.
             let min_units =
                 demand.allotment.rate_per_s / super::count_f64(state.instance_count() as u64) / 4.0;
             let total: f64 = reachable
@@ -268,26 +275,26 @@
     }
 }
 
-/// The holder tells all instances how full each bucket is; each lets pass what seems to fit, by
-/// that and what it let pass itself since.
+/// The holder broadcasts the bucket levels to all instances. Each instance admits a request if the
+/// last level minus its own use since then is positive.
 #[derive(Debug)]
 pub struct BroadcastLevels {
     workspaces: Vec<WorkspaceDemand>,
-    /// What the holder counts.
+    /// Bucket levels at the holder, in units.
     levels: HashMap<WorkspaceName, f64>,
-    /// What was told last.
+    /// Bucket levels of the last broadcast, in units.
     published: HashMap<WorkspaceName, f64>,
-    /// What each instance let pass since.
+    /// Units that each instance admitted and the holder has not received yet.
     local_units: HashMap<(usize, WorkspaceName), f64>,
     counted_at: Option<Instant>,
     sync_at: Option<Instant>,
-    /// The lives of instances that have heard.
+    /// Incarnations of the instances that have received a broadcast.
     informed: HashMap<usize, u64>,
     messages: u64,
 }
 
 impl BroadcastLevels {
-    /// Before anything was asked.
+    /// Creates the strategy without any recorded request.
     pub fn new(plan: &Plan) -> Self {
         let full_level = |demand: &WorkspaceDemand| (demand.name.clone(), demand.allotment.burst);
         Self {
--- a/crates/standins/src/bin/passway-config-memory.rs
+++ b/crates/standins/src/bin/passway-config-memory.rs
@@ -1,6 +1,8 @@
-//! Measures what one instance keeps in memory for its configuration and its fleet, by a counting
-//! allocator: the decoded table, the servers in the store and the planner's view of them, the
-//! log of changes that a holder of the right to order keeps for instances that connect, and the
+//! Measures the memory that one instance uses for its configuration and its fleet, with a counting
+//! allocator.
+//!
+//! The cases are the decoded table, the servers in the store and the planner's view of them, the
+//! log of changes that the holder of the leadership retains for instances that connect, and the
 //! queues to instances that do not read.
 
 use anyhow::{Context, Result};
@@ -26,48 +28,52 @@
 #[global_allocator]
 static ALLOCATOR: PeakAlloc = PeakAlloc;
 
-/// The service of all servers.
+/// Service that all servers belong to.
 const ENGINES: &str = "engines";
-/// Models of the fleet that is aimed at.
+/// Number of models in the target fleet.
 const MODELS: usize = 730;
-/// Models on a server's accelerators, in its memory and on its disk, on the high side: the
-/// largest servers of the users' sites keep 150 GB and 1.3 TB of copies, here of 10 GB each.
+/// Number of models on a server's accelerators. This number and the next two are on the high side:
+/// the largest servers of the users hold 150 GB of checkpoints in memory and 1.3 TB on disk, and
+/// this program assumes 10 GB per checkpoint.
 const RESIDENT: usize = 6;
+/// Number of models in a server's host memory.
 const IN_MEMORY: usize = 15;
+/// Number of models on a server's disk.
 const ON_DISK: usize = 130;
-/// The key of the configuration in the platform's store.
+/// Key of the configuration in the platform's store.
 const KEY: &str = "op/config";
-/// Routes of the configuration that is sent to peers: about the largest value of the store.
+/// Routes of the configuration that is sent to peers. Its size is about the maximum size of a value
+/// in the store.
 const SENT_ROUTES: usize = 5_000;
-/// Socket buffers of a connection, in bytes: the platform's links have small windows, and what
-/// the kernel of this machine would take by itself (4 MB) would not stand in the queues.
+/// Socket buffers of a connection. The platform's links have small windows; the kernel's default
+/// buffers (4 MB) would hold bytes that otherwise stay in the queues to be measured.
 const SOCKET_BUFFER_BYTES: usize = 16 << 10;
-/// Time after sending at which queues are measured: a peer that reads nothing is cut off
-/// after 2 s.
-const QUEUE_TIME: Duration = Duration::from_millis(500);
+/// Delay between sending and measuring the queues, below the 2 s after which an instance
+/// disconnects a peer that does not read.
+const QUEUE_FILL_DELAY: Duration = Duration::from_millis(500);
 
-/// Prints the bytes that are kept, and the most that were in use, for each case.
+/// Prints the retained bytes and the peak of the bytes in use for each case.
 #[derive(Debug, Parser)]
 struct Arguments {
-    /// Routes of a configuration, divided by commas.
+    /// Numbers of routes in a configuration, separated by commas.
     #[arg(long, value_delimiter = ',', default_value = "500,5000,20000")]
     routes: Vec<usize>,
-    /// Changes of the configuration, divided by commas.
+    /// Numbers of changes of the configuration, separated by commas.
     #[arg(long, value_delimiter = ',', default_value = "1,30,400")]
     changes: Vec<u64>,
-    /// Peers that do not read, divided by commas.
+    /// Numbers of peers that do not read, separated by commas.
     #[arg(long, value_delimiter = ',', default_value = "6,79,300")]
     peers: Vec<usize>,
-    /// Keys of workspaces, ten to each, divided by commas.
+    /// Numbers of workspace keys, ten per workspace, separated by commas.
     #[arg(long, value_delimiter = ',', default_value = "1000,20000")]
     keys: Vec<usize>,
-    /// Servers in the store, divided by commas.
+    /// Numbers of servers in the store, separated by commas.
     #[arg(long, value_delimiter = ',', default_value = "90,600")]
     servers: Vec<usize>,
-    /// Adapters that requests ask for.
+    /// Number of adapters that are requested.
     #[arg(long, default_value_t = 8_600)]
     adapters: usize,
-    /// Configurations that are sent to each peer.
+    /// Number of configurations sent to each peer.
     #[arg(long, default_value_t = 4)]
     sent: u64,
 }
@@ -95,8 +101,8 @@
     Ok(())
 }
 
-/// Keys of a workspace.
-const KEYS_OF_WORKSPACE: usize = 10;
+/// Number of keys per workspace.
+const KEYS_PER_WORKSPACE: usize = 10;
 
 /// Bytes in use at the start of a case.
 struct Case {
@@ -104,23 +110,24 @@
 }
 
 impl Case {
-    fn begin() -> Self {
+    /// Resets the peak and starts a case.
+    fn start() -> Self {
         ALLOCATOR.reset_peak_usage();
         Self {
             before_bytes: ALLOCATOR.current_usage(),
         }
     }
 
-    /// Prints what the case keeps now and the most that it had in use.
+    /// Prints the bytes that the case uses now and its peak.
     fn print(&self, name: &str) {
-        let kept = ALLOCATOR.current_usage().saturating_sub(self.before_bytes);
+        let retained = ALLOCATOR.current_usage().saturating_sub(self.before_bytes);
         let peak = ALLOCATOR.peak_usage().saturating_sub(self.before_bytes);
-        println!("{name:<44} {kept:>14} {peak:>14}");
+        println!("{name:<44} {retained:>14} {peak:>14}");
     }
 }
 
-/// One version of a configuration, as it lies in the store; each route differs from the version
-/// before.
+/// Returns one version of a configuration as stored. Each route differs from that of the previous
+/// version.
 fn configuration(version: u64, routes: usize) -> Result<StoredValue> {
     let route = |number: usize| {
         json!({"name": format!("route-{number}"), "host": format!("host-{}.example", number % 97),
@@ -143,14 +150,16 @@
     })
 }
 
+/// Decodes a stored configuration.
 fn decode(value: &StoredValue) -> Result<RouteTable> {
     let table = PlatformDirectory.decode_configuration(value)?;
     table.context("the key holds no configuration")
 }
 
+/// Measures one decoded configuration, and then two as during a change.
 fn decoded_table(routes: usize) -> Result<()> {
     let value = configuration(1, routes)?;
-    let case = Case::begin();
+    let case = Case::start();
     let table = decode(&value)?;
     let bytes = value.value.len();
     case.print(&format!("table, {routes} routes ({bytes} bytes)"));
@@ -160,37 +169,37 @@
     Ok(())
 }
 
-/// Keys of a configuration with few routes, and the time to decode them.
+/// Measures the keys in a configuration with few routes and the time to decode them.
 fn workspace_keys(keys: usize) -> Result<()> {
     let mut value = configuration(1, 10)?;
     let mut file: serde_json::Value = serde_json::from_slice(&value.value)?;
     let workspace = |number: usize| {
-        let keys = (0..KEYS_OF_WORKSPACE).map(|key| format!("{number:010}{key:010}"));
+        let keys = (0..KEYS_PER_WORKSPACE).map(|key| format!("{number:010}{key:010}"));
         json!({"name": format!("workspace-{number}"), "api_keys": keys.collect::<Vec<_>>(),
             "unit": "token_count", "plain_tokens": 200, "rate_per_s": 1_000, "burst": 1_000})
     };
-    let workspaces = (0..keys / KEYS_OF_WORKSPACE).map(workspace);
+    let workspaces = (0..keys / KEYS_PER_WORKSPACE).map(workspace);
     file["tenants"] = workspaces.collect();
     value.value = serde_json::to_vec(&file)?.into();
     drop(file);
-    let case = Case::begin();
-    let begun_at = clock::now();
+    let case = Case::start();
+    let started_at = clock::now();
     let table = decode(&value)?;
-    let took = clock::since(begun_at);
+    let decode_time = clock::since(started_at);
     let bytes = value.value.len();
     case.print(&format!("table, {keys} keys ({bytes} bytes)"));
-    println!("decoded in {} us", took.as_micros());
+    println!("decoded in {} us", decode_time.as_micros());
     drop(table);
     Ok(())
 }
 
-/// Names of models, from one on.
+/// Returns `count` names of models, starting at the number `from`.
 fn model_names(from: usize, count: usize) -> Vec<String> {
     let numbers = from..from + count;
     numbers.map(|n| format!("model-{}", n % MODELS)).collect()
 }
 
-/// What a server says of itself.
+/// Returns the entry that a server publishes.
 fn server(number: usize) -> Result<UpstreamEntry> {
     let resident = |name: &String| json!({"name": name, "adapters": ["a1", "a2"]});
     let models: Vec<_> = model_names(number, RESIDENT).iter().map(resident).collect();
@@ -208,7 +217,7 @@
     PlatformDirectory.decode_upstream(&value, Instant::now())
 }
 
-/// A configuration with all models.
+/// Returns a configuration with all models.
 fn models_table() -> RouteTable {
     let spec = |name: String| ModelSpec {
         name: name.into(),
@@ -240,11 +249,11 @@
     RouteTable::new(1, Vec::new(), vec![service], limits)
 }
 
-/// What every instance keeps of the servers, and what the holder's planner does, before and
-/// after requests for adapters that stand nowhere.
+/// Measures the servers in the table of every instance and in the holder's planner, before and after
+/// requests for adapters that no server has loaded.
 fn known_servers(servers: usize, adapters: usize) -> Result<()> {
     let now = Instant::now();
-    let case = Case::begin();
+    let case = Case::start();
     let mut upstreams = UpstreamTable::new("hall".into());
     for number in 0..servers {
         upstreams.update(server(number)?, now);
@@ -252,7 +261,7 @@
     case.print(&format!("upstreams, {servers} servers"));
     drop(upstreams);
     let table = models_table();
-    let case = Case::begin();
+    let case = Case::start();
     let mut planner = Planner::new(DEFAULT_LOAD_WINDOW, PolicyName::default().build());
     planner.set_table(&table);
     for number in 0..servers {
@@ -260,88 +269,92 @@
     }
     case.print(&format!("planner, {servers} servers"));
     for number in 0..adapters {
-        let wish = ModelRef {
+        let model_ref = ModelRef {
             model: format!("model-{}", number % MODELS).into(),
             adapter: Some(format!("adapter-{number}").into()),
         };
-        planner.record_arrivals(&ENGINES.into(), &wish, 1, now);
+        planner.record_arrivals(&ENGINES.into(), &model_ref, 1, now);
     }
     case.print(&format!("planner, {servers} servers, {adapters} adapters"));
     Ok(())
 }
 
+/// Measures the log of configuration changes.
 fn change_log(routes: usize, changes: u64) -> Result<()> {
     let first = configuration(1, routes)?;
-    let case = Case::begin();
+    let case = Case::start();
     let mut log = FeedLog::default();
     for revision in 1..=changes {
         let value = StoredValue {
-            // As from the store: bytes of its own, and not those of the version before.
+            // Each version owns its bytes, as when it is read from the store.
             value: first.value.to_vec().into(),
             revision,
             ..first.clone()
         };
-        let told = FeedUpdate::Changes {
+        let update = FeedUpdate::Changes {
             from: revision - 1,
             to: revision,
             changes: vec![StoreChange::Written(value)],
         };
-        // What is to be passed on is not made here: the queues are measured apart.
-        log.apply(&told);
+        // No update is queued for peers; the queues are measured separately.
+        log.apply(&update);
     }
     case.print(&format!("log, {routes} routes, {changes} changes"));
     drop(log);
     Ok(())
 }
 
-/// Connections whose other ends are open and read nothing.
+/// Opens connections to peers that do not read, and returns both ends.
 fn silent_peers(count: usize) -> Result<(Vec<Outbox>, Vec<TcpStream>)> {
-    let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-    let listener = TcpListener::bind(any).context("binding")?;
-    // Connections take the size from the socket that accepts them.
-    set_socket_recv_buffer_size(&listener, SOCKET_BUFFER_BYTES).context("a peer's buffer")?;
+    let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+    let listener = TcpListener::bind(any_port).context("binding a listener")?;
+    // Accepted connections inherit the buffer size of the listening socket.
+    set_socket_recv_buffer_size(&listener, SOCKET_BUFFER_BYTES)
+        .context("setting the receive buffer of a peer")?;
     let address = listener.local_addr().context("the bound address")?;
     let mut outboxes = Vec::new();
-    let mut silent = Vec::new();
+    let mut silent_ends = Vec::new();
     for _ in 0..count {
-        let stream = TcpStream::connect(address).context("connecting")?;
-        set_socket_send_buffer_size(&stream, SOCKET_BUFFER_BYTES).context("our buffer")?;
-        let (link, _reader) = Link::from_stream(stream).context("a link")?;
+        let stream = TcpStream::connect(address).context("connecting to the listener")?;
+        set_socket_send_buffer_size(&stream, SOCKET_BUFFER_BYTES)
+            .context("setting the send buffer")?;
+        let (link, _reader) = Link::from_stream(stream).context("creating a link")?;
         outboxes.push(Outbox::start(link));
-        silent.push(listener.accept().context("accepting")?.0);
+        silent_ends.push(listener.accept().context("accepting")?.0);
     }
-    Ok((outboxes, silent))
+    Ok((outboxes, silent_ends))
 }
 
+/// Measures the queues to peers that do not read, empty and after `sent` configurations.
 fn queues(peers: usize, sent: u64) -> Result<()> {
-    let case = Case::begin();
-    let (outboxes, silent) = silent_peers(peers)?;
+    let case = Case::start();
+    let (outboxes, silent_ends) = silent_peers(peers)?;
     case.print(&format!("queues, {peers} peers, nothing sent"));
-    let case = Case::begin();
+    let case = Case::start();
     let mut log = FeedLog::default();
     for revision in 1..=sent {
         let value = configuration(revision, SENT_ROUTES)?;
-        let told = FeedUpdate::Changes {
+        let update = FeedUpdate::Changes {
             from: revision - 1,
             to: revision,
             changes: vec![StoreChange::Written(value)],
         };
-        log.apply(&told);
-        let news = log.update_after(CONFIGURATION_FEED, revision - 1);
-        let news = news.context("nothing to pass on")?;
-        let frame = Frame::new(Body::News(news)).context("encoding news")?;
+        log.apply(&update);
+        let update = log.update_after(CONFIGURATION_FEED, revision - 1);
+        let update = update.context("the log has no update for peers")?;
+        let frame = Frame::new(Body::News(update)).context("encoding an update")?;
         for outbox in &outboxes {
             outbox.send_frame(frame.clone());
         }
     }
     drop(log);
-    std::thread::sleep(QUEUE_TIME);
+    std::thread::sleep(QUEUE_FILL_DELAY);
     case.print(&format!("queues, {peers} silent peers, {sent} versions"));
     for outbox in &outboxes {
         outbox.close();
     }
-    drop((outboxes, silent));
-    // The sending threads give back what they hold.
-    std::thread::sleep(QUEUE_TIME);
+    drop((outboxes, silent_ends));
+    // The sending threads release their queued bytes.
+    std::thread::sleep(QUEUE_FILL_DELAY);
     Ok(())
 }
--- a/crates/standins/src/bin/passway-demo.rs
+++ b/crates/standins/src/bin/passway-demo.rs
@@ -1,4 +1,4 @@
-//! The whole path in one process on embedded stand-ins.
+//! Runs the complete request path in one process on embedded stand-ins.
 
 use anyhow::{Result, ensure};
 use clap::Parser;
@@ -7,25 +7,25 @@
 use passway_types::prelude::*;
 use std::collections::BTreeMap;
 
-/// Wakes a sleeping model with a burst of first requests at all routers.
+/// Loads a model that is not resident by sending a burst of first requests to all routers.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Arguments {
-    /// First requests, spread over the routers.
+    /// Number of first requests, spread over the routers.
     #[arg(long, default_value_t = 200)]
     requests: usize,
-    /// Entry instances.
+    /// Number of instances, each with a router and a controller.
     #[arg(long, default_value_t = 6)]
     instances: usize,
-    /// Replicas that the configuration allows.
+    /// Maximum number of replicas that the configuration allows.
     #[arg(long, default_value_t = 1)]
     max_replicas: u32,
-    /// Lowest level that is logged.
+    /// Minimum level of log messages.
     #[arg(long, default_value = "warn")]
     log_level: String,
 }
 
-/// The model that is asleep when the burst comes.
+/// Model of the burst; no engine has it loaded when the burst starts.
 const MODEL: &str = "model7@1";
 /// Deadline of each request.
 const DEADLINE: Duration = Duration::from_secs(30);
@@ -85,6 +85,7 @@
     Ok(())
 }
 
+/// Prints the count of each outcome and quantiles of the time to the first token.
 fn report(samples: &[Sample]) {
     let mut outcomes: BTreeMap<String, usize> = BTreeMap::new();
     for sample in samples {
@@ -93,11 +94,11 @@
     for (outcome, count) in outcomes {
         println!("  {count:5}  {outcome}");
     }
-    let mut firsts: Vec<Duration> = samples.iter().map(|sample| sample.first).collect();
-    firsts.sort();
-    for (name, part) in [("p50", 50), ("p99", 99), ("max", 100)] {
-        let index = (firsts.len() * part / 100).saturating_sub(1);
-        if let Some(first) = firsts.get(index) {
+    let mut first_token_times: Vec<Duration> = samples.iter().map(|sample| sample.first).collect();
+    first_token_times.sort();
+    for (name, percent) in [("p50", 50), ("p99", 99), ("max", 100)] {
+        let index = (first_token_times.len() * percent / 100).saturating_sub(1);
+        if let Some(first) = first_token_times.get(index) {
             println!("  first token {name}: {} ms", first.as_millis());
         }
     }
--- a/crates/standins/src/bin/passway-load.rs
+++ b/crates/standins/src/bin/passway-load.rs
@@ -1,4 +1,4 @@
-//! Drives routers and controllers with a seeded trace and reports what it cost.
+//! Runs routers and controllers with a seeded trace and reports latencies, loads and idle memory.
 
 use anyhow::{Context, Result};
 use clap::Parser;
@@ -19,60 +19,65 @@
 
 /// Runs the same trace with each variant and prints a table.
 ///
-/// A variant is a keep policy: `fixed:MS`, `ski_rental:COLD` or `histogram:COLD`,
-/// where COLD is what a second of cold wait costs against an idle second.
+/// A variant is a retention policy: `fixed:MS`, `ski_rental:COLD` or `histogram:COLD`,
+/// where COLD is the cost of a second of waiting for a cold start relative to an idle second.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Arguments {
-    /// `market` or `laundry`.
+    /// Deployment whose demand the trace follows: `market` or `laundry`.
     #[arg(long, default_value = "market")]
     site: Site,
-    /// The variants, the baseline first, with commas between.
+    /// Variants, separated by commas, the baseline first.
     #[arg(
         long,
         value_delimiter = ',',
         default_value = "fixed:10000,ski_rental:10,histogram:10"
     )]
     variants: Vec<String>,
-    /// Draws the trace.
+    /// Seed of the trace.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Length of each run, a day compressed, in seconds.
+    /// Length of each run, in seconds. A run compresses a day.
     #[arg(long, default_value_t = 60)]
     length_s: u64,
-    /// Mean requests a second outside rushes.
+    /// Mean number of requests per second outside rushes.
     #[arg(long, default_value_t = 8.0)]
     rate_per_s: f64,
-    /// Where the report goes as JSON.
+    /// File for the report as JSON.
     #[arg(long)]
     json: Option<PathBuf>,
-    /// Where the plot goes as SVG.
+    /// File for the plot as SVG.
     #[arg(long)]
     svg: Option<PathBuf>,
 }
 
-/// Pause between two looks at what the engines hold.
-const SAMPLE_PAUSE: Duration = Duration::from_millis(50);
+/// Interval at which the idle memory of the engines is sampled.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What one run cost.
+/// Result of one run.
 #[derive(Debug, Clone, Serialize)]
 struct Report {
     variant: String,
+    /// Number of requests sent.
     requests: usize,
+    /// Number of complete answers.
     whole: usize,
+    /// Number of refused requests by refusal code.
     refused: BTreeMap<u64, usize>,
-    /// Answers that were broken or wrong; must be 0.
+    /// Number of answers that were incomplete or wrong; must be 0.
     broken: usize,
-    /// Promises that the ledgers show broken; must be 0.
+    /// Number of engines whose ledger shows a violated guarantee; must be 0.
     broken_promises: usize,
+    /// Number of complete answers for models that no engine had loaded when the request was sent.
     cold: u64,
     cold_p50_ms: u64,
     cold_p95_ms: u64,
     cold_p99_ms: u64,
     warm_p50_ms: u64,
     warm_p99_ms: u64,
+    /// Number of model loads over all engines.
     loads: u32,
-    /// Seconds for which a whole engine's memory was held by idle models.
+    /// Idle memory over time, in seconds of one engine's whole memory.
     idle_engine_s: f64,
 }
 
@@ -81,7 +86,7 @@
     let length = Duration::from_secs(arguments.length_s);
     let mut reports = Vec::new();
     for variant in &arguments.variants {
-        let keep = keep_of(variant)?;
+        let keep = retention_of(variant)?;
         let plan = WorldPlan {
             keep,
             max_replicas: 2,
@@ -99,19 +104,23 @@
     }
     print_table(&reports);
     if let Some(path) = &arguments.json {
-        std::fs::write(path, serde_json::to_string_pretty(&reports)?).context("json")?;
+        std::fs::write(path, serde_json::to_string_pretty(&reports)?)
+            .context("writing the JSON report")?;
     }
     if let Some(path) = &arguments.svg {
-        std::fs::write(path, plot(&reports)).context("svg")?;
+        std::fs::write(path, plot(&reports)).context("writing the SVG plot")?;
     }
     Ok(())
 }
 
-fn keep_of(variant: &str) -> Result<KeepEntry> {
+/// Parses a variant into a retention policy.
+fn retention_of(variant: &str) -> Result<KeepEntry> {
     let (policy, number) = variant
         .split_once(':')
-        .context("a variant is POLICY:NUMBER")?;
-    let number: f64 = number.parse().context("a variant's number")?;
+        .context("a variant must be POLICY:NUMBER")?;
+    let number: f64 = number
+        .parse()
+        .context("the number of a variant is invalid")?;
     let entry = KeepEntry::default();
     Ok(match policy {
         "fixed" => KeepEntry {
@@ -131,10 +140,11 @@
             cold_weight: number,
             ..entry
         },
-        other => anyhow::bail!("no keep policy {other}"),
+        other => anyhow::bail!("unknown retention policy {other}"),
     })
 }
 
+/// Runs the trace with one variant.
 fn run(variant: &str, plan: WorldPlan, trace: &[TraceRequest]) -> Result<Report> {
     let world = Arc::new(World::start(plan)?);
     let fleet = world.start_fleet()?;
@@ -143,7 +153,7 @@
         .iter()
         .map(passway_router::Router::address)
         .collect();
-    let idle_watch = Sampler::start(world.clone());
+    let sampler = Sampler::start(world.clone());
     let began_at = Instant::now();
     let mut callers: Vec<JoinHandle<(bool, passway_standins::load::Sample)>> = Vec::new();
     for (number, request) in trace.iter().enumerate() {
@@ -152,8 +162,8 @@
             .engines
             .iter()
             .any(|engine| engine.is_ready(&request.model));
-        let one = call_of(request, number, routers[number % routers.len()]);
-        callers.push(std::thread::spawn(move || (is_cold, call(&one))));
+        let request_call = call_of(request, number, routers[number % routers.len()]);
+        callers.push(std::thread::spawn(move || (is_cold, call(&request_call))));
     }
     let mut samples = Vec::new();
     for caller in callers {
@@ -163,7 +173,7 @@
                 .map_err(|_| anyhow::anyhow!("a caller panicked"))?,
         );
     }
-    let idle_engine_s = idle_watch.stop();
+    let idle_engine_s = sampler.stop();
     let report = report(variant, &world, &samples, idle_engine_s)?;
     for controller in fleet.controllers {
         controller.stop();
@@ -171,6 +181,7 @@
     Ok(report)
 }
 
+/// Builds the call for a request of the trace.
 fn call_of(request: &TraceRequest, number: usize, router: SocketAddr) -> Call {
     let (workspace, tokens, deadline_s) = match request.purpose {
         Purpose::Rush => ("stalls", 16, 8),
@@ -188,21 +199,21 @@
     }
 }
 
-/// Sums up the idle memory of all engines while it runs.
+/// A thread that integrates the idle memory of all engines over time.
 struct Sampler {
-    stopped: Arc<AtomicBool>,
+    is_stopped: Arc<AtomicBool>,
     thread: JoinHandle<f64>,
 }
 
 impl Sampler {
     fn start(world: Arc<World>) -> Self {
-        let stopped = Arc::new(AtomicBool::new(false));
-        let is_stopped = stopped.clone();
+        let is_stopped = Arc::new(AtomicBool::new(false));
+        let thread_is_stopped = is_stopped.clone();
         let thread = std::thread::spawn(move || {
             let mut idle_engine_s = 0.0;
             let mut sampled_at = Instant::now();
-            while !is_stopped.load(Ordering::Relaxed) {
-                std::thread::sleep(SAMPLE_PAUSE);
+            while !thread_is_stopped.load(Ordering::Relaxed) {
+                std::thread::sleep(SAMPLE_INTERVAL);
                 let now = Instant::now();
                 let idle: f64 = world.engines.iter().map(Engine::idle_share).sum();
                 idle_engine_s += idle * (now - sampled_at).as_secs_f64();
@@ -210,15 +221,17 @@
             }
             idle_engine_s
         });
-        Self { stopped, thread }
+        Self { is_stopped, thread }
     }
 
+    /// Stops the thread and returns the idle time, in seconds of one engine's whole memory.
     fn stop(self) -> f64 {
-        self.stopped.store(true, Ordering::Relaxed);
+        self.is_stopped.store(true, Ordering::Relaxed);
         self.thread.join().unwrap_or(f64::NAN)
     }
 }
 
+/// Builds the report of a run.
 fn report(
     variant: &str,
     world: &World,
@@ -234,16 +247,16 @@
         match &sample.outcome {
             Outcome::Whole => {
                 whole += 1;
-                let first_ms = u64::try_from(sample.first.as_millis())?;
-                let into = if *is_cold { &mut cold } else { &mut warm };
-                into.record(first_ms)?;
+                let first_token_ms = u64::try_from(sample.first.as_millis())?;
+                let histogram = if *is_cold { &mut cold } else { &mut warm };
+                histogram.record(first_token_ms)?;
             }
             Outcome::Refused { code, .. } => *refused.entry(*code).or_default() += 1,
             Outcome::Broken(_) => broken += 1,
         }
     }
     let ledgers: Vec<_> = world.engines.iter().map(Engine::ledger).collect();
-    let over = ledgers
+    let violations = ledgers
         .iter()
         .filter(|l| l.most_bytes > world.plan.engine_mb << 20 || l.no_room > 0);
     Ok(Report {
@@ -252,7 +265,7 @@
         whole,
         refused,
         broken,
-        broken_promises: over.count(),
+        broken_promises: violations.count(),
         cold: cold.len(),
         cold_p50_ms: cold.value_at_quantile(0.5),
         cold_p95_ms: cold.value_at_quantile(0.95),
@@ -293,10 +306,10 @@
     }
 }
 
-/// The cold tail against idle time, a point a variant.
+/// Plots the p99 of cold starts over the idle time, one point per variant.
 fn plot(reports: &[Report]) -> String {
-    let most_idle = reports.iter().map(|r| r.idle_engine_s).fold(1.0, f64::max);
-    let most_ms = reports
+    let max_idle_s = reports.iter().map(|r| r.idle_engine_s).fold(1.0, f64::max);
+    let max_ms = reports
         .iter()
         .map(|r| r.cold_p99_ms)
         .max()
@@ -311,10 +324,10 @@
          <text x='15' y='250' transform='rotate(-90 15 250)'>cold start p99, ms</text>",
     );
     for r in reports {
-        let x = 60.0 + r.idle_engine_s / most_idle * 460.0;
+        let x = 60.0 + r.idle_engine_s / max_idle_s * 460.0;
         #[expect(clippy::cast_precision_loss, reason = "a plot")]
-        let y = 350.0 - r.cold_p99_ms as f64 / most_ms as f64 * 300.0;
-        // Writing into a string does not fail.
+        let y = 350.0 - r.cold_p99_ms as f64 / max_ms as f64 * 300.0;
+        // Writing to a string cannot fail.
         let _ = write!(
             svg,
             "<circle cx='{x:.0}' cy='{y:.0}' r='5'/><text x='{:.0}' y='{:.0}'>{} ({:.0} s, {} ms)</text>",
--- a/crates/standins/src/bin/passway-slopes/cell.rs
+++ b/crates/standins/src/bin/passway-slopes/cell.rs
@@ -1,4 +1,4 @@
-//! Times of a cell's decisions, without any process or connection.
+//! Times of a cell's decisions, without processes and connections.
 
 use crate::measure::time;
 use anyhow::{Context, Result};
@@ -10,23 +10,23 @@
 use passway_types::prelude::*;
 use std::hint::black_box;
 
-/// Placements of a cell.
+/// Numbers of placements in the measured cells.
 const PLACEMENTS: [usize; 4] = [16, 64, 256, 1_024];
-/// Times that a decision is made for one figure.
+/// Number of decisions for each figure.
 const ROUNDS: u32 = 200;
 
-/// Prints the size of a plan and the times of a holder's decisions, by its placements.
+/// Prints the size of a plan and the times of a holder's decisions for each number of placements.
 pub fn measure() -> Result<()> {
     println!("cell: placements plan_bytes encode_us decode_us tick_us status_us");
     for count in PLACEMENTS {
         let (mut cell, now, plan) = placed_cell(count)?;
         let json = serde_json::to_vec(&plan)?;
-        let encode = time(ROUNDS, || drop(black_box(serde_json::to_vec(&plan))));
-        let decode = time(ROUNDS, || {
+        let encode_us = time(ROUNDS, || drop(black_box(serde_json::to_vec(&plan))));
+        let decode_us = time(ROUNDS, || {
             drop(black_box(serde_json::from_slice::<Plan>(&json)));
         });
-        let tick = time(ROUNDS, || drop(black_box(cell.handle(now, Event::Tick))));
-        let status = time(ROUNDS, || {
+        let tick_us = time(ROUNDS, || drop(black_box(cell.handle(now, Event::Tick))));
+        let status_us = time(ROUNDS, || {
             let upstream: UpstreamId = "upstream-0".into();
             let event = Event::StatusPolled {
                 upstream,
@@ -36,7 +36,7 @@
             drop(black_box(cell.handle(now, event)));
         });
         println!(
-            "  {:5} {:7} {encode:8.1} {decode:8.1} {tick:8.1} {status:8.1}",
+            "  {:5} {:7} {encode_us:8.1} {decode_us:8.1} {tick_us:8.1} {status_us:8.1}",
             plan.placements().count(),
             json.len()
         );
@@ -44,7 +44,7 @@
     Ok(())
 }
 
-/// A cell with as many placements as asked for, driven until all are written.
+/// Returns a cell after it has written the given number of placements, and its plan.
 fn placed_cell(placements: usize) -> Result<(CellController, Instant, Plan)> {
     let catalog = catalog_of(placements)?;
     let now = Instant::now();
@@ -59,26 +59,29 @@
             status,
         });
     }
-    let until_at = now + Duration::from_hours(1);
+    let valid_until = now + Duration::from_hours(1);
     let demands = catalog.models.keys();
-    let mut demands: Vec<Event> = demands.map(|model| demand(model, 1, until_at)).collect();
+    let mut demands: Vec<Event> = demands.map(|model| demand(model, 1, valid_until)).collect();
     let mut version = 0;
     while let Some(event) = pending.pop().or_else(|| demands.pop()) {
         for action in cell.handle(now, event) {
-            if let Action::WritePlan { plan: written, .. } = &action {
+            if let Action::WritePlan {
+                plan: written_plan, ..
+            } = &action
+            {
                 version += 1;
-                plan = Some(Plan::clone(written));
+                plan = Some(Plan::clone(written_plan));
             }
-            pending.extend(answer(action, until_at, version));
+            pending.extend(answer(action, valid_until, version));
         }
     }
     for model in catalog.models.keys() {
         cell.handle(now, demand(model, 0, now));
     }
-    Ok((cell, now, plan.context("nothing was placed")?))
+    Ok((cell, now, plan.context("the cell wrote no placement")?))
 }
 
-/// A catalog of so many models, sixteen to an upstream.
+/// Returns a catalog with the given number of models, sixteen per upstream.
 fn catalog_of(models: usize) -> Result<Arc<Catalog>> {
     let size = Size {
         models,
@@ -91,23 +94,23 @@
     Ok(Arc::new(Catalog::build(&document(&size), 1)?))
 }
 
-/// A controller that has decided nothing.
+/// Returns a controller that has made no decision yet.
 fn new_cell(catalog: &Arc<Catalog>, now: Instant) -> Result<CellController> {
-    let me = Holder {
+    let holder = Holder {
         instance: "entry0".into(),
         incarnation: 1,
-        address: "10.0.0.1:7000".parse().context("address")?,
+        address: "10.0.0.1:7000".parse().context("parsing the address")?,
     };
     let limits = CellLimits {
         standby_poll_interval: Duration::from_millis(300),
         order_settle_time: Duration::from_secs(10),
         write_outage_after: Duration::from_millis(500),
     };
-    let cell = CellController::new("main".into(), me, limits, catalog.clone(), now);
+    let cell = CellController::new("main".into(), holder, limits, catalog.clone(), now);
     Ok(cell)
 }
 
-/// A router's demand for a model.
+/// Returns a router's demand for a model.
 fn demand(model: &ModelName, waiting: u32, earliest_deadline_at: Instant) -> Event {
     Event::Demand(Demand {
         router: 1,
@@ -119,7 +122,7 @@
     })
 }
 
-/// What follows an action where nothing fails; `version` is that of the last write.
+/// Returns the event that follows a successful action. `version` is that of the last write.
 fn answer(action: Action, valid_until: Instant, version: Version) -> Option<Event> {
     match action {
         Action::AcquireLease => Some(Event::LeaseGranted { valid_until }),
--- a/crates/standins/src/bin/passway-slopes/latency.rs
+++ b/crates/standins/src/bin/passway-slopes/latency.rs
@@ -1,4 +1,4 @@
-//! Time that a router adds to streams.
+//! Latency that a router adds to streams.
 
 use anyhow::{Context, Result};
 use passway_standins::load::{Call, Outcome, Sample, call};
@@ -6,12 +6,12 @@
 use passway_types::prelude::*;
 use std::net::SocketAddr;
 
-/// Streams at one time.
+/// Numbers of concurrent streams.
 const STREAMS: [usize; 3] = [1, 50, 200];
-/// Streams made for one figure.
+/// Number of streams for each figure.
 const SAMPLES: usize = 1_000;
 
-/// What a router adds in front of a warm engine, against the engine asked directly.
+/// Prints latencies of streams from a warm engine, directly and through a router.
 pub fn measure() -> Result<()> {
     println!("latency: streams to first_p50_ms first_p99_ms whole_p50_ms whole_p99_ms");
     let plan = WorldPlan {
@@ -22,49 +22,54 @@
     };
     let world = World::start(plan)?;
     let fleet = world.start_fleet()?;
-    let router = fleet.routers.first().context("a router")?.address();
+    let router = fleet
+        .routers
+        .first()
+        .context("the fleet has no router")?
+        .address();
     let engine = world
         .document
         .upstreams
         .first()
-        .context("an engine")?
+        .context("the configuration has no engine")?
         .address
         .parse()?;
     ensure_whole(&stream_times(router, 1, 1)?)?;
     for streams in STREAMS {
         for (name, address) in [("engine", engine), ("router", router)] {
-            let times = stream_times(address, streams, SAMPLES / streams)?;
-            ensure_whole(&times)?;
-            let quantile = |part: usize, of: fn(&Sample) -> Duration| {
-                let mut all: Vec<Duration> = times.iter().map(of).collect();
+            let samples = stream_times(address, streams, SAMPLES / streams)?;
+            ensure_whole(&samples)?;
+            let quantile_ms = |percent: usize, time_of: fn(&Sample) -> Duration| {
+                let mut all: Vec<Duration> = samples.iter().map(time_of).collect();
                 all.sort();
-                all[(all.len() * part / 100).min(all.len() - 1)].as_secs_f64() * 1e3
+                all[(all.len() * percent / 100).min(all.len() - 1)].as_secs_f64() * 1e3
             };
             println!(
                 "  {streams:4} {name} {:7.2} {:7.2} {:7.2} {:7.2}",
-                quantile(50, |s| s.first),
-                quantile(99, |s| s.first),
-                quantile(50, |s| s.total),
-                quantile(99, |s| s.total)
+                quantile_ms(50, |s| s.first),
+                quantile_ms(99, |s| s.first),
+                quantile_ms(50, |s| s.total),
+                quantile_ms(99, |s| s.total)
             );
         }
     }
     Ok(())
 }
 
+/// Fails if any stream was not complete.
 fn ensure_whole(samples: &[Sample]) -> Result<()> {
-    let broken = samples
+    let failed = samples
         .iter()
         .find(|sample| sample.outcome != Outcome::Whole);
-    broken.map_or(Ok(()), |sample| anyhow::bail!("{:?}", sample.outcome))
+    failed.map_or(Ok(()), |sample| anyhow::bail!("{:?}", sample.outcome))
 }
 
-/// Makes `each` streams one after the other in each of `streams` threads.
-fn stream_times(address: SocketAddr, streams: usize, each: usize) -> Result<Vec<Sample>> {
+/// Runs `streams` threads that each make `per_thread` streams one after the other.
+fn stream_times(address: SocketAddr, streams: usize, per_thread: usize) -> Result<Vec<Sample>> {
     let threads: Vec<_> = (0..streams)
         .map(|thread| {
             std::thread::spawn(move || {
-                let samples = (0..each).map(|number| {
+                let samples = (0..per_thread).map(|number| {
                     call(&Call {
                         router: address,
                         model: "model1@1".into(),
--- a/crates/standins/src/bin/passway-slopes/main.rs
+++ b/crates/standins/src/bin/passway-slopes/main.rs
@@ -1,4 +1,4 @@
-//! Measures the slopes that `docs/CAPACITY.md` is worked out from.
+//! Measures how costs grow with size; `docs/CAPACITY.md` is calculated from these figures.
 
 mod cell;
 mod configuration;
@@ -13,19 +13,19 @@
 use clap::Parser;
 use passway_types::prelude::*;
 
-/// Prints state, time, messages and calls against size.
+/// Prints memory, times, messages and calls for each size.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Arguments {
-    /// Time for which each fleet and role is watched, in seconds.
+    /// Time for which each fleet and role is observed, in seconds.
     #[arg(long, default_value_t = 10)]
     watch_s: u64,
-    /// What to measure, with commas between.
+    /// Measurements to run, separated by commas.
     #[arg(long, value_delimiter = ',', default_values_t = PARTS.map(str::to_owned))]
     parts: Vec<String>,
 }
 
-/// Everything that can be measured.
+/// Names of all measurements.
 const PARTS: [&str; 6] = [
     "configuration",
     "router",
@@ -37,16 +37,19 @@
 
 fn main() -> Result<()> {
     let arguments = Arguments::parse();
-    let watch = Duration::from_secs(arguments.watch_s);
+    let observation_time = Duration::from_secs(arguments.watch_s);
     for part in &arguments.parts {
         match part.as_str() {
             "configuration" => configuration::measure()?,
             "router" => router::measure(),
             "cell" => cell::measure()?,
-            "roles" => roles::measure(watch)?,
-            "fleets" => fleets::measure(watch)?,
+            "roles" => roles::measure(observation_time)?,
+            "fleets" => fleets::measure(observation_time)?,
             "latency" => latency::measure()?,
-            other => anyhow::bail!("{other} is none of {}", PARTS.join(", ")),
+            other => anyhow::bail!(
+                "unknown measurement {other}, expected one of {}",
+                PARTS.join(", ")
+            ),
         }
     }
     Ok(())
--- a/crates/standins/src/bin/passway-slopes/revisions.rs
+++ b/crates/standins/src/bin/passway-slopes/revisions.rs
@@ -2,8 +2,8 @@
 
 use passway_config::{Document, StoredRevision};
 
-/// The first revision of a configuration.
-pub fn stored(document: Document) -> StoredRevision {
+/// Returns the first stored revision of a configuration.
+pub fn first_revision(document: Document) -> StoredRevision {
     StoredRevision {
         revision: 1,
         change_id: 1,
--- a/crates/standins/src/bin/passway-soak.rs
+++ b/crates/standins/src/bin/passway-soak.rs
@@ -1,4 +1,4 @@
-//! Plays the fault soak with fresh or given seeds, and prints what came of each as a line of JSON.
+//! Runs the fault soak with a range of seeds and prints the report of each as a line of JSON.
 
 use anyhow::{Context, Result};
 use clap::Parser;
@@ -7,37 +7,37 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Plays real instances among stand-ins, with faults drawn by a seed.
+/// Runs real instances among stand-ins and injects random faults that a seed determines.
 #[derive(Debug, Parser)]
 struct Arguments {
-    /// The instances' program.
+    /// Program of the instances.
     #[arg(long, default_value = "target/release/passway-instance")]
     program: PathBuf,
     /// First seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Seeds that are played one after the other.
+    /// Number of consecutive seeds to run.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Instances.
+    /// Number of instances.
     #[arg(long, default_value_t = 3)]
     instances: usize,
-    /// Engines.
+    /// Number of engines.
     #[arg(long, default_value_t = 4)]
     engines: usize,
-    /// Callers.
+    /// Number of callers.
     #[arg(long, default_value_t = 8)]
     callers: usize,
-    /// Faults.
+    /// Number of faults.
     #[arg(long, default_value_t = 40)]
     steps: u64,
-    /// Longest pause between two faults, in milliseconds.
+    /// Maximum time between two faults, in milliseconds.
     #[arg(long, default_value_t = 800)]
     pause_ms: u64,
     /// Keep the logs of all seeds.
     #[arg(long)]
     keep_logs: bool,
-    /// Where logs are kept of seeds that broke a promise.
+    /// Directory for the logs of seeds that violated a guarantee.
     #[arg(long, default_value = "target/soak")]
     logs: PathBuf,
 }
@@ -47,7 +47,7 @@
     let mut broken = 0;
     for seed in arguments.seed..arguments.seed + arguments.seeds {
         let logs = arguments.logs.join(seed.to_string());
-        std::fs::create_dir_all(&logs).with_context(|| format!("making {}", logs.display()))?;
+        std::fs::create_dir_all(&logs).with_context(|| format!("creating {}", logs.display()))?;
         let report = soak::run(&SoakPlan {
             program: arguments.program.clone(),
             logs: logs.clone(),
--- a/crates/standins/src/bin/passway-standins.rs
+++ b/crates/standins/src/bin/passway-standins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins of a configuration file as one process of its own.
+//! Runs the stand-ins for a configuration file in one process.
 
 use anyhow::{Context, Result};
 use clap::Parser;
@@ -15,26 +15,26 @@
 use std::path::PathBuf;
 
 /// Starts a key-value service, an instance list, and every upstream and plain
-/// service that the configuration names, on the addresses that it names.
+/// service in the configuration, on the configured addresses.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Arguments {
     /// The configuration file.
     #[arg(long)]
     config: PathBuf,
-    /// Where the key-value service listens.
+    /// Address on which the key-value service listens.
     #[arg(long, default_value = "127.0.0.1:9000")]
     key_value: SocketAddr,
-    /// Where the instance list listens.
+    /// Address on which the instance list listens.
     #[arg(long, default_value = "127.0.0.1:9001")]
     instance_list: SocketAddr,
-    /// Entry instances that are listed, `entry0` and so on.
+    /// Number of instances in the instance list, named `entry0`, `entry1` and so on.
     #[arg(long, default_value_t = 6)]
     instances: usize,
-    /// Time from one token to the next, in milliseconds.
+    /// Time between two tokens, in milliseconds.
     #[arg(long, default_value_t = 5)]
     token_ms: u64,
-    /// Time after which the instance list shows a change, in milliseconds.
+    /// Delay until the instance list shows a change, in milliseconds.
     #[arg(long, default_value_t = 2_000)]
     list_lag_ms: u64,
 }
--- a/crates/standins/src/fleet_model.rs
+++ b/crates/standins/src/fleet_model.rs
@@ -1,16 +1,16 @@
-//! A model of engines, weight store and demand in virtual time, driving the planner
-//! that ships.
+//! A simulation of engines, weight store and demand in virtual time, which drives the real
+//! planner.
 //!
-//! It answers which placement policy serves better at which size, in seconds and the
-//! same each time; the users' bench confirms. It leaves out what does not differ between
-//! policies: callers' connections, retries, the network, adapters, faults.
+//! The simulation compares placement policies at several fleet sizes within seconds, and with
+//! repeatable results; the users' bench confirms them. The simulation omits everything that does
+//! not differ between policies: connections of callers, retries, the network, adapters and faults.
 //!
-//! * [`size`]: how large a fleet is and what is asked of it.
-//! * [`engine`]: one engine: places, disk, memory, one order at a time.
-//! * [`start`]: the engines as a run finds them.
-//! * `requests`: requests that come, wait and give up.
+//! * [`size`]: fleet sizes and their demand.
+//! * [`engine`]: one engine with its accelerator memory, host memory, disk and current order.
+//! * [`start`]: the initial state of the engines.
+//! * `requests`: arrival, queueing and refusal of requests.
 //! * [`run`]: a run of one policy, step by step.
-//! * [`outcome`]: what came of it.
+//! * [`outcome`]: the result of a run.
 
 pub mod engine;
 pub mod outcome;
--- a/crates/standins/src/fleet_model/engine.rs
+++ b/crates/standins/src/fleet_model/engine.rs
@@ -1,4 +1,4 @@
-//! One engine of the model: places, disk, memory, one order at a time.
+//! One simulated engine with its accelerator memory, host memory, disk and current order.
 
 use super::size::{
     DISK_LOAD_MS, DISK_MODELS, MEMORY_LOAD_MS, MEMORY_MODELS, RESIDENT_MODELS, STORE_LOAD_MS,
@@ -10,47 +10,51 @@
 use passway_types::prelude::*;
 use std::collections::{HashMap, VecDeque};
 
-/// Where a load comes from.
+/// Storage tier from which a model is loaded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadSource {
-    /// The engine's memory.
+    /// The engine's host memory.
     Memory,
-    /// Its disk.
+    /// The engine's disk.
     Disk,
     /// The weight store.
     Store,
 }
 
-/// An order that is carried out.
+/// An order that an engine is executing.
 #[derive(Debug, Clone)]
 pub struct OrderInProgress {
     /// The order.
     pub order: PlannedOrder,
-    /// Where a load comes from.
+    /// Storage tier from which the model is loaded. Unused for an unload.
     pub source: LoadSource,
-    /// What is left of it, in milliseconds at full speed; an unload waits for its runs.
+    /// Remaining time in milliseconds at full speed. An unload also waits for the running requests
+    /// of its model.
     pub remaining_ms: f64,
 }
 
-/// An engine.
+/// A simulated engine.
 #[derive(Debug)]
 pub struct Engine {
-    /// Its id.
+    /// Id of the engine.
     pub id: UpstreamId,
+    /// Number of requests that can run at the same time.
     slots: u32,
-    /// Models in its places, each with its runs.
+    /// Resident models with the number of running requests of each.
     pub resident: HashMap<ModelName, u32>,
+    /// Checkpoints in host memory, the most recently loaded last.
     memory: VecDeque<ModelName>,
+    /// Checkpoints on disk, the most recently loaded last.
     disk: VecDeque<ModelName>,
     orders_taken: u64,
-    /// The order under way.
+    /// The order in progress.
     pub current_order: Option<OrderInProgress>,
     heartbeat: u64,
-    /// Places where memory would have been overcommitted; never.
+    /// Number of accepted loads that exceeded the accelerator memory; must stay 0.
     pub overcommits: u32,
 }
 
-/// Puts a model last on a list that drops its first ones when it is full.
+/// Moves or adds a model to the end of a list and drops the first models beyond `capacity`.
 fn push_bounded(models: &mut VecDeque<ModelName>, model: &ModelName, capacity: usize) {
     models.retain(|name| name != model);
     models.push_back(model.clone());
@@ -60,7 +64,7 @@
 }
 
 impl Engine {
-    /// An engine with some models in its places and some more on its disk.
+    /// Creates an engine with resident `models` whose disk also contains `cached` models.
     pub fn new(number: usize, slots: u32, models: &[ModelName], cached: &[ModelName]) -> Self {
         let mut disk = VecDeque::new();
         for model in cached.iter().chain(models) {
@@ -89,7 +93,7 @@
         names.into_iter().map(model).collect()
     }
 
-    /// What it says of itself.
+    /// Returns the entry that the engine publishes, with the next heartbeat.
     pub fn entry(&mut self) -> UpstreamEntry {
         self.heartbeat += 1;
         UpstreamEntry {
@@ -108,7 +112,7 @@
         }
     }
 
-    /// Its answer when it is asked for its state.
+    /// Returns the engine's answer to a status query.
     pub fn report(&self) -> EngineReport {
         EngineReport {
             models: self.residents(),
@@ -121,17 +125,17 @@
         }
     }
 
-    /// Requests that run.
+    /// Returns the number of running requests.
     pub fn running(&self) -> u32 {
         self.resident.values().sum()
     }
 
-    /// Whether one more request may run.
+    /// Whether one more request can run.
     pub fn has_free_slot(&self) -> bool {
         self.running() < self.slots
     }
 
-    /// Where a load of a model would come from.
+    /// Returns the fastest storage tier that contains a model.
     fn source(&self, model: &ModelName) -> LoadSource {
         if self.memory.contains(model) {
             LoadSource::Memory
@@ -142,7 +146,8 @@
         }
     }
 
-    /// Takes an order, or does not.
+    /// Starts an order. Answers with a conflict if another order is in progress or the planner's
+    /// count of accepted orders is out of date.
     pub fn accept_order(&mut self, order: &PlannedOrder) -> OrderAnswer {
         if self.current_order.is_some() || order.expected_orders != self.orders_taken {
             return OrderAnswer::Conflict;
@@ -166,15 +171,15 @@
         OrderAnswer::Taken
     }
 
-    /// Whether a load from the weight store is under way.
+    /// Whether a load from the weight store is in progress.
     pub fn is_loading_from_store(&self) -> bool {
         let current = self.current_order.as_ref();
         current
             .is_some_and(|o| o.source == LoadSource::Store && o.order.action == OrderAction::Load)
     }
 
-    /// Goes on with the order under way for so long; the order if it is done.
-    /// `store_speed` is 1 while the weight store gives full speed.
+    /// Advances the current order by `step_ms` and returns it when it completes.
+    /// `store_speed` is the ratio of full speed at which the weight store serves loads.
     pub fn advance(&mut self, step_ms: f64, store_speed: f64) -> Option<PlannedOrder> {
         let current = self.current_order.as_mut()?;
         let model = current.order.model_ref.model.clone();
--- a/crates/standins/src/fleet_model/outcome.rs
+++ b/crates/standins/src/fleet_model/outcome.rs
@@ -1,25 +1,26 @@
-//! What came of a run.
+//! The result of a run.
 
 use serde::Serialize;
 
-/// What a class of requests got.
+/// Results of one class of requests. The field names are those of the JSON report.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct ClassOutcome {
-    /// Requests that came.
+    /// Number of requests that arrived.
     pub asked: usize,
-    /// Requests whose first token came within the aim.
+    /// Number of requests whose first token met the latency target.
     pub in_aim: usize,
-    /// Requests that were refused, since no engine had their model in time.
+    /// Number of requests refused because no engine had the model in time.
     pub refused: usize,
-    /// Time to the first token: median, in milliseconds.
+    /// Median time to the first token, in milliseconds.
     pub p50_ms: u64,
-    /// The same for 99 in 100.
+    /// 99th percentile of the time to the first token, in milliseconds.
     pub p99_ms: u64,
     #[serde(skip)]
     pub(super) times_ms: Vec<u64>,
 }
 
 impl ClassOutcome {
+    /// Computes the quantiles when the run has ended.
     pub(super) fn compute_quantiles(&mut self) {
         self.times_ms.sort_unstable();
         let at = |percent: usize| {
@@ -30,7 +31,7 @@
         (self.p50_ms, self.p99_ms) = (at(50), at(99));
     }
 
-    /// Part of the requests that came in time.
+    /// Ratio of the requests that met the latency target; 0 without requests.
     pub fn in_aim_ratio(&self) -> f64 {
         if self.asked == 0 {
             return 0.0;
@@ -39,35 +40,35 @@
     }
 }
 
-/// A count as a number to calculate with; far below 2^52.
+/// Converts a count to `f64`.
 #[expect(clippy::cast_precision_loss, reason = "far below 2^52")]
 pub(super) fn as_f64(count: usize) -> f64 {
     count as f64
 }
 
-/// What came of a run of one policy.
+/// Result of a run of one policy. The field names are those of the JSON report.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Outcome {
-    /// The policy.
+    /// Name of the policy.
     pub policy: String,
-    /// The size.
+    /// Name of the fleet size.
     pub size: String,
-    /// The seed.
+    /// Seed of the arrivals.
     pub seed: u64,
-    /// Virtual time, in seconds.
+    /// Simulated time, in seconds.
     pub seconds: u64,
     /// Requests for busy models.
     pub busy: ClassOutcome,
-    /// Requests for all others: their waits are the cold starts.
+    /// Requests for all other models, whose waits are the cold starts.
     pub rare: ClassOutcome,
-    /// Part of the places' time in which the model there ran nothing.
+    /// Ratio of the time of all model slots in which the resident model ran no request.
     pub idle_part: f64,
-    /// Loads from the weight store.
+    /// Number of loads from the weight store.
     pub store_loads: usize,
-    /// Loads from engines' disks and memory.
+    /// Number of loads from the disk or host memory of an engine.
     pub near_loads: usize,
-    /// Orders.
+    /// Number of orders sent to engines.
     pub orders: usize,
-    /// Times that an engine was ordered to hold more than it can; never.
+    /// Number of accepted loads that exceeded the accelerator memory; must be 0.
     pub overfull: u32,
 }
--- a/crates/standins/src/fleet_model/requests.rs
+++ b/crates/standins/src/fleet_model/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of a run: they come, wait for an engine, and give up.
+//! Arrival, queueing and refusal of requests.
 
 use super::outcome::ClassOutcome;
 use super::run::{Run, STEP_MS};
@@ -9,18 +9,20 @@
 use rand::RngExt;
 use std::collections::BTreeMap;
 
-/// Aims for the first token (market sheet).
+/// Latency target for the first token of busy models, from the users' sheet of the market.
 const BUSY_TARGET_MS: u64 = 400;
+/// Latency target for the first token of rare models, from the same sheet.
 const RARE_TARGET_MS: u64 = 2_500;
-/// A request waits at most this long for an engine: 0.45 of a caller's patience.
+/// Maximum time that a request for a busy model waits for an engine: 0.45 of the caller's deadline.
 const BUSY_MAX_WAIT_MS: u64 = 1_080;
+/// Maximum time that a request for a rare model waits for an engine: 0.45 of the caller's deadline.
 const RARE_MAX_WAIT_MS: u64 = 4_500;
-/// Demand moves on to other busy models every so often.
+/// Interval after which the set of busy models moves on by one model.
 const BUSY_SHIFT_INTERVAL_MS: u64 = 15_000;
-/// Busy models fall off by this part from one to the next.
+/// Ratio of the demand for a busy model to the demand for the next busier one.
 const BUSY_DECAY_RATIO: f64 = 0.7;
 
-/// Which models a request is for.
+/// The class of model that a request is for.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum RequestClass {
     /// The models that most requests go to.
@@ -30,7 +32,7 @@
 }
 
 impl RequestClass {
-    /// Aim for the first token.
+    /// Returns the latency target for the first token.
     pub(super) fn target_ms(self) -> u64 {
         match self {
             Self::Busy => BUSY_TARGET_MS,
@@ -38,7 +40,7 @@
         }
     }
 
-    /// How long a request waits before it gives up.
+    /// Returns the maximum time that a request waits for an engine.
     fn max_wait_ms(self) -> u64 {
         match self {
             Self::Busy => BUSY_MAX_WAIT_MS,
@@ -54,6 +56,7 @@
     pub(super) class: RequestClass,
 }
 
+/// Refers to a model without an adapter.
 fn base_model_ref(model: ModelName) -> ModelRef {
     ModelRef {
         model,
@@ -62,7 +65,7 @@
 }
 
 impl Run {
-    /// What the requests of a class got.
+    /// Returns the results of a class.
     pub(super) fn class_outcome(&mut self, class: RequestClass) -> &mut ClassOutcome {
         match class {
             RequestClass::Busy => &mut self.outcome.busy,
@@ -70,11 +73,12 @@
         }
     }
 
-    /// Which model is the busiest now; the others follow it.
+    /// Returns the number of the busiest model. The other busy models have the numbers after it.
     fn busiest_model(&self) -> usize {
         usize::try_from(self.now_ms / BUSY_SHIFT_INTERVAL_MS).unwrap_or(0)
     }
 
+    /// Draws a busy model; its rank has a truncated geometric distribution.
     fn random_busy_model(&mut self) -> usize {
         let mut rank = 0;
         while rank + 1 < self.size.busy_models && self.rng.random_bool(BUSY_DECAY_RATIO) {
@@ -83,7 +87,7 @@
         (self.busiest_model() + rank) % self.size.models
     }
 
-    /// The requests of one step come.
+    /// Adds the requests that arrive in one step.
     pub(super) fn add_arrivals(&mut self) {
         let step_s = Duration::from_millis(STEP_MS).as_secs_f64();
         let rates_per_s = [
@@ -120,7 +124,7 @@
             .record_arrivals(&FleetSize::service(), &model_ref, 1, now);
     }
 
-    /// Requests that have waited too long are refused.
+    /// Refuses the requests that have waited too long.
     pub(super) fn refuse_expired(&mut self) {
         let now_ms = self.now_ms;
         let mut refused = Vec::new();
@@ -139,7 +143,8 @@
         }
     }
 
-    /// Tells the planner how many requests wait for each model that stands nowhere.
+    /// Reports to the planner how many requests wait for each model that is available on
+    /// no engine.
     pub(super) fn report_waiters(&mut self) {
         let now = self.now();
         let latest_deadline = now + Duration::from_millis(RARE_MAX_WAIT_MS);
--- a/crates/standins/src/fleet_model/run.rs
+++ b/crates/standins/src/fleet_model/run.rs
@@ -15,14 +15,14 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// Step of the virtual time: what a holder's batches of needs come to.
+/// Step of the virtual time, close to the interval at which a holder receives batched reports.
 pub(super) const STEP_MS: u64 = 10;
-/// Time to a first token where the model stands.
+/// Time to the first token if the model is resident.
 const WARM_FIRST_TOKEN_MS: u64 = 55;
-/// Time that a request runs (users' sheet: 58 events of five tokens).
+/// Time that a request runs, from the users' sheet: 58 events of five tokens.
 const REQUEST_DURATION_MS: u64 = 1_500;
 
-/// One policy among engines, weight store and demand.
+/// A simulation of one policy with its engines, weight store and demand.
 #[derive(Debug)]
 pub struct Run {
     pub(super) size: FleetSize,
@@ -32,25 +32,26 @@
     pub(super) planner: Planner,
     pub(super) engines: Vec<Engine>,
     by_id: HashMap<UpstreamId, usize>,
-    /// What the planner last told of each engine.
+    /// The last placement that the planner published for each engine.
     placements: HashMap<UpstreamId, Placement>,
-    /// Requests that wait, by the number of their model.
+    /// Waiting requests, by the number of their model.
     pub(super) waiting: BTreeMap<usize, VecDeque<WaitingRequest>>,
-    /// Requests that the planner was told of as waiting, by the number of their model.
+    /// Counts of waiting requests last reported to the planner, by the number of their model.
     pub(super) reported: BTreeMap<usize, u32>,
-    /// Runs in the order in which they end: when, engine, model.
+    /// Running requests in the order of their ends: end in milliseconds, engine, model.
     request_ends: VecDeque<(u64, usize, ModelName)>,
+    /// Sum of the idle time of all resident models.
     idle_ms: f64,
     pub(super) outcome: Outcome,
 }
 
-/// Milliseconds as a number to calculate with.
+/// Converts milliseconds to `f64`.
 fn as_ms_f64(duration_ms: u64) -> f64 {
     Duration::from_millis(duration_ms).as_secs_f64() * 1_000.0
 }
 
 impl Run {
-    /// A run that has not begun.
+    /// Creates a run at virtual time 0.
     pub fn new(size: FleetSize, policy: PolicyName, disks: InitialDisks, seed: u64) -> Self {
         let started_at = Instant::now();
         let mut planner = Planner::new(DEFAULT_LOAD_WINDOW, policy.build());
@@ -89,11 +90,12 @@
         }
     }
 
+    /// Returns the virtual time.
     pub(super) fn now(&self) -> Instant {
         self.started_at + Duration::from_millis(self.now_ms)
     }
 
-    /// Runs for so long.
+    /// Simulates `seconds` of virtual time and returns the result.
     pub fn simulate(mut self, seconds: u64) -> Outcome {
         while self.now_ms < seconds * 1_000 {
             self.step();
@@ -121,7 +123,7 @@
         self.add_idle_time();
     }
 
-    /// Ends the runs whose time is over.
+    /// Ends the requests that have run for their full duration.
     fn end_requests(&mut self) {
         while self
             .request_ends
@@ -136,7 +138,7 @@
         }
     }
 
-    /// Goes on with the engines' orders; loads from the weight store share its speed.
+    /// Advances the orders of all engines. Loads from the weight store share its bandwidth.
     fn advance_orders(&mut self) {
         let loads = self
             .engines
@@ -153,7 +155,7 @@
         }
     }
 
-    /// Tells the planner what runs on the engines.
+    /// Reports the running requests of all engines to the planner.
     fn report_running(&mut self) {
         let mut runs = Vec::new();
         for engine in &self.engines {
@@ -168,7 +170,7 @@
         self.planner.set_running(&"all".into(), &runs);
     }
 
-    /// Lets the planner decide, and does what it says.
+    /// Lets the planner decide and executes its actions.
     fn decide(&mut self) {
         let now = self.now();
         for action in self.planner.decide(now) {
@@ -185,7 +187,7 @@
         }
     }
 
-    /// Gives an engine an order and the planner its answer.
+    /// Sends an order to an engine and returns the answer to the planner.
     fn send_order(&mut self, order: &PlannedOrder) {
         let now = self.now();
         let engine = &mut self.engines[self.by_id[&order.engine]];
@@ -200,14 +202,15 @@
         }
     }
 
-    /// Whether a model stands on an engine and is not about to go.
+    /// Whether a model is resident on an engine and not about to be unloaded.
     pub(super) fn is_available(&self, engine: &Engine, model: &ModelName) -> bool {
         let placement = self.placements.get(&engine.id);
         let evicting = placement.is_some_and(|p| p.evicting.contains(model));
         engine.resident.contains_key(model) && !evicting
     }
 
-    /// The engine with the model that runs least.
+    /// Returns the engine with the fewest running requests among those that have the model and a
+    /// free slot.
     fn least_loaded_engine(&self, model: &ModelName) -> Option<usize> {
         let engines = self.engines.iter().enumerate();
         let available = engines
@@ -216,7 +219,7 @@
         least_loaded.map(|(index, _)| index)
     }
 
-    /// Sends requests that wait to engines that have room for them.
+    /// Sends waiting requests to engines with free slots.
     fn start_requests(&mut self) {
         let models: Vec<usize> = self.waiting.keys().copied().collect();
         for number in models {
@@ -231,6 +234,7 @@
         }
     }
 
+    /// Starts a request on an engine and records its time to the first token.
     fn start_request(&mut self, index: usize, model: &ModelName, waiting: WaitingRequest) {
         let resident = &mut self.engines[index].resident;
         *resident.entry(model.clone()).or_default() += 1;
@@ -242,7 +246,7 @@
         outcome.times_ms.push(first_token_ms);
     }
 
-    /// Adds up the time of places whose model runs nothing.
+    /// Adds the time of the resident models without a running request.
     fn add_idle_time(&mut self) {
         let idle: usize = self
             .engines
--- a/crates/standins/src/fleet_model/size.rs
+++ b/crates/standins/src/fleet_model/size.rs
@@ -1,31 +1,33 @@
-//! How large a fleet is, and what is asked of it.
+//! Fleet sizes and their demand.
 
 use passway_serving::routes::{CallerLimits, EnginePool, ModelSpec, RouteTable, Service};
 use passway_types::prelude::*;
 
-/// A fleet's size. Figures of today and of the grown sites come from the users' sheets;
-/// those of the target from its page, shared out by us where it gives only sums.
+/// The size of a fleet. The figures of today and of the grown deployment come from the users'
+/// sheets. Those of the target come from its page; where the page gives only sums, they are
+/// divided by assumption.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetSize {
-    /// Its name on the command line.
+    /// Name on the command line.
     pub name: &'static str,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Models.
+    /// Number of models.
     pub models: usize,
-    /// Models that most requests go to at one time.
+    /// Number of models that receive most requests at a time.
     pub busy_models: usize,
-    /// Requests a second for busy models.
+    /// Requests per second for busy models.
     pub busy_per_s: f64,
-    /// Requests a second for all other models.
+    /// Requests per second for all other models.
     pub rare_per_s: f64,
-    /// Requests that an engine runs at one time.
+    /// Number of requests that an engine can run at the same time.
     pub slots: u32,
-    /// Loads a second that the weight store allows.
+    /// Loads per second that the weight store allows.
     pub loads_per_s: f64,
 }
 
-/// Today (market sheet), the grown market site, the target in two years.
+/// Today's market deployment (users' sheet), the same deployment grown, and the target in two
+/// years.
 pub const SIZES: [FleetSize; 3] = [
     FleetSize {
         name: "today",
@@ -59,45 +61,46 @@
     },
 ];
 
-/// Places for models on one engine: 230 GB for models of 65 to 73 GB (users' sheets).
+/// Resident models per engine: 230 GB of accelerator memory for models of 65 to 73 GB (users'
+/// sheets).
 pub const RESIDENT_MODELS: usize = 3;
-/// Models that an engine's memory keeps beside them (sheet: 150 GB).
+/// Checkpoints that fit into an engine's host memory (users' sheet: 150 GB).
 pub const MEMORY_MODELS: usize = 2;
-/// Models that an engine's disk keeps (sheet: 1,300 GB).
+/// Checkpoints that fit on an engine's disk (users' sheet: 1,300 GB).
 pub const DISK_MODELS: usize = 17;
-/// Loads from the weight store that run at full speed together (sheet).
+/// Concurrent loads that the weight store serves at full speed (users' sheet).
 pub const FULL_SPEED_LOADS: usize = 4;
 
-/// Time of a load from the weight store at full speed.
+/// Duration of a load from the weight store at full speed.
 pub(super) const STORE_LOAD_MS: u32 = 6_000;
-/// Time of a load from an engine's disk.
+/// Duration of a load from an engine's disk.
 pub(super) const DISK_LOAD_MS: u32 = 840;
-/// Time of a load from an engine's memory.
+/// Duration of a load from an engine's host memory.
 pub(super) const MEMORY_LOAD_MS: u32 = 470;
-/// Time of an unload that no run holds up.
+/// Duration of an unload once the model has no running requests.
 pub(super) const UNLOAD_DURATION_MS: u32 = 30;
-/// A model's size.
+/// Size of a model's weights.
 const MODEL_WEIGHTS_MB: f64 = 72_700.0;
 /// Accelerator memory of one engine.
 const ENGINE_MEMORY_MB: f64 = 230_000.0;
 
 impl FleetSize {
-    /// The size of a name.
+    /// Returns the size with a name.
     pub fn by_name(name: &str) -> Option<Self> {
         SIZES.into_iter().find(|size| size.name == name)
     }
 
-    /// A model's name.
+    /// Returns the name of the model with a number.
     pub fn model(number: usize) -> ModelName {
         format!("m{number}").into()
     }
 
-    /// The service of all engines.
+    /// Returns the service that all engines belong to.
     pub fn service() -> ServiceName {
         "engines".into()
     }
 
-    /// The pool that the engines form.
+    /// Returns the pool of all engines.
     pub fn pool(&self) -> EnginePool {
         let spec = |number| ModelSpec {
             name: Self::model(number),
@@ -116,7 +119,7 @@
         }
     }
 
-    /// A configuration with these engines and no routes.
+    /// Returns a configuration with these engines and no routes.
     pub fn table(&self) -> RouteTable {
         let service = Service {
             name: Self::service(),
--- a/crates/standins/src/fleet_model/start.rs
+++ b/crates/standins/src/fleet_model/start.rs
@@ -1,4 +1,4 @@
-//! The engines as a run finds them, and a planner that knows them.
+//! The initial state of the engines, and a planner that knows this state.
 
 use super::engine::Engine;
 use super::size::{FleetSize, RESIDENT_MODELS};
@@ -6,16 +6,16 @@
 use passway_serving::placement::{DEFAULT_LOAD_WINDOW, Planner};
 use passway_types::prelude::*;
 
-/// What engines' disks hold at the start.
+/// Initial contents of the engines' disks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InitialDisks {
-    /// Only what stands on the engine.
+    /// Only the resident models of the engine.
     Empty,
-    /// Each model on two engines, as far as the disks go.
+    /// Also each model on two engines, up to the capacity of the disks.
     Filled,
 }
 
-/// Models on an engine's disk beside those that stand there.
+/// Returns the models on an engine's disk in addition to its resident models.
 fn initial_disk_models(size: &FleetSize, engine: usize, disks: InitialDisks) -> Vec<ModelName> {
     if disks == InitialDisks::Empty {
         return Vec::new();
@@ -31,8 +31,8 @@
         .collect()
 }
 
-/// Engines as they start: busy models on many, each other model on one, as far as
-/// there is room.
+/// Returns the initial engines: one busy model on each, in rotation, and each other model on one
+/// engine while model slots are free.
 pub(super) fn initial_engines(size: &FleetSize, disks: InitialDisks) -> Vec<Engine> {
     let busy_model = |number| vec![FleetSize::model(number % size.busy_models)];
     let mut models_by_engine: Vec<Vec<ModelName>> = (0..size.engines).map(busy_model).collect();
@@ -49,7 +49,7 @@
     engines
 }
 
-/// A planner that knows the engines of a size and has asked each for its state.
+/// Returns a planner that knows all engines of a size and has received a status report of each.
 pub fn warm_planner(size: &FleetSize, policy: PolicyName, now: Instant) -> Planner {
     let mut planner = Planner::new(DEFAULT_LOAD_WINDOW, policy.build());
     planner.set_table(&size.table());
--- a/tests/all/allotment_load.rs
+++ b/tests/all/allotment_load.rs
@@ -1,10 +1,9 @@
-//! The pattern: 16 workspaces, few of them large, at 6, 71 and 300 instances; one or five that ask ten
-//! times their usual, callers who move, instances that are cut off, a holder that is lost, all that
-//! start again, some that come and go.
+//! Checks the enforcement of allotments for 16 workspaces, a few of them large, at 6, 71 and 300
+//! instances, without a fault and in each case of [`Case`].
 //!
-//! Nothing may be used beyond the rule. What is refused below an allotment is at most 1% on a calm day
-//! and 3% in any other case, over all workspaces: what the users' developers ask. Two troubles at one
-//! time are held to the rule alone.
+//! No workspace may exceed the rule. At most 1% of the use below the allotments may be refused
+//! without a fault, and 3% in any other case, over all workspaces, as the users' developers require.
+//! Cases with two faults at the same time are checked against the rule alone.
 
 use passway_standins::allotment_model::cases::Case;
 use passway_standins::allotment_model::strategies::CoordinatorQuotas;
@@ -47,7 +46,7 @@
     check_bounds(300, cases.filter(|case| *case != Case::HolderLost));
 }
 
-/// Apart from the others, since what is refused then is known to be too much.
+/// A test of its own because the refused ratio is known to exceed the bound in this case.
 #[test]
 fn large_fleet_succession() {
     check_bounds(300, [Case::HolderLost]);
--- a/tests/all/limit_load.rs
+++ b/tests/all/limit_load.rs
@@ -1,15 +1,14 @@
-//! The pattern: six upstreams take 0.5 to 50 requests a second and are asked for five times that, or fifty
-//! times, at 6, 71 and 300 instances, whose callers move, of which a third is cut off, whose holder is lost, that
-//! all start again or come and go.
+//! Checks the limits of six upstreams that advertise 0.5 to 50 requests per second, at 6, 71 and 300
+//! instances, in each case of [`Case`]. The demand is 5 or 50 times the limit.
 //!
-//! None gets more than the rule allows. What is missing below what they take is at most the time for which
-//! nobody counts, and a hundredth.
+//! No upstream may receive more requests than the rule allows. The shortfall below the limits may be
+//! at most 1% plus the ratio of the time without a coordinator.
 
 use passway_standins::allotment_model::cases::Case;
 use passway_standins::allotment_model::limit_strategies::CoordinatorLimits;
 use passway_standins::allotment_model::{Plan, SimulationResult, simulate};
 
-/// Seconds of a play in which nobody counts, in the cases that lose the holder: its lease and some.
+/// Time without a coordinator, in seconds, in the cases that lose the holder: its lease plus a margin.
 const NO_COORDINATOR_S: f64 = 1.6;
 
 fn check_bounds(instances: usize) {
@@ -22,11 +21,14 @@
                 ..
             } = simulate(&plan, case, &mut CoordinatorLimits::new(&plan));
             let message = format!("{} of {instances}, seed {seed}", case.name());
-            assert!(over_rule <= 0.0, "{message}: {over_rule} over the rule");
+            assert!(
+                over_rule <= 0.0,
+                "{message}: {over_rule} requests above the rule"
+            );
             let max_refused = 0.01 + NO_COORDINATOR_S / plan.duration.as_secs_f64();
             assert!(
                 refused_below <= max_refused,
-                "{message}: {refused_below} missing"
+                "{message}: shortfall {refused_below}"
             );
         }
     }
