--- a/crates/standins/src/allotment_model.rs
+++ b/crates/standins/src/allotment_model.rs
@@ -68,7 +68,7 @@
     /// Window and tolerance within which use may exceed the allotment.
     pub bounds: QuotaBounds,
     /// Whether the rule allows the burst in each window in addition to the rate.
-    pub counts_burst: bool,
+    pub allows_burst: bool,
     /// Simulated time.
     pub duration: Duration,
     /// Seed of the random arrivals.
@@ -102,7 +102,7 @@
                 overage: 0.1,
                 slack: 17_000.0,
             },
-            counts_burst: true,
+            allows_burst: true,
             duration: Duration::from_secs(24),
             seed,
         }
@@ -128,7 +128,7 @@
                 overage: 0.5,
                 slack: 5.0,
             },
-            counts_burst: false,
+            allows_burst: false,
             duration: Duration::from_secs(24),
             seed,
         }
@@ -159,7 +159,7 @@
     /// Units that the exact bucket admitted.
     due: f64,
     /// Sum of the shortfalls of all windows, in units.
-    refused_below: f64,
+    shortfall: f64,
     /// Units that the exact bucket admitted in the current window.
     due_in_window: f64,
     /// Units that the strategy granted in the current window.
@@ -178,7 +178,7 @@
             demand: demand.clone(),
             exact_level: demand.allotment.burst,
             due: 0.0,
-            refused_below: 0.0,
+            shortfall: 0.0,
             due_in_window: 0.0,
             granted_in_window: 0.0,
             recent_grants: VecDeque::new(),
@@ -187,6 +187,7 @@
         }
     }
 
+    /// Refills the exact bucket.
     fn refill(&mut self, time: Duration) {
         let Allotment { rate_per_s, burst } = self.demand.allotment;
         self.exact_level = (self.exact_level + rate_per_s * time.as_secs_f64()).min(burst);
@@ -194,7 +195,7 @@
 
     /// Adds the shortfall of the current window and starts the next window.
     fn end_window(&mut self) {
-        self.refused_below += (self.due_in_window - self.granted_in_window).max(0.0);
+        self.shortfall += (self.due_in_window - self.granted_in_window).max(0.0);
         (self.due_in_window, self.granted_in_window) = (0.0, 0.0);
     }
 
@@ -220,7 +221,7 @@
             self.used_in_window -= cost;
         }
         let Allotment { rate_per_s, burst } = self.demand.allotment;
-        let burst = if plan.counts_burst { burst } else { 0.0 };
+        let burst = if plan.allows_burst { burst } else { 0.0 };
         let allotted = rate_per_s * bounds.window.as_secs_f64() + burst;
         let allowed = allotted * (1.0 + bounds.overage) + bounds.slack;
         self.max_excess = self.max_excess.max(self.used_in_window - allowed);
@@ -289,8 +290,8 @@
     }
     ledgers.iter_mut().for_each(WorkspaceLedger::end_window);
     let due: f64 = ledgers.iter().map(|ledger| ledger.due).sum();
-    let shortfall: f64 = ledgers.iter().map(|ledger| ledger.refused_below).sum();
-    let ratios = ledgers.iter().map(|l| l.refused_below / l.due.max(1.0));
+    let shortfall: f64 = ledgers.iter().map(|ledger| ledger.shortfall).sum();
+    let ratios = ledgers.iter().map(|l| l.shortfall / l.due.max(1.0));
     let messages = count_f64(strategy.messages()) / count_f64(plan.instances as u64);
     SimulationResult {
         over_rule: ledgers
--- a/crates/standins/src/allotment_model/cases.rs
+++ b/crates/standins/src/allotment_model/cases.rs
@@ -80,7 +80,7 @@
 
     /// Returns the state of the fleet `elapsed` after the start.
     pub fn state(self, plan: &Plan, elapsed: Duration) -> FleetState {
-        let in_fault = elapsed >= FAULT_START && elapsed < FAULT_START + FAULT_DURATION;
+        let is_fault_active = elapsed >= FAULT_START && elapsed < FAULT_START + FAULT_DURATION;
         let fault_age = elapsed.saturating_sub(FAULT_START);
         let third = (plan.instances / 3).max(1);
         let tenfold = match self {
@@ -92,28 +92,28 @@
             self,
             Self::HolderLost | Self::HolderLostTenfold | Self::AllRestart
         );
-        let is_lost = loses_holder && in_fault && fault_age < SUCCESSION_DURATION;
+        let is_lost = loses_holder && is_fault_active && fault_age < SUCCESSION_DURATION;
         let restarts = match self {
             Self::AllRestart if elapsed >= FAULT_START => 1,
-            Self::Churn if in_fault => 1 + fault_age.as_secs(),
+            Self::Churn if is_fault_active => 1 + fault_age.as_secs(),
             _ => 0,
         };
         FleetState {
-            tenfold: if in_fault { tenfold } else { 0..0 },
+            tenfold: if is_fault_active { tenfold } else { 0..0 },
             first_target: if self.is_partition()
-                && in_fault
+                && is_fault_active
                 && fault_age >= BALANCER_DETECTION_DELAY
             {
                 third
             } else {
                 0
             },
-            end_target: if self == Self::CallersMoved && in_fault {
+            end_target: if self == Self::CallersMoved && is_fault_active {
                 third
             } else {
                 plan.instances
             },
-            partitioned: if self.is_partition() && in_fault {
+            partitioned: if self.is_partition() && is_fault_active {
                 third
             } else {
                 0
@@ -122,9 +122,11 @@
             term: u64::from(loses_holder && elapsed >= FAULT_START),
             instances: plan.instances,
             restarts,
-            all_restart: self == Self::AllRestart,
+            is_full_restart: self == Self::AllRestart,
             // A process needs a second to restart.
-            all_down: self == Self::AllRestart && in_fault && fault_age < Duration::from_secs(1),
+            is_fleet_down: self == Self::AllRestart
+                && is_fault_active
+                && fault_age < Duration::from_secs(1),
         }
     }
 }
@@ -145,10 +147,10 @@
     /// Term of the holder.
     pub term: u64,
     instances: usize,
-    /// Number of restarts: of the fleet if `all_restart`, otherwise of tenths of the fleet.
+    /// Number of restarts: of the fleet if `is_full_restart`, otherwise of tenths of the fleet.
     restarts: u64,
-    all_restart: bool,
-    all_down: bool,
+    is_full_restart: bool,
+    is_fleet_down: bool,
 }
 
 impl FleetState {
@@ -168,7 +170,7 @@
 
     /// Whether an instance is down.
     pub fn is_down(&self, _instance: usize) -> bool {
-        self.all_down
+        self.is_fleet_down
     }
 
     /// Whether an instance reaches no other instance. The holder is the last instance and is never
@@ -180,7 +182,7 @@
     /// Returns how many times an instance has restarted. A restart loses all its state.
     pub fn incarnation(&self, instance: usize) -> u64 {
         let restart_order = u64::try_from(instance % 10).unwrap_or(0);
-        if self.all_restart {
+        if self.is_full_restart {
             self.restarts
         } else {
             // Each second, one instance in ten restarts.
--- a/crates/standins/src/bin/passway-load.rs
+++ b/crates/standins/src/bin/passway-load.rs
@@ -153,7 +153,7 @@
         .iter()
         .map(passway_router::Router::address)
         .collect();
-    let sampler = Sampler::start(world.clone());
+    let idle_sampler = Sampler::start(world.clone());
     let began_at = Instant::now();
     let mut callers: Vec<JoinHandle<(bool, passway_standins::load::Sample)>> = Vec::new();
     for (number, request) in trace.iter().enumerate() {
@@ -173,7 +173,7 @@
                 .map_err(|_| anyhow::anyhow!("a caller panicked"))?,
         );
     }
-    let idle_engine_s = sampler.stop();
+    let idle_engine_s = idle_sampler.stop();
     let report = report(variant, &world, &samples, idle_engine_s)?;
     for controller in fleet.controllers {
         controller.stop();
--- a/crates/standins/src/fleet_model/engine.rs
+++ b/crates/standins/src/fleet_model/engine.rs
@@ -46,6 +46,7 @@
     memory: VecDeque<ModelName>,
     /// Checkpoints on disk, the most recently loaded last.
     disk: VecDeque<ModelName>,
+    /// Number of accepted orders.
     orders_taken: u64,
     /// The order in progress.
     pub current_order: Option<OrderInProgress>,
@@ -83,6 +84,7 @@
         }
     }
 
+    /// Returns the resident models in the order of their names.
     fn residents(&self) -> Vec<ResidentModel> {
         let mut names: Vec<&ModelName> = self.resident.keys().collect();
         names.sort();
@@ -190,12 +192,12 @@
             1.0
         };
         current.remaining_ms -= step_ms * speed;
-        let is_idle = is_load
+        let can_finish = is_load
             || self
                 .resident
                 .get(&model)
                 .is_none_or(|requests| *requests == 0);
-        if current.remaining_ms > 0.0 || !is_idle {
+        if current.remaining_ms > 0.0 || !can_finish {
             return None;
         }
         let done = self.current_order.take()?.order;
--- a/crates/standins/src/fleet_model/outcome.rs
+++ b/crates/standins/src/fleet_model/outcome.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// Converts a count to `f64`.
+/// Converts a count to `f64`, exactly because counts are far below 2^52.
 #[expect(clippy::cast_precision_loss, reason = "far below 2^52")]
 pub(super) fn as_f64(count: usize) -> f64 {
     count as f64
--- a/crates/standins/src/fleet_model/requests.rs
+++ b/crates/standins/src/fleet_model/requests.rs
@@ -105,6 +105,7 @@
         }
     }
 
+    /// Adds one request and reports its arrival to the planner.
     fn add_arrival(&mut self, class: RequestClass) {
         let model = match class {
             RequestClass::Busy => self.random_busy_model(),
@@ -143,8 +144,8 @@
         }
     }
 
-    /// Reports to the planner how many requests wait for each model that is available on
-    /// no engine.
+    /// Reports to the planner how many requests wait for each model that is available
+    /// on no engine.
     pub(super) fn report_waiters(&mut self) {
         let now = self.now();
         let latest_deadline = now + Duration::from_millis(RARE_MAX_WAIT_MS);
--- a/crates/standins/src/fleet_model/run.rs
+++ b/crates/standins/src/fleet_model/run.rs
@@ -31,6 +31,7 @@
     pub(super) now_ms: u64,
     pub(super) planner: Planner,
     pub(super) engines: Vec<Engine>,
+    /// Index of each engine in `engines`.
     by_id: HashMap<UpstreamId, usize>,
     /// The last placement that the planner published for each engine.
     placements: HashMap<UpstreamId, Placement>,
@@ -110,6 +111,7 @@
         self.outcome
     }
 
+    /// Simulates one step.
     fn step(&mut self) {
         self.now_ms += STEP_MS;
         self.add_arrivals();
@@ -196,17 +198,17 @@
         self.planner.apply_answer(order, answer, now);
         self.outcome.orders += 1;
         if order.action == OrderAction::Load {
-            let from_store = source == Some(LoadSource::Store);
-            self.outcome.store_loads += usize::from(from_store);
-            self.outcome.near_loads += usize::from(!from_store);
+            let is_from_store = source == Some(LoadSource::Store);
+            self.outcome.store_loads += usize::from(is_from_store);
+            self.outcome.near_loads += usize::from(!is_from_store);
         }
     }
 
     /// Whether a model is resident on an engine and not about to be unloaded.
     pub(super) fn is_available(&self, engine: &Engine, model: &ModelName) -> bool {
         let placement = self.placements.get(&engine.id);
-        let evicting = placement.is_some_and(|p| p.evicting.contains(model));
-        engine.resident.contains_key(model) && !evicting
+        let is_evicting = placement.is_some_and(|p| p.evicting.contains(model));
+        engine.resident.contains_key(model) && !is_evicting
     }
 
     /// Returns the engine with the fewest running requests among those that have the model and a
