--- a/tests/all/limit_load.rs
+++ b/tests/all/limit_load.rs
@@ -8,7 +8,8 @@
 use passway_standins::allotment_model::limit_strategies::CoordinatorLimits;
 use passway_standins::allotment_model::{Plan, SimulationResult, simulate};
 
-/// Time without a coordinator, in seconds, in the cases that lose the holder: its lease plus a margin.
+/// Time without a coordinator, in seconds, in the cases that lose the holder: its lease plus a
+/// margin.
 const NO_COORDINATOR_S: f64 = 1.6;
 
 fn check_bounds(instances: usize) {
@@ -25,9 +26,9 @@
                 over_rule <= 0.0,
                 "{message}: {over_rule} requests above the rule"
             );
-            let max_refused = 0.01 + NO_COORDINATOR_S / plan.duration.as_secs_f64();
+            let max_shortfall = 0.01 + NO_COORDINATOR_S / plan.duration.as_secs_f64();
             assert!(
-                refused_below <= max_refused,
+                refused_below <= max_shortfall,
                 "{message}: shortfall {refused_below}"
             );
         }
