--- a/crates/standins/src/allotment_model/strategies.rs
+++ b/crates/standins/src/allotment_model/strategies.rs
@@ -68,7 +68,8 @@
     coordinator: QuotaCoordinator,
     term: u64,
     fallback: HashMap<(usize, u64), FallbackQuotas>,
-    /// Workspaces whose buckets are at least half full, as last written to the store for a successor.
+    /// Workspaces whose buckets are at least half full, as last written to the store for a
+    /// successor.
     stored_half_full: BTreeSet<WorkspaceName>,
     sync_at: Option<Instant>,
     allotments: HashMap<WorkspaceName, Allotment>,
@@ -170,6 +171,7 @@
 pub struct LeasedRates {
     workspaces: Vec<WorkspaceDemand>,
     leases: HashMap<(usize, WorkspaceName), LeasedRate>,
+    /// Requested units by instance and workspace; older requests count less.
     recent_units: HashMap<(usize, WorkspaceName), f64>,
     sync_at: Option<Instant>,
     messages: u64,
--- a/crates/standins/src/bin/passway-config-memory.rs
+++ b/crates/standins/src/bin/passway-config-memory.rs
@@ -249,8 +249,8 @@
     RouteTable::new(1, Vec::new(), vec![service], limits)
 }
 
-/// Measures the servers in the table of every instance and in the holder's planner, before and after
-/// requests for adapters that no server has loaded.
+/// Measures the servers in the table of every instance and in the holder's planner. The planner is
+/// measured before and after requests for adapters that no server has loaded.
 fn known_servers(servers: usize, adapters: usize) -> Result<()> {
     let now = Instant::now();
     let case = Case::start();
--- a/crates/standins/src/bin/passway-slopes/roles.rs
+++ b/crates/standins/src/bin/passway-slopes/roles.rs
@@ -26,8 +26,8 @@
     LaggingList::new(Duration::ZERO, listed.collect())
 }
 
-/// Prints memory and processor time, for the configuration of each size, of an idle controller that
-/// leads no cell, of the same controller when it leads one cell, and of that controller and a router.
+/// Prints memory and processor time of idle roles for the configuration of each size: a controller
+/// that leads no cell, the same controller when it leads one cell, and that controller with a router.
 pub fn measure(observation_time: Duration) -> Result<()> {
     println!("roles: models adapters role resident_mb processor_percent");
     for size in SIZES {
--- a/tests/all/allotment_load.rs
+++ b/tests/all/allotment_load.rs
@@ -1,9 +1,9 @@
 //! Checks the enforcement of allotments for 16 workspaces, a few of them large, at 6, 71 and 300
 //! instances, without a fault and in each case of [`Case`].
 //!
-//! No workspace may exceed the rule. At most 1% of the use below the allotments may be refused
-//! without a fault, and 3% in any other case, over all workspaces, as the users' developers require.
-//! Cases with two faults at the same time are checked against the rule alone.
+//! No workspace may use more than [`Plan::bounds`] allow. At most 1% of the use below the
+//! allotments may be refused without a fault, and 3% in any other case, over all workspaces, as the
+//! users' developers require. Cases with two faults at the same time have no bound on refusals.
 
 use passway_standins::allotment_model::cases::Case;
 use passway_standins::allotment_model::strategies::CoordinatorQuotas;
--- a/tests/all/limit_load.rs
+++ b/tests/all/limit_load.rs
@@ -1,8 +1,8 @@
-//! Checks the limits of six upstreams that advertise 0.5 to 50 requests per second, at 6, 71 and 300
-//! instances, in each case of [`Case`]. The demand is 5 or 50 times the limit.
+//! Checks the limits of six upstreams that advertise 0.5 to 50 requests per second, at 6, 71 and
+//! 300 instances, in each case of [`Case`]. The demand is 5 or 50 times the limit.
 //!
-//! No upstream may receive more requests than the rule allows. The shortfall below the limits may be
-//! at most 1% plus the ratio of the time without a coordinator.
+//! No upstream may receive more requests than [`Plan::bounds`] allow. The shortfall below the
+//! limits may be at most 1% plus the ratio of the time without a coordinator.
 
 use passway_standins::allotment_model::cases::Case;
 use passway_standins::allotment_model::limit_strategies::CoordinatorLimits;
