--- a/crates/standins/src/bin/passway-demo.rs
+++ b/crates/standins/src/bin/passway-demo.rs
@@ -2,8 +2,8 @@
 
 use anyhow::{Result, ensure};
 use clap::Parser;
+use passway_standins::cluster::{ClusterPlan, TestCluster};
 use passway_standins::load::{Burst, Outcome, Sample};
-use passway_standins::world::{World, WorldPlan};
 use passway_types::prelude::*;
 use std::collections::BTreeMap;
 
@@ -33,12 +33,12 @@
 fn main() -> Result<()> {
     let arguments = Arguments::parse();
     passway_process::logging::start("passway-demo", &arguments.log_level)?;
-    let plan = WorldPlan {
+    let plan = ClusterPlan {
         instances: arguments.instances,
         max_replicas: arguments.max_replicas,
-        ..WorldPlan::default()
+        ..ClusterPlan::default()
     };
-    let world = World::start(plan)?;
+    let world = TestCluster::start(plan)?;
     let fleet = world.start_fleet()?;
     println!(
         "{} routers and controllers, {} engines, {} models and {} adapters, all asleep",
@@ -64,7 +64,7 @@
     };
     let samples = burst.run(&routers);
     report(&samples);
-    let loads = world.loads_of(MODEL);
+    let loads = world.load_count(MODEL);
     println!(
         "loads of {MODEL}: {loads}, allowed: {}",
         arguments.max_replicas
@@ -93,7 +93,7 @@
     for (outcome, count) in outcomes {
         println!("  {count:5}  {outcome}");
     }
-    let mut firsts: Vec<Duration> = samples.iter().map(|sample| sample.first).collect();
+    let mut firsts: Vec<Duration> = samples.iter().map(|sample| sample.first_token).collect();
     firsts.sort();
     for (name, part) in [("p50", 50), ("p99", 99), ("max", 100)] {
         let index = (firsts.len() * part / 100).saturating_sub(1);
--- a/crates/standins/src/bin/passway-load.rs
+++ b/crates/standins/src/bin/passway-load.rs
@@ -4,10 +4,10 @@
 use clap::Parser;
 use hdrhistogram::Histogram;
 use passway_config::document::{KeepEntry, KeepPolicyName};
+use passway_standins::cluster::{ClusterPlan, TestCluster};
 use passway_standins::engine::Engine;
 use passway_standins::load::{Call, Outcome, call};
-use passway_standins::trace::{Purpose, Site, TraceRequest, draw};
-use passway_standins::world::{World, WorldPlan};
+use passway_standins::trace::{Deployment, Purpose, TraceRequest, generate_requests};
 use passway_types::prelude::*;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
 struct Arguments {
     /// `market` or `laundry`.
     #[arg(long, default_value = "market")]
-    site: Site,
+    site: Deployment,
     /// The variants, the baseline first, with commas between.
     #[arg(
         long,
@@ -82,12 +82,12 @@
     let mut reports = Vec::new();
     for variant in &arguments.variants {
         let keep = keep_of(variant)?;
-        let plan = WorldPlan {
-            keep,
+        let plan = ClusterPlan {
+            retention: keep,
             max_replicas: 2,
-            ..WorldPlan::default()
+            ..ClusterPlan::default()
         };
-        let trace = draw(
+        let trace = generate_requests(
             arguments.site,
             arguments.seed,
             length,
@@ -135,8 +135,8 @@
     })
 }
 
-fn run(variant: &str, plan: WorldPlan, trace: &[TraceRequest]) -> Result<Report> {
-    let world = Arc::new(World::start(plan)?);
+fn run(variant: &str, plan: ClusterPlan, trace: &[TraceRequest]) -> Result<Report> {
+    let world = Arc::new(TestCluster::start(plan)?);
     let fleet = world.start_fleet()?;
     let routers: Vec<SocketAddr> = fleet
         .routers
@@ -147,7 +147,7 @@
     let began_at = Instant::now();
     let mut callers: Vec<JoinHandle<(bool, passway_standins::load::Sample)>> = Vec::new();
     for (number, request) in trace.iter().enumerate() {
-        std::thread::sleep(request.after.saturating_sub(began_at.elapsed()));
+        std::thread::sleep(request.arrives_after.saturating_sub(began_at.elapsed()));
         let is_cold = !world
             .engines
             .iter()
@@ -195,7 +195,7 @@
 }
 
 impl Sampler {
-    fn start(world: Arc<World>) -> Self {
+    fn start(world: Arc<TestCluster>) -> Self {
         let stopped = Arc::new(AtomicBool::new(false));
         let is_stopped = stopped.clone();
         let thread = std::thread::spawn(move || {
@@ -204,7 +204,7 @@
             while !is_stopped.load(Ordering::Relaxed) {
                 std::thread::sleep(SAMPLE_PAUSE);
                 let now = Instant::now();
-                let idle: f64 = world.engines.iter().map(Engine::idle_share).sum();
+                let idle: f64 = world.engines.iter().map(Engine::idle_memory_ratio).sum();
                 idle_engine_s += idle * (now - sampled_at).as_secs_f64();
                 sampled_at = now;
             }
@@ -221,7 +221,7 @@
 
 fn report(
     variant: &str,
-    world: &World,
+    world: &TestCluster,
     samples: &[(bool, passway_standins::load::Sample)],
     idle_engine_s: f64,
 ) -> Result<Report> {
@@ -234,7 +234,7 @@
         match &sample.outcome {
             Outcome::Whole => {
                 whole += 1;
-                let first_ms = u64::try_from(sample.first.as_millis())?;
+                let first_ms = u64::try_from(sample.first_token.as_millis())?;
                 let into = if *is_cold { &mut cold } else { &mut warm };
                 into.record(first_ms)?;
             }
--- a/crates/standins/src/bin/passway-slopes/fleets.rs
+++ b/crates/standins/src/bin/passway-slopes/fleets.rs
@@ -3,7 +3,7 @@
 use anyhow::{Context, Result};
 use passway_config::revision;
 use passway_platform::key_value::KeyValue;
-use passway_standins::world::{Fleet, World, WorldPlan};
+use passway_standins::cluster::{ClusterPlan, Fleet, TestCluster};
 use passway_types::prelude::*;
 
 /// Instances of a fleet.
@@ -15,9 +15,9 @@
         "fleet: instances kv_reads_per_s kv_writes_per_s control_bytes_per_s_per_instance spread_ms"
     );
     for instances in FLEETS {
-        let world = World::start(WorldPlan {
+        let world = TestCluster::start(ClusterPlan {
             instances,
-            ..WorldPlan::default()
+            ..ClusterPlan::default()
         })?;
         let fleet = world.start_fleet()?;
         std::thread::sleep(Duration::from_secs(3));
@@ -44,7 +44,7 @@
 }
 
 /// Time from a change of configuration until it is in force at every router.
-fn spread(world: &World, fleet: &Fleet) -> Result<Duration> {
+fn spread(world: &TestCluster, fleet: &Fleet) -> Result<Duration> {
     let found = world.key_value.get(revision::CURRENT_KEY);
     let found = found.ok().flatten().context("no configuration")?;
     let mut next = revision::decode(&found.value)?;
--- a/crates/standins/src/bin/passway-slopes/latency.rs
+++ b/crates/standins/src/bin/passway-slopes/latency.rs
@@ -1,8 +1,8 @@
 //! Time that a router adds to streams.
 
 use anyhow::{Context, Result};
+use passway_standins::cluster::{ClusterPlan, TestCluster};
 use passway_standins::load::{Call, Outcome, Sample, call};
-use passway_standins::world::{World, WorldPlan};
 use passway_types::prelude::*;
 use std::net::SocketAddr;
 
@@ -14,13 +14,13 @@
 /// What a router adds in front of a warm engine, against the engine asked directly.
 pub fn measure() -> Result<()> {
     println!("latency: streams to first_p50_ms first_p99_ms whole_p50_ms whole_p99_ms");
-    let plan = WorldPlan {
+    let plan = ClusterPlan {
         instances: 1,
         engines: 1,
         slots: 1_024,
-        ..WorldPlan::default()
+        ..ClusterPlan::default()
     };
-    let world = World::start(plan)?;
+    let world = TestCluster::start(plan)?;
     let fleet = world.start_fleet()?;
     let router = fleet.routers.first().context("a router")?.address();
     let engine = world
@@ -42,8 +42,8 @@
             };
             println!(
                 "  {streams:4} {name} {:7.2} {:7.2} {:7.2} {:7.2}",
-                quantile(50, |s| s.first),
-                quantile(99, |s| s.first),
+                quantile(50, |s| s.first_token),
+                quantile(99, |s| s.first_token),
                 quantile(50, |s| s.total),
                 quantile(99, |s| s.total)
             );
--- a/crates/standins/src/bin/passway-soak.rs
+++ b/crates/standins/src/bin/passway-soak.rs
@@ -49,14 +49,14 @@
         let logs = arguments.logs.join(seed.to_string());
         std::fs::create_dir_all(&logs).with_context(|| format!("making {}", logs.display()))?;
         let report = soak::run(&SoakPlan {
-            program: arguments.program.clone(),
-            logs: logs.clone(),
+            executable: arguments.program.clone(),
+            log_dir: logs.clone(),
             seed,
             instances: arguments.instances,
             engines: arguments.engines,
             callers: arguments.callers,
-            steps: arguments.steps,
-            pause: Duration::from_millis(arguments.pause_ms),
+            fault_count: arguments.steps,
+            max_pause: Duration::from_millis(arguments.pause_ms),
         })?;
         println!("{}", serde_json::to_string(&report)?);
         if report.broken.is_empty() && !arguments.keep_logs {
--- a/crates/standins/src/bin/passway-standins.rs
+++ b/crates/standins/src/bin/passway-standins.rs
@@ -5,11 +5,11 @@
 use passway_config::catalog;
 use passway_config::document::Fencing;
 use passway_platform::instance_list::ListedInstance;
-use passway_standins::engine::{Engine, EngineTraits};
+use passway_standins::engine::{Engine, EngineConfig};
 use passway_standins::instance_list::LaggingList;
 use passway_standins::key_value::MemoryKeyValue;
 use passway_standins::service::PlainService;
-use passway_standins::weight_store::{Pace, WeightStore};
+use passway_standins::weight_store::{WeightStore, WeightStoreLimits};
 use passway_types::prelude::*;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -46,13 +46,13 @@
     let text = std::fs::read_to_string(path).with_context(|| path.display().to_string())?;
     let (_, catalog) = catalog::parse(&text, 0).with_context(|| path.display().to_string())?;
     let signals = passway_process::signals::termination()?;
-    let store = WeightStore::new(Pace::default());
+    let store = WeightStore::new(WeightStoreLimits::default());
     for upstream in catalog.upstreams.values() {
-        let traits = EngineTraits {
+        let traits = EngineConfig {
             memory_bytes: upstream.memory_bytes,
             slots: upstream.slots,
             checks_fencing: upstream.fencing != Fencing::Ignores,
-            token_time: Duration::from_millis(arguments.token_ms),
+            token_interval: Duration::from_millis(arguments.token_ms),
         };
         Engine::new(traits, store.clone()).serve(upstream.address);
     }
--- a/crates/standins/src/world.rs
+++ b/crates/standins/src/cluster.rs
@@ -1,10 +1,10 @@
 //! All stand-ins together with a configuration, on ports that the kernel chooses.
 
-use crate::engine::{Engine, EngineTraits};
+use crate::engine::{Engine, EngineConfig};
 use crate::instance_list::LaggingList;
 use crate::key_value::MemoryKeyValue;
 use crate::service::PlainService;
-use crate::weight_store::{Pace, WeightStore};
+use crate::weight_store::{WeightStore, WeightStoreLimits};
 use anyhow::{Context, Result};
 use passway_config::document::{
     AdapterEntry, Document, Fencing, KeepEntry, KeepPolicyName, ModelEntry, ServiceEntry,
@@ -28,7 +28,7 @@
 
 /// Sizes and times of a world.
 #[derive(Debug, Clone)]
-pub struct WorldPlan {
+pub struct ClusterPlan {
     /// Entry instances, each with a router and a controller.
     pub instances: usize,
     /// Model engines.
@@ -52,19 +52,19 @@
     /// Time from one token to the next.
     pub token_time: Duration,
     /// The weight store's pace.
-    pub pace: Pace,
+    pub weight_store_limits: WeightStoreLimits,
     /// The instance list's lag.
     pub list_lag: Duration,
     /// Time that a cell's lease lasts, in milliseconds.
     pub lease_ms: u64,
     /// How long routers and controllers wait for the key-value service; the shipped
     /// defaults where `None`.
-    pub patience: Option<Duration>,
+    pub key_value_timeout: Option<Duration>,
     /// How long idle replicas are kept.
-    pub keep: KeepEntry,
+    pub retention: KeepEntry,
 }
 
-impl Default for WorldPlan {
+impl Default for ClusterPlan {
     fn default() -> Self {
         Self {
             instances: 6,
@@ -78,11 +78,11 @@
             checks_fencing: true,
             slots: 64,
             token_time: Duration::from_millis(5),
-            pace: Pace::default(),
+            weight_store_limits: WeightStoreLimits::default(),
             list_lag: Duration::from_secs(2),
             lease_ms: 2_000,
-            patience: None,
-            keep: KeepEntry {
+            key_value_timeout: None,
+            retention: KeepEntry {
                 policy: KeepPolicyName::Fixed,
                 ..KeepEntry::default()
             },
@@ -90,35 +90,35 @@
     }
 }
 
-impl WorldPlan {
+impl ClusterPlan {
     /// A wait for the key-value service in milliseconds, where programs usually wait
     /// so long.
-    pub fn wait_ms(&self, usual: u64) -> u64 {
+    pub fn key_value_timeout_ms(&self, usual: u64) -> u64 {
         let millis = |patience: Duration| u64::try_from(patience.as_millis());
-        self.patience
+        self.key_value_timeout
             .map_or(usual, |p| millis(p).unwrap_or(u64::MAX))
     }
 }
 
 /// The stand-ins of a world.
 #[derive(Debug)]
-pub struct World {
+pub struct TestCluster {
     /// Sizes and times.
-    pub plan: WorldPlan,
+    pub plan: ClusterPlan,
     /// The key-value service.
     pub key_value: MemoryKeyValue,
     /// Where it listens.
     pub key_value_address: SocketAddr,
     /// The weight store.
-    pub store: WeightStore,
+    pub weight_store: WeightStore,
     /// The model engines.
     pub engines: Vec<Engine>,
     /// The plain services.
     pub services: Vec<PlainService>,
     /// The instance list.
-    pub list: LaggingList,
+    pub instance_list: LaggingList,
     /// Where it listens.
-    pub list_address: SocketAddr,
+    pub instance_list_address: SocketAddr,
     /// The configuration of revision 1.
     pub document: Document,
 }
@@ -132,26 +132,26 @@
     pub routers: Vec<Router<Serving>>,
 }
 
-impl World {
+impl TestCluster {
     /// Starts the stand-ins and stores the configuration.
     ///
     /// # Errors
     /// If an address cannot be parsed or the configuration cannot be stored.
-    pub fn start(plan: WorldPlan) -> Result<Self> {
+    pub fn start(plan: ClusterPlan) -> Result<Self> {
         let any: SocketAddr = ANY_PORT.parse().context("address")?;
         let key_value = MemoryKeyValue::new();
         let key_value_address = key_value.serve(any);
-        let store = WeightStore::new(plan.pace.clone());
+        let weight_store = WeightStore::new(plan.weight_store_limits.clone());
         let mut document = base_document(&plan);
         let mut engines = Vec::new();
         for number in 0..plan.engines {
-            let traits = EngineTraits {
+            let traits = EngineConfig {
                 memory_bytes: plan.engine_mb << 20,
                 slots: plan.slots,
                 checks_fencing: plan.checks_fencing,
-                token_time: plan.token_time,
+                token_interval: plan.token_time,
             };
-            let engine = Engine::new(traits, store.clone());
+            let engine = Engine::new(traits, weight_store.clone());
             let address = engine.serve(any);
             document
                 .upstreams
@@ -179,17 +179,17 @@
             id: id.into(),
             leaving: false,
         });
-        let list = LaggingList::new(plan.list_lag, listed.collect());
-        let list_address = list.serve(any);
+        let instance_list = LaggingList::new(plan.list_lag, listed.collect());
+        let instance_list_address = instance_list.serve(any);
         let world = Self {
             plan,
             key_value,
             key_value_address,
-            store,
+            weight_store,
             engines,
             services,
-            list,
-            list_address,
+            instance_list,
+            instance_list_address,
             document,
         };
         world.store_first_revision()?;
@@ -221,7 +221,7 @@
         all: &[SocketAddr],
     ) -> ControllerSettings {
         let defaults = ControllerSettings::default();
-        let wait_ms = |usual: u64| self.plan.wait_ms(usual);
+        let wait_ms = |usual: u64| self.plan.key_value_timeout_ms(usual);
         ControllerSettings {
             key_value_timeout_ms: wait_ms(defaults.key_value_timeout_ms),
             write_patience_ms: wait_ms(defaults.write_patience_ms),
@@ -234,7 +234,7 @@
                 .map(ToString::to_string)
                 .collect(),
             key_value: self.key_value_address.to_string(),
-            instance_list: self.list_address.to_string(),
+            instance_list: self.instance_list_address.to_string(),
             lease_ms: self.plan.lease_ms,
             ..defaults
         }
@@ -249,7 +249,9 @@
             .take(controllers.len());
         let defaults = RouterSettings::default();
         RouterSettings {
-            key_value_timeout_ms: self.plan.wait_ms(defaults.key_value_timeout_ms),
+            key_value_timeout_ms: self
+                .plan
+                .key_value_timeout_ms(defaults.key_value_timeout_ms),
             instance: instance_id(number),
             data_hall: data_hall(number),
             listen: ANY_PORT.into(),
@@ -290,7 +292,7 @@
     }
 
     /// Loads begun at all engines for one model.
-    pub fn loads_of(&self, model: &str) -> u32 {
+    pub fn load_count(&self, model: &str) -> u32 {
         let loads = self
             .engines
             .iter()
@@ -328,7 +330,7 @@
     ["atlanta", "athens", "macon"][number % 3].to_owned()
 }
 
-fn upstream_entry(plan: &WorldPlan, number: usize, address: SocketAddr) -> UpstreamEntry {
+fn upstream_entry(plan: &ClusterPlan, number: usize, address: SocketAddr) -> UpstreamEntry {
     UpstreamEntry {
         id: format!("engine{number}"),
         address: address.to_string(),
@@ -344,7 +346,7 @@
     }
 }
 
-fn base_document(plan: &WorldPlan) -> Document {
+fn base_document(plan: &ClusterPlan) -> Document {
     let workspaces = ["default", "stalls", "growers"].map(|name| WorkspaceEntry {
         name: name.into(),
         ..WorkspaceEntry::default()
@@ -365,7 +367,7 @@
         workspaces: workspaces.into(),
         models: models.collect(),
         adapters: adapters.collect(),
-        keep: plan.keep.clone(),
+        keep: plan.retention.clone(),
         ..Document::default()
     }
 }
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -22,7 +22,7 @@
 
 /// What an engine is.
 #[derive(Debug, Clone)]
-pub struct EngineTraits {
+pub struct EngineConfig {
     /// Accelerator memory for models.
     pub memory_bytes: u64,
     /// Requests at one time; more are turned away.
@@ -30,7 +30,7 @@
     /// Whether old fencing numbers are refused, also after a restart.
     pub checks_fencing: bool,
     /// Time from one token to the next.
-    pub token_time: Duration,
+    pub token_interval: Duration,
 }
 
 /// What an engine is told to do wrong.
@@ -71,7 +71,7 @@
 
 #[derive(Debug)]
 struct State {
-    traits: EngineTraits,
+    traits: EngineConfig,
     boot: Incarnation,
     highest_fence: Fence,
     loaded: BTreeMap<ModelName, Loaded>,
@@ -102,7 +102,7 @@
 
 impl Engine {
     /// An engine with nothing loaded.
-    pub fn new(traits: EngineTraits, store: WeightStore) -> Self {
+    pub fn new(traits: EngineConfig, store: WeightStore) -> Self {
         let state = State {
             traits,
             boot: rand::random(),
@@ -142,7 +142,7 @@
     }
 
     /// The share of the memory that models hold which serve and run nothing.
-    pub fn idle_share(&self) -> f64 {
+    pub fn idle_memory_ratio(&self) -> f64 {
         let state = self.state();
         let idle = state
             .loaded
@@ -176,22 +176,22 @@
         let path = request.path().to_owned();
         if path == "/standin/faults" {
             self.set_faults(server::json_body(request).unwrap_or_default());
-            return server::answer(200, "");
+            return server::response(200, "");
         }
         if path == "/standin/ledger" {
-            return server::json(&self.ledger());
+            return server::json_response(&self.ledger());
         }
         if self.state().faults.dead {
-            return server::answer(200, Body::wrap_reader(BrokenBody));
+            return server::response(200, Body::wrap_reader(BrokenBody));
         }
         match path.as_str() {
-            "/control/status" => server::json(&self.status()),
+            "/control/status" => server::json_response(&self.status()),
             "/control/order" => match server::json_body::<OrderBody>(request) {
-                Some(order) => server::json(&self.order(&order)),
-                None => server::answer(400, ""),
+                Some(order) => server::json_response(&self.order(&order)),
+                None => server::response(400, ""),
             },
             "/v1/chat/completions" | "/v1/completions" => self.complete(request),
-            _ => server::answer(404, ""),
+            _ => server::response(404, ""),
         }
     }
 
@@ -288,17 +288,20 @@
         let resume_at = request.header("x-resume-at");
         let resume_at = resume_at.and_then(|text| text.parse().ok()).unwrap_or(0);
         let Some(body) = server::json_body::<Value>(request) else {
-            return server::answer(400, "");
+            return server::response(400, "");
         };
         let model: ModelName = body["model"].as_str().unwrap_or_default().into();
         let run = match self.begin(&model) {
             Ok(run) => run,
-            Err(status) => return server::answer(status, "not begun"),
+            Err(status) => return server::response(status, "not begun"),
         };
         let tokens = body["max_tokens"].as_u64().unwrap_or(DEFAULT_TOKENS);
         let (token_time, break_after) = {
             let state = self.state();
-            (state.traits.token_time, state.faults.break_streams_after)
+            (
+                state.traits.token_interval,
+                state.faults.break_streams_after,
+            )
         };
         let tokens = u32::try_from(tokens).unwrap_or(u32::MAX);
         let stream = TokenStream {
@@ -430,10 +433,10 @@
                 count += 1;
             }
             Ok(None) => break,
-            Err(_) => return server::answer(200, Body::wrap_reader(BrokenBody)),
+            Err(_) => return server::response(200, Body::wrap_reader(BrokenBody)),
         }
     }
-    server::json(&serde_json::json!({
+    server::json_response(&serde_json::json!({
         "choices": [{ "message": { "content": text } }],
         "usage": { "completion_tokens": count },
     }))
--- a/crates/standins/src/instance_list.rs
+++ b/crates/standins/src/instance_list.rs
@@ -67,6 +67,6 @@
     /// Serves the list over HTTP.
     pub fn serve(&self, address: SocketAddr) -> SocketAddr {
         let list = self.clone();
-        server::serve(address, move |_| server::json(&list.shown()))
+        server::serve(address, move |_| server::json_response(&list.shown()))
     }
 }
--- a/crates/standins/src/key_value.rs
+++ b/crates/standins/src/key_value.rs
@@ -121,23 +121,23 @@
         let answered = match (method.as_str(), path.as_str()) {
             ("POST", "/standin/faults") => {
                 self.set_faults(serde_json::from_slice(&body).unwrap_or_default());
-                Ok(server::answer(200, ""))
+                Ok(server::response(200, ""))
             }
-            ("GET", "/standin/calls") => Ok(server::json(&self.calls())),
+            ("GET", "/standin/calls") => Ok(server::json_response(&self.calls())),
             (_, path) if path.starts_with("/v1/kv/") => {
                 self.handle_key(&method, &path["/v1/kv/".len()..], request, &body)
             }
             ("POST", "/v1/leases") => {
-                let ttl_ms = server::query(request, "ttl_ms").unwrap_or(1_000);
+                let ttl_ms = server::query_number(request, "ttl_ms").unwrap_or(1_000);
                 self.grant_lease(Duration::from_millis(ttl_ms))
-                    .map(|lease| server::answer(200, lease.to_string()))
+                    .map(|lease| server::response(200, lease.to_string()))
             }
             (_, path) if path.starts_with("/v1/leases/") => {
                 self.handle_lease(&method, &path["/v1/leases/".len()..])
             }
-            _ => Ok(server::answer(404, "")),
+            _ => Ok(server::response(404, "")),
         };
-        answered.unwrap_or_else(|Unavailable| server::answer(503, ""))
+        answered.unwrap_or_else(|Unavailable| server::response(503, ""))
     }
 
     fn handle_key(
@@ -149,28 +149,28 @@
     ) -> Result<Response, Unavailable> {
         if method == "GET"
             && let (Some(known), Some(wait_ms)) = (
-                server::query(request, "known"),
-                server::query(request, "wait_ms"),
+                server::query_number(request, "known"),
+                server::query_number(request, "wait_ms"),
             )
         {
             return Ok(
                 match self.watch(key, known, Duration::from_millis(wait_ms))? {
-                    None => server::answer(304, ""),
+                    None => server::response(304, ""),
                     Some(found) => versioned(found.version, found.value),
                 },
             );
         }
         if method == "GET" {
             return Ok(match self.get(key)? {
-                None => server::answer(404, ""),
+                None => server::response(404, ""),
                 Some(found) => versioned(found.version, found.value),
             });
         }
-        let expected = server::query(request, "expected").unwrap_or(0);
-        let lease = server::query(request, "lease");
+        let expected = server::query_number(request, "expected").unwrap_or(0);
+        let lease = server::query_number(request, "lease");
         Ok(match self.put_if(key, expected, body, lease)? {
             PutOutcome::Written(version) => versioned(version, Vec::new()),
-            PutOutcome::Conflict => server::answer(409, ""),
+            PutOutcome::Conflict => server::response(409, ""),
         })
     }
 
@@ -182,12 +182,12 @@
         let id = id.parse().unwrap_or(0);
         if is_renewal {
             let status = if self.renew_lease(id)? { 200 } else { 404 };
-            return Ok(server::answer(status, ""));
+            return Ok(server::response(status, ""));
         }
         if method == "DELETE" {
             self.end_lease(id)?;
         }
-        Ok(server::answer(200, ""))
+        Ok(server::response(200, ""))
     }
 }
 
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -11,7 +11,7 @@
 //! * [`service`]: a plain service that counts runs per key.
 //! * [`instance_list`]: a list that lags.
 //! * [`platform`]: the users' platform: its store, model servers, servers of scripted bytes.
-//! * [`world`]: all of them together with a configuration.
+//! * [`cluster`]: all of them together with a configuration.
 //! * [`fleet_model`]: engines, weight store and demand in virtual time, to compare policies.
 //! * [`sizes`]: configurations at the sizes of today and of the target.
 //! * [`soak`]: real instances among the stand-ins, faults drawn by a seed, promises judged.
@@ -19,6 +19,7 @@
 //! * [`load`]: callers, whose answers are checked.
 
 pub mod allotment_model;
+pub mod cluster;
 pub mod engine;
 pub mod fleet_model;
 pub mod instance_list;
@@ -31,4 +32,3 @@
 pub mod soak;
 pub mod trace;
 pub mod weight_store;
-pub mod world;
--- a/crates/standins/src/load.rs
+++ b/crates/standins/src/load.rs
@@ -51,7 +51,7 @@
     /// What came.
     pub outcome: Outcome,
     /// Time to the first token, or to the end where there is none.
-    pub first: Duration,
+    pub first_token: Duration,
     /// Time to the end.
     pub total: Duration,
 }
@@ -107,7 +107,7 @@
     let total = began_at.elapsed();
     Sample {
         outcome,
-        first: first.unwrap_or(total),
+        first_token: first.unwrap_or(total),
         total,
     }
 }
--- a/crates/standins/src/platform/caller.rs
+++ b/crates/standins/src/platform/caller.rs
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, TcpStream};
 
 /// Longest wait for something that must come.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const RECEIVE_TIMEOUT: Duration = Duration::from_secs(20);
 /// The host of all routes.
 pub const HOST: &str = "shop.example";
 
@@ -20,7 +20,7 @@
     /// The body, decoded.
     pub body: String,
     /// Whether it ended as its framing says.
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
 impl Answer {
@@ -46,15 +46,17 @@
     /// # Panics
     /// If nobody listens there.
     pub fn connect(address: SocketAddr) -> Self {
-        Self::over(TcpStream::connect(address).expect("connecting"))
+        Self::from_stream(TcpStream::connect(address).expect("connecting"))
     }
 
     /// Uses a connection.
     ///
     /// # Panics
     /// If it takes no time-out.
-    pub fn over(stream: TcpStream) -> Self {
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    pub fn from_stream(stream: TcpStream) -> Self {
+        stream
+            .set_read_timeout(Some(RECEIVE_TIMEOUT))
+            .expect("a time-out");
         Self {
             stream,
             bytes: Vec::new(),
@@ -88,7 +90,7 @@
     }
 
     /// Reads an answer; `None` if the connection ends before its head, or says nothing for
-    /// [`PATIENCE`].
+    /// [`RECEIVE_TIMEOUT`].
     ///
     /// # Panics
     /// If what comes is no answer.
@@ -108,12 +110,12 @@
             status: status.expect("a status"),
             head,
             body: String::new(),
-            whole: false,
+            is_complete: false,
         };
         if answer.header("transfer-encoding") == Some("chunked") {
             while let Some(chunk) = self.chunk() {
                 if chunk.is_empty() {
-                    answer.whole = true;
+                    answer.is_complete = true;
                     break;
                 }
                 answer.body.push_str(&String::from_utf8_lossy(&chunk));
@@ -126,7 +128,7 @@
         let length: usize = length.unwrap_or(0);
         while self.bytes.len() < length && self.more() {}
         let got = length.min(self.bytes.len());
-        answer.whole = got == length;
+        answer.is_complete = got == length;
         let body: Vec<u8> = self.bytes.drain(..got).collect();
         answer.body = String::from_utf8_lossy(&body).into_owned();
         Some(answer)
@@ -166,7 +168,7 @@
 ///
 /// # Panics
 /// As [`Caller`] does.
-pub fn ask(address: SocketAddr, bytes: &[u8]) -> Option<Answer> {
+pub fn fetch(address: SocketAddr, bytes: &[u8]) -> Option<Answer> {
     let mut caller = Caller::connect(address);
     caller.send(bytes);
     caller.receive()
--- a/crates/standins/src/platform/model_server.rs
+++ b/crates/standins/src/platform/model_server.rs
@@ -18,46 +18,46 @@
 #[derive(Debug, Clone, Default)]
 pub struct Faults {
     /// Cuts the next stream off after so many events.
-    pub cuts_after: Option<u64>,
+    pub cut_after_events: Option<u64>,
     /// Sends nothing more after so many events of the next stream.
-    pub silent_after: Option<u64>,
+    pub silent_after_events: Option<u64>,
     /// Pauses for 2.5 s after so many events of the next stream.
-    pub pause_after: Option<u64>,
+    pub pause_after_events: Option<u64>,
     /// Takes the next order and does not answer it.
-    pub loses_answer: bool,
+    pub drops_order_answer: bool,
     /// Pauses for so long before each event of all streams.
-    pub event_pause: Duration,
+    pub event_delay: Duration,
     /// Crashes when it begins to run a request whose body begins so.
-    pub crashes_on: Option<String>,
+    pub crash_on_prefix: Option<String>,
     /// Names so many requests a second as what it takes.
-    pub limit_per_s: Option<f64>,
+    pub advertised_limit_per_s: Option<f64>,
     /// Says in all of its answers that it leaves.
-    pub leaves: bool,
+    pub is_leaving: bool,
     /// Turns requests away, and asks for so many seconds of rest.
-    pub rest_s: Option<f64>,
+    pub backoff_s: Option<f64>,
     /// A crash leaves its port open, whose connections are closed for so long; then it starts again
     /// under its id.
-    pub restarts_after: Option<Duration>,
+    pub restart_delay: Option<Duration>,
 }
 
 /// The models of a server.
 #[derive(Debug, Clone, Copy)]
-pub struct Models<'a> {
+pub struct InitialModels<'a> {
     /// How many may stand on it.
-    pub places: usize,
+    pub capacity: usize,
     /// Those that do.
-    pub standing: &'a [&'a str],
+    pub loaded: &'a [&'a str],
     /// Those on its disk besides.
     pub on_disk: &'a [&'a str],
 }
 
 /// An order that was taken.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct TakenOrder {
+pub struct AcceptedOrder {
     /// `load_model` or `unload_model`.
     pub operation: String,
     /// The model, with an adapter behind a slash.
-    pub wish: String,
+    pub model_ref: String,
     /// Who gave it.
     pub holder: String,
     /// The fencing number.
@@ -70,20 +70,20 @@
     /// Its id.
     pub id: String,
     /// When it came.
-    pub at: Instant,
+    pub arrived_at: Instant,
     /// The start of the server that it came to, counted.
-    pub start: usize,
+    pub restart_count: usize,
     /// Whether the answer said that the server leaves.
-    pub leaves: bool,
+    pub is_leaving: bool,
     /// The rest that the answer asked for.
-    pub rest: Option<Duration>,
+    pub backoff: Option<Duration>,
 }
 
 #[derive(Debug, Default)]
 struct State {
     models: Vec<(String, Vec<String>)>,
     on_disk: Vec<String>,
-    taken: Vec<TakenOrder>,
+    taken: Vec<AcceptedOrder>,
     over_limit: u32,
     runs: Vec<String>,
     run_at: Vec<Instant>,
@@ -101,7 +101,7 @@
 
 impl State {
     fn says_leaving(&self) -> bool {
-        self.leaves || self.faults.leaves
+        self.leaves || self.faults.is_leaving
     }
 }
 
@@ -113,7 +113,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     service: String,
-    places: usize,
+    capacity: usize,
     state: Arc<Mutex<State>>,
     store: MetadataStandIn,
 }
@@ -132,13 +132,13 @@
         store: &MetadataStandIn,
         id: &str,
         service: &str,
-        places: usize,
+        capacity: usize,
         models: &[&str],
         on_disk: &[&str],
     ) -> Self {
-        let models = Models {
-            places,
-            standing: models,
+        let models = InitialModels {
+            capacity,
+            loaded: models,
             on_disk,
         };
         Self::start_behind(store, id, service, models, |address| address)
@@ -149,12 +149,12 @@
         store: &MetadataStandIn,
         id: &str,
         service: &str,
-        models: Models<'_>,
+        models: InitialModels<'_>,
         way_to: impl FnOnce(SocketAddr) -> SocketAddr,
     ) -> Self {
-        let Models {
-            places,
-            standing: models,
+        let InitialModels {
+            capacity,
+            loaded: models,
             on_disk,
         } = models;
         let state = State {
@@ -183,12 +183,12 @@
             id: id.to_owned(),
             address: way_to(raw.address),
             service: service.to_owned(),
-            places,
+            capacity,
             state,
             store: store.clone(),
         };
         *this.lock().unwrap_or_else(PoisonError::into_inner) = Some(server.clone());
-        server.list("ready");
+        server.publish_entry("ready");
         server
     }
 
@@ -202,7 +202,7 @@
     }
 
     /// Says something of itself in the store.
-    pub fn list(&self, said: &str) {
+    pub fn publish_entry(&self, said: &str) {
         let state = self.state();
         let entry = json!({"service": self.service, "address": self.address.to_string(),
             "zone": "hall0", "version": "v1", "slots": 8, "state": said, "cold_left_ms": 0,
@@ -213,22 +213,22 @@
     }
 
     /// Orders that were taken.
-    pub fn taken(&self) -> Vec<TakenOrder> {
+    pub fn accepted_orders(&self) -> Vec<AcceptedOrder> {
         self.state().taken.clone()
     }
 
     /// Orders to load more than there is room for.
-    pub fn over_limit(&self) -> u32 {
+    pub fn loads_over_capacity(&self) -> u32 {
         self.state().over_limit
     }
 
     /// Requests that ran.
-    pub fn runs(&self) -> Vec<String> {
+    pub fn executed_ids(&self) -> Vec<String> {
         self.state().runs.clone()
     }
 
     /// When they began.
-    pub fn run_at(&self) -> Vec<Instant> {
+    pub fn executed_at(&self) -> Vec<Instant> {
         self.state().run_at.clone()
     }
 
@@ -248,17 +248,17 @@
     }
 
     /// When orders and questions for its state came.
-    pub fn asked_at(&self) -> Vec<Instant> {
+    pub fn control_calls_at(&self) -> Vec<Instant> {
         self.state().asked_at.clone()
     }
 
     /// Bodies of the requests under which it crashed and started again.
-    pub fn restarts(&self) -> Vec<String> {
+    pub fn restart_bodies(&self) -> Vec<String> {
         self.state().restarts.clone()
     }
 
     /// Whether it has crashed.
-    pub fn crashed(&self) -> bool {
+    pub fn has_crashed(&self) -> bool {
         self.state().crashed
     }
 
@@ -274,9 +274,9 @@
         std::thread::spawn(move || {
             std::thread::sleep(after);
             server.state().down_until = None;
-            server.list("ready");
+            server.publish_entry("ready");
         });
-        vec![Step::CutAll]
+        vec![Step::CloseAll]
     }
 
     fn answer(&self, received: &Received) -> Vec<Step> {
@@ -290,7 +290,7 @@
         {
             return answer(421, &id, "", &format!("Instance-Id: {}\r\n", self.id));
         }
-        if received.line().starts_with("GET /report ") {
+        if received.request_line().starts_with("GET /report ") {
             let mut state = self.state();
             let report = json!({"models": models(&state), "in_flight": false,
                 "born": born(&state), "sequence": state.taken.len(), "at_hand": {"in_memory": [], "on_disk": state.on_disk}});
@@ -298,7 +298,7 @@
             let said = words(&state);
             return answer(200, &id, &report.to_string(), &said);
         }
-        if received.line().starts_with("POST /order ") {
+        if received.request_line().starts_with("POST /order ") {
             return self.order(received, &id);
         }
         self.stream(received, &id)
@@ -316,18 +316,18 @@
         let text = |name: &str| order[name].as_str().unwrap_or_default().to_owned();
         let (operation, model) = (text("operation"), text("model"));
         let adapter = order["adapter"].as_str().map(str::to_owned);
-        let wish = adapter
+        let model_ref = adapter
             .as_ref()
             .map_or(model.clone(), |a| format!("{model}/{a}"));
-        state.taken.push(TakenOrder {
+        state.taken.push(AcceptedOrder {
             operation: operation.clone(),
-            wish,
+            model_ref,
             holder: text("holder"),
             fence: order["fence"].as_u64().unwrap_or(0),
         });
         let is_load = operation == "load_model";
         match (is_load, adapter) {
-            (true, None) if state.models.len() >= self.places => state.over_limit += 1,
+            (true, None) if state.models.len() >= self.capacity => state.over_limit += 1,
             (true, None) => {
                 state.on_disk.push(model.clone());
                 state.models.push((model, Vec::new()));
@@ -346,9 +346,9 @@
         }
         state.asked_at.push(Instant::now());
         let said = words(&state);
-        let lost = std::mem::take(&mut state.faults.loses_answer);
+        let lost = std::mem::take(&mut state.faults.drops_order_answer);
         drop(state);
-        self.list("ready");
+        self.publish_entry("ready");
         if lost {
             return vec![Step::Close];
         }
@@ -363,13 +363,13 @@
             name == model && (adapter.is_empty() || adapters.iter().any(|known| known == adapter))
         });
         let said = words(&state);
-        let rest_s = state.faults.rest_s;
+        let rest_s = state.faults.backoff_s;
         let arrival = Arrival {
             id: id.to_owned(),
-            at: Instant::now(),
-            start: state.restarts.len(),
-            leaves: state.says_leaving(),
-            rest: rest_s.map(Duration::from_secs_f64),
+            arrived_at: Instant::now(),
+            restart_count: state.restarts.len(),
+            is_leaving: state.says_leaving(),
+            backoff: rest_s.map(Duration::from_secs_f64),
         };
         state.arrivals.push(arrival);
         if let Some(rest_s) = rest_s {
@@ -382,9 +382,9 @@
         }
         state.runs.push(id.to_owned());
         state.run_at.push(Instant::now());
-        let crashes_on = state.faults.crashes_on.as_deref();
+        let crashes_on = state.faults.crash_on_prefix.as_deref();
         let crashes = crashes_on.is_some_and(|prefix| received.body.starts_with(prefix.as_bytes()));
-        if crashes && let Some(after) = state.faults.restarts_after {
+        if crashes && let Some(after) = state.faults.restart_delay {
             drop(state);
             return self.restart(&received.body, after);
         }
@@ -392,10 +392,10 @@
             state.crashed = true;
             return vec![Step::Crash];
         }
-        let cuts_after = state.faults.cuts_after.take();
-        let silent_after = state.faults.silent_after.take();
-        let pause_after = state.faults.pause_after.take();
-        let event_pause = state.faults.event_pause;
+        let cuts_after = state.faults.cut_after_events.take();
+        let silent_after = state.faults.silent_after_events.take();
+        let pause_after = state.faults.pause_after_events.take();
+        let event_pause = state.faults.event_delay;
         drop(state);
         let from = received
             .header("last-event-id")
@@ -439,7 +439,7 @@
 
 /// What all of its answers say of it.
 fn words(state: &State) -> String {
-    let limit = state.faults.limit_per_s;
+    let limit = state.faults.advertised_limit_per_s;
     let limit = limit.map(|per_s| format!("Server-Limit: {per_s}\r\n"));
     let leaving = state
         .says_leaving()
--- a/crates/standins/src/platform/program.rs
+++ b/crates/standins/src/platform/process.rs
@@ -34,9 +34,9 @@
 
 /// What an instance is started with.
 #[derive(Debug, Clone)]
-pub struct ProgramPlan {
+pub struct ProcessConfig {
     /// The program's file.
-    pub program: PathBuf,
+    pub executable: PathBuf,
     /// The instance's name; no two of a process share one.
     pub name: String,
     /// Where it reaches the store.
@@ -62,18 +62,18 @@
 
 /// The process; it is killed when this is dropped.
 #[derive(Debug)]
-pub struct Program {
+pub struct InstanceProcess {
     /// The process.
     pub child: Child,
     /// Where callers connect.
-    pub callers: SocketAddr,
+    pub callers_address: SocketAddr,
     /// Where the balancer asks.
-    pub ready: SocketAddr,
-    plan: ProgramPlan,
+    pub readiness_address: SocketAddr,
+    plan: ProcessConfig,
     settings: PathBuf,
 }
 
-impl Drop for Program {
+impl Drop for InstanceProcess {
     fn drop(&mut self) {
         // It may have ended already.
         let _ = self.child.kill();
@@ -83,7 +83,7 @@
     }
 }
 
-fn spawn(plan: &ProgramPlan, settings: &PathBuf) -> Result<Child> {
+fn spawn(plan: &ProcessConfig, settings: &PathBuf) -> Result<Child> {
     let output = match &plan.output {
         Output::Null => Stdio::null(),
         Output::Unread => Stdio::piped(),
@@ -92,25 +92,26 @@
             Stdio::from(file.with_context(|| format!("opening {}", path.display()))?)
         }
     };
-    Command::new(&plan.program)
+    Command::new(&plan.executable)
         .args(&plan.arguments)
         .env("PASSWAY_BOOT", settings)
         .stdout(output)
         .stderr(Stdio::null())
         .spawn()
-        .with_context(|| format!("starting {}", plan.program.display()))
+        .with_context(|| format!("starting {}", plan.executable.display()))
 }
 
-impl Program {
+impl InstanceProcess {
     /// Starts an instance, without waiting for it, on addresses that the kernel chooses.
     ///
     /// # Errors
     /// If its files cannot be written or it cannot be started.
-    pub fn start(plan: ProgramPlan) -> Result<Self> {
-        let (callers, ready, peers) = (free_address(), free_address(), free_address());
+    pub fn start(plan: ProcessConfig) -> Result<Self> {
+        let (callers_address, readiness_address, peers) =
+            (free_address(), free_address(), free_address());
         let text = format!(
             "node_name = \"{}\"\nzone = \"hall0\"\nip = \"{}\"\ninternal_ports = [{}, 1]\n\
-            [listen_addrs]\nfrontend = \"{callers}\"\nready = \"{ready}\"\n\
+            [listen_addrs]\nfrontend = \"{callers_address}\"\nready = \"{readiness_address}\"\n\
             [bounds]\ngrace_s = {}\nretry_budget_ratio = 0.2\nretry_slack = 52\n\
             retry_window_s = 10\nlease_ms = 3000\nstrict_revoke = true\nrevoke_ms = {REVOKE_MS}\n\
             quota_window_s = {QUOTA_WINDOW_S}\nquota_overage = 0.1\nquota_slack = {QUOTA_SLACK}\n\
@@ -127,8 +128,8 @@
         let child = spawn(&plan, &settings)?;
         Ok(Self {
             child,
-            callers,
-            ready,
+            callers_address,
+            readiness_address,
             plan,
             settings,
         })
@@ -138,7 +139,7 @@
     ///
     /// # Errors
     /// If it cannot be started.
-    pub fn start_again(&mut self) -> Result<()> {
+    pub fn restart(&mut self) -> Result<()> {
         self.child = spawn(&self.plan, &self.settings)?;
         Ok(())
     }
@@ -149,10 +150,10 @@
     }
 
     /// What the balancer is told; `None` without an answer.
-    pub fn readiness(&self) -> Option<u16> {
-        TcpStream::connect(self.ready).ok()?;
+    pub fn readiness_status(&self) -> Option<u16> {
+        TcpStream::connect(self.readiness_address).ok()?;
         let question = b"GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-        super::caller::ask(self.ready, question).map(|answer| answer.status)
+        super::caller::fetch(self.readiness_address, question).map(|answer| answer.status)
     }
 
     /// Resident memory, in bytes; 0 of a process that has ended.
--- a/crates/standins/src/platform/proxy.rs
+++ b/crates/standins/src/platform/proxy.rs
@@ -11,20 +11,20 @@
 
 /// What happens to what goes this way from now on.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct WayFaults {
+pub struct ProxyFaults {
     /// Each chunk waits for so long.
     pub delay: Duration,
     /// What callers send is lost, and their connections stay open and silent for good.
-    pub loses_requests: bool,
+    pub drops_requests: bool,
     /// The same of what comes back.
-    pub loses_answers: bool,
+    pub drops_answers: bool,
     /// New connections are closed at once.
-    pub refuses: bool,
+    pub refuses_connections: bool,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    faults: WayFaults,
+    faults: ProxyFaults,
     /// Both ends of each connection, by how many came before.
     open: BTreeMap<u64, [TcpStream; 2]>,
     connections: u64,
@@ -70,12 +70,12 @@
     }
 
     /// What happens from now on; connections that have gone silent stay so.
-    pub fn set_faults(&self, faults: WayFaults) {
+    pub fn set_faults(&self, faults: ProxyFaults) {
         self.state().faults = faults;
     }
 
     /// Cuts all connections.
-    pub fn reset(&self) {
+    pub fn reset_connections(&self) {
         for ends in std::mem::take(&mut self.state().open).values() {
             close(ends);
         }
@@ -95,7 +95,7 @@
     }
 
     fn connect(&self, caller: &TcpStream) {
-        if self.state().faults.refuses {
+        if self.state().faults.refuses_connections {
             return;
         }
         // A port that nobody listens at any more is told by the caller's connection that ends.
@@ -115,13 +115,13 @@
         self.copy(
             number,
             [caller, &server],
-            |faults| faults.loses_requests,
+            |faults| faults.drops_requests,
             false,
         );
         self.copy(
             number,
             [&server, caller],
-            |faults| faults.loses_answers,
+            |faults| faults.drops_answers,
             true,
         );
     }
@@ -131,7 +131,7 @@
         &self,
         number: u64,
         [from, to]: [&TcpStream; 2],
-        loses: fn(&WayFaults) -> bool,
+        loses: fn(&ProxyFaults) -> bool,
         is_answers: bool,
     ) {
         let (Ok(mut from), Ok(mut to)) = (from.try_clone(), to.try_clone()) else {
--- a/crates/standins/src/platform/raw.rs
+++ b/crates/standins/src/platform/raw.rs
@@ -29,7 +29,7 @@
     }
 
     /// Method and path.
-    pub fn line(&self) -> &str {
+    pub fn request_line(&self) -> &str {
         self.head.lines().next().unwrap_or_default()
     }
 }
@@ -46,7 +46,7 @@
     /// Ends the server as a crash does: its port is closed, then all of its connections.
     Crash,
     /// Closes all of its connections; the port stays open, as it does under a supervisor.
-    CutAll,
+    CloseAll,
 }
 
 /// The server.
@@ -146,7 +146,7 @@
     }
 
     /// Connections that have ended.
-    pub fn ended(&self) -> Vec<usize> {
+    pub fn closed_connections(&self) -> Vec<usize> {
         self.closed().clone()
     }
 
@@ -180,7 +180,7 @@
                     Step::Pause(time) => std::thread::sleep(time),
                     Step::Close => return Ok(()),
                     Step::Crash => self.crash(),
-                    Step::CutAll => self.crash.cut(),
+                    Step::CloseAll => self.crash.cut(),
                 }
             }
         }
--- a/crates/standins/src/platform/store.rs
+++ b/crates/standins/src/platform/store.rs
@@ -1,6 +1,6 @@
 //! The platform's metadata store, in memory.
 
-use crate::server::{answer, json, json_body, query, serve};
+use crate::server::{json_body, json_response, query_number, response, serve};
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
 use passway_http::{Request, Response};
@@ -20,11 +20,11 @@
 #[derive(Debug, Clone, Default)]
 pub struct Faults {
     /// Answers every call with this status.
-    pub refuses: Option<u16>,
+    pub error_status: Option<u16>,
     /// Answers every call with bytes that are no JSON.
-    pub talks_garbage: bool,
+    pub sends_invalid_json: bool,
     /// Does so many of the next writes and does not answer them.
-    pub loses_answers: u32,
+    pub answers_to_drop: u32,
     /// Holds every call and does not answer.
     pub is_silent: bool,
 }
@@ -134,12 +134,12 @@
 
 /// One way to the store, whose calls alone can be refused.
 #[derive(Debug)]
-pub struct StoreWay {
+pub struct StoreEndpoint {
     address: SocketAddr,
     faults: Arc<Mutex<Faults>>,
 }
 
-impl StoreWay {
+impl StoreEndpoint {
     /// Where it is served.
     pub fn address(&self) -> SocketAddr {
         self.address
@@ -160,16 +160,19 @@
     }
 
     /// Serves on a port that the kernel chooses, with faults of this way to it alone.
-    pub fn serve_way(&self) -> StoreWay {
+    pub fn serve_endpoint(&self) -> StoreEndpoint {
         let store = self.clone();
         let faults: Arc<Mutex<Faults>> = Arc::default();
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let here = faults.clone();
         let address = serve(any, move |request| {
-            let refuses = here.lock().unwrap_or_else(PoisonError::into_inner).refuses;
-            refuses.map_or_else(|| store.answer(&request), |status| answer(status, ""))
+            let refuses = here
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .error_status;
+            refuses.map_or_else(|| store.answer(&request), |status| response(status, ""))
         });
-        StoreWay { address, faults }
+        StoreEndpoint { address, faults }
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -215,7 +218,7 @@
     }
 
     /// Forgets what has changed up to now.
-    pub fn forget_history(&self) {
+    pub fn compact_history(&self) {
         let mut state = self.state();
         state.forgotten_to = state.revision;
         state.history.clear();
@@ -236,15 +239,15 @@
             *state.calls.entry(path.clone()).or_default() += 1;
             state.faults.clone()
         };
-        if let Some(status) = faults.refuses {
-            return answer(status, "");
+        if let Some(status) = faults.error_status {
+            return response(status, "");
         }
         if faults.is_silent {
             std::thread::sleep(SILENCE);
-            return answer(503, "");
+            return response(503, "");
         }
-        if faults.talks_garbage {
-            return answer(200, "<html>no JSON</html>");
+        if faults.sends_invalid_json {
+            return response(200, "<html>no JSON</html>");
         }
         let (call, id) = path.rsplit_once('/').unwrap_or_default();
         let id: u64 = id.parse().unwrap_or(0);
@@ -258,9 +261,9 @@
             ("DELETE", _, "/kv-lease-end") => {
                 self.state().end_lease(id);
                 self.shared.1.notify_all();
-                answer(200, "{}")
+                response(200, "{}")
             }
-            _ => answer(404, ""),
+            _ => response(404, ""),
         }
     }
 
@@ -268,7 +271,10 @@
         let key = text(request, "tls_key");
         let state = self.state();
         let item = state.items.get(&key);
-        item.map_or_else(|| answer(404, ""), |item| json(&in_json(&key, item)))
+        item.map_or_else(
+            || response(404, ""),
+            |item| json_response(&in_json(&key, item)),
+        )
     }
 
     fn range(&self, request: &Request) -> Response {
@@ -282,19 +288,21 @@
             .map(|(k, i)| in_json(k, i))
             .collect();
         let has_more = items.next().is_some();
-        json(&value!({"items": page, "has_more": has_more, "store_revision": state.revision}))
+        json_response(
+            &value!({"items": page, "has_more": has_more, "store_revision": state.revision}),
+        )
     }
 
     fn watch(&self, request: &Request) -> Response {
         let prefix = text(request, "prefix");
-        let after = query(request, "after").unwrap_or(0);
-        let wait = Duration::from_millis(query(request, "wait_ms").unwrap_or(0));
+        let after = query_number(request, "after").unwrap_or(0);
+        let wait = Duration::from_millis(query_number(request, "wait_ms").unwrap_or(0));
         let until = Instant::now() + wait;
         let mut state = self.state();
         loop {
             state.lapse();
             if after < state.forgotten_to {
-                return answer(410, "");
+                return response(410, "");
             }
             let news = state.history.iter();
             let news = news.filter(|(key, at, _)| key.starts_with(&prefix) && *at > after);
@@ -305,8 +313,10 @@
                 })
                 .collect();
             let left = until.saturating_duration_since(Instant::now());
-            if !events.is_empty() || left.is_zero() || state.faults.refuses.is_some() {
-                return json(&value!({"events": events, "store_revision": state.revision}));
+            if !events.is_empty() || left.is_zero() || state.faults.error_status.is_some() {
+                return json_response(
+                    &value!({"events": events, "store_revision": state.revision}),
+                );
             }
             // Leases lapse without a call; look again soon.
             let step = left.min(Duration::from_millis(50));
@@ -317,7 +327,7 @@
 
     fn transaction(&self, request: &Request) -> Response {
         let Some(transaction) = json_body::<Transaction>(request) else {
-            return answer(400, "");
+            return response(400, "");
         };
         let mut state = self.state();
         let stands = |row: &Expected| {
@@ -325,53 +335,53 @@
             item.map_or(0, |item| item.revision) == row.revision
         };
         if !transaction.expected.iter().all(stands) {
-            return answer(412, "{\"items\":[]}");
+            return response(412, "{\"items\":[]}");
         }
         let leases = &state.leases;
         let known = |write: &Write| write.lease == 0 || leases.contains_key(&write.lease);
         if !transaction.writes.iter().all(known) {
-            return answer(404, "");
+            return response(404, "");
         }
         for write in transaction.writes {
             let Ok(bytes) = STANDARD.decode(write.value) else {
-                return answer(400, "");
+                return response(400, "");
             };
             state.put(&write.tls_key, bytes, write.lease);
         }
         for key in transaction.remove {
             state.remove(&key);
         }
-        let lost = state.faults.loses_answers > 0;
-        state.faults.loses_answers = state.faults.loses_answers.saturating_sub(1);
+        let lost = state.faults.answers_to_drop > 0;
+        state.faults.answers_to_drop = state.faults.answers_to_drop.saturating_sub(1);
         let revision = state.revision;
         drop(state);
         self.shared.1.notify_all();
         if lost {
             std::thread::sleep(SILENCE);
-            return answer(504, "");
+            return response(504, "");
         }
-        json(&value!({ "revision": revision }))
+        json_response(&value!({ "revision": revision }))
     }
 
     fn grant(&self, request: &Request) -> Response {
         let Some(ttl_ms) = json_body::<Value>(request).and_then(|b| b["ttl_ms"].as_u64()) else {
-            return answer(400, "");
+            return response(400, "");
         };
         let mut state = self.state();
         state.next_lease += 1;
         let (lease, time) = (state.next_lease, Duration::from_millis(ttl_ms));
         let until = Instant::now() + time;
         state.leases.insert(lease, Lease { time, until });
-        json(&value!({"lease": lease, "ttl_ms": ttl_ms}))
+        json_response(&value!({"lease": lease, "ttl_ms": ttl_ms}))
     }
 
     fn renew(&self, lease: u64) -> Response {
         let mut state = self.state();
         let Some(lease) = state.leases.get_mut(&lease) else {
-            return answer(404, "");
+            return response(404, "");
         };
         lease.until = Instant::now() + lease.time;
         let ttl_ms = u64::try_from(lease.time.as_millis()).unwrap_or(u64::MAX);
-        json(&value!({ "ttl_ms": ttl_ms }))
+        json_response(&value!({ "ttl_ms": ttl_ms }))
     }
 }
--- a/crates/standins/src/server.rs
+++ b/crates/standins/src/server.rs
@@ -30,18 +30,18 @@
 }
 
 /// An answer with a status and a body.
-pub fn answer(status: u16, body: impl Into<Body>) -> Response {
+pub fn response(status: u16, body: impl Into<Body>) -> Response {
     let built = http::Response::builder().status(status).body(body.into());
     built.unwrap_or_default()
 }
 
 /// An answer with a JSON body.
-pub fn json(value: &impl Serialize) -> Response {
-    answer(200, serde_json::to_vec(value).unwrap_or_default())
+pub fn json_response(value: &impl Serialize) -> Response {
+    response(200, serde_json::to_vec(value).unwrap_or_default())
 }
 
 /// A number in the query of a request.
-pub fn query(request: &Request, name: &str) -> Option<u64> {
+pub fn query_number(request: &Request, name: &str) -> Option<u64> {
     let pairs = request.head.uri.query()?.split('&');
     let mut found = pairs.filter_map(|pair| pair.split_once('='));
     found.find(|(key, _)| *key == name)?.1.parse().ok()
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -82,9 +82,9 @@
         match request.path() {
             "/standin/faults" => {
                 self.set_faults(server::json_body(request).unwrap_or_default());
-                return server::answer(200, "");
+                return server::response(200, "");
             }
-            "/standin/ledger" => return server::json(&self.runs()),
+            "/standin/ledger" => return server::json_response(&self.runs()),
             _ => {}
         }
         let key = request.header("idempotency-key");
@@ -98,9 +98,9 @@
         std::thread::sleep(Duration::from_millis(faults.delay_ms));
         let run = self.run(key.as_deref());
         if faults.break_after_run {
-            return server::answer(200, Body::wrap_reader(Broken));
+            return server::response(200, Body::wrap_reader(Broken));
         }
-        server::answer(
+        server::response(
             200,
             format!("receipt {} run {run}", key.unwrap_or_default()),
         )
--- a/crates/standins/src/soak.rs
+++ b/crates/standins/src/soak.rs
@@ -4,34 +4,34 @@
 //! The seed fixes the schedule of faults and of requests; what they meet depends on the
 //! machine. So nothing is judged by times, only by what callers and servers saw:
 //!
-//! * [`world`]: the processes, the stand-ins and the ways between them.
+//! * [`cluster`]: the processes, the stand-ins and the ways between them.
 //! * [`schedule`]: which faults come when.
 //! * [`callers`]: who asks for what, and what each of them got.
-//! * [`judge`]: the promises; [`workspaces`]: those on keys and allotments.
+//! * [`checks`]: the promises; [`workspace_checks`]: those on keys and allotments.
 
 mod callers;
-mod judge;
+mod checks;
+mod cluster;
 mod schedule;
-mod words;
-mod workspaces;
-mod world;
+mod signal_checks;
+mod workspace_checks;
 
 use anyhow::Result;
 use callers::Callers;
+use cluster::SoakCluster;
 use passway_types::prelude::*;
 use schedule::Schedule;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::path::PathBuf;
-use world::World;
 
 /// What is played.
 #[derive(Debug, Clone)]
 pub struct SoakPlan {
     /// The instances' program.
-    pub program: PathBuf,
+    pub executable: PathBuf,
     /// Where their logs are kept.
-    pub logs: PathBuf,
+    pub log_dir: PathBuf,
     /// Fixes the faults and the requests.
     pub seed: u64,
     /// Instances.
@@ -41,9 +41,9 @@
     /// Callers, each with one connection at a time.
     pub callers: usize,
     /// Faults.
-    pub steps: u64,
+    pub fault_count: u64,
     /// Longest pause between two faults.
-    pub pause: Duration,
+    pub max_pause: Duration,
 }
 
 /// What came of it.
@@ -74,21 +74,21 @@
 /// # Errors
 /// If the instances cannot be started, or do not serve before the first fault.
 pub fn run(plan: &SoakPlan) -> Result<SoakReport> {
-    let world = Arc::new(World::start(plan)?);
+    let world = Arc::new(SoakCluster::start(plan)?);
     let callers = Callers::start(&world, plan);
     let mut schedule = Schedule::new(plan.seed);
-    for _ in 0..plan.steps {
-        schedule.step(&world, plan.pause);
+    for _ in 0..plan.fault_count {
+        schedule.inject_next(&world, plan.max_pause);
     }
-    world.lift_faults();
-    let records = callers.end();
+    world.clear_faults();
+    let records = callers.stop_and_collect();
     let mut report = SoakReport {
         seed: plan.seed,
-        faults: schedule.played().clone(),
+        faults: schedule.injected().clone(),
         ..SoakReport::default()
     };
-    judge::judge(&world, &records, &mut report);
-    judge::serves_again(&world, &mut report);
+    checks::check_promises(&world, &records, &mut report);
+    checks::check_recovery(&world, &mut report);
     world.stop(&mut report);
     Ok(report)
 }
--- a/crates/standins/src/soak/callers.rs
+++ b/crates/standins/src/soak/callers.rs
@@ -1,7 +1,7 @@
 //! Who asks for what, and what each of them got.
 
 use super::SoakPlan;
-use super::world::{MODELS, POISON, SMALL_KEY, Site, World, key};
+use super::cluster::{MODELS, POISON, SMALL_KEY, SoakCluster, SoakInstance, key_of_version};
 use crate::platform::caller::{Answer, Caller, request};
 use passway_types::prelude::*;
 use rand::{RngExt, SeedableRng};
@@ -11,15 +11,15 @@
 use std::thread::JoinHandle;
 
 /// Longest pause of a caller between two requests.
-const LONGEST_PAUSE_MS: u64 = 60;
+const MAX_PAUSE_MS: u64 = 60;
 /// One request in so many crashes the engines that run it.
-const POISON_IN: u32 = 15;
+const ONE_POISON_IN: u32 = 15;
 /// Chance that a caller goes on over the connection that it has.
-const KEEPS_CHANCE: f64 = 0.9;
+const REUSE_PROBABILITY: f64 = 0.9;
 
 /// A kind of request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Asked {
+pub enum RequestKind {
     /// A call that may run once.
     Once,
     /// A call that may run again.
@@ -38,15 +38,15 @@
     /// Its id.
     pub id: String,
     /// What it was.
-    pub asked: Asked,
+    pub kind: RequestKind,
     /// The instance, by its place in the world.
-    pub site: usize,
+    pub instance: usize,
     /// The life of the process that it was sent to, if that was the same when it ended.
-    pub life: Option<u64>,
+    pub incarnation: Option<u64>,
     /// Whether anything but a planned stop happened to the instance meanwhile.
-    pub harmed: bool,
+    pub was_disturbed: bool,
     /// The version whose key it came with; `None` for the workspace that may use little.
-    pub key_of: Option<u64>,
+    pub key_version: Option<u64>,
     /// Just before it was sent.
     pub sent_at: Instant,
     /// When it had ended.
@@ -62,10 +62,10 @@
     threads: Vec<JoinHandle<Vec<Record>>>,
 }
 
-struct One {
+struct CallerLoop {
     number: usize,
     rng: ChaCha8Rng,
-    sites: Vec<Arc<Site>>,
+    sites: Vec<Arc<SoakInstance>>,
     version: Arc<dyn Fn() -> u64 + Send + Sync>,
     ended: Arc<AtomicBool>,
     sent: Arc<AtomicU64>,
@@ -73,16 +73,16 @@
 
 impl Callers {
     /// Lets them begin.
-    pub fn start(world: &Arc<World>, plan: &SoakPlan) -> Self {
+    pub fn start(world: &Arc<SoakCluster>, plan: &SoakPlan) -> Self {
         let ended: Arc<AtomicBool> = Arc::default();
         let sent: Arc<AtomicU64> = Arc::default();
         let threads = (0..plan.callers).map(|number| {
             let world = world.clone();
-            let one = One {
+            let one = CallerLoop {
                 number,
                 // Beside the schedule's own stream of numbers.
                 rng: ChaCha8Rng::seed_from_u64(plan.seed ^ (u64::MAX - number as u64)),
-                sites: world.sites.clone(),
+                sites: world.instances.clone(),
                 version: Arc::new(move || world.version()),
                 ended: ended.clone(),
                 sent: sent.clone(),
@@ -96,7 +96,7 @@
     }
 
     /// Waits for all of them; what they got.
-    pub fn end(self) -> Vec<Record> {
+    pub fn stop_and_collect(self) -> Vec<Record> {
         self.ended.store(true, Ordering::Release);
         let records = self.threads.into_iter().map(|thread| {
             // A caller that panicked has printed why; what it saw is lost.
@@ -106,19 +106,19 @@
     }
 }
 
-impl One {
+impl CallerLoop {
     fn run(mut self) -> Vec<Record> {
         let mut records = Vec::new();
         let mut kept: Option<(usize, Caller)> = None;
         while !self.ended.load(Ordering::Acquire) {
-            let keeps = self.rng.random_bool(KEEPS_CHANCE);
+            let keeps = self.rng.random_bool(REUSE_PROBABILITY);
             let connection = kept.take().filter(|_| keeps);
-            let Some((site, caller)) = connection.or_else(|| self.connect()) else {
+            let Some((instance, caller)) = connection.or_else(|| self.connect()) else {
                 self.rest();
                 continue;
             };
-            let (record, caller) = self.ask(site, caller);
-            kept = caller.map(|caller| (site, caller));
+            let (record, caller) = self.ask(instance, caller);
+            kept = caller.map(|caller| (instance, caller));
             records.extend(record);
             self.rest();
         }
@@ -126,43 +126,43 @@
     }
 
     fn rest(&mut self) {
-        let pause_ms = self.rng.random_range(0..LONGEST_PAUSE_MS);
+        let pause_ms = self.rng.random_range(0..MAX_PAUSE_MS);
         std::thread::sleep(Duration::from_millis(pause_ms));
     }
 
-    /// Connects to an instance; `None` while it is not there.
+    /// Connects to an instance; `None` while it is not process.
     fn connect(&mut self) -> Option<(usize, Caller)> {
-        let site = self.rng.random_range(0..self.sites.len());
-        let stream = TcpStream::connect(self.sites[site].callers).ok()?;
-        Some((site, Caller::over(stream)))
+        let instance = self.rng.random_range(0..self.sites.len());
+        let stream = TcpStream::connect(self.sites[instance].callers_address).ok()?;
+        Some((instance, Caller::from_stream(stream)))
     }
 
     /// Asks once; the connection, if it may carry another request. A request that could not
     /// be sent is no request.
-    fn ask(&mut self, site: usize, mut caller: Caller) -> (Option<Record>, Option<Caller>) {
+    fn ask(&mut self, instance: usize, mut caller: Caller) -> (Option<Record>, Option<Caller>) {
         let number = self.sent.fetch_add(1, Ordering::AcqRel);
         let id = format!("r{}-{number}", self.number);
-        let key_of = self.draw_key();
-        let key = key_of.map_or_else(|| SMALL_KEY.to_owned(), key);
-        let (asked, bytes) = self.draw(&id, &key);
-        let there = self.sites[site].clone();
-        let life = there.life.load(Ordering::Acquire);
-        let harmed = there.harmed.load(Ordering::Acquire);
+        let key_version = self.draw_key();
+        let key = key_version.map_or_else(|| SMALL_KEY.to_owned(), key_of_version);
+        let (kind, bytes) = self.draw(&id, &key);
+        let process = self.sites[instance].clone();
+        let life = process.incarnation.load(Ordering::Acquire);
+        let harmed = process.disturbance_count.load(Ordering::Acquire);
         let sent_at = Instant::now();
         if !caller.try_send(&bytes) {
             return (None, None);
         }
         let answer = caller.receive();
-        let keeps = answer
-            .as_ref()
-            .is_some_and(|answer| answer.whole && answer.header("connection") != Some("close"));
+        let keeps = answer.as_ref().is_some_and(|answer| {
+            answer.is_complete && answer.header("connection") != Some("close")
+        });
         let record = Record {
             id,
-            asked,
-            site,
-            life: (there.life.load(Ordering::Acquire) == life).then_some(life),
-            harmed: there.harmed.load(Ordering::Acquire) != harmed,
-            key_of,
+            kind,
+            instance,
+            incarnation: (process.incarnation.load(Ordering::Acquire) == life).then_some(life),
+            was_disturbed: process.disturbance_count.load(Ordering::Acquire) != harmed,
+            key_version,
             sent_at,
             ended_at: Instant::now(),
             answer,
@@ -183,26 +183,35 @@
         Some(version.saturating_sub(age))
     }
 
-    fn draw(&mut self, id: &str, key: &str) -> (Asked, Vec<u8>) {
+    fn draw(&mut self, id: &str, key: &str) -> (RequestKind, Vec<u8>) {
         let key = format!("Authorization: Token {key}\r\n");
         let model = MODELS[self.rng.random_range(0..MODELS.len())];
         let model = format!("{key}Model: {model}\r\n");
         let version = (self.version)();
         match self.rng.random_range(0..6) {
-            0 => (Asked::Once, request("POST", "/pay/", id, &key, id)),
-            1 => (Asked::Again, request("GET", "/read/", id, &key, "")),
+            0 => (RequestKind::Once, request("POST", "/pay/", id, &key, id)),
+            1 => (RequestKind::Again, request("GET", "/read/", id, &key, "")),
             2 if version > 1 => {
                 let version = self.rng.random_range(2..=version);
                 let path = format!("/v{version}/");
-                (Asked::Version(version), request("GET", &path, id, &key, ""))
+                (
+                    RequestKind::Version(version),
+                    request("GET", &path, id, &key, ""),
+                )
             }
-            3 => (Asked::Stream, request("POST", "/report/", id, &model, id)),
-            _ if self.rng.random_ratio(1, POISON_IN) => {
+            3 => (
+                RequestKind::Stream,
+                request("POST", "/report/", id, &model, id),
+            ),
+            _ if self.rng.random_ratio(1, ONE_POISON_IN) => {
                 let model = format!("{key}Model: {}\r\n", MODELS[0]);
                 let bytes = request("POST", "/chat/", id, &model, POISON);
-                (Asked::Resumable, bytes)
+                (RequestKind::Resumable, bytes)
             }
-            _ => (Asked::Resumable, request("POST", "/chat/", id, &model, id)),
+            _ => (
+                RequestKind::Resumable,
+                request("POST", "/chat/", id, &model, id),
+            ),
         }
     }
 }
--- a/crates/standins/src/soak/judge.rs
+++ b/crates/standins/src/soak/checks.rs
@@ -1,11 +1,11 @@
 //! The promises, judged from what callers and servers saw.
 
 use super::SoakReport;
-use super::callers::{Asked, Record};
-use super::words;
-use super::workspaces;
-use super::world::{MODELS, POISON, World, is_shed, key};
-use crate::platform::caller::{Answer, ask, request};
+use super::callers::{Record, RequestKind};
+use super::cluster::{MODELS, POISON, SoakCluster, is_shed, key_of_version};
+use super::signal_checks;
+use super::workspace_checks;
+use crate::platform::caller::{Answer, fetch, request};
 use crate::platform::model_server::{EVENTS, event};
 use crate::platform::raw::RawServer;
 use passway_types::prelude::*;
@@ -22,14 +22,14 @@
 const TRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Judges what all callers saw.
-pub fn judge(world: &World, records: &[Record], report: &mut SoakReport) {
+pub fn check_promises(world: &SoakCluster, records: &[Record], report: &mut SoakReport) {
     let runs = runs(world);
     report.requests = records.len();
     report.crashed_engines = crashes(world);
     for record in records {
         let ran = runs.get(&record.id).copied().unwrap_or(0);
         match &record.answer {
-            Some(answer) if answer.status == 200 && answer.whole => report.served += 1,
+            Some(answer) if answer.status == 200 && answer.is_complete => report.served += 1,
             Some(answer) if is_refusal(answer) => report.refused += 1,
             None => report.closed += 1,
             Some(_) => {}
@@ -44,22 +44,22 @@
         report.broken.extend(broken.map(|what| {
             format!(
                 "{what}: {} {:?} at instance {}",
-                record.id, record.asked, record.site
+                record.id, record.kind, record.instance
             )
         }));
     }
-    workspaces::judge(world, records, report);
-    words::judge(world, records, report);
+    workspace_checks::judge(world, records, report);
+    signal_checks::judge(world, records, report);
     never_back(records, report);
     orders(world, report);
-    let most = MAX_CRASHES + world.sites.len();
+    let most = MAX_CRASHES + world.instances.len();
     if report.crashed_engines > most {
         let crashed = report.crashed_engines;
         report
             .broken
             .push(format!("one request ended {crashed} engines"));
     }
-    for (number, site) in world.sites.iter().enumerate() {
+    for (number, site) in world.instances.iter().enumerate() {
         let bytes = site.program().resident_bytes();
         report.peak_bytes = report.peak_bytes.max(bytes);
         if bytes > MAX_RESIDENT_BYTES {
@@ -71,24 +71,24 @@
 }
 
 /// How many engines the request that crashes them has ended, those that started again among them.
-fn crashes(world: &World) -> usize {
+fn crashes(world: &SoakCluster) -> usize {
     let engines = world.engines().into_iter();
     let crashes = engines.map(|engine| {
-        let restarts = engine.server.restarts();
+        let restarts = engine.server.restart_bodies();
         let restarts = restarts.iter().filter(|body| body.starts_with(POISON));
-        usize::from(engine.server.crashed()) + restarts.count()
+        usize::from(engine.server.has_crashed()) + restarts.count()
     });
     crashes.sum()
 }
 
 /// How often each request ran, at all servers.
-fn runs(world: &World) -> BTreeMap<String, usize> {
+fn runs(world: &SoakCluster) -> BTreeMap<String, usize> {
     let mut runs: BTreeMap<String, usize> = BTreeMap::new();
     let plain = world.plains.iter().flat_map(RawServer::received);
     let plain = plain.filter(|received| !is_shed(received));
     let plain = plain.map(|received| received.header("request-id").unwrap_or_default().to_owned());
     let engines = world.engines().into_iter();
-    let streams = engines.flat_map(|engine| engine.server.runs());
+    let streams = engines.flat_map(|engine| engine.server.executed_ids());
     for id in plain.chain(streams) {
         *runs.entry(id).or_default() += 1;
     }
@@ -108,11 +108,13 @@
     if answer.header("request-id") != Some(&record.id) {
         return Some("another request's answer".to_owned());
     }
-    let whole = match record.asked {
-        Asked::Resumable | Asked::Stream => (1..=EVENTS).map(event).collect::<Vec<_>>().concat(),
-        Asked::Once | Asked::Again | Asked::Version(_) => record.id.clone(),
+    let whole = match record.kind {
+        RequestKind::Resumable | RequestKind::Stream => {
+            (1..=EVENTS).map(event).collect::<Vec<_>>().concat()
+        }
+        RequestKind::Once | RequestKind::Again | RequestKind::Version(_) => record.id.clone(),
     };
-    let is_right = if answer.whole {
+    let is_right = if answer.is_complete {
         answer.body == whole
     } else {
         whole.starts_with(&answer.body)
@@ -122,13 +124,13 @@
 
 /// What may run once does not run again.
 fn run_once(record: &Record, ran: usize) -> Option<String> {
-    let once = matches!(record.asked, Asked::Once | Asked::Stream);
+    let once = matches!(record.kind, RequestKind::Once | RequestKind::Stream);
     (once && ran > 1).then(|| format!("ran {ran} times"))
 }
 
 /// What has run is not refused as "not run".
 fn not_run_is_true(record: &Record, ran: usize) -> Option<String> {
-    let once = matches!(record.asked, Asked::Once | Asked::Stream);
+    let once = matches!(record.kind, RequestKind::Once | RequestKind::Stream);
     let refused = record.answer.as_ref().is_some_and(is_refusal);
     (once && refused && ran > 0).then(|| "refused as not run, and has run".to_owned())
 }
@@ -136,8 +138,8 @@
 /// A planned stop cuts nothing: a call that a plain server has run gets an answer, unless
 /// something else happened to the instance.
 fn not_lost(record: &Record, ran: usize) -> Option<String> {
-    let is_plain = !matches!(record.asked, Asked::Resumable | Asked::Stream);
-    let lost = is_plain && ran > 0 && record.answer.is_none() && !record.harmed;
+    let is_plain = !matches!(record.kind, RequestKind::Resumable | RequestKind::Stream);
+    let lost = is_plain && ran > 0 && record.answer.is_none() && !record.was_disturbed;
     lost.then(|| "ran, and its connection ended without an answer".to_owned())
 }
 
@@ -147,13 +149,13 @@
     // Records of different callers are not in one order, those of one are.
     let mut last: BTreeMap<(&str, usize, u64), u64> = BTreeMap::new();
     for record in records {
-        let (Asked::Version(version), Some(life), Some(answer)) =
-            (record.asked, record.life, &record.answer)
+        let (RequestKind::Version(version), Some(life), Some(answer)) =
+            (record.kind, record.incarnation, &record.answer)
         else {
             continue;
         };
         let caller = record.id.split('-').next().unwrap_or_default();
-        let newest = last.entry((caller, record.site, life)).or_default();
+        let newest = last.entry((caller, record.instance, life)).or_default();
         match answer.status {
             200 => *newest = version.max(*newest),
             404 if version <= *newest => {
@@ -166,15 +168,20 @@
 }
 
 /// No engine is ordered beyond its room, or by an older holder after a newer one.
-fn orders(world: &World, report: &mut SoakReport) {
+fn orders(world: &SoakCluster, report: &mut SoakReport) {
     for engine in world.engines() {
         let id = &engine.server.id;
-        if engine.server.over_limit() > 0 {
+        if engine.server.loads_over_capacity() > 0 {
             report
                 .broken
                 .push(format!("{id} was ordered to load without room"));
         }
-        let fences: Vec<u64> = engine.server.taken().iter().map(|o| o.fence).collect();
+        let fences: Vec<u64> = engine
+            .server
+            .accepted_orders()
+            .iter()
+            .map(|o| o.fence)
+            .collect();
         if !fences.is_sorted() {
             report
                 .broken
@@ -184,15 +191,18 @@
 }
 
 /// Once nothing fails any more, each instance serves each kind.
-pub fn serves_again(world: &World, report: &mut SoakReport) {
-    if !world.all_ready() {
+pub fn check_recovery(world: &SoakCluster, report: &mut SoakReport) {
+    if !world.wait_until_ready() {
         report
             .broken
             .push("an instance does not become ready again".to_owned());
         return;
     }
-    for (number, site) in world.sites.iter().enumerate() {
-        let key = format!("Authorization: Token {}\r\n", key(world.version()));
+    for (number, site) in world.instances.iter().enumerate() {
+        let key = format!(
+            "Authorization: Token {}\r\n",
+            key_of_version(world.version())
+        );
         let model = format!("{key}Model: {}\r\n", MODELS[number % MODELS.len()]);
         let kinds = [
             ("GET", "/read/", &*key),
@@ -203,7 +213,8 @@
             let limit_at = Instant::now() + RECOVERY_LIMIT;
             let is_served = || {
                 let bytes = request(method, path, "after", more, "after");
-                ask(site.callers, &bytes).is_some_and(|a| a.status == 200 && a.whole)
+                fetch(site.callers_address, &bytes)
+                    .is_some_and(|a| a.status == 200 && a.is_complete)
             };
             while !is_served() {
                 if Instant::now() >= limit_at {
--- a/crates/standins/src/soak/world.rs
+++ b/crates/standins/src/soak/cluster.rs
@@ -3,9 +3,9 @@
 use super::{SoakPlan, SoakReport};
 use crate::platform::caller::HOST;
 use crate::platform::documents::{configuration, list_plain, with_workspaces, workspace};
-use crate::platform::model_server::{Faults as EngineFaults, ModelServer, Models};
-use crate::platform::program::{Output, Program, ProgramPlan};
-use crate::platform::proxy::{Proxy, WayFaults};
+use crate::platform::model_server::{Faults as EngineFaults, InitialModels, ModelServer};
+use crate::platform::process::{InstanceProcess, Output, ProcessConfig};
+use crate::platform::proxy::{Proxy, ProxyFaults};
 use crate::platform::raw::{RawServer, Received, Step};
 use crate::platform::store::{Faults as StoreFaults, MetadataStandIn};
 use anyhow::{Result, ensure};
@@ -22,21 +22,24 @@
 /// The key of a workspace that may use little.
 pub const SMALL_KEY: &str = "soak-key-small";
 /// Units a second that it may use, and as many at once: ten calls.
-pub const SMALL_RATE: u32 = 2_000;
+pub const SMALL_RATE_PER_S: u32 = 2_000;
 /// What a call counts.
-pub const CALL_UNITS: u32 = 200;
+pub const UNITS_PER_CALL: u32 = 200;
 
 /// The key that a version brings; the next one keeps it, and the one after takes it away.
-pub fn key(version: u64) -> String {
+pub fn key_of_version(version: u64) -> String {
     format!("soak-key-{version}")
 }
 
 /// A version's workspaces.
 fn with_keys(version: u64, table: Value) -> Value {
-    let (new, old) = (key(version), key(version.saturating_sub(1)));
+    let (new, old) = (
+        key_of_version(version),
+        key_of_version(version.saturating_sub(1)),
+    );
     let workspaces = [
         workspace("large", &[&new, &old], 0.0),
-        workspace("small", &[SMALL_KEY], f64::from(SMALL_RATE)),
+        workspace("small", &[SMALL_KEY], f64::from(SMALL_RATE_PER_S)),
     ];
     with_workspaces(table, &workspaces)
 }
@@ -47,43 +50,43 @@
 /// balancer's notice and the end.
 const GRACE_S: f64 = 4.5;
 /// Longest wait for instances to serve: a busy machine starts dozens of processes in seconds.
-const START_LIMIT: Duration = Duration::from_mins(2);
+const START_TIMEOUT: Duration = Duration::from_mins(2);
 /// Time that a plain server works on a call, so that stops and kills find some under way.
-const CALL_TIME: Duration = Duration::from_millis(15);
+const CALL_DURATION: Duration = Duration::from_millis(15);
 /// Time between two events of a stream, for the same reason.
-const EVENT_PAUSE: Duration = Duration::from_millis(20);
+const EVENT_DELAY: Duration = Duration::from_millis(20);
 /// Pause between two looks.
-const LOOK_PAUSE: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// A supervised engine serves again this long after a crash.
-const SUPERVISED_TIME: Duration = Duration::from_millis(800);
+const SUPERVISED_RESTART_DELAY: Duration = Duration::from_millis(800);
 /// An engine's entry stays for so long after its crash; another engine comes then.
-const ENTRY_TIME: Duration = Duration::from_millis(1_500);
+const STALE_ENTRY_DURATION: Duration = Duration::from_millis(1_500);
 
 /// One instance and its way to the store.
 #[derive(Debug)]
-pub struct Site {
-    program: Mutex<Program>,
+pub struct SoakInstance {
+    program: Mutex<InstanceProcess>,
     /// Held by whoever ends the process and starts it again.
     restarting: Mutex<()>,
     /// Its way to the store.
-    pub way: Proxy,
+    pub store_proxy: Proxy,
     /// Where callers connect; the same after each start.
-    pub callers: SocketAddr,
+    pub callers_address: SocketAddr,
     /// How many times it was killed, paused or cut: what callers lose then is not a stop's.
-    pub harmed: AtomicU64,
+    pub disturbance_count: AtomicU64,
     /// Lives of the process so far.
-    pub life: AtomicU64,
+    pub incarnation: AtomicU64,
 }
 
-impl Site {
+impl SoakInstance {
     /// The process, for a moment: others signal it while it ends.
-    pub fn program(&self) -> MutexGuard<'_, Program> {
+    pub fn program(&self) -> MutexGuard<'_, InstanceProcess> {
         self.program.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Something other than a planned stop happens to it.
-    pub fn harm(&self) {
-        self.harmed.fetch_add(1, Ordering::AcqRel);
+    pub fn record_disturbance(&self) {
+        self.disturbance_count.fetch_add(1, Ordering::AcqRel);
     }
 
     /// Ends it by a signal and starts it again.
@@ -94,18 +97,18 @@
             .unwrap_or_else(PoisonError::into_inner);
         self.program().signal(signal);
         while matches!(self.program().child.try_wait(), Ok(None)) {
-            std::thread::sleep(LOOK_PAUSE);
+            std::thread::sleep(POLL_INTERVAL);
         }
-        self.life.fetch_add(1, Ordering::AcqRel);
-        let again = self.program().start_again();
+        self.incarnation.fetch_add(1, Ordering::AcqRel);
+        let again = self.program().restart();
         again.expect("an instance that starts again");
     }
 
     /// Kills it and starts it again.
     pub fn kill(&self) {
-        self.harm();
+        self.record_disturbance();
         self.restart(Signal::KILL);
-        self.harm();
+        self.record_disturbance();
     }
 }
 
@@ -117,18 +120,18 @@
     /// The engine.
     pub server: ModelServer,
     /// The way to it.
-    pub way: Proxy,
+    pub proxy: Proxy,
     /// Whether anything has happened to that: what it answers may not have been heard.
-    pub way_harmed: Arc<AtomicBool>,
+    pub proxy_was_disturbed: Arc<AtomicBool>,
 }
 
 /// All of it.
 #[derive(Debug)]
-pub struct World {
+pub struct SoakCluster {
     /// The store.
     pub store: MetadataStandIn,
     /// The instances.
-    pub sites: Vec<Arc<Site>>,
+    pub instances: Vec<Arc<SoakInstance>>,
     /// Plain servers.
     pub plains: Vec<RawServer>,
     engines: Arc<Mutex<Vec<Engine>>>,
@@ -155,23 +158,23 @@
             return vec![Step::Send(text.into_bytes())];
         }
         if received.number % 9 == 4 {
-            return vec![Step::Pause(CALL_TIME), Step::Close];
+            return vec![Step::Pause(CALL_DURATION), Step::Close];
         }
         let length = id.len();
         let text = format!(
             "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Seal: s\r\nContent-Length: {length}\r\n\r\n{id}"
         );
-        vec![Step::Pause(CALL_TIME), Step::Send(text.into_bytes())]
+        vec![Step::Pause(CALL_DURATION), Step::Send(text.into_bytes())]
     })
 }
 
 /// What engines do while nothing fails: their streams last, and one request crashes them. Every second one
 /// is kept by a supervisor, so that its port stays open and it starts again under its id.
-pub fn usual_engine(number: usize) -> EngineFaults {
+pub fn default_engine_faults(number: usize) -> EngineFaults {
     EngineFaults {
-        crashes_on: Some(POISON.to_owned()),
-        restarts_after: (number % 2 == 1).then_some(SUPERVISED_TIME),
-        event_pause: EVENT_PAUSE,
+        crash_on_prefix: Some(POISON.to_owned()),
+        restart_delay: (number % 2 == 1).then_some(SUPERVISED_RESTART_DELAY),
+        event_delay: EVENT_DELAY,
         ..EngineFaults::default()
     }
 }
@@ -179,25 +182,25 @@
 fn start_engine(store: &MetadataStandIn, number: usize) -> Engine {
     let id = format!("i-{number}");
     let standing = [MODELS[number % 2], MODELS[2 + number % 3]];
-    let models = Models {
-        places: standing.len(),
-        standing: &standing,
+    let models = InitialModels {
+        capacity: standing.len(),
+        loaded: &standing,
         on_disk: &MODELS,
     };
     let mut way = None;
     let server = ModelServer::start_behind(store, &id, "engines", models, |address| {
         way.insert(Proxy::start(address)).address
     });
-    server.set_faults(usual_engine(number));
+    server.set_faults(default_engine_faults(number));
     Engine {
         number,
-        way_harmed: Arc::default(),
-        way: way.unwrap_or_else(|| Proxy::start(server.address)),
+        proxy_was_disturbed: Arc::default(),
+        proxy: way.unwrap_or_else(|| Proxy::start(server.address)),
         server,
     }
 }
 
-impl World {
+impl SoakCluster {
     /// Starts everything and waits until all instances are ready.
     pub fn start(plan: &SoakPlan) -> Result<Self> {
         let store = MetadataStandIn::default();
@@ -208,12 +211,12 @@
         }
         let engines = (0..plan.engines).map(|number| start_engine(&store, number));
         let engines: Arc<Mutex<Vec<Engine>>> = Arc::new(Mutex::new(engines.collect()));
-        let sites: Result<Vec<Arc<Site>>> = (0..plan.instances)
+        let sites: Result<Vec<Arc<SoakInstance>>> = (0..plan.instances)
             .map(|number| start_site(plan, &store, number))
             .collect();
         let world = Self {
             store,
-            sites: sites?,
+            instances: sites?,
             plains,
             engines,
             version: AtomicU64::new(1),
@@ -221,7 +224,10 @@
             ended: Arc::default(),
         };
         world.replace_crashed();
-        ensure!(world.all_ready(), "the instances do not become ready");
+        ensure!(
+            world.wait_until_ready(),
+            "the instances do not become ready"
+        );
         Ok(world)
     }
 
@@ -237,7 +243,7 @@
     }
 
     /// The operator adds a route, by which callers see that the version is in force.
-    pub fn next_version(&self) {
+    pub fn publish_next_version(&self) {
         let version = self.version() + 1;
         let mut table = configuration(version, &MODELS);
         let pattern = table["routes"][0].clone();
@@ -251,7 +257,7 @@
             }
         }
         self.store.put("op/config", &with_keys(version, table));
-        let mut taken_away = self.taken_away();
+        let mut taken_away = self.revoked_keys();
         taken_away.insert(version.saturating_sub(2), Instant::now());
         drop(taken_away);
         // Callers ask for it from now on; an instance may not know it yet.
@@ -259,20 +265,20 @@
     }
 
     /// Versions whose keys were taken away, and when the store had taken that.
-    pub fn taken_away(&self) -> MutexGuard<'_, BTreeMap<u64, Instant>> {
+    pub fn revoked_keys(&self) -> MutexGuard<'_, BTreeMap<u64, Instant>> {
         let taken_away = self.taken_away.lock();
         taken_away.unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Waits until all instances are ready; whether they are.
-    pub fn all_ready(&self) -> bool {
-        let limit_at = Instant::now() + START_LIMIT;
-        self.sites.iter().all(|site| {
+    pub fn wait_until_ready(&self) -> bool {
+        let limit_at = Instant::now() + START_TIMEOUT;
+        self.instances.iter().all(|site| {
             while Instant::now() < limit_at {
-                if site.program().readiness() == Some(200) {
+                if site.program().readiness_status() == Some(200) {
                     return true;
                 }
-                std::thread::sleep(LOOK_PAUSE);
+                std::thread::sleep(POLL_INTERVAL);
             }
             false
         })
@@ -285,18 +291,18 @@
         std::thread::spawn(move || {
             let mut replaced = 0;
             while !ended.load(Ordering::Acquire) {
-                std::thread::sleep(LOOK_PAUSE);
+                std::thread::sleep(POLL_INTERVAL);
                 let all = engines
                     .lock()
                     .unwrap_or_else(PoisonError::into_inner)
                     .clone();
-                let crashed = all.iter().filter(|engine| engine.server.crashed());
+                let crashed = all.iter().filter(|engine| engine.server.has_crashed());
                 for engine in crashed.skip(replaced) {
-                    engine.way.set_faults(WayFaults {
-                        refuses: true,
-                        ..WayFaults::default()
+                    engine.proxy.set_faults(ProxyFaults {
+                        refuses_connections: true,
+                        ..ProxyFaults::default()
                     });
-                    std::thread::sleep(ENTRY_TIME);
+                    std::thread::sleep(STALE_ENTRY_DURATION);
                     store.remove(&format!("servers/{}", engine.server.id));
                     let mut all = engines.lock().unwrap_or_else(PoisonError::into_inner);
                     let another = start_engine(&store, all.len());
@@ -308,19 +314,21 @@
     }
 
     /// Nothing fails any more.
-    pub fn lift_faults(&self) {
+    pub fn clear_faults(&self) {
         self.store.set_faults(StoreFaults::default());
-        for site in &self.sites {
-            site.way.set_faults(WayFaults::default());
+        for site in &self.instances {
+            site.store_proxy.set_faults(ProxyFaults::default());
             // Connections that had gone silent stay so; new ones work.
-            site.way.reset();
+            site.store_proxy.reset_connections();
             site.program().signal(Signal::CONT);
         }
         for engine in self.engines() {
-            engine.server.set_faults(usual_engine(engine.number));
-            if !engine.server.crashed() {
-                engine.way.set_faults(WayFaults::default());
-                engine.way.reset();
+            engine
+                .server
+                .set_faults(default_engine_faults(engine.number));
+            if !engine.server.has_crashed() {
+                engine.proxy.set_faults(ProxyFaults::default());
+                engine.proxy.reset_connections();
             }
         }
     }
@@ -328,7 +336,7 @@
     /// Stops all instances as the platform does.
     pub fn stop(&self, report: &mut SoakReport) {
         self.ended.store(true, Ordering::Release);
-        for site in &self.sites {
+        for site in &self.instances {
             let _alone = site
                 .restarting
                 .lock()
@@ -337,7 +345,7 @@
             report.peak_bytes = report.peak_bytes.max(bytes);
             site.program().signal(Signal::TERM);
         }
-        for (number, site) in self.sites.iter().enumerate() {
+        for (number, site) in self.instances.iter().enumerate() {
             let code = site.program().child.wait().ok().and_then(|s| s.code());
             if code != Some(0) {
                 let broken = format!("instance {number} ended with {code:?} at its stop");
@@ -347,23 +355,27 @@
     }
 }
 
-fn start_site(plan: &SoakPlan, store: &MetadataStandIn, number: usize) -> Result<Arc<Site>> {
-    let way = Proxy::start(store.serve());
+fn start_site(
+    plan: &SoakPlan,
+    store: &MetadataStandIn,
+    number: usize,
+) -> Result<Arc<SoakInstance>> {
+    let store_proxy = Proxy::start(store.serve());
     let name = format!("soak{}-{number}", plan.seed);
-    let program = Program::start(ProgramPlan {
-        program: plan.program.clone(),
-        output: Output::File(plan.logs.join(format!("{name}.log"))),
+    let program = InstanceProcess::start(ProcessConfig {
+        executable: plan.executable.clone(),
+        output: Output::File(plan.log_dir.join(format!("{name}.log"))),
         name,
-        store: way.address,
+        store: store_proxy.address,
         grace_s: GRACE_S,
         arguments: Vec::new(),
     })?;
-    Ok(Arc::new(Site {
-        callers: program.callers,
+    Ok(Arc::new(SoakInstance {
+        callers_address: program.callers_address,
         program: Mutex::new(program),
         restarting: Mutex::default(),
-        way,
-        harmed: AtomicU64::new(0),
-        life: AtomicU64::new(0),
+        store_proxy,
+        disturbance_count: AtomicU64::new(0),
+        incarnation: AtomicU64::new(0),
     }))
 }
--- a/crates/standins/src/soak/schedule.rs
+++ b/crates/standins/src/soak/schedule.rs
@@ -1,8 +1,8 @@
 //! Which faults come when.
 
-use super::world::{World, usual_engine};
+use super::cluster::{SoakCluster, default_engine_faults};
 use crate::platform::model_server::{EVENTS, Faults as EngineFaults};
-use crate::platform::proxy::WayFaults;
+use crate::platform::proxy::ProxyFaults;
 use crate::platform::store::Faults as StoreFaults;
 use passway_types::prelude::*;
 use rand::seq::IndexedRandom;
@@ -13,11 +13,11 @@
 use std::sync::atomic::Ordering;
 
 /// Longest time for which a process stands still.
-const LONGEST_PAUSE_MS: u64 = 2_500;
+const MAX_STOPPED_MS: u64 = 2_500;
 /// Longest time from an engine's word that it leaves to its end.
-const LONGEST_LEAVING_MS: u64 = 4_000;
+const MAX_LEAVING_MS: u64 = 4_000;
 /// Longest delay of what goes over a way.
-const LONGEST_DELAY_MS: u64 = 200;
+const MAX_DELAY_MS: u64 = 200;
 
 /// A fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -122,40 +122,40 @@
     }
 
     /// What was played, by name.
-    pub fn played(&self) -> &BTreeMap<&'static str, u32> {
+    pub fn injected(&self) -> &BTreeMap<&'static str, u32> {
         &self.played
     }
 
     /// The next fault, and a pause of at most `longest`. Stops and pauses of processes go on
     /// beside what follows.
-    pub fn step(&mut self, world: &World, longest: Duration) {
+    pub fn inject_next(&mut self, world: &SoakCluster, longest: Duration) {
         let fault = *FAULTS.choose(&mut self.rng).unwrap_or(&Fault::Lift);
         *self.played.entry(fault.name()).or_default() += 1;
-        let site = self.rng.random_range(0..world.sites.len());
-        let site = &world.sites[site];
+        let site = self.rng.random_range(0..world.instances.len());
+        let site = &world.instances[site];
         let engines = world.engines();
         let engine = &engines[self.rng.random_range(0..engines.len())];
         match fault {
-            Fault::Lift => world.lift_faults(),
+            Fault::Lift => world.clear_faults(),
             Fault::Store => world.store.set_faults(self.store_faults()),
-            Fault::ForgetHistory => world.store.forget_history(),
+            Fault::ForgetHistory => world.store.compact_history(),
             Fault::Way => {
-                site.harm();
-                site.way.set_faults(self.way_faults());
+                site.record_disturbance();
+                site.store_proxy.set_faults(self.way_faults());
             }
-            Fault::ResetWay => site.way.reset(),
+            Fault::ResetWay => site.store_proxy.reset_connections(),
             Fault::Kill => site.kill(),
             Fault::KillMany => {
-                let first = self.rng.random_range(0..world.sites.len());
-                world.sites[first..].iter().for_each(|site| site.kill());
+                let first = self.rng.random_range(0..world.instances.len());
+                world.instances[first..].iter().for_each(|site| site.kill());
             }
             Fault::Stop => {
                 let site = site.clone();
                 std::thread::spawn(move || site.restart(Signal::TERM));
             }
             Fault::Pause => {
-                site.harm();
-                let time = Duration::from_millis(self.rng.random_range(50..LONGEST_PAUSE_MS));
+                site.record_disturbance();
+                let time = Duration::from_millis(self.rng.random_range(50..MAX_STOPPED_MS));
                 let site = site.clone();
                 std::thread::spawn(move || {
                     site.program().signal(Signal::STOP);
@@ -163,20 +163,20 @@
                     site.program().signal(Signal::CONT);
                 });
             }
-            Fault::Configure => world.next_version(),
-            Fault::ConfigureOften => (0..3).for_each(|_| world.next_version()),
+            Fault::Configure => world.publish_next_version(),
+            Fault::ConfigureOften => (0..3).for_each(|_| world.publish_next_version()),
             Fault::Engine => engine.server.set_faults(self.engine_faults(engine.number)),
             Fault::EngineWay => {
-                engine.way_harmed.store(true, Ordering::Release);
-                engine.way.set_faults(self.way_faults());
+                engine.proxy_was_disturbed.store(true, Ordering::Release);
+                engine.proxy.set_faults(self.way_faults());
             }
             Fault::ResetEngineWay => {
-                engine.way_harmed.store(true, Ordering::Release);
-                engine.way.reset();
+                engine.proxy_was_disturbed.store(true, Ordering::Release);
+                engine.proxy.reset_connections();
             }
             Fault::EngineWord => engine.server.set_faults(self.engine_word(engine.number)),
             Fault::EngineLeaves => {
-                let after_ms = self.rng.random_range(0..LONGEST_LEAVING_MS);
+                let after_ms = self.rng.random_range(0..MAX_LEAVING_MS);
                 engine.server.leave(Duration::from_millis(after_ms));
             }
         }
@@ -186,47 +186,47 @@
     fn store_faults(&mut self) -> StoreFaults {
         let mut faults = StoreFaults::default();
         match self.rng.random_range(0..5) {
-            0 => faults.refuses = Some(503),
-            1 => faults.refuses = Some(429),
-            2 => faults.talks_garbage = true,
+            0 => faults.error_status = Some(503),
+            1 => faults.error_status = Some(429),
+            2 => faults.sends_invalid_json = true,
             3 => faults.is_silent = true,
-            _ => faults.loses_answers = 3,
+            _ => faults.answers_to_drop = 3,
         }
         faults
     }
 
-    fn way_faults(&mut self) -> WayFaults {
-        let mut faults = WayFaults::default();
+    fn way_faults(&mut self) -> ProxyFaults {
+        let mut faults = ProxyFaults::default();
         match self.rng.random_range(0..4) {
             0 => {
-                let delay_ms = self.rng.random_range(1..LONGEST_DELAY_MS);
+                let delay_ms = self.rng.random_range(1..MAX_DELAY_MS);
                 faults.delay = Duration::from_millis(delay_ms);
             }
-            1 => faults.loses_requests = true,
-            2 => faults.loses_answers = true,
-            _ => faults.refuses = true,
+            1 => faults.drops_requests = true,
+            2 => faults.drops_answers = true,
+            _ => faults.refuses_connections = true,
         }
         faults
     }
 
     fn engine_word(&mut self, number: usize) -> EngineFaults {
-        let mut faults = usual_engine(number);
+        let mut faults = default_engine_faults(number);
         if self.rng.random_bool(0.5) {
-            faults.limit_per_s = Some(self.rng.random_range(0.5..20.0));
+            faults.advertised_limit_per_s = Some(self.rng.random_range(0.5..20.0));
         } else {
-            faults.rest_s = Some(self.rng.random_range(0.1..3.0));
+            faults.backoff_s = Some(self.rng.random_range(0.1..3.0));
         }
         faults
     }
 
     fn engine_faults(&mut self, number: usize) -> EngineFaults {
         let after = Some(self.rng.random_range(0..EVENTS));
-        let mut faults = usual_engine(number);
+        let mut faults = default_engine_faults(number);
         match self.rng.random_range(0..4) {
-            0 => faults.cuts_after = after,
-            1 => faults.silent_after = after,
-            2 => faults.pause_after = after,
-            _ => faults.loses_answer = true,
+            0 => faults.cut_after_events = after,
+            1 => faults.silent_after_events = after,
+            2 => faults.pause_after_events = after,
+            _ => faults.drops_order_answer = true,
         }
         faults
     }
--- a/crates/standins/src/soak/words.rs
+++ b/crates/standins/src/soak/signal_checks.rs
@@ -2,7 +2,7 @@
 
 use super::SoakReport;
 use super::callers::Record;
-use super::world::{Engine, World};
+use super::cluster::{Engine, SoakCluster};
 use crate::platform::model_server::Arrival;
 use passway_types::prelude::*;
 use std::collections::HashMap;
@@ -25,15 +25,15 @@
 }
 
 /// Judges what reached engines after their words.
-pub(super) fn judge(world: &World, records: &[Record], report: &mut SoakReport) {
+pub(super) fn judge(world: &SoakCluster, records: &[Record], report: &mut SoakReport) {
     let by_id: HashMap<&str, &Record> = records.iter().map(|r| (&*r.id, r)).collect();
     for engine in world.engines() {
         let arrivals = engine.server.arrivals();
         let sent = arrivals.iter().filter_map(|arrival| {
             let record = by_id.get(&*arrival.id)?;
             // One that was paused, killed or cut has an excuse.
-            let life = record.life.filter(|_| !record.harmed)?;
-            let pair = (record.site, life, arrival.start);
+            let life = record.incarnation.filter(|_| !record.was_disturbed)?;
+            let pair = (record.instance, life, arrival.restart_count);
             Some(Sent {
                 arrival,
                 record,
@@ -42,7 +42,10 @@
         });
         let sent: Vec<Sent<'_>> = sent.collect();
         leaving(&engine, &sent, report);
-        if !engine.way_harmed.load(std::sync::atomic::Ordering::Acquire) {
+        if !engine
+            .proxy_was_disturbed
+            .load(std::sync::atomic::Ordering::Acquire)
+        {
             resting(&engine, &sent, report);
         }
     }
@@ -51,7 +54,7 @@
 /// Nothing reaches an engine late from an instance that has passed on that it leaves.
 fn leaving(engine: &Engine, sent: &[Sent<'_>], report: &mut SoakReport) {
     let mut passed_on: HashMap<Pair, Instant> = HashMap::new();
-    for one in sent.iter().filter(|one| one.arrival.leaves) {
+    for one in sent.iter().filter(|one| one.arrival.is_leaving) {
         let answer = one.record.answer.as_ref();
         if answer.is_some_and(|answer| answer.header("server-leaving") == Some("1")) {
             let at = passed_on.entry(one.pair).or_insert(one.record.ended_at);
@@ -59,7 +62,7 @@
         }
     }
     for one in sent {
-        let is_late = |at: &Instant| one.arrival.at > *at + DRAIN_TIME;
+        let is_late = |at: &Instant| one.arrival.arrived_at > *at + DRAIN_TIME;
         if passed_on.get(&one.pair).is_some_and(is_late) {
             let (id, engine) = (&one.arrival.id, &engine.server.id);
             let what = format!("{id} reached {engine}, which had said that it leaves");
@@ -71,13 +74,13 @@
 /// No more than a few requests reach an engine from an instance within the rest that it asked for.
 fn resting(engine: &Engine, sent: &[Sent<'_>], report: &mut SoakReport) {
     for one in sent {
-        let Some(rest) = one.arrival.rest else {
+        let Some(rest) = one.arrival.backoff else {
             continue;
         };
-        let within = one.arrival.at + ON_ITS_WAY..one.arrival.at + rest;
+        let within = one.arrival.arrived_at + ON_ITS_WAY..one.arrival.arrived_at + rest;
         let others = sent.iter().filter(|other| other.pair == one.pair);
         let count = others
-            .filter(|other| within.contains(&other.arrival.at))
+            .filter(|other| within.contains(&other.arrival.arrived_at))
             .count();
         if count > MOST_WITHIN_REST {
             let (id, engine) = (&one.arrival.id, &engine.server.id);
--- a/crates/standins/src/soak/workspaces.rs
+++ b/crates/standins/src/soak/workspace_checks.rs
@@ -2,21 +2,23 @@
 
 use super::SoakReport;
 use super::callers::Record;
-use super::world::{CALL_UNITS, SMALL_RATE, World};
-use crate::platform::program::{QUOTA_SLACK, QUOTA_WINDOW_S, REVOKE_MS};
+use super::cluster::{SMALL_RATE_PER_S, SoakCluster, UNITS_PER_CALL};
+use crate::platform::process::{QUOTA_SLACK, QUOTA_WINDOW_S, REVOKE_MS};
 use crate::platform::raw::RawServer;
 use passway_types::prelude::*;
 
 /// Judges keys that were taken away, keys that servers see, and what the small workspace used.
-pub fn judge(world: &World, records: &[Record], report: &mut SoakReport) {
-    let taken_away = world.taken_away();
+pub fn judge(world: &SoakCluster, records: &[Record], report: &mut SoakReport) {
+    let taken_away = world.revoked_keys();
     let late = records.iter().filter(|record| {
-        let taken_at = record.key_of.and_then(|version| taken_away.get(&version));
+        let taken_at = record
+            .key_version
+            .and_then(|version| taken_away.get(&version));
         let bound = Duration::from_millis(REVOKE_MS);
         taken_at.is_some_and(|at| record.sent_at > *at + bound) && is_served(record)
     });
     report.broken.extend(late.map(|record| {
-        let version = record.key_of.unwrap_or(0);
+        let version = record.key_version.unwrap_or(0);
         format!("{} served by the key of version {version}", record.id)
     }));
     let heads = world.plains.iter().flat_map(RawServer::received);
@@ -28,7 +30,8 @@
     let named = ids.map(|id| format!("a server saw the key of {id}, or no workspace"));
     report.broken.extend(named);
     let most = most_in_a_window(records);
-    let allotted = SMALL_RATE * u32::try_from(QUOTA_WINDOW_S).unwrap_or(u32::MAX) + SMALL_RATE;
+    let allotted =
+        SMALL_RATE_PER_S * u32::try_from(QUOTA_WINDOW_S).unwrap_or(u32::MAX) + SMALL_RATE_PER_S;
     let limit = allotted + allotted / 10 + QUOTA_SLACK;
     if most > limit {
         let broken = format!("the small workspace used {most} units of {limit} in a window");
@@ -47,7 +50,7 @@
 fn most_in_a_window(records: &[Record]) -> u32 {
     let small = records
         .iter()
-        .filter(|one| one.key_of.is_none() && is_served(one));
+        .filter(|one| one.key_version.is_none() && is_served(one));
     let small: Vec<&Record> = small.collect();
     let window = Duration::from_secs(QUOTA_WINDOW_S);
     let used = |first: &&Record| {
@@ -55,7 +58,7 @@
         let within = small
             .iter()
             .filter(|one| one.sent_at >= first.sent_at && one.ended_at <= until);
-        u32::try_from(within.count()).unwrap_or(u32::MAX) * CALL_UNITS
+        u32::try_from(within.count()).unwrap_or(u32::MAX) * UNITS_PER_CALL
     };
     small.iter().map(used).max().unwrap_or(0)
 }
--- a/crates/standins/src/trace.rs
+++ b/crates/standins/src/trace.rs
@@ -6,14 +6,14 @@
 
 /// Which deployment a trace is like.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Site {
+pub enum Deployment {
     /// Stalls and scales by day with a rush at opening, growers' reports at night.
     Market,
     /// Pickups and rush replies in waves, drivers' checks, summaries at night.
     Laundry,
 }
 
-impl std::str::FromStr for Site {
+impl std::str::FromStr for Deployment {
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
@@ -40,7 +40,7 @@
 #[derive(Debug, Clone)]
 pub struct TraceRequest {
     /// When it comes, from the start of the run.
-    pub after: Duration,
+    pub arrives_after: Duration,
     /// The model or adapter.
     pub model: String,
     /// What it is for.
@@ -72,15 +72,15 @@
 ///
 /// Models are asked for by a power law: a few often, most rarely, so that most
 /// sleep most of the time. `rate_per_s` is the mean rate outside rushes.
-pub fn draw(
-    site: Site,
+pub fn generate_requests(
+    site: Deployment,
     seed: u64,
     length: Duration,
     rate_per_s: f64,
     models: usize,
     adapters: usize,
 ) -> Vec<TraceRequest> {
-    let day = if site == Site::Market {
+    let day = if site == Deployment::Market {
         MARKET
     } else {
         LAUNDRY
@@ -112,7 +112,7 @@
         };
         let model = model(&mut rng, models, adapters);
         requests.push(TraceRequest {
-            after: Duration::from_secs_f64(at_s),
+            arrives_after: Duration::from_secs_f64(at_s),
             model,
             purpose,
         });
--- a/crates/standins/src/weight_store.rs
+++ b/crates/standins/src/weight_store.rs
@@ -5,22 +5,22 @@
 
 /// The store's pace.
 #[derive(Debug, Clone)]
-pub struct Pace {
+pub struct WeightStoreLimits {
     /// Loads at one time.
-    pub at_once: u32,
+    pub max_concurrent: u32,
     /// Shortest time between the starts of two loads.
-    pub between_starts: Duration,
+    pub min_start_interval: Duration,
     /// Speed of one load, in megabytes (2^20 bytes) a second.
     pub mb_per_s: u64,
     /// Every load takes this many times as long.
     pub slowdown: u32,
 }
 
-impl Default for Pace {
+impl Default for WeightStoreLimits {
     fn default() -> Self {
         Self {
-            at_once: 4,
-            between_starts: Duration::from_millis(333),
+            max_concurrent: 4,
+            min_start_interval: Duration::from_millis(333),
             mb_per_s: 20_000,
             slowdown: 1,
         }
@@ -29,7 +29,7 @@
 
 #[derive(Debug)]
 struct State {
-    pace: Pace,
+    pace: WeightStoreLimits,
     running: u32,
     next_start_at: Instant,
     loads: u64,
@@ -43,7 +43,7 @@
 
 impl WeightStore {
     /// A store with a pace.
-    pub fn new(pace: Pace) -> Self {
+    pub fn new(pace: WeightStoreLimits) -> Self {
         let state = State {
             pace,
             running: 0,
@@ -78,14 +78,14 @@
     pub fn fetch(&self, size_bytes: u64) {
         let (lock, freed) = &*self.state;
         let mut state = lock.lock().unwrap_or_else(PoisonError::into_inner);
-        while state.running >= state.pace.at_once {
+        while state.running >= state.pace.max_concurrent {
             state = freed.wait(state).unwrap_or_else(PoisonError::into_inner);
         }
         state.running += 1;
         state.loads += 1;
         let now = Instant::now();
         let start_at = state.next_start_at.max(now);
-        state.next_start_at = start_at + state.pace.between_starts;
+        state.next_start_at = start_at + state.pace.min_start_interval;
         let transfer = transfer_time(size_bytes, &state.pace);
         drop(state);
         std::thread::sleep(start_at - now + transfer);
@@ -94,7 +94,7 @@
     }
 }
 
-fn transfer_time(size_bytes: u64, pace: &Pace) -> Duration {
+fn transfer_time(size_bytes: u64, pace: &WeightStoreLimits) -> Duration {
     let micros = size_bytes.saturating_mul(1_000_000) / (pace.mb_per_s << 20);
     Duration::from_micros(micros) * pace.slowdown
 }
--- a/tests/all/bad_input.rs
+++ b/tests/all/bad_input.rs
@@ -1,8 +1,8 @@
 //! Bad input gets a clear code, frees what it held, and leaves others untouched.
 
 use crate::support::{burst, patient_plan};
+use passway_standins::cluster::{Fleet, TestCluster};
 use passway_standins::load::Outcome;
-use passway_standins::world::{Fleet, World};
 use passway_types::prelude::*;
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -39,7 +39,7 @@
 
 #[test]
 fn clear_codes() {
-    let world = World::start(patient_plan()).expect("world");
+    let world = TestCluster::start(patient_plan()).expect("world");
     let fleet = world.start_fleet().expect("fleet");
     let code = |code: ResultCode| (code.http_status(), code as u16);
     let model = r#"{"model":"model1@1"}"#;
@@ -87,7 +87,7 @@
 
 #[test]
 fn body_in_parts() {
-    let world = World::start(patient_plan()).expect("world");
+    let world = TestCluster::start(patient_plan()).expect("world");
     let fleet = world.start_fleet().expect("fleet");
     let body = r#"{"model":"model1@1"}"#;
     let whole = post("", body);
@@ -97,7 +97,7 @@
 
 #[test]
 fn half_sent_request() {
-    let world = World::start(patient_plan()).expect("world");
+    let world = TestCluster::start(patient_plan()).expect("world");
     let fleet = world.start_fleet().expect("fleet");
     let mut half_sent = Vec::new();
     for _ in 0..50 {
@@ -123,7 +123,7 @@
 
 #[test]
 fn hang_up_midstream() {
-    let world = World::start(patient_plan()).expect("world");
+    let world = TestCluster::start(patient_plan()).expect("world");
     let fleet = world.start_fleet().expect("fleet");
     let body = r#"{"model":"model1@1","stream":true,"max_tokens":100000}"#;
     let mut stream = TcpStream::connect(fleet.routers[0].address()).expect("connect");
@@ -146,9 +146,9 @@
 
 #[test]
 fn hang_up_waiting() {
-    let world = World::start(patient_plan()).expect("world");
+    let world = TestCluster::start(patient_plan()).expect("world");
     let fleet = world.start_fleet().expect("fleet");
-    world.store.set_slowdown(50);
+    world.weight_store.set_slowdown(50);
     let body = r#"{"model":"model1@1"}"#;
     let mut stream = TcpStream::connect(fleet.routers[0].address()).expect("connect");
     stream.write_all(post("", body).as_bytes()).expect("write");
--- a/tests/all/burst_loads.rs
+++ b/tests/all/burst_loads.rs
@@ -1,15 +1,15 @@
 //! A burst of first requests at many routers loads no more than was decided.
 
 use crate::support::{burst, patient_plan};
+use passway_standins::cluster::{ClusterPlan, TestCluster};
 use passway_standins::load::Outcome;
-use passway_standins::world::{World, WorldPlan};
 use passway_types::prelude::*;
 
 const DEADLINE: Duration = Duration::from_secs(30);
 
 #[test]
 fn burst_loads_once() {
-    let world = World::start(WorldPlan {
+    let world = TestCluster::start(ClusterPlan {
         instances: 6,
         ..patient_plan()
     })
@@ -19,17 +19,17 @@
     for sample in &samples {
         assert_eq!(sample.outcome, Outcome::Whole);
     }
-    assert_eq!(world.loads_of("model3@1"), 1);
+    assert_eq!(world.load_count("model3@1"), 1);
 }
 
 #[test]
 fn adapter_follows_base() {
-    let world = World::start(patient_plan()).expect("world");
+    let world = TestCluster::start(patient_plan()).expect("world");
     let fleet = world.start_fleet().expect("fleet");
     let samples = burst(&fleet, "adapter2@1", 20, DEADLINE);
     for sample in &samples {
         assert_eq!(sample.outcome, Outcome::Whole);
     }
-    assert_eq!(world.loads_of("adapter2@1"), 1);
-    assert_eq!(world.loads_of("model2@1"), 1);
+    assert_eq!(world.load_count("adapter2@1"), 1);
+    assert_eq!(world.load_count("model2@1"), 1);
 }
--- a/tests/all/claims_once.rs
+++ b/tests/all/claims_once.rs
@@ -1,7 +1,7 @@
 //! A call that may not be repeated runs at most once, and its callers hear the truth.
 
 use crate::support::{patient_plan, small_plan};
-use passway_standins::world::{Fleet, World, WorldPlan};
+use passway_standins::cluster::{ClusterPlan, Fleet, TestCluster};
 use passway_standins::{key_value, service};
 use passway_types::prelude::*;
 use rand::{RngExt, SeedableRng};
@@ -41,26 +41,26 @@
     Got::Refused(u64::from(code as u16))
 }
 
-fn start(instances: usize) -> (World, Fleet) {
-    start_plan(WorldPlan {
+fn start(instances: usize) -> (TestCluster, Fleet) {
+    start_plan(ClusterPlan {
         instances,
         ..small_plan()
     })
 }
 
-fn start_plan(plan: WorldPlan) -> (World, Fleet) {
-    let world = World::start(plan).expect("world");
+fn start_plan(plan: ClusterPlan) -> (TestCluster, Fleet) {
+    let world = TestCluster::start(plan).expect("world");
     let fleet = world.start_fleet().expect("fleet");
     (world, fleet)
 }
 
-fn runs(world: &World, key: &str) -> u32 {
+fn runs(world: &TestCluster, key: &str) -> u32 {
     world.services[0].runs().get(key).copied().unwrap_or(0)
 }
 
 #[test]
 fn repeats_run_once() {
-    let (world, fleet) = start_plan(WorldPlan {
+    let (world, fleet) = start_plan(ClusterPlan {
         instances: 4,
         ..patient_plan()
     });
--- a/tests/all/closed_halls.rs
+++ b/tests/all/closed_halls.rs
@@ -1,7 +1,7 @@
 //! Halls that a request may not be sent to: those that operators emptied, and those outside the
 //! regions allowed by its route or its workspace.
 
-use crate::cluster::{self, ask, request, settings, start_with, until};
+use crate::cluster::{self, fetch, request, settings, start_with, until};
 use crate::signalling::SignallingServer;
 use passway_serving::halls::AllowedRegions;
 use passway_serving::ports::{Directory, StoredValue};
@@ -28,7 +28,7 @@
 fn served(address: SocketAddr, path: &str, requests: usize) -> usize {
     let answers = (0..requests).map(|number| {
         let bytes = request("GET", path, &format!("id{number}"), "", "");
-        ask(address, &bytes).expect("an answer").status
+        fetch(address, &bytes).expect("an answer").status
     });
     answers.filter(|status| *status == 200).count()
 }
@@ -78,11 +78,11 @@
     list_in(&store, "i-0", first.address(), "hall0");
     list_in(&store, "i-1", second.address(), "hall1");
     store.put("op/evacuate/hall0", &json!({}));
-    let proxy = store.serve_way();
+    let proxy = store.serve_endpoint();
     let instance = start_with(settings("one", proxy.address()));
     until("readiness", || instance.is_ready());
     proxy.set_faults(Faults {
-        refuses: Some(503),
+        error_status: Some(503),
         ..Faults::default()
     });
     assert_eq!(served(instance.callers_address(), "/read/", MANY), MANY);
--- a/tests/all/cluster.rs
+++ b/tests/all/cluster.rs
@@ -8,7 +8,7 @@
 use passway_serving::placement::policy::PolicyName;
 use passway_serving::ports::{InstanceBounds, InstanceSettings};
 use passway_serving::retry::RetryAllowance;
-pub use passway_standins::platform::caller::{Answer, Caller, PATIENCE, ask, request};
+pub use passway_standins::platform::caller::{Answer, Caller, RECEIVE_TIMEOUT, fetch, request};
 pub use passway_standins::platform::documents::{configuration, list_plain};
 use passway_standins::platform::raw::{RawServer, Step};
 use passway_standins::platform::store::MetadataStandIn;
@@ -19,9 +19,9 @@
 
 /// Interval between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Waits until `is_met` returns true; fails after [`PATIENCE`].
+/// Waits until `is_met` returns true; fails after [`RECEIVE_TIMEOUT`].
 pub fn until(condition: &str, mut is_met: impl FnMut() -> bool) {
-    let limit_at = Instant::now() + PATIENCE;
+    let limit_at = Instant::now() + RECEIVE_TIMEOUT;
     while !is_met() {
         assert!(
             Instant::now() < limit_at,
@@ -91,7 +91,7 @@
         &format!("Model: {model}\r\n"),
         "{}",
     );
-    ask(address, &bytes).expect("an answer")
+    fetch(address, &bytes).expect("an answer")
 }
 
 /// Starts an instance without waiting for it.
--- a/tests/all/cold_upstreams.rs
+++ b/tests/all/cold_upstreams.rs
@@ -1,7 +1,7 @@
 //! Upstreams that are cold after their start get no more requests than they accept, over all
 //! instances.
 
-use crate::cluster::{self, ask, request, until};
+use crate::cluster::{self, fetch, request, until};
 use crate::signalling::SignallingServer;
 use passway_serving::upstreams::{ColdLimit, UpstreamEntry, UpstreamTable};
 use passway_standins::platform::documents::{configuration, plain_entry};
@@ -78,7 +78,7 @@
             let address = instances[number % instances.len()].callers_address();
             std::thread::spawn(move || {
                 let bytes = request("GET", "/read/", &format!("id{number}"), "", "");
-                ask(address, &bytes).expect("an answer").status
+                fetch(address, &bytes).expect("an answer").status
             })
         })
         .collect();
--- a/tests/all/config_spread.rs
+++ b/tests/all/config_spread.rs
@@ -4,8 +4,8 @@
 use crate::support::small_plan;
 use passway_config::StoredRevision;
 use passway_ctl::store::{ChangeError, ConfigStore, Current};
+use passway_standins::cluster::{ClusterPlan, TestCluster};
 use passway_standins::key_value::Faults;
-use passway_standins::world::{World, WorldPlan};
 use passway_types::prelude::*;
 
 fn next(before: &Current, author: &str, share: u32) -> StoredRevision {
@@ -21,13 +21,13 @@
     }
 }
 
-fn store_of(world: &World) -> ConfigStore {
+fn store_of(world: &TestCluster) -> ConfigStore {
     ConfigStore::new(Arc::new(world.key_value.clone()))
 }
 
 #[test]
 fn in_force_everywhere() {
-    let world = World::start(WorldPlan {
+    let world = TestCluster::start(ClusterPlan {
         instances: 6,
         ..small_plan()
     })
@@ -45,7 +45,7 @@
 
 #[test]
 fn racing_operators() {
-    let world = World::start(small_plan()).expect("world");
+    let world = TestCluster::start(small_plan()).expect("world");
     let store = Arc::new(store_of(&world));
     let before = store.current().expect("current");
     let operators: Vec<_> = (0..8)
@@ -77,7 +77,7 @@
 
 #[test]
 fn lost_answer_read_back() {
-    let world = World::start(small_plan()).expect("world");
+    let world = TestCluster::start(small_plan()).expect("world");
     let store = store_of(&world);
     let before = store.current().expect("current");
     let change = next(&before, "ann", 9);
@@ -96,7 +96,7 @@
 
 #[test]
 fn no_revert_in_outage() {
-    let world = World::start(WorldPlan {
+    let world = TestCluster::start(ClusterPlan {
         instances: 3,
         ..small_plan()
     })
--- a/tests/all/dispatcher_queries.rs
+++ b/tests/all/dispatcher_queries.rs
@@ -2,7 +2,7 @@
 //! answers queries as a dispatcher. The test plays the holder, which announces the dispatchers, and
 //! the peer of each query.
 
-use crate::cluster::{self, PATIENCE, stream, until};
+use crate::cluster::{self, RECEIVE_TIMEOUT, stream, until};
 use crate::holder_link::{PlayedHolder, subscription};
 use passway_instance::Instance;
 use passway_standins::platform::model_server::{Faults, ModelServer};
@@ -34,7 +34,9 @@
     let address = subscription(&mut reader).expect("a subscription").address;
     let address: SocketAddr = address.parse().expect("an address");
     let socket = UdpSocket::bind("127.0.0.1:0").expect("bind");
-    socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    socket
+        .set_read_timeout(Some(RECEIVE_TIMEOUT))
+        .expect("a time-out");
     let entries = dispatchers
         .iter()
         .enumerate()
@@ -219,8 +221,8 @@
     let bytes = Datagram::bytes(Some(Dispatch::Grant(grant)));
     socket.send_to(&bytes, from).expect("sent");
     let answer = caller_thread.join().expect("a caller");
-    assert_eq!((answer.status, answer.whole), (200, true));
-    assert_eq!(test_bed.servers[1].runs(), ["c1"]);
+    assert_eq!((answer.status, answer.is_complete), (200, true));
+    assert_eq!(test_bed.servers[1].executed_ids(), ["c1"]);
     // The end is reported. (The query may have been sent twice before.)
     let ended = std::iter::repeat_with(&mut next_message).find_map(|(body, _)| match body {
         Dispatch::Ended(ended) => Some(ended),
@@ -239,12 +241,12 @@
     for number in 0..3 {
         let id = format!("c{number}");
         let answer = stream(test_bed.instance.callers_address(), "chat", &id, "m0");
-        assert_eq!((answer.status, answer.whole), (200, true));
+        assert_eq!((answer.status, answer.is_complete), (200, true));
     }
     let run_count: usize = test_bed
         .servers
         .iter()
-        .map(|server| server.runs().len())
+        .map(|server| server.executed_ids().len())
         .sum();
     assert_eq!(run_count, 3);
 }
@@ -268,7 +270,7 @@
 fn limited_engine_avoided() {
     let test_bed = test_bed(&[None]);
     test_bed.servers[0].set_faults(Faults {
-        limit_per_s: Some(1.0),
+        advertised_limit_per_s: Some(1.0),
         ..Faults::default()
     });
     let address = test_bed.instance.callers_address();
@@ -276,13 +278,13 @@
     let mut send = || stream(address, "chat", &format!("id{:?}", ids.next()), "m0").status;
     until("the signal is received", || {
         send();
-        !test_bed.servers[0].runs().is_empty()
+        !test_bed.servers[0].executed_ids().is_empty()
     });
-    let runs = test_bed.servers[0].runs().len();
+    let runs = test_bed.servers[0].executed_ids().len();
     for _ in 0..120 {
         assert_eq!(send(), 200);
     }
-    assert_eq!(test_bed.servers[0].runs().len(), runs);
+    assert_eq!(test_bed.servers[0].executed_ids().len(), runs);
 }
 
 /// A dispatcher that grants the first engine on every query, whatever signals it receives.
@@ -324,7 +326,7 @@
 #[test]
 fn grant_for_leaving_engine() {
     grant_against_signal(Faults {
-        leaves: true,
+        is_leaving: true,
         ..Faults::default()
     });
 }
@@ -332,7 +334,7 @@
 #[test]
 fn grant_for_engine_in_backoff() {
     grant_against_signal(Faults {
-        rest_s: Some(60.0),
+        backoff_s: Some(60.0),
         ..Faults::default()
     });
 }
--- a/tests/all/foreign_entries.rs
+++ b/tests/all/foreign_entries.rs
@@ -141,7 +141,7 @@
 /// What callers get of the plain service: its status.
 fn status(instance: &passway_instance::Instance, id: &str) -> u16 {
     let request = cluster::request("GET", "/read/", id, "", "");
-    let answer = cluster::ask(instance.callers_address(), &request);
+    let answer = cluster::fetch(instance.callers_address(), &request);
     answer.expect("an answer").status
 }
 
--- a/tests/all/former_holder.rs
+++ b/tests/all/former_holder.rs
@@ -6,8 +6,8 @@
 use passway_decide::messages::{DemandVerdict, RouteChange};
 use passway_decide::router::{Arrival, RouterAction, RouterCore};
 use passway_router::Router;
+use passway_standins::cluster::TestCluster;
 use passway_standins::load::Outcome;
-use passway_standins::world::World;
 use passway_types::prelude::*;
 use passway_wire::message::{CellHolder, Config, Heartbeat, Verdict};
 use passway_wire::{Body, Link, LinkReader};
@@ -61,7 +61,7 @@
 
     /// Sends a revision and waits until the router says that it is in force: by then it
     /// has taken in all that was said before.
-    fn configures(&mut self, world: &World, revision: Revision) {
+    fn configures(&mut self, world: &TestCluster, revision: Revision) {
         let stored = StoredRevision {
             revision,
             change_id: 0,
@@ -91,7 +91,7 @@
 
 #[test]
 fn late_refusal_ignored() {
-    let world = World::start(patient_plan()).expect("world");
+    let world = TestCluster::start(patient_plan()).expect("world");
     let listeners = [0; 2].map(|_| TcpListener::bind("127.0.0.1:0").expect("bind"));
     let addresses = listeners
         .each_ref()
@@ -118,7 +118,7 @@
 
 #[test]
 fn refusal_of_routed_model() {
-    let world = World::start(small_plan()).expect("world");
+    let world = TestCluster::start(small_plan()).expect("world");
     let catalog = passway_config::Catalog::build(&world.document, 1).expect("catalog");
     let now = Instant::now();
     let mut core = RouterCore::new(1, Arc::new(catalog), now);
--- a/tests/all/graceful_stops.rs
+++ b/tests/all/graceful_stops.rs
@@ -4,9 +4,11 @@
 //! request 2.3 s after SIGTERM, for a model that no engine had loaded. The request could wait for
 //! longer than the grace, and the process exited 7.6 s after the signal.
 
-use crate::cluster::{Caller, PATIENCE, configuration, list_plain, plain_server, request, until};
+use crate::cluster::{
+    Caller, RECEIVE_TIMEOUT, configuration, list_plain, plain_server, request, until,
+};
 use passway_standins::platform::model_server::{Faults, ModelServer};
-use passway_standins::platform::program::{Output, Program, ProgramPlan};
+use passway_standins::platform::process::{InstanceProcess, Output, ProcessConfig};
 use passway_standins::platform::raw::{RawServer, Step};
 use passway_standins::platform::store::MetadataStandIn;
 use rustix::process::Signal;
@@ -21,9 +23,9 @@
 const LONG_MS: u64 = 60_000;
 
 /// Starts an instance on a store and waits until it is ready.
-fn start(name: &str, store: &MetadataStandIn) -> Program {
-    let program = Program::start(ProgramPlan {
-        program: env!("CARGO_BIN_EXE_passway-instance").into(),
+fn start(name: &str, store: &MetadataStandIn) -> InstanceProcess {
+    let program = InstanceProcess::start(ProcessConfig {
+        executable: env!("CARGO_BIN_EXE_passway-instance").into(),
         name: name.to_owned(),
         store: store.serve(),
         grace_s: GRACE_S,
@@ -31,20 +33,20 @@
         output: Output::Null,
     });
     let program = program.expect("an instance");
-    until("readiness", || program.readiness() == Some(200));
+    until("readiness", || program.readiness_status() == Some(200));
     program
 }
 
 /// Sends SIGTERM and waits until the readiness probe fails; requests are still accepted.
-fn begin_stop(program: &Program) {
+fn begin_stop(program: &InstanceProcess) {
     program.signal(Signal::TERM);
     until("notice to the balancer", || {
-        program.readiness() == Some(503)
+        program.readiness_status() == Some(503)
     });
 }
 
 /// Waits until the process exits, and checks its exit code.
-fn wait_for_exit(mut program: Program) {
+fn wait_for_exit(mut program: InstanceProcess) {
     let code = program.child.wait().expect("wait").code();
     assert_eq!(code, Some(0));
 }
@@ -80,18 +82,18 @@
     let _engine = ModelServer::start(&store, "e0", "engines", 1, &["m0"], &[]);
     let program = start("waits", &store);
     begin_stop(&program);
-    let mut caller = Caller::connect(program.callers);
+    let mut caller = Caller::connect(program.callers_address);
     caller.send(&patient_request("POST", "/chat/", "w", "Model: m1\r\n"));
     let answer = caller.receive().expect("an answer before the exit");
     // The request was never sent to an upstream, and its caller may retry it elsewhere.
-    assert_eq!((answer.status, answer.whole), (503, true));
+    assert_eq!((answer.status, answer.is_complete), (503, true));
     assert!(answer.header("retry-after").is_some(), "{}", answer.head);
     wait_for_exit(program);
 }
 
 /// A plain server that accepts requests and answers none.
 fn silent_server() -> RawServer {
-    RawServer::start(|_| vec![Step::Pause(PATIENCE)])
+    RawServer::start(|_| vec![Step::Pause(RECEIVE_TIMEOUT)])
 }
 
 #[test]
@@ -101,7 +103,7 @@
     list_plain(&store, "i-0", server.address, "ready");
     let program = start("unanswered", &store);
     let mut callers = ["pay", "read"].map(|route| {
-        let mut caller = Caller::connect(program.callers);
+        let mut caller = Caller::connect(program.callers_address);
         caller.send(&patient_request("POST", &format!("/{route}/"), route, ""));
         caller
     });
@@ -112,7 +114,7 @@
     for caller in &mut callers {
         let answer = caller.receive().expect("an answer before the exit");
         // The request may have run, so the answer must not be "not run".
-        assert_eq!((answer.status, answer.whole), (502, true));
+        assert_eq!((answer.status, answer.is_complete), (502, true));
         assert!(answer.header("request-id").is_some(), "{}", answer.head);
     }
     wait_for_exit(program);
@@ -133,14 +135,14 @@
     let head_bytes = whole.len() - "\r\n{}".len();
     // One request lacks the end of its head, the other the end of its body.
     let mut callers = [head_bytes, whole.len() - 1].map(|sent| {
-        let mut caller = Caller::connect(program.callers);
+        let mut caller = Caller::connect(program.callers_address);
         caller.send(&whole[..sent]);
         caller
     });
     begin_stop(&program);
     for caller in &mut callers {
         let answer = caller.receive().expect("an answer before the exit");
-        assert_eq!((answer.status, answer.whole), (503, true));
+        assert_eq!((answer.status, answer.is_complete), (503, true));
         assert_eq!(caller.receive(), None);
     }
     wait_for_exit(program);
@@ -153,7 +155,7 @@
     let server = plain_server();
     list_plain(&store, "i-0", server.address, "ready");
     let program = start("resting", &store);
-    let mut idle = Caller::connect(program.callers);
+    let mut idle = Caller::connect(program.callers_address);
     idle.send(&patient_request("POST", "/read/", "before", ""));
     let answer = idle.receive().expect("an answer");
     assert_eq!(
@@ -161,7 +163,7 @@
         (200, None),
         "the connection is kept"
     );
-    let mut reused = Caller::connect(program.callers);
+    let mut reused = Caller::connect(program.callers_address);
     reused.send(&patient_request("POST", "/read/", "first", ""));
     assert_eq!(reused.receive().map(|answer| answer.status), Some(200));
     begin_stop(&program);
@@ -179,7 +181,7 @@
 fn silent_engine(store: &MetadataStandIn) -> ModelServer {
     let engine = ModelServer::start(store, "e0", "engines", 1, &["m0"], &[]);
     engine.set_faults(Faults {
-        silent_after: Some(2),
+        silent_after_events: Some(2),
         ..Faults::default()
     });
     engine
@@ -190,13 +192,15 @@
     let store = patient_store(&["m0"]);
     let engine = silent_engine(&store);
     let program = start("stream", &store);
-    let mut caller = Caller::connect(program.callers);
+    let mut caller = Caller::connect(program.callers_address);
     caller.send(&patient_request("POST", "/report/", "s", "Model: m0\r\n"));
-    until("the start of the stream", || engine.runs().len() == 1);
+    until("the start of the stream", || {
+        engine.executed_ids().len() == 1
+    });
     begin_stop(&program);
     let answer = caller.receive().expect("the head of the stream");
     // The stream has begun, and it must not look complete.
-    assert_eq!((answer.status, answer.whole), (200, false));
+    assert_eq!((answer.status, answer.is_complete), (200, false));
     assert!(!answer.body.is_empty());
     wait_for_exit(program);
 }
@@ -206,11 +210,13 @@
     let store = patient_store(&["m0"]);
     let engine = silent_engine(&store);
     let program = start("unframed", &store);
-    let mut caller = Caller::connect(program.callers);
+    let mut caller = Caller::connect(program.callers_address);
     let bytes = patient_request("POST", "/report/", "s", "Model: m0\r\n");
     let text = String::from_utf8(bytes).expect("text");
     caller.send(text.replace("HTTP/1.1", "HTTP/1.0").as_bytes());
-    until("the start of the stream", || engine.runs().len() == 1);
+    until("the start of the stream", || {
+        engine.executed_ids().len() == 1
+    });
     begin_stop(&program);
     // HTTP/1.0 has no chunks: a body that ends with the connection counts as complete unless it is
     // reset.
--- a/tests/all/holder_heard.rs
+++ b/tests/all/holder_heard.rs
@@ -50,7 +50,11 @@
 #[test]
 fn cut_instance_follows() {
     let store = cluster::store(&["m0"]);
-    let proxies = [store.serve_way(), store.serve_way(), store.serve_way()];
+    let proxies = [
+        store.serve_endpoint(),
+        store.serve_endpoint(),
+        store.serve_endpoint(),
+    ];
     let names = ["one", "two", "three"];
     let instances = names.iter().zip(&proxies);
     let instances: Vec<_> = instances
@@ -73,12 +77,12 @@
             .all(|instance| instance.known_member_count() == 3)
     });
     proxies[cut].set_faults(Faults {
-        refuses: Some(503),
+        error_status: Some(503),
         ..Faults::default()
     });
     // The holder is cut off from the store as well, and loses leadership.
     proxies[first].set_faults(Faults {
-        refuses: Some(503),
+        error_status: Some(503),
         ..Faults::default()
     });
     let successor = 3 - first - cut;
@@ -97,7 +101,7 @@
 #[test]
 fn early_announcement_kept() {
     let store = cluster::store(&["m0"]);
-    let proxy = store.serve_way();
+    let proxy = store.serve_endpoint();
     let instance = cluster::start_at("one", proxy.address());
     until("readiness", || instance.is_ready());
     until("leadership", || instance.fence().is_some());
@@ -119,7 +123,7 @@
     std::thread::sleep(Duration::from_millis(200));
     assert_eq!(instance.holder().map(|h| h.fence), Some(own.fence));
     proxy.set_faults(Faults {
-        refuses: Some(503),
+        error_status: Some(503),
         ..Faults::default()
     });
     until("the announced holder", || {
@@ -164,14 +168,14 @@
 fn same_holder_again() {
     let store = cluster::store(&["m0"]);
     let holder = crate::holder_link::PlayedHolder::begin(&store);
-    let proxy = store.serve_way();
+    let proxy = store.serve_endpoint();
     let instance = cluster::start_at("one", proxy.address());
     until("readiness", || instance.is_ready());
     let (link, mut reader) = holder.accept();
     assert!(crate::holder_link::subscription(&mut reader).is_some());
     let known = instance.holder().expect("the played holder");
     proxy.set_faults(Faults {
-        refuses: Some(503),
+        error_status: Some(503),
         ..Faults::default()
     });
     let term = Successor {
--- a/tests/all/holder_link.rs
+++ b/tests/all/holder_link.rs
@@ -4,7 +4,7 @@
 //! that had fallen silent, a new link waited for the backoff of the previous one, and only the
 //! store could replace an unreadable message.
 
-use crate::cluster::{self, PATIENCE, until};
+use crate::cluster::{self, RECEIVE_TIMEOUT, until};
 use crate::scripted_store::{heartbeat, update_message};
 use passway_instance::Instance;
 use passway_instance::relay::{CONFIGURATION_FEED, FEED_COUNT, Relay};
@@ -40,7 +40,7 @@
     pub fn accept(&self) -> (Link, LinkReader) {
         let (stream, _) = self.listener.accept().expect("a subscriber");
         let (link, reader) = Link::from_stream(stream).expect("a link");
-        reader.set_timeout(PATIENCE).expect("a timeout");
+        reader.set_timeout(RECEIVE_TIMEOUT).expect("a timeout");
         (link, reader)
     }
 
@@ -156,14 +156,14 @@
 #[test]
 fn holder_sends_all_if_store_refuses() {
     let store = cluster::store(&["m0"]);
-    let proxy = store.serve_way();
+    let proxy = store.serve_endpoint();
     let holder = PlayedHolder::begin(&store);
     let instance = cluster::start_at("one", proxy.address());
     let (link, mut reader) = holder.accept();
     let known = subscription(&mut reader).expect("a subscription").known;
     assert!(known.iter().all(|revision| *revision > 0));
     proxy.set_faults(Faults {
-        refuses: Some(503),
+        error_status: Some(503),
         ..Faults::default()
     });
     let value = cluster::configuration(9, &["m0"]).to_string();
--- a/tests/all/instance_metrics.rs
+++ b/tests/all/instance_metrics.rs
@@ -1,6 +1,6 @@
 //! The metrics of an instance on the users' platform match their documentation.
 
-use crate::cluster::{self, ask, list_plain, plain_server, request, until};
+use crate::cluster::{self, fetch, list_plain, plain_server, request, until};
 use crate::keyed_cluster::{KEY, keyed_configuration};
 use passway_standins::platform::documents::workspace;
 use passway_standins::platform::store::MetadataStandIn;
@@ -28,11 +28,11 @@
     let head = format!("Authorization: Token {KEY}\r\n");
     for path in ["/read/", "/read/", "/nowhere/"] {
         let bytes = request("GET", path, "m", &head, "");
-        assert!(ask(instance.callers_address(), &bytes).is_some());
+        assert!(fetch(instance.callers_address(), &bytes).is_some());
     }
     let scrape_request = b"GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
     let scrape = || {
-        let answer = ask(instance.ready_address(), scrape_request).expect("metrics");
+        let answer = fetch(instance.ready_address(), scrape_request).expect("metrics");
         assert_eq!(answer.status, 200);
         answer.body
     };
--- a/tests/all/keyed_cluster.rs
+++ b/tests/all/keyed_cluster.rs
@@ -1,6 +1,6 @@
 //! An instance whose routes require keys, with bounds as in the settings file.
 
-use crate::cluster::{self, ask, configuration, request};
+use crate::cluster::{self, configuration, fetch, request};
 use passway_instance::Instance;
 use passway_serving::ports::InstanceSettings;
 use passway_standins::platform::documents::with_workspaces;
@@ -45,7 +45,7 @@
 pub fn status_with_key(instance: &Instance, path: &str, id: &str) -> (u16, Option<f64>) {
     let head = format!("Authorization: Token {KEY}\r\n");
     let bytes = request("GET", path, id, &head, "");
-    let answer = ask(instance.callers_address(), &bytes).expect("an answer");
+    let answer = fetch(instance.callers_address(), &bytes).expect("an answer");
     let retry_after = answer.header("retry-after");
     let retry_after = retry_after.map(|text| text.parse().expect("a number"));
     (answer.status, retry_after)
--- a/tests/all/leaving_upstreams.rs
+++ b/tests/all/leaving_upstreams.rs
@@ -1,7 +1,7 @@
 //! Upstreams that signal in their answers that they leave get no new requests from instances that
 //! have received the signal.
 
-use crate::cluster::{self, ask, list_plain, request, stream, until};
+use crate::cluster::{self, fetch, list_plain, request, stream, until};
 use crate::scrape::metrics;
 use crate::signalling::{SignallingAnswer, SignallingServer};
 use passway_instance::Instance;
@@ -34,7 +34,7 @@
 fn send(instance: &Instance, path: &str, id_prefix: &str, count: usize) -> Vec<u16> {
     let statuses = (0..count).map(|number| {
         let bytes = request("GET", path, &format!("{id_prefix}{number}"), "", "");
-        let answer = ask(instance.callers_address(), &bytes);
+        let answer = fetch(instance.callers_address(), &bytes);
         answer.expect("an answer").status
     });
     statuses.collect()
@@ -80,7 +80,7 @@
     let (leaving, staying) = (engine("i-0"), engine("i-1"));
     let instance = cluster::start_ready("one", &store);
     leaving.set_faults(Faults {
-        leaves: true,
+        is_leaving: true,
         ..Faults::default()
     });
     for number in 0..30 {
@@ -90,10 +90,14 @@
             &format!("id{number}"),
             "m0",
         );
-        assert_eq!((answer.status, answer.whole), (200, true));
+        assert_eq!((answer.status, answer.is_complete), (200, true));
     }
-    assert!(leaving.runs().len() <= 1, "{:?}", leaving.runs());
-    assert!(staying.runs().len() >= 29);
+    assert!(
+        leaving.executed_ids().len() <= 1,
+        "{:?}",
+        leaving.executed_ids()
+    );
+    assert!(staying.executed_ids().len() >= 29);
 }
 
 /// One instance receives the signal, and no instance sends anything more.
@@ -156,7 +160,7 @@
     let instance = cluster::start_ready("one", &store);
     until("the leadership", || instance.fence().is_some());
     leaving.set_faults(Faults {
-        leaves: true,
+        is_leaving: true,
         ..Faults::default()
     });
     for number in 0..20 {
@@ -165,6 +169,6 @@
         assert_eq!(answer.status, 200, "{number}");
     }
     // The upstream's reports carry the signal as well, so it may get no request at all.
-    assert!(leaving.runs().len() <= 1);
-    assert!(staying.runs().len() >= 19);
+    assert!(leaving.executed_ids().len() <= 1);
+    assert!(staying.executed_ids().len() >= 19);
 }
--- a/tests/all/limit_signals.rs
+++ b/tests/all/limit_signals.rs
@@ -1,6 +1,6 @@
 //! Limits that upstreams advertise: how they are parsed, and which of two signals applies.
 
-use crate::cluster::{self, ask, list_plain, request, until};
+use crate::cluster::{self, fetch, list_plain, request, until};
 use crate::scrape::metrics;
 use passway_serving::headers::Headers;
 use passway_serving::limits::{LimitSignal, ObservedLimit};
@@ -102,7 +102,7 @@
     let scrape = || metrics(&instance);
     for (number, limited_count) in [0, 1, 1, 0].into_iter().enumerate() {
         let bytes = request("GET", "/read/", &format!("id{number}"), "", "");
-        let answer = ask(instance.callers_address(), &bytes).expect("an answer");
+        let answer = fetch(instance.callers_address(), &bytes).expect("an answer");
         assert_eq!(answer.status, 200);
         // The answer reaches the caller unchanged.
         let advertised = lines[number].trim().strip_prefix("Server-Limit: ");
--- a/tests/all/limited_upstreams.rs
+++ b/tests/all/limited_upstreams.rs
@@ -6,7 +6,7 @@
 //! counts for all. The tests use three instances before three servers, where 160 requests arrived
 //! in four seconds without the fix.
 
-use crate::cluster::{self, Caller, ask, list_plain, request, stream, until};
+use crate::cluster::{self, Caller, fetch, list_plain, request, stream, until};
 use crate::holder_link::PlayedHolder;
 use crate::scrape::metrics;
 use crate::signalling::{SignallingAnswer, SignallingServer};
@@ -159,7 +159,7 @@
     };
     let read = |id: &str| {
         let bytes = request("GET", "/read/", id, "", "");
-        let answer = ask(instances[0].callers_address(), &bytes);
+        let answer = fetch(instances[0].callers_address(), &bytes);
         answer.expect("an answer").status
     };
     advertise_limit(&servers[0], Some(50.0));
@@ -223,7 +223,7 @@
     let address = instances[0].callers_address();
     let clients = (0..40).map(|number| {
         let bytes = request("GET", "/pay/", &format!("refused{number}"), "", "");
-        std::thread::spawn(move || ask(address, &bytes).expect("an answer"))
+        std::thread::spawn(move || fetch(address, &bytes).expect("an answer"))
     });
     let clients: Vec<_> = clients.collect();
     let answers = clients.into_iter().map(|one| one.join().expect("a caller"));
@@ -252,7 +252,7 @@
     until("as many requests as before", || {
         let id = format!("again{:?}", ids.next());
         let bytes = request("GET", "/pay/", &id, "", "");
-        ask(instances[1].callers_address(), &bytes).expect("an answer");
+        fetch(instances[1].callers_address(), &bytes).expect("an answer");
         let mut pairs = servers.iter().zip(arrivals_before);
         pairs.all(|(server, count_before)| server.arrivals().len() > count_before + 30)
     });
@@ -266,22 +266,22 @@
     let (limited, breaking) = (engine("i-0"), engine("i-1"));
     let instances = ["one", "two"].map(|name| cluster::start_ready(name, &store));
     limited.set_faults(Faults {
-        limit_per_s: Some(1.0),
+        advertised_limit_per_s: Some(1.0),
         ..Faults::default()
     });
     let started_at = Instant::now();
     let mut asked = 0;
     while started_at.elapsed() < PROPAGATION_DELAY + WINDOW + Duration::from_secs(1) {
         breaking.set_faults(Faults {
-            cuts_after: Some(2),
+            cut_after_events: Some(2),
             ..Faults::default()
         });
         let address = instances[asked % 2].callers_address();
         stream(address, "chat", &format!("id{asked}"), "m0");
         asked += 1;
     }
-    assert_within_limit(&limited.run_at(), started_at + PROPAGATION_DELAY, 1.0);
-    assert!(limited.run_at().len() > 1);
+    assert_within_limit(&limited.executed_at(), started_at + PROPAGATION_DELAY, 1.0);
+    assert!(limited.executed_at().len() > 1);
 }
 
 /// Without a coordinator and without a known number of instances, the limited upstream gets nothing
@@ -296,7 +296,7 @@
     advertise_limit(&servers[0], Some(1.0));
     let statuses = (0..4).map(|number| {
         let bytes = request("GET", "/read/", &format!("id{number}"), "", "");
-        ask(instance.callers_address(), &bytes)
+        fetch(instance.callers_address(), &bytes)
             .expect("an answer")
             .status
     });
--- a/tests/all/log_lines.rs
+++ b/tests/all/log_lines.rs
@@ -1,11 +1,11 @@
 //! Logs of instances on the users' platform: their volume, a reader that does not read,
 //! and a request's story out of them.
 
-use crate::cluster::{self, Answer, Caller, ask, list_plain, plain_server, request, until};
+use crate::cluster::{self, Answer, Caller, fetch, list_plain, plain_server, request, until};
 use expect_test::expect;
 use passway_ctl::commands::trace;
 use passway_process::logging::volume::{LineClass, VolumeBound};
-use passway_standins::platform::program::{Output, Program, ProgramPlan};
+use passway_standins::platform::process::{InstanceProcess, Output, ProcessConfig};
 use passway_types::prelude::*;
 use std::net::TcpStream;
 
@@ -63,13 +63,13 @@
 }
 
 /// An instance whose lines nobody reads, beside a plain server; it has answered once.
-fn unread(name: &str) -> Program {
+fn unread(name: &str) -> InstanceProcess {
     let store = cluster::store(&[]);
     let server = plain_server();
     list_plain(&store, "i-0", server.address, "ready");
     let arguments = ["--log-level", "debug", "--log-lines-per-s", "1000000"];
-    let program = Program::start(ProgramPlan {
-        program: env!("CARGO_BIN_EXE_passway-instance").into(),
+    let program = InstanceProcess::start(ProcessConfig {
+        executable: env!("CARGO_BIN_EXE_passway-instance").into(),
         name: name.to_owned(),
         store: store.serve(),
         grace_s: 8.0,
@@ -78,17 +78,19 @@
     });
     let program = program.expect("an instance");
     until("a listening instance", || {
-        TcpStream::connect(program.callers).is_ok()
+        TcpStream::connect(program.callers_address).is_ok()
     });
     let first = request("GET", "/read/", "first", "", "");
-    until("a first answer", || is_served(ask(program.callers, &first)));
+    until("a first answer", || {
+        is_served(fetch(program.callers_address, &first))
+    });
     program
 }
 
 /// Sends requests on one connection, whose next request waits for the line about the one
 /// before; how many are answered well.
-fn serve(program: &Program, requests: u32, id: &str) -> u32 {
-    let mut caller = Caller::connect(program.callers);
+fn serve(program: &InstanceProcess, requests: u32, id: &str) -> u32 {
+    let mut caller = Caller::connect(program.callers_address);
     let mut count = 0;
     for number in 0..requests {
         let id = format!("{id}{number}");
--- a/tests/all/model_orders.rs
+++ b/tests/all/model_orders.rs
@@ -18,12 +18,12 @@
     let instance = cluster::start_ready("one", &store);
     until("leadership", || instance.fence().is_some());
     let answer = stream(instance.callers_address(), "report", "r1", "m2");
-    assert_eq!((answer.status, answer.whole), (200, true));
+    assert_eq!((answer.status, answer.is_complete), (200, true));
     assert_eq!(answer.body, all_events());
-    let taken = server.taken();
+    let taken = server.accepted_orders();
     let operations: Vec<&str> = taken.iter().map(|order| &*order.operation).collect();
     assert_eq!(operations, ["unload_model", "load_model"]);
-    assert_eq!(server.over_limit(), 0);
+    assert_eq!(server.loads_over_capacity(), 0);
 }
 
 #[test]
@@ -39,16 +39,20 @@
             adapter,
             &format!("m0/{adapter}"),
         );
-        assert_eq!((answer.status, answer.whole), (200, true), "{adapter}");
+        assert_eq!(
+            (answer.status, answer.is_complete),
+            (200, true),
+            "{adapter}"
+        );
     }
     // Two slots: each later adapter makes another one unload first.
     let loads = server
-        .taken()
+        .accepted_orders()
         .iter()
         .filter(|o| o.operation == "load_model")
         .count();
     let unloads = server
-        .taken()
+        .accepted_orders()
         .iter()
         .filter(|o| o.operation == "unload_model")
         .count();
@@ -62,13 +66,13 @@
     let instance = cluster::start_ready("one", &store);
     until("leadership", || instance.fence().is_some());
     server.set_faults(Faults {
-        loses_answer: true,
+        drops_order_answer: true,
         ..Faults::default()
     });
     let answer = stream(instance.callers_address(), "report", "r1", "m2");
-    assert_eq!((answer.status, answer.whole), (200, true));
-    assert_eq!(server.over_limit(), 0);
-    assert_eq!(server.taken().len(), 2);
+    assert_eq!((answer.status, answer.is_complete), (200, true));
+    assert_eq!(server.loads_over_capacity(), 0);
+    assert_eq!(server.accepted_orders().len(), 2);
 }
 
 #[test]
@@ -80,16 +84,16 @@
     until("a repeat to spend", || instance.has_spare_retry("engines"));
     for server in [&first, &second] {
         server.set_faults(Faults {
-            cuts_after: Some(2),
+            cut_after_events: Some(2),
             ..Faults::default()
         });
     }
     // The first server cuts the stream after event 2; the second one sends all events.
     second.set_faults(Faults::default());
     let answer = stream(instance.callers_address(), "chat", "c1", "m0");
-    assert_eq!((answer.status, answer.whole), (200, true));
+    assert_eq!((answer.status, answer.is_complete), (200, true));
     assert_eq!(answer.body, all_events());
-    assert_eq!(first.runs().len() + second.runs().len(), 2);
+    assert_eq!(first.executed_ids().len() + second.executed_ids().len(), 2);
     assert_eq!(answer.head.matches("Response-Seal").count(), 1);
 }
 
@@ -99,13 +103,13 @@
     let server = ModelServer::start(&store, "i-0", "engines", 2, &["m0"], &[]);
     let instance = cluster::start_ready("one", &store);
     server.set_faults(Faults {
-        cuts_after: Some(2),
+        cut_after_events: Some(2),
         ..Faults::default()
     });
     let answer = stream(instance.callers_address(), "report", "c1", "m0");
-    assert_eq!((answer.status, answer.whole), (200, false));
+    assert_eq!((answer.status, answer.is_complete), (200, false));
     assert_eq!(answer.body, event(1) + &event(2));
-    assert_eq!(server.runs().len(), 1);
+    assert_eq!(server.executed_ids().len(), 1);
 }
 
 #[test]
@@ -140,7 +144,7 @@
         stream(other.callers_address(), "report", "r2", "m3").status,
         200
     );
-    let taken = server.taken();
+    let taken = server.accepted_orders();
     let mut holders: Vec<(&str, u64)> = taken.iter().map(|o| (&*o.holder, o.fence)).collect();
     holders.dedup();
     assert_eq!(holders.len(), 2, "{holders:?}");
@@ -307,7 +311,7 @@
     // Whichever server is first stops sending after two events; its connection stays open.
     for server in [&first, &second] {
         server.set_faults(Faults {
-            silent_after: Some(2),
+            silent_after_events: Some(2),
             ..Faults::default()
         });
     }
@@ -319,7 +323,7 @@
         .collect();
     for answer in answers {
         let answer = answer.join().expect("a caller");
-        assert_eq!((answer.status, answer.whole), (200, true));
+        assert_eq!((answer.status, answer.is_complete), (200, true));
         assert_eq!(answer.body, all_events());
     }
 }
@@ -362,11 +366,11 @@
     let server = ModelServer::start(&store, "i-0", "engines", 2, &["m0"], &[]);
     let instance = cluster::start_ready("one", &store);
     server.set_faults(Faults {
-        pause_after: Some(2),
+        pause_after_events: Some(2),
         ..Faults::default()
     });
     let answer = stream(instance.callers_address(), "chat", "c1", "m0");
-    assert_eq!((answer.status, answer.whole), (200, true));
+    assert_eq!((answer.status, answer.is_complete), (200, true));
     assert_eq!(answer.body, all_events());
-    assert_eq!(server.runs().len(), 1);
+    assert_eq!(server.executed_ids().len(), 1);
 }
--- a/tests/all/outage_terms.rs
+++ b/tests/all/outage_terms.rs
@@ -50,13 +50,13 @@
         store.get("passway/holder").is_some() && (0..3).any(|number| is_holder(&number))
     });
     assert_eq!(cluster::stream(other, "report", "r4", "m2").status, 200);
-    assert_eq!(server.over_limit(), 0);
+    assert_eq!(server.loads_over_capacity(), 0);
 }
 
 #[test]
 fn refusing_store() {
     serves_through_outage(Faults {
-        refuses: Some(503),
+        error_status: Some(503),
         ..Faults::default()
     });
 }
--- a/tests/all/pass_through.rs
+++ b/tests/all/pass_through.rs
@@ -1,6 +1,6 @@
 //! Requests and answers are forwarded completely and unchanged, or not at all.
 
-use crate::cluster::{self, Caller, ask, list_plain, request, until};
+use crate::cluster::{self, Caller, fetch, list_plain, request, until};
 use passway_instance::Instance;
 use passway_standins::platform::caller::HOST;
 use passway_standins::platform::model_server::{Faults, ModelServer};
@@ -54,14 +54,17 @@
         more_headers,
         "b\0dy",
     );
-    let answer = ask(instance.callers_address(), &bytes).expect("an answer");
+    let answer = fetch(instance.callers_address(), &bytes).expect("an answer");
     assert_eq!(
-        (answer.status, &*answer.body, answer.whole),
+        (answer.status, &*answer.body, answer.is_complete),
         (200, "fine", true)
     );
     assert_eq!(answer.header("response-seal"), Some("s.id1"));
     let received = server.received().remove(0);
-    assert_eq!(received.line(), "PUT /read/a%20b/../c?q=%41&&r HTTP/1.1");
+    assert_eq!(
+        received.request_line(),
+        "PUT /read/a%20b/../c?q=%41&&r HTTP/1.1"
+    );
     assert_eq!(received.body, b"b\0dy");
     assert_eq!(
         received
@@ -84,7 +87,7 @@
     let server = answering();
     let (_store, instance) = start(&[&server]);
     let forged_headers = "Hold: 1\r\nPin-Ms: 9\r\nKv-Backup: 1\r\nkv-from: 2\r\nExpect-Instance: x\r\nConnection: X-Gone\r\nX-Gone: 1\r\n";
-    ask(
+    fetch(
         instance.callers_address(),
         &request("GET", "/read/", "id1", forged_headers, ""),
     );
@@ -109,7 +112,7 @@
     let bytes = format!(
         "POST /read/ HTTP/1.1\r\nHost: {HOST}:80\r\nRequest-Id: c\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n"
     );
-    let answer = ask(instance.callers_address(), bytes.as_bytes()).expect("an answer");
+    let answer = fetch(instance.callers_address(), bytes.as_bytes()).expect("an answer");
     assert_eq!(answer.status, 200);
     let received = server.received().remove(0);
     assert_eq!(received.body, b"abcde");
@@ -149,7 +152,7 @@
     let bytes = request("POST", "/pay/", "h", "", "whole body");
     caller.send(&bytes[..bytes.len() - 4]);
     drop(caller);
-    let answer = ask(
+    let answer = fetch(
         instance.callers_address(),
         &request("GET", "/read/", "n", "", ""),
     );
@@ -161,7 +164,7 @@
 fn no_route() {
     let server = answering();
     let (_store, instance) = start(&[&server]);
-    let answer = ask(
+    let answer = fetch(
         instance.callers_address(),
         &request("GET", "/none/", "n", "", ""),
     );
@@ -176,7 +179,7 @@
         vec![send(&answer[..answer.len() - 3]), Step::Close]
     });
     let (_store, instance) = start(&[&server]);
-    let answer = ask(
+    let answer = fetch(
         instance.callers_address(),
         &request("POST", "/pay/", "p", "", ""),
     );
@@ -189,7 +192,7 @@
 fn invalid_answer_not_delivered() {
     let server = RawServer::start(|_| vec![send("SSH-2.0-x\r\n\r\n"), Step::Close]);
     let (_store, instance) = start(&[&server]);
-    let answer = ask(
+    let answer = fetch(
         instance.callers_address(),
         &request("POST", "/pay/", "p", "", ""),
     );
@@ -206,7 +209,7 @@
         ))]
     });
     let (_store, instance) = start(&[&server]);
-    let answer = ask(
+    let answer = fetch(
         instance.callers_address(),
         &request("POST", "/pay/", "p", "", ""),
     );
@@ -222,7 +225,7 @@
     let (_store, instance) = start(&[&server]);
     for number in 0..6 {
         let bytes = request("GET", "/read/", &format!("id{number}"), "", "");
-        let answer = ask(instance.callers_address(), &bytes).expect("an answer");
+        let answer = fetch(instance.callers_address(), &bytes).expect("an answer");
         assert_eq!((answer.status, &*answer.body), (200, "mine"));
     }
     let connections: Vec<usize> = server.received().iter().map(|r| r.connection).collect();
@@ -236,7 +239,7 @@
         vec![send(late_answer.to_owned() + &whole(received, "mine"))]
     });
     let (_store, instance) = start(&[&server]);
-    let answer = ask(
+    let answer = fetch(
         instance.callers_address(),
         &request("POST", "/pay/", "p", "", ""),
     );
@@ -257,7 +260,7 @@
     });
     let (_store, instance) = start(&[&server]);
     let body = "x".repeat(60_000);
-    let answer = ask(
+    let answer = fetch(
         instance.callers_address(),
         &request("POST", "/pay/", "p", "", &body),
     );
@@ -275,7 +278,7 @@
             instance.has_spare_retry("plain")
         });
         let bytes = request("POST", "/pay/", &format!("id{number}"), "", "");
-        let answer = ask(instance.callers_address(), &bytes);
+        let answer = fetch(instance.callers_address(), &bytes);
         assert_eq!(answer.map(|answer| answer.status), Some(200));
     }
     assert_eq!(working_server.received().len(), 4);
@@ -285,7 +288,7 @@
 fn refusal_has_retry_after() {
     let full_server = RawServer::start(|received| vec![send(not_run(received))]);
     let (_store, instance) = start(&[&full_server]);
-    let answer = ask(
+    let answer = fetch(
         instance.callers_address(),
         &request("POST", "/pay/", "p", "", ""),
     );
@@ -300,7 +303,7 @@
     let closing_server = || RawServer::start(|_| vec![Step::Close]);
     let (one, two) = (closing_server(), closing_server());
     let (_store, instance) = start(&[&one, &two]);
-    let answer = ask(
+    let answer = fetch(
         instance.callers_address(),
         &request("POST", "/pay/", "p", "", "x"),
     );
@@ -318,7 +321,7 @@
             instance.has_spare_retry("plain")
         });
         let bytes = request("GET", "/read/", &format!("id{number}"), "", "");
-        let answer = ask(instance.callers_address(), &bytes);
+        let answer = fetch(instance.callers_address(), &bytes);
         assert_eq!(answer.map(|answer| answer.status), Some(200));
     }
 }
@@ -332,7 +335,7 @@
         ))]
     });
     let (_store, instance) = start(&[&server]);
-    let answer = ask(
+    let answer = fetch(
         instance.callers_address(),
         &request("POST", "/pay/", "p", "", ""),
     );
@@ -381,7 +384,7 @@
     let address = instance.callers_address();
     let mut reused = Caller::connect(address);
     let mut idle = Caller::connect(address);
-    let slow = std::thread::spawn(move || ask(address, &request("POST", "/pay/", "p", "", "x")));
+    let slow = std::thread::spawn(move || fetch(address, &request("POST", "/pay/", "p", "", "x")));
     until("the request", || server.received().len() == 1);
     std::thread::scope(|scope| {
         let stopping = scope.spawn(|| instance.stop());
@@ -389,7 +392,7 @@
         // New requests are served until the balancer has had time to notice the stop.
         let mut forwarded = 1;
         until("the refusal of new requests", || {
-            let answer = ask(address, &request("POST", "/pay/", "new", "", "x"));
+            let answer = fetch(address, &request("POST", "/pay/", "new", "", "x"));
             let status = answer.expect("an answer").status;
             forwarded += usize::from(status == 200);
             status == 503
@@ -417,7 +420,7 @@
     let store = cluster::store(&["m0"]);
     let engine = ModelServer::start(&store, "e0", "engines", 1, &["m0"], &[]);
     engine.set_faults(Faults {
-        cuts_after: Some(2),
+        cut_after_events: Some(2),
         ..Faults::default()
     });
     let instance = cluster::start_ready("one", &store);
@@ -458,13 +461,13 @@
     let (_store, instance) = start(&[&server]);
     // Without a host there is no route, and nothing stays reserved afterwards.
     let bytes = b"GET /read/ HTTP/1.1\r\nRequest-Id: n\r\n\r\n";
-    let answer = ask(instance.callers_address(), bytes);
+    let answer = fetch(instance.callers_address(), bytes);
     assert_eq!(answer.map(|answer| answer.status), Some(400));
     assert_eq!(server.received(), []);
     // Without an id and a deadline, the route's timeout applies, and the server decides about the
     // rest.
     let bytes = format!("GET /read/ HTTP/1.1\r\nHost: {HOST}\r\n\r\n");
-    ask(instance.callers_address(), bytes.as_bytes());
+    fetch(instance.callers_address(), bytes.as_bytes());
     let received = server.received().remove(0);
     assert_eq!(received.header("request-id"), None);
     let remaining_ms: u64 = received
--- a/tests/all/planned.rs
+++ b/tests/all/planned.rs
@@ -1,6 +1,6 @@
 //! A planner with one engine, in virtual time.
 
-use crate::cluster::{self, PATIENCE};
+use crate::cluster::{self, RECEIVE_TIMEOUT};
 use passway_serving::placement::policy::PolicyName;
 use passway_serving::placement::{Action, PlannedOrder, Planner, USUAL_LOAD_WINDOW, Waiters};
 use passway_serving::ports::{Directory, EngineReport, OrderAnswer, StoredValue};
@@ -109,7 +109,7 @@
             service: "engines".into(),
             wish,
             count,
-            until: self.now + PATIENCE,
+            until: self.now + RECEIVE_TIMEOUT,
         };
         self.planner.waiting(waiters, self.now);
     }
--- a/tests/all/platform_soak.rs
+++ b/tests/all/platform_soak.rs
@@ -4,7 +4,7 @@
 //! `PASSWAY_SOAK_STEPS` sets its length, `PASSWAY_SOAK_SEED` the seed. What must hold is
 //! judged from the stand-ins' ledgers and the callers' answers, never from times.
 
-use crate::cluster::{self, ask, list_plain, request, until};
+use crate::cluster::{self, fetch, list_plain, request, until};
 use crate::support::from_environment;
 use passway_instance::Instance;
 use passway_standins::platform::model_server::{self, EVENTS, ModelServer, event};
@@ -45,10 +45,10 @@
 fn draw_store_faults(rng: &mut ChaCha8Rng) -> Faults {
     let mut faults = Faults::default();
     match rng.random_range(0..4) {
-        0 => faults.refuses = Some(503),
-        1 => faults.refuses = Some(429),
-        2 => faults.talks_garbage = true,
-        _ => faults.loses_answers = 2,
+        0 => faults.error_status = Some(503),
+        1 => faults.error_status = Some(429),
+        2 => faults.sends_invalid_json = true,
+        _ => faults.answers_to_drop = 2,
     }
     faults
 }
@@ -57,15 +57,15 @@
     let after = Some(rng.random_range(0..EVENTS));
     match rng.random_range(0..3) {
         0 => model_server::Faults {
-            cuts_after: after,
+            cut_after_events: after,
             ..Default::default()
         },
         1 => model_server::Faults {
-            silent_after: after,
+            silent_after_events: after,
             ..Default::default()
         },
         _ => model_server::Faults {
-            loses_answer: true,
+            drops_order_answer: true,
             ..Default::default()
         },
     }
@@ -81,14 +81,14 @@
     };
     let more = more + "Connection: close\r\n";
     let bytes = request("POST", path, &id, &more, "{}");
-    let Some(answer) = ask(address, &bytes) else {
+    let Some(answer) = fetch(address, &bytes) else {
         return;
     };
     if answer.status == 200 && !number.is_multiple_of(3) {
         let events: Vec<String> = (1..=EVENTS).map(event).collect();
         assert!(events.concat().starts_with(&answer.body), "{}", answer.body);
         assert!(
-            !answer.whole || answer.body == events.concat(),
+            !answer.is_complete || answer.body == events.concat(),
             "{}",
             answer.body
         );
@@ -121,7 +121,7 @@
             store.set_faults(Faults::default());
         }
         if rng.random_bool(FAULT_CHANCE) {
-            store.forget_history();
+            store.compact_history();
         }
         for server in &servers {
             if rng.random_bool(FAULT_CHANCE) {
@@ -153,8 +153,8 @@
     judge(&servers, &plains, &answers);
     until("service after the faults", || {
         let bytes = request("POST", "/report/", "last", "Model: m4\r\n", "{}");
-        let answer = ask(instances[0].callers_address(), &bytes);
-        answer.is_some_and(|answer| answer.whole && answer.status == 200)
+        let answer = fetch(instances[0].callers_address(), &bytes);
+        answer.is_some_and(|answer| answer.is_complete && answer.status == 200)
     });
 }
 
@@ -162,16 +162,20 @@
     let answers = answers.lock().expect("answers");
     let mut runs: BTreeMap<String, usize> = BTreeMap::new();
     for server in servers {
-        assert_eq!(server.over_limit(), 0, "an order to load without room");
+        assert_eq!(
+            server.loads_over_capacity(),
+            0,
+            "an order to load without room"
+        );
         let mut highest = 0;
-        for order in server.taken() {
+        for order in server.accepted_orders() {
             assert!(
                 order.fence >= highest,
                 "an older holder's order after a newer one's"
             );
             highest = order.fence;
         }
-        for id in server.runs() {
+        for id in server.executed_ids() {
             *runs.entry(id).or_default() += 1;
         }
     }
--- a/tests/all/poison_late_ports.rs
+++ b/tests/all/poison_late_ports.rs
@@ -1,7 +1,7 @@
 //! Requests that crash engines whose ports close a little later than their connections.
 
-use crate::cluster::{self, ask, request, until};
-use passway_standins::platform::model_server::{Faults, ModelServer, Models};
+use crate::cluster::{self, fetch, request, until};
+use passway_standins::platform::model_server::{Faults, InitialModels, ModelServer};
 use passway_types::prelude::*;
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -63,15 +63,15 @@
 fn late_crash_detected() {
     let store = cluster::store(&["m0"]);
     let engines = (0..8).map(|number| {
-        let models = Models {
-            places: 1,
-            standing: &["m0"],
+        let models = InitialModels {
+            capacity: 1,
+            loaded: &["m0"],
             on_disk: &[],
         };
         let id = format!("i-{number}");
         let engine = ModelServer::start_behind(&store, &id, "engines", models, late_port);
         engine.set_faults(Faults {
-            crashes_on: Some(POISON.to_owned()),
+            crash_on_prefix: Some(POISON.to_owned()),
             ..Faults::default()
         });
         engine
@@ -82,10 +82,10 @@
     until("the refusal", || {
         let id = format!("p{:?}", ids.next());
         let bytes = request("POST", "/report/", &id, "Model: m0\r\n", POISON);
-        let answer = ask(instance.callers_address(), &bytes).expect("an answer");
+        let answer = fetch(instance.callers_address(), &bytes).expect("an answer");
         let seconds = answer.header("retry-after").and_then(|s| s.parse().ok());
         seconds.is_some_and(|s: f64| s > 60.0)
     });
-    let crashed = engines.iter().filter(|engine| engine.crashed()).count();
+    let crashed = engines.iter().filter(|engine| engine.has_crashed()).count();
     assert_eq!(crashed, MAX_CRASHES);
 }
--- a/tests/all/poison_open_ports.rs
+++ b/tests/all/poison_open_ports.rs
@@ -5,7 +5,7 @@
 //! was the only evidence of a crash. Two requests crashed 41 of ten such engines in 24 s, and a
 //! fifth of all other requests failed.
 
-use crate::cluster::{self, ask, configuration, request, until};
+use crate::cluster::{self, configuration, fetch, request, until};
 use passway_instance::Instance;
 use passway_standins::platform::model_server::{Faults, ModelServer};
 use passway_standins::platform::store::MetadataStandIn;
@@ -48,9 +48,9 @@
         let id = format!("i-{number}");
         let engine = ModelServer::start(&store, &id, "engines", 1, &["m0"], &[]);
         engine.set_faults(Faults {
-            crashes_on: Some("poison".to_owned()),
-            restarts_after: Some(RESTART_DURATION),
-            event_pause: Duration::from_millis(20),
+            crash_on_prefix: Some("poison".to_owned()),
+            restart_delay: Some(RESTART_DURATION),
+            event_delay: Duration::from_millis(20),
             ..Faults::default()
         });
         engine
@@ -71,8 +71,8 @@
 fn send(instance: &Instance, route: &str, id: &str, body: &str) -> bool {
     let path = format!("/{route}/");
     let bytes = request("POST", &path, id, "Model: m0\r\n", body);
-    let answer = ask(instance.callers_address(), &bytes);
-    answer.is_some_and(|answer| answer.status == 200 && answer.whole)
+    let answer = fetch(instance.callers_address(), &bytes);
+    answer.is_some_and(|answer| answer.status == 200 && answer.is_complete)
 }
 
 /// Repeats both poison requests at all instances, along with harmless requests that have equal
@@ -112,7 +112,7 @@
     let restarts: Vec<String> = cluster
         .engines
         .iter()
-        .flat_map(ModelServer::restarts)
+        .flat_map(ModelServer::restart_bodies)
         .collect();
     for poison in POISON_BODIES {
         let crashes = restarts.iter().filter(|body| *body == poison).count();
--- a/tests/all/poison_requests.rs
+++ b/tests/all/poison_requests.rs
@@ -6,7 +6,7 @@
 //! minute the model was hardly served. The log lines of the broken runs carry the same digest of
 //! caller, path and body.
 
-use crate::cluster::{self, Answer, Caller, ask, request, until};
+use crate::cluster::{self, Answer, Caller, fetch, request, until};
 use passway_instance::Instance;
 use passway_standins::platform::caller::HOST;
 use passway_standins::platform::model_server::{Faults, ModelServer};
@@ -26,7 +26,7 @@
         let id = format!("i-{number}");
         let engine = ModelServer::start(&store, &id, "engines", 1, &["m0"], &[]);
         engine.set_faults(Faults {
-            crashes_on: Some(POISON.to_owned()),
+            crash_on_prefix: Some(POISON.to_owned()),
             ..Faults::default()
         });
         engine
@@ -36,14 +36,14 @@
 }
 
 fn crashed_count(engines: &[ModelServer]) -> usize {
-    engines.iter().filter(|engine| engine.crashed()).count()
+    engines.iter().filter(|engine| engine.has_crashed()).count()
 }
 
 /// Sends a request for the model; each attempt has an id of its own.
 fn send(instance: &Instance, route: &str, id: &str, body: &str) -> Answer {
     let path = format!("/{route}/");
     let bytes = request("POST", &path, id, "Model: m0\r\n", body);
-    ask(instance.callers_address(), &bytes).expect("an answer")
+    fetch(instance.callers_address(), &bytes).expect("an answer")
 }
 
 /// Connects from a given address.
@@ -58,7 +58,7 @@
 /// Whether an instance refuses exactly one request.
 fn refuses_one_request(instance: &Instance) -> bool {
     let question = format!("GET /metrics HTTP/1.1\r\nHost: {HOST}\r\nConnection: close\r\n\r\n");
-    let metrics = ask(instance.ready_address(), question.as_bytes()).expect("metrics");
+    let metrics = fetch(instance.ready_address(), question.as_bytes()).expect("metrics");
     metrics
         .body
         .contains("\npassway_instance_poison_requests 1\n")
@@ -77,7 +77,7 @@
     for number in 0..engines.len() {
         send(&instance, route, &format!("p{number}"), POISON);
         let other_answer = send(&instance, "chat", &format!("o{number}"), "{}");
-        assert_eq!((other_answer.status, other_answer.whole), (200, true));
+        assert_eq!((other_answer.status, other_answer.is_complete), (200, true));
     }
     assert_eq!(crashed_count(&engines), MAX_CRASHES);
     // The request is refused at once, with a long time to retry after.
@@ -114,7 +114,7 @@
     for last in 1..=8 {
         let from = SocketAddr::from(([127, 0, 0, last], 0));
         let to = instance.callers_address();
-        let mut caller = Caller::over(connect(from, to));
+        let mut caller = Caller::from_stream(connect(from, to));
         caller.send(&request("POST", "/report/", "p", "Model: m0\r\n", POISON));
         assert!(caller.receive().is_some());
     }
--- a/tests/all/poison_turns.rs
+++ b/tests/all/poison_turns.rs
@@ -1,7 +1,7 @@
 //! After two crashes, copies of a request run one at a time over all instances, with a permit of
 //! the coordinator.
 
-use crate::cluster::{self, Answer, PATIENCE, ask, request, until};
+use crate::cluster::{self, Answer, RECEIVE_TIMEOUT, fetch, request, until};
 use crate::holder_link::{PlayedHolder, subscription};
 use passway_instance::Instance;
 use passway_standins::platform::model_server::{Faults, ModelServer};
@@ -21,7 +21,7 @@
         let id = format!("i-{number}");
         let engine = ModelServer::start(store, &id, "engines", 1, &["m0"], &[]);
         engine.set_faults(Faults {
-            crashes_on: Some(POISON.to_owned()),
+            crash_on_prefix: Some(POISON.to_owned()),
             ..Faults::default()
         });
         engine
@@ -30,12 +30,12 @@
 }
 
 fn crashed_count(engines: &[ModelServer]) -> usize {
-    engines.iter().filter(|engine| engine.crashed()).count()
+    engines.iter().filter(|engine| engine.has_crashed()).count()
 }
 
 fn send(instance: &Instance, id: &str) -> Answer {
     let bytes = request("POST", "/report/", id, "Model: m0\r\n", POISON);
-    ask(instance.callers_address(), &bytes).expect("an answer")
+    fetch(instance.callers_address(), &bytes).expect("an answer")
 }
 
 /// Whether an answer refuses a suspect request. A request that only finds crashed upstreams is
@@ -58,7 +58,7 @@
         let store = cluster::store(&["m0"]);
         let coordinator = UdpSocket::bind("127.0.0.1:0").expect("a port");
         coordinator
-            .set_read_timeout(Some(PATIENCE))
+            .set_read_timeout(Some(RECEIVE_TIMEOUT))
             .expect("a timeout");
         let address = coordinator.local_addr().expect("an address");
         store.put_bytes("passway/holder", format!("played {address}").as_bytes());
@@ -171,7 +171,9 @@
     }
     // Datagrams are processed in order, so the report of the crashes arrives before this query.
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    socket.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+    socket
+        .set_read_timeout(Some(RECEIVE_TIMEOUT))
+        .expect("a timeout");
     let question = Datagram::bytes(Some(Dispatch::VersionAsk(VersionAsk { id: 1 })));
     socket.send_to(&question, &address).expect("sent");
     socket.recv_from(&mut [0; 1_500]).expect("an answer");
--- a/tests/all/process_kills.rs
+++ b/tests/all/process_kills.rs
@@ -2,11 +2,11 @@
 
 use crate::processes::{Processes, ask, health, wait_until_serving};
 use crate::support::{patient_plan, small_plan};
+use passway_standins::cluster::{ClusterPlan, TestCluster};
 use passway_standins::engine;
 use passway_standins::key_value;
 use passway_standins::load::{Outcome, Sample};
 use passway_standins::service;
-use passway_standins::world::{World, WorldPlan};
 use passway_types::prelude::*;
 use rustix::process::Signal;
 use std::thread::JoinHandle;
@@ -31,7 +31,7 @@
 
 #[test]
 fn drain_cuts_nothing() {
-    let world = World::start(patient_plan()).expect("world");
+    let world = TestCluster::start(patient_plan()).expect("world");
     let mut processes = Processes::start(&world);
     let router = processes.routers[0].address;
     let callers: Vec<_> = (0..30)
@@ -46,7 +46,7 @@
 
 #[test]
 fn drain_says_so() {
-    let world = World::start(patient_plan()).expect("world");
+    let world = TestCluster::start(patient_plan()).expect("world");
     let processes = Processes::start(&world);
     let router = processes.routers[0].address;
     let long = ask(router, "model1@1", 0, 4 * LONG);
@@ -61,7 +61,7 @@
 
 #[test]
 fn killed_router_alone() {
-    let world = World::start(patient_plan()).expect("world");
+    let world = TestCluster::start(patient_plan()).expect("world");
     let processes = Processes::start(&world);
     let (first, second) = (processes.routers[0].address, processes.routers[1].address);
     let lost: Vec<_> = (0..20)
@@ -80,19 +80,19 @@
             "{outcome:?}"
         );
     }
-    assert_eq!(world.loads_of("model1@1"), 1);
+    assert_eq!(world.load_count("model1@1"), 1);
 }
 
 #[test]
 fn controller_killed_loading() {
-    let plan = WorldPlan {
+    let plan = ClusterPlan {
         instances: 3,
         lease_ms: small_plan().lease_ms,
         ..patient_plan()
     };
-    let world = World::start(plan).expect("world");
+    let world = TestCluster::start(plan).expect("world");
     // A load that takes longer than the kill and less than the deadline.
-    world.store.set_slowdown(5);
+    world.weight_store.set_slowdown(5);
     let processes = Processes::start(&world);
     let leader = processes.leader();
     let routers: Vec<_> = processes
@@ -106,19 +106,19 @@
     std::thread::sleep(HEAD_START);
     processes.controllers[leader].signal(Signal::KILL);
     all_whole(callers);
-    assert_eq!(world.loads_of("model2@1"), 1);
+    assert_eq!(world.load_count("model2@1"), 1);
 }
 
 #[test]
 fn controller_paused() {
     for checks_fencing in [true, false] {
-        let plan = WorldPlan {
+        let plan = ClusterPlan {
             instances: 3,
             checks_fencing,
             lease_ms: small_plan().lease_ms,
             ..patient_plan()
         };
-        let world = World::start(plan).expect("world");
+        let world = TestCluster::start(plan).expect("world");
         let processes = Processes::start(&world);
         let leader = processes.leader();
         let router = processes.routers[(leader + 1) % 3].address;
@@ -137,18 +137,18 @@
                 "an order for which there was no room"
             );
         }
-        assert_eq!(world.loads_of("model1@1"), 1);
+        assert_eq!(world.load_count("model1@1"), 1);
     }
 }
 
 #[test]
 fn engine_dies_streaming() {
-    let plan = WorldPlan {
+    let plan = ClusterPlan {
         max_replicas: 2,
         slots: 8,
         ..patient_plan()
     };
-    let world = World::start(plan).expect("world");
+    let world = TestCluster::start(plan).expect("world");
     let processes = Processes::start(&world);
     let router = processes.routers[0].address;
     // More than one replica's slots, so that there are two.
@@ -180,7 +180,7 @@
 
 #[test]
 fn outage_of_key_value() {
-    let world = World::start(small_plan()).expect("world");
+    let world = TestCluster::start(small_plan()).expect("world");
     let mut processes = Processes::start(&world);
     let router = processes.routers[0].address;
     all_whole(vec![ask(router, "model1@1", 0, 8)]);
@@ -231,11 +231,11 @@
 
 #[test]
 fn leaving_upstream() {
-    let plan = WorldPlan {
+    let plan = ClusterPlan {
         list_lag: Duration::from_mins(1),
         ..patient_plan()
     };
-    let world = World::start(plan).expect("world");
+    let world = TestCluster::start(plan).expect("world");
     let processes = Processes::start(&world);
     let router = processes.routers[0].address;
     all_whole(vec![ask(router, "model1@1", 0, 8)]);
@@ -265,7 +265,7 @@
 
 #[test]
 fn isolated_refuses() {
-    let world = World::start(small_plan()).expect("world");
+    let world = TestCluster::start(small_plan()).expect("world");
     let processes = Processes::start(&world);
     let router = processes.routers[0].address;
     all_whole(vec![ask(router, "model1@1", 0, 8)]);
@@ -314,7 +314,7 @@
 
 #[test]
 fn outcome_survives_stop() {
-    let world = World::start(patient_plan()).expect("world");
+    let world = TestCluster::start(patient_plan()).expect("world");
     let mut processes = Processes::start(&world);
     let (first, second) = (processes.routers[0].address, processes.routers[1].address);
     let charge = |router| {
--- a/tests/all/processes.rs
+++ b/tests/all/processes.rs
@@ -1,8 +1,8 @@
 //! The shipped programs as processes in front of stand-ins in the test's own process.
 
+use passway_standins::cluster::{ClusterPlan, TestCluster, data_hall, instance_id};
 use passway_standins::load::{Call, Sample, call};
-use passway_standins::platform::program::free_address;
-use passway_standins::world::{World, WorldPlan, data_hall, instance_id};
+use passway_standins::platform::process::free_address;
 use passway_types::prelude::*;
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::json;
@@ -50,12 +50,12 @@
     folder: PathBuf,
     key_value: SocketAddr,
     instance_list: SocketAddr,
-    plan: WorldPlan,
+    plan: ClusterPlan,
 }
 
 impl Processes {
     /// Starts every instance of the world and waits until the routers serve.
-    pub fn start(world: &World) -> Self {
+    pub fn start(world: &TestCluster) -> Self {
         static FOLDERS: AtomicU8 = AtomicU8::new(0);
         let number = FOLDERS.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("passway-{}-{number}", std::process::id()));
@@ -67,7 +67,7 @@
             controller_addresses: (0..count).map(|_| free_address()).collect(),
             folder,
             key_value: world.key_value_address,
-            instance_list: world.list_address,
+            instance_list: world.instance_list_address,
             plan: world.plan.clone(),
         };
         for number in 0..count {
@@ -99,8 +99,8 @@
             "instance_list": self.instance_list,
             "lease_ms": self.plan.lease_ms,
             "order_settle_ms": 3_000,
-            "key_value_timeout_ms": self.plan.wait_ms(1_000),
-            "write_patience_ms": self.plan.wait_ms(500),
+            "key_value_timeout_ms": self.plan.key_value_timeout_ms(1_000),
+            "write_patience_ms": self.plan.key_value_timeout_ms(500),
         });
         let program = env!("CARGO_BIN_EXE_passway-controller");
         self.spawn(program, &format!("controller{number}"), &settings, address)
@@ -117,7 +117,7 @@
             "listen": address,
             "controllers": controllers.collect::<Vec<_>>(),
             "key_value": self.key_value,
-            "key_value_timeout_ms": self.plan.wait_ms(1_000),
+            "key_value_timeout_ms": self.plan.key_value_timeout_ms(1_000),
         });
         let program = env!("CARGO_BIN_EXE_passway-router");
         self.spawn(program, &format!("router{number}"), &settings, address)
--- a/tests/all/received_orders.rs
+++ b/tests/all/received_orders.rs
@@ -2,7 +2,7 @@
 //! believes: the fault runs (`placement_faults`) draw such cases, these are the causes one by
 //! one. A calm day at 256 engines had one, 3.6 s after the right to order had changed hands.
 
-use crate::cluster::{self, PATIENCE};
+use crate::cluster::{self, RECEIVE_TIMEOUT};
 use crate::planned::{Planned, entry, plain, resident};
 use passway_serving::placement::{Action, PlannedOrder};
 use passway_serving::ports::{Directory, EngineReport, OrderAction, OrderAnswer, StoredValue};
@@ -105,7 +105,7 @@
     planned.orders(OrderAnswer::Taken);
     planned.report(false, 1, &["m0", "m2"]);
     // m2 is needed no more, and m0 is busy.
-    planned.now += PATIENCE;
+    planned.now += RECEIVE_TIMEOUT;
     let busy = plain("m0");
     planned
         .planner
--- a/tests/all/resting_upstreams.rs
+++ b/tests/all/resting_upstreams.rs
@@ -1,7 +1,7 @@
 //! Upstreams that refuse a request and ask the instance to back off get nothing from this instance
 //! during the backoff.
 
-use crate::cluster::{self, Answer, ask, list_plain, request, stream, until};
+use crate::cluster::{self, Answer, fetch, list_plain, request, stream, until};
 use crate::signalling::{SignallingAnswer, SignallingServer};
 use passway_instance::Instance;
 use passway_serving::upstreams::{UpstreamEntry, UpstreamTable};
@@ -32,7 +32,7 @@
             std::thread::spawn(move || {
                 std::thread::sleep(Duration::from_millis(250 * number));
                 let bytes = request("GET", path, &format!("id{number}"), "", "");
-                ask(address, &bytes).expect("an answer").status
+                fetch(address, &bytes).expect("an answer").status
             })
         });
         let callers: Vec<_> = callers.collect();
@@ -72,7 +72,7 @@
 
 fn get(instance: &Instance, id: &str) -> Answer {
     let bytes = request("GET", "/read/", id, "", "");
-    ask(instance.callers_address(), &bytes).expect("an answer")
+    fetch(instance.callers_address(), &bytes).expect("an answer")
 }
 
 /// Without another upstream and with a backoff longer than the request may wait, the caller is
@@ -101,7 +101,7 @@
     let address = instance.callers_address();
     let waiting = std::thread::spawn(move || {
         let bytes = request("GET", "/read/", "first", "", "");
-        ask(address, &bytes).expect("an answer").status
+        fetch(address, &bytes).expect("an answer").status
     });
     until("the refusal", || server.count() == 1);
     server.set_answer(SignallingAnswer::plain());
@@ -187,7 +187,7 @@
     let callers = (0..10).map(|number| {
         std::thread::spawn(move || {
             let bytes = request("GET", "/read/", &format!("id{number}"), "", "");
-            ask(address, &bytes).expect("an answer").status
+            fetch(address, &bytes).expect("an answer").status
         })
     });
     let callers: Vec<_> = callers.collect();
@@ -214,10 +214,10 @@
     let engine = ModelServer::start(&store, "i-0", "engines", 2, &["m0"], &["m1", "m2"]);
     let instance = start(&store);
     until("the leadership", || instance.fence().is_some());
-    until("the first query", || !engine.asked_at().is_empty());
+    until("the first query", || !engine.control_calls_at().is_empty());
     let backoff = Duration::from_millis(900);
     engine.set_faults(Faults {
-        rest_s: Some(backoff.as_secs_f64()),
+        backoff_s: Some(backoff.as_secs_f64()),
         ..Faults::default()
     });
     let address = instance.callers_address();
@@ -227,7 +227,7 @@
     let first = request_model("m0");
     until("the refusal", || !engine.arrivals().is_empty());
     engine.set_faults(Faults::default());
-    let refused_at = engine.arrivals()[0].at;
+    let refused_at = engine.arrivals()[0].arrived_at;
     let other_callers = [request_model("m1"), request_model("m2")];
     assert_eq!(first.join().expect("a caller"), 200);
     for other in other_callers {
@@ -236,14 +236,14 @@
     let in_flight_allowance = Duration::from_millis(100);
     let is_within_backoff =
         |at: &Instant| *at > refused_at + in_flight_allowance && *at < refused_at + backoff;
-    let queried_at = engine.asked_at();
+    let queried_at = engine.control_calls_at();
     assert_eq!(
         queried_at.iter().filter(|at| is_within_backoff(at)).count(),
         0
     );
     assert_eq!(
         engine
-            .run_at()
+            .executed_at()
             .iter()
             .filter(|at| is_within_backoff(at))
             .count(),
--- a/tests/all/retry_terms.rs
+++ b/tests/all/retry_terms.rs
@@ -1,6 +1,6 @@
 //! The retry budget while the leadership is lost and gained again all the time.
 
-use crate::cluster::{self, PATIENCE};
+use crate::cluster::{self, RECEIVE_TIMEOUT};
 use passway_serving::retry::InstanceCount;
 use passway_standins::platform::store::{Faults, MetadataStandIn};
 use passway_types::prelude::*;
@@ -12,7 +12,7 @@
 /// Makes the store refuse all calls, or answer them again.
 fn set_store_refusing(store: &MetadataStandIn, refuses: bool) {
     store.set_faults(Faults {
-        refuses: refuses.then_some(503),
+        error_status: refuses.then_some(503),
         ..Faults::default()
     });
 }
@@ -23,7 +23,7 @@
 fn short_terms_count_together() {
     let store = cluster::store(&["m0"]);
     let instance = cluster::start_ready("one", &store);
-    let limit_at = Instant::now() + PATIENCE;
+    let limit_at = Instant::now() + RECEIVE_TIMEOUT;
     for refuses in [true, false].into_iter().cycle() {
         set_store_refusing(&store, refuses);
         let until = Instant::now() + HALF_PERIOD;
--- a/tests/all/slow_readers.rs
+++ b/tests/all/slow_readers.rs
@@ -1,7 +1,7 @@
 //! Callers that do not read their answers or do not finish their bodies use little memory, end with
 //! a logged cause, and do not affect other callers.
 
-use crate::cluster::{self, ask, request, until};
+use crate::cluster::{self, fetch, request, until};
 use crate::scrape::metrics;
 use crate::scripted_store::shared;
 use passway_instance::shared::MAX_RESERVED_BYTES;
@@ -80,10 +80,10 @@
         .collect();
     for number in 0..60 {
         let bytes = request("GET", "/read/", &format!("p{number}"), "", "");
-        assert_eq!(ask(address, &bytes).expect("an answer").status, 200);
+        assert_eq!(fetch(address, &bytes).expect("an answer").status, 200);
     }
     until("the end of the engine's streams", || {
-        engine.ended().len() >= SLOW_CALLERS
+        engine.closed_connections().len() >= SLOW_CALLERS
             && metrics(&instance).contains("not taken by its caller")
     });
     drop((unread_streams, half_sent_bodies));
