--- a/tests/all/slow_renewals.rs
+++ b/tests/all/slow_renewals.rs
@@ -1,7 +1,7 @@
 //! A store that answers, but slowly.
 
 use crate::cluster::{self, until};
-use passway_standins::platform::proxy::{Proxy, WayFaults};
+use passway_standins::platform::proxy::{Proxy, ProxyFaults};
 use passway_types::prelude::*;
 
 /// Delay in each direction. An answer takes twice as long, which is longer than an instance usually
@@ -17,9 +17,9 @@
 fn leadership_is_kept() {
     let store = cluster::store(&[]);
     let proxy = Proxy::start(store.serve());
-    proxy.set_faults(WayFaults {
+    proxy.set_faults(ProxyFaults {
         delay: ONE_WAY_DELAY,
-        ..WayFaults::default()
+        ..ProxyFaults::default()
     });
     let instance = cluster::start_at("one", proxy.address);
     let mut current_term = None;
--- a/tests/all/soak.rs
+++ b/tests/all/soak.rs
@@ -13,14 +13,14 @@
     let logs = std::env::temp_dir().join(format!("passway-soak-{}", std::process::id()));
     std::fs::create_dir_all(&logs).expect("a folder for logs");
     let report = soak::run(&SoakPlan {
-        program: env!("CARGO_BIN_EXE_passway-instance").into(),
-        logs: logs.clone(),
+        executable: env!("CARGO_BIN_EXE_passway-instance").into(),
+        log_dir: logs.clone(),
         seed,
         instances: 3,
         engines: 4,
         callers: 8,
-        steps: from_environment("PASSWAY_SOAK_STEPS", STEPS),
-        pause: Duration::from_millis(500),
+        fault_count: from_environment("PASSWAY_SOAK_STEPS", STEPS),
+        max_pause: Duration::from_millis(500),
     });
     let report = report.expect("a soak");
     assert_eq!(
--- a/tests/all/store_feeds.rs
+++ b/tests/all/store_feeds.rs
@@ -1,6 +1,6 @@
 //! Data in the store takes effect soon and never reverts, whatever faults the store has.
 
-use crate::cluster::{self, ask, configuration, list_plain, plain_server, request, until};
+use crate::cluster::{self, configuration, fetch, list_plain, plain_server, request, until};
 use passway_standins::platform::store::Faults;
 use passway_types::prelude::*;
 use serde_json::json;
@@ -9,7 +9,7 @@
 fn garbage_store() {
     let store = cluster::store(&[]);
     store.set_faults(Faults {
-        talks_garbage: true,
+        sends_invalid_json: true,
         ..Faults::default()
     });
     let instance = cluster::start("one", &store);
@@ -17,7 +17,7 @@
         store.calls().values().sum::<u64>() > 4
     });
     assert!(!instance.is_ready());
-    let answer = ask(
+    let answer = fetch(
         instance.callers_address(),
         &request("GET", "/read/", "g", "", ""),
     );
@@ -29,7 +29,7 @@
     let server = plain_server();
     list_plain(&store, "i-0", server.address, "ready");
     let address = instance.callers_address();
-    let early = std::thread::spawn(move || ask(address, &request("GET", "/read/", "e", "", "")));
+    let early = std::thread::spawn(move || fetch(address, &request("GET", "/read/", "e", "", "")));
     store.set_faults(Faults::default());
     until("readiness", || instance.is_ready());
     let early = early.join().expect("a caller").expect("an answer");
@@ -65,11 +65,11 @@
     let store = cluster::store(&[]);
     let instance = cluster::start_ready("one", &store);
     store.set_faults(Faults {
-        refuses: Some(503),
+        error_status: Some(503),
         ..Faults::default()
     });
     store.put("op/config", &configuration(2, &[]));
-    store.forget_history();
+    store.compact_history();
     store.set_faults(Faults::default());
     until("version 2", || instance.config_version() == Some(2));
 }
@@ -82,11 +82,11 @@
     let instance = cluster::start_ready("one", &store);
     for faults in [
         Faults {
-            refuses: Some(503),
+            error_status: Some(503),
             ..Faults::default()
         },
         Faults {
-            refuses: Some(429),
+            error_status: Some(429),
             ..Faults::default()
         },
         Faults {
@@ -94,12 +94,12 @@
             ..Faults::default()
         },
         Faults {
-            talks_garbage: true,
+            sends_invalid_json: true,
             ..Faults::default()
         },
     ] {
         store.set_faults(faults);
-        let answer = ask(
+        let answer = fetch(
             instance.callers_address(),
             &request("GET", "/read/", "o", "", ""),
         );
@@ -115,7 +115,7 @@
     list_plain(&store, "i-0", leaving.address, "ready");
     let instance = cluster::start_ready("one", &store);
     assert!(
-        ask(
+        fetch(
             instance.callers_address(),
             &request("GET", "/read/", "a", "", "")
         )
@@ -124,7 +124,7 @@
     list_plain(&store, "i-1", staying.address, "ready");
     list_plain(&store, "i-0", leaving.address, "draining");
     until("a request at the other server", || {
-        ask(
+        fetch(
             instance.callers_address(),
             &request("GET", "/read/", "b", "", ""),
         );
@@ -134,7 +134,7 @@
     list_plain(&store, "i-0", leaving.address, "ready");
     let requests_before = leaving.received().len();
     for _ in 0..20 {
-        ask(
+        fetch(
             instance.callers_address(),
             &request("GET", "/read/", "c", "", ""),
         );
--- a/tests/all/stream_resume.rs
+++ b/tests/all/stream_resume.rs
@@ -1,18 +1,18 @@
 //! Streams that break are resumed elsewhere: no token twice, none missing.
 
 use crate::support::{burst, patient_plan};
+use passway_standins::cluster::{ClusterPlan, TestCluster};
 use passway_standins::engine::Faults;
 use passway_standins::load::Outcome;
-use passway_standins::world::{World, WorldPlan};
 use passway_types::prelude::*;
 
 #[test]
 fn resumed_whole() {
-    let plan = WorldPlan {
+    let plan = ClusterPlan {
         max_replicas: 2,
         ..patient_plan()
     };
-    let world = World::start(plan).expect("world");
+    let world = TestCluster::start(plan).expect("world");
     let fleet = world.start_fleet().expect("fleet");
     for engine in &world.engines {
         engine.set_faults(Faults {
@@ -34,7 +34,7 @@
 
 #[test]
 fn never_short() {
-    let world = World::start(patient_plan()).expect("world");
+    let world = TestCluster::start(patient_plan()).expect("world");
     let fleet = world.start_fleet().expect("fleet");
     for engine in &world.engines {
         engine.set_faults(Faults {
--- a/tests/all/support.rs
+++ b/tests/all/support.rs
@@ -1,7 +1,7 @@
 //! Small helpers that several features share.
 
+use passway_standins::cluster::{ClusterPlan, Fleet};
 use passway_standins::load::{Burst, Sample};
-use passway_standins::world::{Fleet, WorldPlan};
 use passway_types::prelude::*;
 use std::ops::Range;
 
@@ -9,23 +9,23 @@
 const SHOWN_RUNS: usize = 8;
 
 /// A world that is quick to start: two instances, three engines.
-pub fn small_plan() -> WorldPlan {
-    WorldPlan {
+pub fn small_plan() -> ClusterPlan {
+    ClusterPlan {
         instances: 2,
         engines: 3,
         services: 1,
         models: 6,
         adapters: 4,
-        ..WorldPlan::default()
+        ..ClusterPlan::default()
     }
 }
 
 /// The same for tests that are about neither an unavailable key-value service nor a lost
 /// controller: on a busy machine its calls may take seconds, and leases may lapse, which
 /// would be refused as an outage.
-pub fn patient_plan() -> WorldPlan {
-    WorldPlan {
-        patience: Some(Duration::from_secs(10)),
+pub fn patient_plan() -> ClusterPlan {
+    ClusterPlan {
+        key_value_timeout: Some(Duration::from_secs(10)),
         lease_ms: 10_000,
         ..small_plan()
     }
--- a/tests/all/unbounded_input.rs
+++ b/tests/all/unbounded_input.rs
@@ -48,7 +48,7 @@
 fn short_lines_pass() {
     let body = b"2;name=value\r\nhi\r\n0\r\nTrailer: value\r\n\r\n";
     let answer = answer_to(body).expect("an answer");
-    assert_eq!((answer.status, answer.whole), (200, true));
+    assert_eq!((answer.status, answer.is_complete), (200, true));
 }
 
 #[test]
--- a/tests/all/upstream_signals.rs
+++ b/tests/all/upstream_signals.rs
@@ -1,7 +1,7 @@
 //! Signals of upstreams in the heads of their answers: how each is parsed, and in which answers it
 //! counts.
 
-use crate::cluster::{self, ask, list_plain, request, until};
+use crate::cluster::{self, fetch, list_plain, request, until};
 use crate::scrape::metrics;
 use crate::signalling::{SignallingAnswer, SignallingServer};
 use passway_serving::headers::Headers;
@@ -94,7 +94,7 @@
     assert!(shows("\npassway_instance_leaving_upstreams 0\n"));
     assert!(shows("\npassway_instance_resting_upstreams 0\n"));
     let bytes = request("GET", "/read/", "id", "", "");
-    ask(instance.callers_address(), &bytes);
+    fetch(instance.callers_address(), &bytes);
     for line in ["leaving_upstreams 1\n", "resting_upstreams 1\n"] {
         let line = format!("\npassway_instance_{line}");
         until(&line, || shows(&line));
--- a/tests/all/waiting_requests.rs
+++ b/tests/all/waiting_requests.rs
@@ -1,6 +1,6 @@
 //! A request that waits for an upstream costs its instance almost no processor time.
 
-use crate::cluster::{self, ask, list_plain, plain_server, request, until};
+use crate::cluster::{self, fetch, list_plain, plain_server, request, until};
 use passway_instance::Instance;
 
 /// Bound for the choices of an upstream by one waiting request: one every 40 ms over the longest
@@ -10,7 +10,7 @@
 /// Number of choices that an instance has made so far.
 fn choice_count(instance: &Instance) -> u64 {
     let scrape_request = b"GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-    let text = ask(instance.ready_address(), scrape_request)
+    let text = fetch(instance.ready_address(), scrape_request)
         .expect("metrics")
         .body;
     let name = "passway_instance_choices_total ";
@@ -28,12 +28,12 @@
     store.remove("servers/i-0");
     until("the upstream's removal", || {
         let bytes = request("GET", "/read/", "before", "", "");
-        let answer = ask(instance.callers_address(), &bytes).expect("an answer");
+        let answer = fetch(instance.callers_address(), &bytes).expect("an answer");
         answer.status == 503
     });
     let count_before = choice_count(&instance);
     let bytes = request("GET", "/read/", "alone", "", "");
-    let answer = ask(instance.callers_address(), &bytes).expect("an answer");
+    let answer = fetch(instance.callers_address(), &bytes).expect("an answer");
     assert_eq!(answer.status, 503);
     let added = choice_count(&instance) - count_before;
     assert!(added <= MAX_CHOICES, "{added} choices for one request");
--- a/tests/all/workspace_keys.rs
+++ b/tests/all/workspace_keys.rs
@@ -1,7 +1,7 @@
 //! A key grants access to closed routes, is not forwarded, and determines the workspace that
 //! upstreams see.
 
-use crate::cluster::{self, ask, list_plain, plain_server, request, until};
+use crate::cluster::{self, fetch, list_plain, plain_server, request, until};
 use crate::keyed_cluster::{self, KEY};
 use passway_instance::Instance;
 use passway_standins::platform::documents::workspace;
@@ -42,7 +42,7 @@
 impl TestCluster {
     fn status(&self, path: &str, id: &str, more: &str) -> u16 {
         let bytes = request("GET", path, id, more, "");
-        let answer = ask(self.instance.callers_address(), &bytes).expect("an answer");
+        let answer = fetch(self.instance.callers_address(), &bytes).expect("an answer");
         answer.status
     }
 
@@ -154,7 +154,7 @@
     list_plain(&store, "i-0", server.address, "ready");
     let instance = cluster::start_ready("one", &store);
     let bytes = request("GET", "/read/", "id1", &with(KEY), "");
-    let answer = ask(instance.callers_address(), &bytes).expect("an answer");
+    let answer = fetch(instance.callers_address(), &bytes).expect("an answer");
     assert_eq!(answer.status, 200);
     // Without workspaces, nothing identifies the header as a key, so it is forwarded like any
     // other.
@@ -180,7 +180,7 @@
     for (id, key, rank) in [("id1", KEY, "0"), ("id2", OTHER_KEY, "1")] {
         let head = format!("{}Model: m0\r\n", with(key));
         let bytes = request("POST", "/chat/", id, &head, "x");
-        ask(instance.callers_address(), &bytes).expect("an answer");
+        fetch(instance.callers_address(), &bytes).expect("an answer");
         let received = engine.received();
         let own = received
             .iter()
--- a/tests/all/workspace_revocation.rs
+++ b/tests/all/workspace_revocation.rs
@@ -65,10 +65,10 @@
     list_plain(&store, "i-0", server.address, "ready");
     let holder = start_ready("one", store.serve(), BOUNDS);
     until("leadership", || holder.fence().is_some());
-    let proxy = store.serve_way();
+    let proxy = store.serve_endpoint();
     let other = start_ready("two", proxy.address(), BOUNDS);
     proxy.set_faults(Faults {
-        refuses: Some(503),
+        error_status: Some(503),
         ..Faults::default()
     });
     // By then, the instance's own earlier proof is too old.
--- a/tests/all/workspace_secrets.rs
+++ b/tests/all/workspace_secrets.rs
@@ -1,10 +1,10 @@
 //! Keys are secrets: no output of an instance contains one.
 
-use crate::cluster::{ask, list_plain, plain_server, request, until};
+use crate::cluster::{fetch, list_plain, plain_server, request, until};
 use crate::keyed_cluster::{KEY, keyed_configuration};
 use passway_serving::workspaces::KeyDigest;
 use passway_standins::platform::documents::workspace;
-use passway_standins::platform::program::{Output, Program, ProgramPlan};
+use passway_standins::platform::process::{InstanceProcess, Output, ProcessConfig};
 use passway_standins::platform::store::MetadataStandIn;
 use passway_users_platform::PlatformDirectory;
 use serde_json::json;
@@ -14,7 +14,7 @@
 fn answered(address: SocketAddr, key: &str, id: &str) -> u16 {
     let head = format!("Authorization: Token {key}\r\n");
     let bytes = request("GET", "/read/", id, &head, "");
-    ask(address, &bytes).expect("an answer").status
+    fetch(address, &bytes).expect("an answer").status
 }
 
 #[test]
@@ -27,8 +27,8 @@
     let server = plain_server();
     list_plain(&store, "i-0", server.address, "ready");
     let log = std::env::temp_dir().join(format!("passway-secrets-{}", std::process::id()));
-    let program = Program::start(ProgramPlan {
-        program: PathBuf::from(env!("CARGO_BIN_EXE_passway-instance")),
+    let program = InstanceProcess::start(ProcessConfig {
+        executable: PathBuf::from(env!("CARGO_BIN_EXE_passway-instance")),
         name: "secrets".to_owned(),
         store: store.serve(),
         grace_s: 4.5,
@@ -36,13 +36,15 @@
         output: Output::File(log.clone()),
     });
     let mut program = program.expect("an instance");
-    until("readiness", || program.readiness() == Some(200));
+    until("readiness", || program.readiness_status() == Some(200));
     let stranger = "k9-somebody-elses-key";
-    assert_eq!(answered(program.callers, KEY, "id1"), 200);
-    assert_eq!(answered(program.callers, stranger, "id2"), 401);
+    assert_eq!(answered(program.callers_address, KEY, "id1"), 200);
+    assert_eq!(answered(program.callers_address, stranger, "id2"), 401);
     let metrics = || {
         let question = b"GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-        ask(program.ready, question).expect("metrics").body
+        fetch(program.readiness_address, question)
+            .expect("metrics")
+            .body
     };
     let refused = |count: u32| {
         until("the refused version", || {
--- a/tests/suspended/caller.rs
+++ b/tests/suspended/caller.rs
@@ -1,6 +1,6 @@
 //! Requests whose deadline passed during a suspension.
 
-use crate::cluster::{self, Caller, ask, list_plain, plain_server, request, stream, until};
+use crate::cluster::{self, Caller, fetch, list_plain, plain_server, request, stream, until};
 use crate::lock_tests;
 use passway_standins::platform::model_server::ModelServer;
 use passway_standins::platform::raw::{RawServer, Step};
@@ -46,9 +46,9 @@
     let address = instance.callers_address();
     for number in 0..3 {
         let pay = request("POST", "/pay/", &format!("p{number}"), "", "x");
-        assert_eq!(ask(address, &pay).map(|answer| answer.status), Some(200));
+        assert_eq!(fetch(address, &pay).map(|answer| answer.status), Some(200));
         let answer = stream(address, "chat", &format!("s{number}"), "m0");
-        assert_eq!((answer.status, answer.whole), (200, true));
+        assert_eq!((answer.status, answer.is_complete), (200, true));
         clock::play_suspension(Duration::from_secs(10));
     }
     until("leadership", || instance.fence().is_some());
--- a/tests/suspended/dispatcher.rs
+++ b/tests/suspended/dispatcher.rs
@@ -1,6 +1,6 @@
 //! The dispatcher of engines.
 
-use crate::cluster::{self, PATIENCE, until};
+use crate::cluster::{self, RECEIVE_TIMEOUT, until};
 use crate::lock_tests;
 use passway_standins::platform::model_server::ModelServer;
 use passway_types::clock;
@@ -60,7 +60,9 @@
     until("a dispatcher", || instance.dispatcher_count() == 1);
     let dispatcher: SocketAddr = dispatcher.parse().expect("an address");
     let socket = UdpSocket::bind("127.0.0.1:0").expect("bind");
-    socket.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+    socket
+        .set_read_timeout(Some(RECEIVE_TIMEOUT))
+        .expect("a timeout");
     let full = (0..100).find(|id| ask(&socket, dispatcher, *id) != Verdict::Go);
     assert!(full.is_some(), "the engine has fewer slots");
     clock::play_suspension(Duration::from_secs(10));
--- a/tests/suspended/holder.rs
+++ b/tests/suspended/holder.rs
@@ -12,11 +12,11 @@
 fn orders_nothing() {
     let _lock = lock_tests();
     let store = cluster::store(&["m0"]);
-    let proxy = store.serve_way();
+    let proxy = store.serve_endpoint();
     let instance = cluster::start_at("one", proxy.address());
     until("leadership", || instance.fence().is_some());
     proxy.set_faults(Faults {
-        refuses: Some(503),
+        error_status: Some(503),
         ..Faults::default()
     });
     clock::play_suspension(Duration::from_secs(30));
--- a/tests/suspended/keys.rs
+++ b/tests/suspended/keys.rs
@@ -24,7 +24,7 @@
     let instance = start_ready("one", store.serve(), bounds);
     assert_eq!(status_with_key(&instance, "/read/", "id1").0, 200);
     store.set_faults(Faults {
-        refuses: Some(503),
+        error_status: Some(503),
         ..Faults::default()
     });
     clock::play_suspension(Duration::from_secs(6));
--- a/tests/suspended/stopped.rs
+++ b/tests/suspended/stopped.rs
@@ -1,6 +1,6 @@
 //! A process that is stopped and continued: it must not lose messages that it waits for.
 
-use crate::cluster::PATIENCE;
+use crate::cluster::RECEIVE_TIMEOUT;
 use crate::lock_tests;
 use passway_wire::message::PromiseWanted;
 use passway_wire::{Body, Link};
@@ -25,10 +25,10 @@
     let _lock = lock_tests();
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
-    let (dialed, _reader) = Link::connect(address, PATIENCE).expect("a link");
+    let (dialed, _reader) = Link::connect(address, RECEIVE_TIMEOUT).expect("a link");
     let (_accepted, mut reader) =
         Link::from_stream(listener.accept().expect("a connection").0).expect("a link");
-    reader.set_timeout(PATIENCE).expect("a timeout");
+    reader.set_timeout(RECEIVE_TIMEOUT).expect("a timeout");
     let receiving = std::thread::spawn(move || reader.receive());
     stop(5);
     let body = Body::PromiseWanted(PromiseWanted::default());
