--- a/crates/standins/src/bin/passway-load.rs
+++ b/crates/standins/src/bin/passway-load.rs
@@ -81,9 +81,9 @@
     let length = Duration::from_secs(arguments.length_s);
     let mut reports = Vec::new();
     for variant in &arguments.variants {
-        let keep = keep_of(variant)?;
+        let retention = keep_of(variant)?;
         let plan = ClusterPlan {
-            retention: keep,
+            retention,
             max_replicas: 2,
             ..ClusterPlan::default()
         };
--- a/crates/standins/src/cluster.rs
+++ b/crates/standins/src/cluster.rs
@@ -1,4 +1,4 @@
-//! All stand-ins together with a configuration, on ports that the kernel chooses.
+//! Starts all stand-ins together with a configuration, on ports that the kernel chooses.
 
 use crate::engine::{Engine, EngineConfig};
 use crate::instance_list::LaggingList;
@@ -19,48 +19,48 @@
 use passway_types::prelude::*;
 use std::net::{SocketAddr, TcpListener};
 
-/// Any port of this machine.
+/// Loopback address with a port that the kernel chooses.
 const ANY_PORT: &str = "127.0.0.1:0";
-/// Pause between two looks whether routers are ready.
-const READY_STEP: Duration = Duration::from_millis(20);
-/// Longest time for routers to become ready.
-const READY_LIMIT: Duration = Duration::from_secs(20);
+/// Interval at which routers are polled for readiness.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum time for routers to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Sizes and times of a world.
+/// Sizes and timings of a test cluster.
 #[derive(Debug, Clone)]
 pub struct ClusterPlan {
-    /// Entry instances, each with a router and a controller.
+    /// Number of entry instances, each with a router and a controller.
     pub instances: usize,
-    /// Model engines.
+    /// Number of model engines.
     pub engines: usize,
-    /// Plain services, one replica each.
+    /// Number of plain services with one replica each.
     pub services: usize,
-    /// Base models.
+    /// Number of base models.
     pub models: usize,
-    /// Adapters, spread over the base models.
+    /// Number of adapters, spread over the base models.
     pub adapters: usize,
     /// Size of a base model, in megabytes (2^20 bytes).
     pub model_mb: u64,
     /// Accelerator memory of an engine, in megabytes (2^20 bytes).
     pub engine_mb: u64,
-    /// Most replicas of a base model.
+    /// Maximum number of replicas of a base model.
     pub max_replicas: u32,
     /// Whether engines check fencing numbers.
     pub checks_fencing: bool,
-    /// Requests that an engine runs at one time.
+    /// Maximum number of concurrent requests of an engine.
     pub slots: u32,
-    /// Time from one token to the next.
+    /// Time between two tokens of an answer.
     pub token_time: Duration,
-    /// The weight store's pace.
+    /// Limits and speed of the weight store.
     pub weight_store_limits: WeightStoreLimits,
-    /// The instance list's lag.
+    /// Delay after which the instance list shows a change.
     pub list_lag: Duration,
-    /// Time that a cell's lease lasts, in milliseconds.
+    /// Duration of a cell's lease, in milliseconds.
     pub lease_ms: u64,
-    /// How long routers and controllers wait for the key-value service; the shipped
-    /// defaults where `None`.
+    /// Time that routers and controllers wait for the key-value service; `None` for the programs'
+    /// defaults.
     pub key_value_timeout: Option<Duration>,
-    /// How long idle replicas are kept.
+    /// Retention policy of idle replicas.
     pub retention: KeepEntry,
 }
 
@@ -91,23 +91,23 @@
 }
 
 impl ClusterPlan {
-    /// A wait for the key-value service in milliseconds, where programs usually wait
-    /// so long.
-    pub fn key_value_timeout_ms(&self, usual: u64) -> u64 {
-        let millis = |patience: Duration| u64::try_from(patience.as_millis());
+    /// Returns the timeout of calls to the key-value service, in milliseconds: the plan's, or else
+    /// the program's default.
+    pub fn key_value_timeout_ms(&self, default_ms: u64) -> u64 {
+        let millis = |timeout: Duration| u64::try_from(timeout.as_millis());
         self.key_value_timeout
-            .map_or(usual, |p| millis(p).unwrap_or(u64::MAX))
+            .map_or(default_ms, |timeout| millis(timeout).unwrap_or(u64::MAX))
     }
 }
 
-/// The stand-ins of a world.
+/// The running stand-ins.
 #[derive(Debug)]
 pub struct TestCluster {
-    /// Sizes and times.
+    /// The sizes and timings that the cluster was started with.
     pub plan: ClusterPlan,
     /// The key-value service.
     pub key_value: MemoryKeyValue,
-    /// Where it listens.
+    /// Address of the key-value service.
     pub key_value_address: SocketAddr,
     /// The weight store.
     pub weight_store: WeightStore,
@@ -117,13 +117,13 @@
     pub services: Vec<PlainService>,
     /// The instance list.
     pub instance_list: LaggingList,
-    /// Where it listens.
+    /// Address of the instance list.
     pub instance_list_address: SocketAddr,
-    /// The configuration of revision 1.
+    /// The configuration that is stored as revision 1.
     pub document: Document,
 }
 
-/// The entry instances of a world, all in this process.
+/// The entry instances of a cluster, all in this process.
 #[derive(Debug)]
 pub struct Fleet {
     /// The controllers.
@@ -133,26 +133,26 @@
 }
 
 impl TestCluster {
-    /// Starts the stand-ins and stores the configuration.
+    /// Starts the stand-ins and stores the configuration as revision 1.
     ///
     /// # Errors
     /// If an address cannot be parsed or the configuration cannot be stored.
     pub fn start(plan: ClusterPlan) -> Result<Self> {
-        let any: SocketAddr = ANY_PORT.parse().context("address")?;
+        let any_port: SocketAddr = ANY_PORT.parse().context("address")?;
         let key_value = MemoryKeyValue::new();
-        let key_value_address = key_value.serve(any);
+        let key_value_address = key_value.serve(any_port);
         let weight_store = WeightStore::new(plan.weight_store_limits.clone());
         let mut document = base_document(&plan);
         let mut engines = Vec::new();
         for number in 0..plan.engines {
-            let traits = EngineConfig {
+            let config = EngineConfig {
                 memory_bytes: plan.engine_mb << 20,
                 slots: plan.slots,
                 checks_fencing: plan.checks_fencing,
                 token_interval: plan.token_time,
             };
-            let engine = Engine::new(traits, weight_store.clone());
-            let address = engine.serve(any);
+            let engine = Engine::new(config, weight_store.clone());
+            let address = engine.serve(any_port);
             document
                 .upstreams
                 .push(upstream_entry(&plan, number, address));
@@ -161,7 +161,7 @@
         let mut services = Vec::new();
         for number in 0..plan.services {
             let service = PlainService::new();
-            let address = service.serve(any);
+            let address = service.serve(any_port);
             document.services.push(ServiceEntry {
                 name: format!("service{number}"),
                 addresses: vec![address.to_string()],
@@ -174,14 +174,14 @@
             .iter()
             .map(|upstream| upstream.id.clone());
         let instance_ids = (0..plan.instances).map(instance_id);
-        let listed = upstream_ids.chain(instance_ids);
-        let listed = listed.map(|id| ListedInstance {
+        let entries = upstream_ids.chain(instance_ids);
+        let entries = entries.map(|id| ListedInstance {
             id: id.into(),
             leaving: false,
         });
-        let instance_list = LaggingList::new(plan.list_lag, listed.collect());
-        let instance_list_address = instance_list.serve(any);
-        let world = Self {
+        let instance_list = LaggingList::new(plan.list_lag, entries.collect());
+        let instance_list_address = instance_list.serve(any_port);
+        let cluster = Self {
             plan,
             key_value,
             key_value_address,
@@ -192,8 +192,8 @@
             instance_list_address,
             document,
         };
-        world.store_first_revision()?;
-        Ok(world)
+        cluster.store_first_revision()?;
+        Ok(cluster)
     }
 
     fn store_first_revision(&self) -> Result<()> {
@@ -213,7 +213,7 @@
             .map_err(|_| anyhow::anyhow!("storing the configuration"))
     }
 
-    /// Settings of an instance's controller.
+    /// Returns the settings of an instance's controller.
     pub fn controller_settings(
         &self,
         number: usize,
@@ -221,10 +221,10 @@
         all: &[SocketAddr],
     ) -> ControllerSettings {
         let defaults = ControllerSettings::default();
-        let wait_ms = |usual: u64| self.plan.key_value_timeout_ms(usual);
+        let timeout_ms = |default_ms: u64| self.plan.key_value_timeout_ms(default_ms);
         ControllerSettings {
-            key_value_timeout_ms: wait_ms(defaults.key_value_timeout_ms),
-            write_patience_ms: wait_ms(defaults.write_patience_ms),
+            key_value_timeout_ms: timeout_ms(defaults.key_value_timeout_ms),
+            write_patience_ms: timeout_ms(defaults.write_patience_ms),
             instance: instance_id(number),
             data_hall: data_hall(number),
             listen: listen.to_string(),
@@ -240,7 +240,7 @@
         }
     }
 
-    /// Settings of an instance's router.
+    /// Returns the settings of an instance's router.
     pub fn router_settings(&self, number: usize, controllers: &[SocketAddr]) -> RouterSettings {
         let own_first = controllers
             .iter()
@@ -261,8 +261,8 @@
         }
     }
 
-    /// Starts every entry instance in this process and waits until the routers
-    /// have the configuration.
+    /// Starts every entry instance in this process and waits until the routers have the
+    /// configuration.
     ///
     /// # Errors
     /// If an address cannot be bound, or the routers do not become ready.
@@ -291,7 +291,7 @@
         Ok(fleet)
     }
 
-    /// Loads begun at all engines for one model.
+    /// Returns the number of loads of a model that all engines have started.
     pub fn load_count(&self, model: &str) -> u32 {
         let loads = self
             .engines
@@ -302,30 +302,30 @@
 }
 
 impl Fleet {
-    /// Waits until every router has a revision in force.
+    /// Waits until `revision` or a later one is in effect at every router.
     ///
     /// # Errors
-    /// If that takes too long.
+    /// If a router doesn't have the revision within 20 s.
     pub fn wait_for_revision(&self, revision: Revision) -> Result<()> {
-        let limit_at = Instant::now() + READY_LIMIT;
+        let deadline = Instant::now() + READY_TIMEOUT;
         while self
             .routers
             .iter()
             .any(|router| router.revision() < revision)
         {
-            anyhow::ensure!(Instant::now() < limit_at, "routers are not ready in time");
-            std::thread::sleep(READY_STEP);
+            anyhow::ensure!(Instant::now() < deadline, "routers are not ready in time");
+            std::thread::sleep(READY_POLL_INTERVAL);
         }
         Ok(())
     }
 }
 
-/// The id of an entry instance.
+/// Returns the id of an entry instance.
 pub fn instance_id(number: usize) -> String {
     format!("entry{number}")
 }
 
-/// The data hall of an instance or engine: three halls in turn.
+/// Returns the data hall of an instance or engine; three halls alternate.
 pub fn data_hall(number: usize) -> String {
     ["atlanta", "athens", "macon"][number % 3].to_owned()
 }
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -1,4 +1,4 @@
-//! A stand-in of a model engine.
+//! A stand-in for a model engine.
 
 use crate::server;
 use crate::weight_store::WeightStore;
@@ -13,98 +13,98 @@
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Checkpoints kept in the machine's memory; older ones are on disk only.
-const MEMORY_CHECKPOINTS: usize = 4;
-/// A load from the machine's memory is this many times as fast as from the weight store.
+/// Maximum number of checkpoints cached in the machine's memory; older ones are evicted.
+const MAX_MEMORY_CHECKPOINTS: usize = 4;
+/// Factor by which a load from the machine's memory is faster than one from the weight store.
 const MEMORY_SPEEDUP: u32 = 16;
-/// Tokens of an answer whose request names no number.
+/// Number of tokens in an answer if the request has no `max_tokens`.
 const DEFAULT_TOKENS: u64 = 16;
 
-/// What an engine is.
+/// Fixed properties of an engine.
 #[derive(Debug, Clone)]
 pub struct EngineConfig {
-    /// Accelerator memory for models.
+    /// Accelerator memory for models, in bytes.
     pub memory_bytes: u64,
-    /// Requests at one time; more are turned away.
+    /// Maximum number of concurrent requests; more are rejected with status 429.
     pub slots: u32,
-    /// Whether old fencing numbers are refused, also after a restart.
+    /// Whether the engine refuses orders with old fencing numbers, also after a restart.
     pub checks_fencing: bool,
-    /// Time from one token to the next.
+    /// Time between two tokens.
     pub token_interval: Duration,
 }
 
-/// What an engine is told to do wrong.
+/// Faults that the engine injects.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// Breaks every connection and answers nothing.
+    /// Breaks every connection without an answer.
     pub dead: bool,
-    /// Says that it is leaving.
+    /// Reports in its status that it is leaving.
     pub leaving: bool,
-    /// Breaks each stream after this many tokens; 0 does not.
+    /// Number of tokens after which each stream breaks; 0 disables the fault.
     pub break_streams_after: u32,
 }
 
-/// What an engine did, by which the promises are judged.
+/// Counters of what the engine did; tests check invariants against them.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Ledger {
-    /// Loads begun, by model.
+    /// Number of loads started, by model.
     pub loads: BTreeMap<ModelName, u32>,
-    /// Most bytes held at one time.
+    /// Peak accelerator memory in use, in bytes.
     pub most_bytes: u64,
-    /// Load orders for which there was no room.
+    /// Number of load orders refused for lack of free memory.
     pub no_room: u32,
-    /// Orders refused for an old fencing number.
+    /// Number of orders refused because of an old fencing number.
     pub fenced: u32,
-    /// Requests begun.
+    /// Number of requests started.
     pub requests: u32,
-    /// Requests whose caller went away.
+    /// Number of requests whose caller disconnected.
     pub cancelled: u32,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Loaded {
+struct LoadedModel {
     size_bytes: u64,
-    ready: bool,
+    is_ready: bool,
     running: u32,
 }
 
 #[derive(Debug)]
 struct State {
-    traits: EngineConfig,
+    config: EngineConfig,
     boot: Incarnation,
     highest_fence: Fence,
-    loaded: BTreeMap<ModelName, Loaded>,
+    loaded: BTreeMap<ModelName, LoadedModel>,
     cached: VecDeque<ModelName>,
     running: u32,
     faults: Faults,
     ledger: Ledger,
 }
 
-/// The engine; clones are the same engine.
+/// An engine; clones share the same state.
 #[derive(Debug, Clone)]
 pub struct Engine {
     state: Arc<Mutex<State>>,
     store: WeightStore,
 }
 
-/// The text of a token: it depends on the prompt and the place alone, so a
-/// caller can tell whether an answer is its own, whole and in order.
-pub fn token_text(prompt_hash: u64, place: u32) -> String {
-    format!("{prompt_hash:x}.{place} ")
+/// Returns the text of the token at `position`. The text depends only on the prompt and the
+/// position, so a caller can check that an answer is its own, complete and in order.
+pub fn token_text(prompt_hash: u64, position: u32) -> String {
+    format!("{prompt_hash:x}.{position} ")
 }
 
-/// The hash of a request's prompt, over `messages` or `prompt`.
+/// Returns the hash of a request's prompt, taken from `messages` or `prompt`.
 pub fn prompt_hash(body: &Value) -> u64 {
     let prompt = body.get("messages").or_else(|| body.get("prompt"));
     stable_hash(&[prompt.map(Value::to_string).unwrap_or_default().as_bytes()])
 }
 
 impl Engine {
-    /// An engine with nothing loaded.
-    pub fn new(traits: EngineConfig, store: WeightStore) -> Self {
+    /// Creates an engine with no model loaded.
+    pub fn new(config: EngineConfig, store: WeightStore) -> Self {
         let state = State {
-            traits,
+            config,
             boot: rand::random(),
             highest_fence: 0,
             loaded: BTreeMap::new(),
@@ -123,50 +123,50 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What it did so far.
+    /// Returns the counters so far.
     pub fn ledger(&self) -> Ledger {
         self.state().ledger.clone()
     }
 
-    /// Models that serve or load now.
+    /// Returns the models that are loaded or loading.
     pub fn loaded(&self) -> Vec<ModelName> {
         self.state().loaded.keys().cloned().collect()
     }
 
-    /// Whether a model serves.
+    /// Returns whether a model is loaded and ready to serve.
     pub fn is_ready(&self, model: &str) -> bool {
         self.state()
             .loaded
             .get(model)
-            .is_some_and(|loaded| loaded.ready)
+            .is_some_and(|loaded| loaded.is_ready)
     }
 
-    /// The share of the memory that models hold which serve and run nothing.
+    /// Returns the fraction of the memory held by ready models without running requests.
     pub fn idle_memory_ratio(&self) -> f64 {
         let state = self.state();
         let idle = state
             .loaded
             .values()
-            .filter(|loaded| loaded.ready && loaded.running == 0);
+            .filter(|loaded| loaded.is_ready && loaded.running == 0);
         let idle_mb: u64 = idle.map(|loaded| loaded.size_bytes >> 20).sum();
-        #[expect(clippy::cast_precision_loss, reason = "a share")]
-        let share = idle_mb as f64 / (state.traits.memory_bytes >> 20) as f64;
-        share
+        #[expect(clippy::cast_precision_loss, reason = "a ratio")]
+        let ratio = idle_mb as f64 / (state.config.memory_bytes >> 20) as f64;
+        ratio
     }
 
-    /// Tells the engine what to do wrong from now on.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         self.state().faults = faults;
     }
 
-    /// Loses everything, as a restart does.
+    /// Simulates a restart: the loaded models are lost and the incarnation changes.
     pub fn restart(&self) {
         let mut state = self.state();
         state.boot = rand::random();
         state.loaded.clear();
     }
 
-    /// Serves orders and requests over HTTP.
+    /// Serves orders and requests over HTTP and returns the bound address.
     pub fn serve(&self, address: SocketAddr) -> SocketAddr {
         let engine = self.clone();
         server::serve(address, move |request| engine.handle(&request))
@@ -199,7 +199,7 @@
         let state = self.state();
         let loaded = state.loaded.iter().map(|(model, loaded)| LoadedBody {
             model: model.clone(),
-            state: if loaded.ready { "ready" } else { "loading" }.into(),
+            state: if loaded.is_ready { "ready" } else { "loading" }.into(),
             running: loaded.running,
         });
         let cached = state.cached.iter().map(|model| CachedBody {
@@ -216,7 +216,7 @@
 
     fn order(&self, order: &OrderBody) -> OrderResult {
         let mut state = self.state();
-        if state.traits.checks_fencing {
+        if state.config.checks_fencing {
             if order.fence < state.highest_fence {
                 state.ledger.fenced += 1;
                 return OrderResult::Fenced;
@@ -232,29 +232,29 @@
 
     fn load(&self, state: &mut State, order: &OrderBody) -> OrderResult {
         if let Some(loaded) = state.loaded.get(&order.model) {
-            return if loaded.ready {
+            return if loaded.is_ready {
                 OrderResult::Loaded
             } else {
                 OrderResult::Loading
             };
         }
-        let base_ready = |base: &ModelName| state.loaded.get(base).is_some_and(|b| b.ready);
+        let base_ready = |base: &ModelName| state.loaded.get(base).is_some_and(|b| b.is_ready);
         if order.base.as_ref().is_some_and(|base| !base_ready(base)) {
             return OrderResult::NoRoom;
         }
-        let held_bytes: u64 = state.loaded.values().map(|loaded| loaded.size_bytes).sum();
-        if held_bytes + order.size_bytes > state.traits.memory_bytes {
+        let used_bytes: u64 = state.loaded.values().map(|loaded| loaded.size_bytes).sum();
+        if used_bytes + order.size_bytes > state.config.memory_bytes {
             state.ledger.no_room += 1;
             return OrderResult::NoRoom;
         }
-        let loaded = Loaded {
+        let loaded = LoadedModel {
             size_bytes: order.size_bytes,
-            ready: false,
+            is_ready: false,
             running: 0,
         };
         state.loaded.insert(order.model.clone(), loaded);
         *state.ledger.loads.entry(order.model.clone()).or_default() += 1;
-        state.ledger.most_bytes = state.ledger.most_bytes.max(held_bytes + order.size_bytes);
+        state.ledger.most_bytes = state.ledger.most_bytes.max(used_bytes + order.size_bytes);
         let is_cached = state.cached.contains(&order.model);
         let (engine, boot) = (self.clone(), state.boot);
         let (model, size_bytes) = (order.model.clone(), order.size_bytes);
@@ -264,7 +264,7 @@
 
     fn fetch(&self, model: &ModelName, size_bytes: u64, is_cached: bool, boot: Incarnation) {
         if is_cached {
-            // From the machine's own memory, past the weight store.
+            // The checkpoint is cached in the machine's memory; the weight store isn't used.
             let mb = u32::try_from(size_bytes >> 20).unwrap_or(u32::MAX);
             std::thread::sleep(Duration::from_micros(u64::from(mb) * 50) / MEMORY_SPEEDUP);
         } else {
@@ -275,11 +275,11 @@
             return;
         }
         if let Some(loaded) = state.loaded.get_mut(model) {
-            loaded.ready = true;
+            loaded.is_ready = true;
         }
         state.cached.retain(|cached| cached != model);
         state.cached.push_back(model.clone());
-        if state.cached.len() > MEMORY_CHECKPOINTS {
+        if state.cached.len() > MAX_MEMORY_CHECKPOINTS {
             state.cached.pop_front();
         }
     }
@@ -291,7 +291,7 @@
             return server::response(400, "");
         };
         let model: ModelName = body["model"].as_str().unwrap_or_default().into();
-        let run = match self.begin(&model) {
+        let run = match self.begin_request(&model) {
             Ok(run) => run,
             Err(status) => return server::response(status, "not begun"),
         };
@@ -299,7 +299,7 @@
         let (token_time, break_after) = {
             let state = self.state();
             (
-                state.traits.token_interval,
+                state.config.token_interval,
                 state.faults.break_streams_after,
             )
         };
@@ -307,7 +307,7 @@
         let stream = TokenStream {
             run,
             prompt_hash: prompt_hash(&body),
-            place: resume_at,
+            position: resume_at,
             tokens,
             token_time,
             break_after: (break_after > 0).then(|| resume_at + break_after),
@@ -318,17 +318,23 @@
             let builder = http::Response::builder().header("content-type", "text/event-stream");
             return builder.body(Body::wrap_reader(stream)).unwrap_or_default();
         }
-        whole(stream)
+        complete_response(stream)
     }
 
-    /// Begins a request, or says by which status it was turned away.
-    fn begin(&self, model: &ModelName) -> Result<Run, u16> {
+    /// Starts a request.
+    ///
+    /// # Errors
+    /// The HTTP status of the rejection: 404 if the model isn't ready, 429 if all slots are in use.
+    fn begin_request(&self, model: &ModelName) -> Result<RunningRequest, u16> {
         let mut state = self.state();
-        let ready = state.loaded.get(model).is_some_and(|loaded| loaded.ready);
-        if !ready {
+        let is_ready = state
+            .loaded
+            .get(model)
+            .is_some_and(|loaded| loaded.is_ready);
+        if !is_ready {
             return Err(404);
         }
-        if state.running >= state.traits.slots {
+        if state.running >= state.config.slots {
             return Err(429);
         }
         state.running += 1;
@@ -336,7 +342,7 @@
         if let Some(loaded) = state.loaded.get_mut(model) {
             loaded.running += 1;
         }
-        Ok(Run {
+        Ok(RunningRequest {
             engine: self.clone(),
             model: model.clone(),
             finished: false,
@@ -355,15 +361,15 @@
     }
 }
 
-/// A request that runs, until it is dropped.
+/// A running request. Dropping it frees its slot, and counts it as cancelled unless it finished.
 #[derive(Debug)]
-struct Run {
+struct RunningRequest {
     engine: Engine,
     model: ModelName,
     finished: bool,
 }
 
-impl Drop for Run {
+impl Drop for RunningRequest {
     fn drop(&mut self) {
         let mut state = self.engine.state();
         state.running -= 1;
@@ -376,12 +382,12 @@
     }
 }
 
-/// Generates tokens at the engine's rate.
+/// Generates the events of a stream at the engine's token rate.
 #[derive(Debug)]
 struct TokenStream {
-    run: Run,
+    run: RunningRequest,
     prompt_hash: u64,
-    place: u32,
+    position: u32,
     tokens: u32,
     token_time: Duration,
     break_after: Option<u32>,
@@ -391,17 +397,17 @@
 
 impl TokenStream {
     fn next_token(&mut self) -> io::Result<Option<String>> {
-        if self.place >= self.tokens {
+        if self.position >= self.tokens {
             self.run.finished = true;
             return Ok(None);
         }
         std::thread::sleep(self.token_time);
-        let is_broken = self.break_after.is_some_and(|after| self.place >= after);
+        let is_broken = self.break_after.is_some_and(|after| self.position >= after);
         if is_broken || self.run.engine.state().faults.dead {
-            return Err(io::Error::other("told to break"));
+            return Err(io::Error::other("injected connection break"));
         }
-        self.place += 1;
-        Ok(Some(token_text(self.prompt_hash, self.place - 1)))
+        self.position += 1;
+        Ok(Some(token_text(self.prompt_hash, self.position - 1)))
     }
 }
 
@@ -423,7 +429,7 @@
     }
 }
 
-fn whole(mut stream: TokenStream) -> Response {
+fn complete_response(mut stream: TokenStream) -> Response {
     let mut text = String::new();
     let mut count = 0;
     loop {
@@ -442,11 +448,11 @@
     }))
 }
 
-/// Breaks the connection when it is read.
+/// A response body whose read fails, which breaks the connection.
 struct BrokenBody;
 
 impl Read for BrokenBody {
     fn read(&mut self, _buffer: &mut [u8]) -> io::Result<usize> {
-        Err(io::Error::other("told to break"))
+        Err(io::Error::other("injected connection break"))
     }
 }
--- a/crates/standins/src/instance_list.rs
+++ b/crates/standins/src/instance_list.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the platform's instance list, which lags.
+//! A stand-in for the platform's instance list, which shows changes after a delay.
 
 use crate::server;
 use passway_platform::instance_list::ListedInstance;
@@ -7,18 +7,18 @@
 use std::net::SocketAddr;
 use std::sync::{Mutex, PoisonError};
 
-/// A content of the list and when it begins to show.
-type Listing = (Instant, Vec<ListedInstance>);
+/// A version of the list and the time from which it is visible.
+type ListVersion = (Instant, Vec<ListedInstance>);
 
-/// The list; clones are the same list.
+/// An instance list with a propagation delay; clones share the same list.
 #[derive(Debug, Clone)]
 pub struct LaggingList {
     lag: Duration,
-    versions: Arc<Mutex<VecDeque<Listing>>>,
+    versions: Arc<Mutex<VecDeque<ListVersion>>>,
 }
 
 impl LaggingList {
-    /// A list that shows each change after `lag`, the first one at once.
+    /// Creates a list that shows `first` immediately and each later change after `lag`.
     pub fn new(lag: Duration, first: Vec<ListedInstance>) -> Self {
         let versions = VecDeque::from([(Instant::now(), first)]);
         Self {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Changes the list.
+    /// Applies `change` to the newest version; the result becomes visible after the lag.
     pub fn change(&self, change: impl FnOnce(&mut Vec<ListedInstance>)) {
         let mut versions = self.versions.lock().unwrap_or_else(PoisonError::into_inner);
         let mut next = versions
@@ -38,7 +38,7 @@
         versions.push_back((Instant::now() + self.lag, next));
     }
 
-    /// Marks an entry as leaving.
+    /// Marks the entry with this id as leaving.
     pub fn set_leaving(&self, id: &str) {
         self.change(|list| {
             for entry in list.iter_mut().filter(|entry| &*entry.id == id) {
@@ -47,12 +47,12 @@
         });
     }
 
-    /// Takes an entry out.
+    /// Removes the entry with this id.
     pub fn remove(&self, id: &str) {
         self.change(|list| list.retain(|entry| &*entry.id != id));
     }
 
-    fn shown(&self) -> Vec<ListedInstance> {
+    fn visible(&self) -> Vec<ListedInstance> {
         let mut versions = self.versions.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
         while versions.len() > 1 && versions[1].0 <= now {
@@ -64,9 +64,9 @@
             .unwrap_or_default()
     }
 
-    /// Serves the list over HTTP.
+    /// Serves the list over HTTP and returns the bound address.
     pub fn serve(&self, address: SocketAddr) -> SocketAddr {
         let list = self.clone();
-        server::serve(address, move |_| server::json_response(&list.shown()))
+        server::serve(address, move |_| server::json_response(&list.visible()))
     }
 }
--- a/crates/standins/src/key_value.rs
+++ b/crates/standins/src/key_value.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the platform's key-value service.
+//! A stand-in for the platform's key-value service.
 
 use crate::server;
 use passway_http::{Body, Request, Response};
@@ -11,29 +11,29 @@
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Pause between two looks of a waiting watch.
-const WATCH_STEP: Duration = Duration::from_millis(20);
+/// Interval at which a waiting watch checks its key.
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What the service is told to do wrong.
+/// Faults that the service injects.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// Answers nothing.
+    /// Every call fails with status 503, as in an outage.
     pub down: bool,
-    /// This many writes are answered before answers are lost.
+    /// Number of writes that are answered before [`Self::lose_answers`] takes effect.
     pub answer_first: u32,
-    /// Takes effect, but the answer is lost, for this many writes.
+    /// Number of writes that are applied, but whose answers are lost.
     pub lose_answers: u32,
-    /// Answers this much later.
+    /// Delay before each call is handled, in milliseconds.
     pub delay_ms: u64,
 }
 
-/// Calls counted by kind.
+/// Call counts by kind.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Calls {
-    /// Reads.
+    /// Number of reads, watches included.
     pub reads: u64,
-    /// Writes, lease calls included.
+    /// Number of writes, lease calls included.
     pub writes: u64,
 }
 
@@ -54,14 +54,14 @@
     calls: Calls,
 }
 
-/// The service in memory; clones are the same service.
+/// An in-memory key-value service; clones share the same state.
 #[derive(Debug, Clone, Default)]
 pub struct MemoryKeyValue {
     state: Arc<Mutex<State>>,
 }
 
 impl MemoryKeyValue {
-    /// An empty service.
+    /// Creates an empty service.
     pub fn new() -> Self {
         Self::default()
     }
@@ -70,27 +70,27 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells the service what to do wrong from now on.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         self.state().faults = faults;
     }
 
-    /// Whether a key stands.
+    /// Returns whether a key exists.
     pub fn contains(&self, key: &str) -> bool {
         self.state().keys.contains_key(key)
     }
 
-    /// Takes a key away, as if its lease had ended.
+    /// Removes a key, as if its lease had expired.
     pub fn remove(&self, key: &str) {
         self.state().keys.remove(key);
     }
 
-    /// Calls so far.
+    /// Returns the call counts so far.
     pub fn calls(&self) -> Calls {
         self.state().calls.clone()
     }
 
-    fn begin(&self, is_write: bool) -> Result<MutexGuard<'_, State>, Unavailable> {
+    fn begin_call(&self, is_write: bool) -> Result<MutexGuard<'_, State>, Unavailable> {
         let delay_ms = self.state().faults.delay_ms;
         if delay_ms > 0 {
             std::thread::sleep(Duration::from_millis(delay_ms));
@@ -108,7 +108,7 @@
         Ok(state)
     }
 
-    /// Serves the protocol over HTTP.
+    /// Serves the protocol over HTTP and returns the bound address.
     pub fn serve(&self, address: SocketAddr) -> SocketAddr {
         let service = self.clone();
         server::serve(address, move |request| service.handle(&request))
@@ -118,7 +118,7 @@
         let path = request.path().to_owned();
         let method = request.head.method.as_str().to_owned();
         let body = request.body.clone().unwrap_or_default();
-        let answered = match (method.as_str(), path.as_str()) {
+        let result = match (method.as_str(), path.as_str()) {
             ("POST", "/standin/faults") => {
                 self.set_faults(serde_json::from_slice(&body).unwrap_or_default());
                 Ok(server::response(200, ""))
@@ -137,7 +137,7 @@
             }
             _ => Ok(server::response(404, "")),
         };
-        answered.unwrap_or_else(|Unavailable| server::response(503, ""))
+        result.unwrap_or_else(|Unavailable| server::response(503, ""))
     }
 
     fn handle_key(
@@ -198,13 +198,13 @@
 
 impl State {
     fn expire(&mut self, now: Instant) {
-        let ended: Vec<LeaseId> = self
+        let expired: Vec<LeaseId> = self
             .leases
             .iter()
             .filter(|(_, (_, at))| now >= *at)
             .map(|(id, _)| *id)
             .collect();
-        for lease in ended {
+        for lease in expired {
             self.end(lease);
         }
     }
@@ -221,8 +221,8 @@
         value: &[u8],
         lease: Option<LeaseId>,
     ) -> PutOutcome {
-        let stands = self.keys.get(key).map_or(0, |stored| stored.version);
-        if stands != expected || lease.is_some_and(|id| !self.leases.contains_key(&id)) {
+        let current_version = self.keys.get(key).map_or(0, |stored| stored.version);
+        if current_version != expected || lease.is_some_and(|id| !self.leases.contains_key(&id)) {
             return PutOutcome::Conflict;
         }
         self.last_version += 1;
@@ -241,11 +241,11 @@
 
 impl KeyValue for MemoryKeyValue {
     fn get(&self, key: &str) -> Result<Option<Versioned>, Unavailable> {
-        let state = self.begin(false)?;
+        let state = self.begin_call(false)?;
         let found = state.keys.get(key);
-        Ok(found.map(|s| Versioned {
-            version: s.version,
-            value: s.value.clone(),
+        Ok(found.map(|stored| Versioned {
+            version: stored.version,
+            value: stored.value.clone(),
         }))
     }
 
@@ -255,9 +255,9 @@
         known: Version,
         wait: Duration,
     ) -> Result<Option<Versioned>, Unavailable> {
-        let until = Instant::now() + wait;
-        // One call, however long it waits.
-        drop(self.begin(false)?);
+        let wait_until = Instant::now() + wait;
+        // Counted as one call regardless of the waiting time.
+        drop(self.begin_call(false)?);
         loop {
             let state = self.state();
             if state.faults.down {
@@ -268,10 +268,10 @@
                 return Ok(Some(Versioned { version, value }));
             }
             drop(state);
-            if Instant::now() >= until {
+            if Instant::now() >= wait_until {
                 return Ok(None);
             }
-            std::thread::sleep(WATCH_STEP);
+            std::thread::sleep(WATCH_POLL_INTERVAL);
         }
     }
 
@@ -282,7 +282,7 @@
         value: &[u8],
         lease: Option<LeaseId>,
     ) -> Result<PutOutcome, Unavailable> {
-        let mut state = self.begin(true)?;
+        let mut state = self.begin_call(true)?;
         let outcome = state.put(key, expected, value, lease);
         if state.faults.answer_first > 0 {
             state.faults.answer_first -= 1;
@@ -294,7 +294,7 @@
     }
 
     fn grant_lease(&self, time_to_live: Duration) -> Result<LeaseId, Unavailable> {
-        let mut state = self.begin(true)?;
+        let mut state = self.begin_call(true)?;
         state.last_lease += 1;
         let lease = state.last_lease;
         state
@@ -304,14 +304,14 @@
     }
 
     fn renew_lease(&self, lease: LeaseId) -> Result<bool, Unavailable> {
-        let mut state = self.begin(true)?;
+        let mut state = self.begin_call(true)?;
         let now = Instant::now();
         let found = state.leases.get_mut(&lease);
         Ok(found.map(|(ttl, at)| *at = now + *ttl).is_some())
     }
 
     fn end_lease(&self, lease: LeaseId) -> Result<(), Unavailable> {
-        self.begin(true)?.end(lease);
+        self.begin_call(true)?.end(lease);
         Ok(())
     }
 }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,22 +1,25 @@
-//! Small stand-ins of what passway stands between, and a load tool.
+//! In-process stand-ins for the systems that passway depends on, and a load generator.
 //!
-//! Test support only: no shipped program links this crate. Each stand-in speaks
-//! the protocol that the adapters in `passway-platform` speak, can be told to
-//! fail, and keeps the ledger by which the promises are judged.
+//! The crate is test support; no shipped program links it. Each stand-in implements the protocol
+//! that the adapters in `passway-platform` use, injects faults on request, and records what it did
+//! in a ledger that tests check invariants against.
 //!
-//! * [`allotment_model`]: ways to keep workspaces to their allotments, played against each other.
-//! * [`key_value`]: compare-and-swap, leases; outages, slowness, lost answers, call counts.
-//! * [`weight_store`]: a few loads at a time, a few a second; can slow down.
-//! * [`engine`]: a model engine with memory, loads, streams, fencing checked or ignored.
-//! * [`service`]: a plain service that counts runs per key.
-//! * [`instance_list`]: a list that lags.
-//! * [`platform`]: the users' platform: its store, model servers, servers of scripted bytes.
-//! * [`cluster`]: all of them together with a configuration.
-//! * [`fleet_model`]: engines, weight store and demand in virtual time, to compare policies.
-//! * [`sizes`]: configurations at the sizes of today and of the target.
-//! * [`soak`]: real instances among the stand-ins, faults drawn by a seed, promises judged.
-//! * [`trace`]: seeded days of the two deployments.
-//! * [`load`]: callers, whose answers are checked.
+//! * [`allotment_model`]: simulates strategies that hold workspaces to their allotments.
+//! * [`key_value`]: a key-value service with compare-and-swap and leases, fault injection (outages,
+//!   delays, lost answers) and call counts.
+//! * [`weight_store`]: limits concurrent loads and their start rate; can be slowed down.
+//! * [`engine`]: a model engine with memory, loads and streams, which checks or ignores fencing
+//!   numbers.
+//! * [`service`]: a plain service that counts executions per key.
+//! * [`instance_list`]: the platform's instance list with a propagation delay.
+//! * [`platform`]: the users' platform: metadata store, model servers, scripted servers.
+//! * [`cluster`]: starts all stand-ins together with a configuration.
+//! * [`fleet_model`]: simulates engines, weight store and demand in virtual time to compare
+//!   placement policies.
+//! * [`sizes`]: configurations of today's size and of the target size.
+//! * [`soak`]: real instances among the stand-ins with seeded faults; checks the invariants.
+//! * [`trace`]: seeded request traces of one day in each of the two deployments.
+//! * [`load`]: sends requests and checks the answers.
 
 pub mod allotment_model;
 pub mod cluster;
--- a/crates/standins/src/load.rs
+++ b/crates/standins/src/load.rs
@@ -1,4 +1,5 @@
-//! Callers: one request each, with the answer checked to be whole and its own.
+//! A load generator: each caller sends one request and checks that the answer is complete and
+//! belongs to the request.
 
 use crate::engine::{prompt_hash, token_text};
 use passway_platform::http::agent;
@@ -7,78 +8,77 @@
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 
-/// Time after the deadline after which a caller gives up on an answer.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Time that a caller waits for an answer after the deadline.
+const ANSWER_TIMEOUT_MARGIN: Duration = Duration::from_secs(5);
 
-/// A request to make.
+/// A request to send.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// The router.
+    /// Address of the router.
     pub router: SocketAddr,
-    /// The model, adapter or alias.
+    /// Name of the model, adapter or alias.
     pub model: String,
-    /// The workspace.
+    /// Name of the workspace.
     pub workspace: String,
-    /// Tells this request's answer from any other's.
+    /// Text that distinguishes the answer to this request from all others.
     pub prompt: String,
-    /// Tokens wanted.
+    /// Number of requested tokens.
     pub tokens: u32,
-    /// Whether the answer is streamed.
+    /// Whether the caller requests a streamed answer.
     pub stream: bool,
-    /// Time until the deadline.
+    /// Time from the start of the request to its deadline.
     pub deadline: Duration,
 }
 
-/// What the caller got.
+/// The result of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Outcome {
-    /// A whole answer, and the right one.
+    /// The expected answer, complete.
     Whole,
-    /// A refusal with its code, and the retry hint in milliseconds.
+    /// A refusal.
     Refused {
-        /// The numbered code.
+        /// The numeric error code.
         code: u64,
-        /// When to come back.
+        /// The suggested delay before a retry, in milliseconds.
         retry_after_ms: Option<u64>,
     },
-    /// An answer that broke off, or somebody else's, or none.
+    /// No answer, an incomplete one or a wrong one, with the reason.
     Broken(String),
 }
 
-/// An outcome and its times, counted from the request.
+/// The outcome of a request with its latencies, measured from the start of the request.
 #[derive(Debug, Clone)]
 pub struct Sample {
-    /// What came.
+    /// The result.
     pub outcome: Outcome,
-    /// Time to the first token, or to the end where there is none.
+    /// Time to the first token, or [`Self::total`] if the answer has no token events.
     pub first_token: Duration,
-    /// Time to the end.
+    /// Time to the end of the answer.
     pub total: Duration,
 }
 
-/// Many requests for one model, spread over routers.
+/// Many concurrent requests for one model, spread over the routers.
 #[derive(Debug, Clone)]
 pub struct Burst {
-    /// The model, adapter or alias.
+    /// Name of the model, adapter or alias.
     pub model: String,
-    /// Requests at one time.
+    /// Number of concurrent requests.
     pub count: usize,
-    /// Tokens wanted by each.
+    /// Number of tokens that each request asks for.
     pub tokens: u32,
-    /// Time until the deadline of each.
+    /// Time from the start of each request to its deadline.
     pub deadline: Duration,
 }
 
 impl Burst {
-    /// Makes all requests at one time, every second one streamed, and waits for
-    /// their answers.
+    /// Sends all requests concurrently, every second one streamed, and waits for their answers.
     ///
     /// # Panics
     /// If a caller's thread panicked.
     pub fn run(&self, routers: &[SocketAddr]) -> Vec<Sample> {
         let callers: Vec<_> = (0..self.count)
             .map(|number| {
-                let one = Call {
+                let request = Call {
                     router: routers[number % routers.len()],
                     model: self.model.clone(),
                     workspace: "default".into(),
@@ -87,7 +87,7 @@
                     stream: number.is_multiple_of(2),
                     deadline: self.deadline,
                 };
-                std::thread::spawn(move || call(&one))
+                std::thread::spawn(move || call(&request))
             })
             .collect();
         callers
@@ -97,14 +97,14 @@
     }
 }
 
-/// Makes one request and checks its answer.
+/// Sends one request and checks its answer.
 pub fn call(call: &Call) -> Sample {
-    let began_at = Instant::now();
+    let started_at = Instant::now();
     let mut first = None;
-    let outcome = attempt(call, &mut || {
-        first.get_or_insert_with(|| began_at.elapsed());
+    let outcome = send_and_check(call, &mut || {
+        first.get_or_insert_with(|| started_at.elapsed());
     });
-    let total = began_at.elapsed();
+    let total = started_at.elapsed();
     Sample {
         outcome,
         first_token: first.unwrap_or(total),
@@ -112,7 +112,7 @@
     }
 }
 
-fn attempt(call: &Call, on_token: &mut impl FnMut()) -> Outcome {
+fn send_and_check(call: &Call, on_token: &mut impl FnMut()) -> Outcome {
     let body = json!({
         "model": call.model,
         "messages": [{ "role": "user", "content": call.prompt }],
@@ -120,9 +120,9 @@
         "stream": call.stream,
     });
     let expected: String = (0..call.tokens)
-        .map(|place| token_text(prompt_hash(&body), place))
+        .map(|position| token_text(prompt_hash(&body), position))
         .collect();
-    let sent = agent(Some(call.deadline + PATIENCE), 0)
+    let response = agent(Some(call.deadline + ANSWER_TIMEOUT_MARGIN), 0)
         .post(format!("http://{}/v1/chat/completions", call.router))
         .header("content-type", "application/json")
         .header("x-passway-workspace", &call.workspace)
@@ -131,31 +131,32 @@
             call.deadline.as_millis().to_string(),
         )
         .send(body.to_string());
-    let mut response = match sent {
+    let mut response = match response {
         Ok(response) => response,
         Err(error) => return Outcome::Broken(error.to_string()),
     };
     if response.status() != 200 {
         let body = response.body_mut().read_to_vec().unwrap_or_default();
-        return refused(&body);
+        return parse_refusal(&body);
     }
-    let got = if call.stream {
+    let received = if call.stream {
         read_stream(response.into_body().into_reader(), on_token)
     } else {
         let body = response.body_mut().read_to_vec().unwrap_or_default();
         let answer: Value = serde_json::from_slice(&body).unwrap_or_default();
-        let text = answer["choices"][0]["message"]["content"].as_str();
-        text.map(str::to_owned)
-            .ok_or_else(|| Outcome::Broken("no content".into()))
+        let content = answer["choices"][0]["message"]["content"].as_str();
+        content
+            .map(str::to_owned)
+            .ok_or_else(|| Outcome::Broken("the answer has no content".into()))
     };
-    match got {
-        Ok(text) if text == expected => Outcome::Whole,
-        Ok(text) => Outcome::Broken(format!("got {} bytes, not the answer", text.len())),
+    match received {
+        Ok(content) if content == expected => Outcome::Whole,
+        Ok(content) => Outcome::Broken(format!("unexpected answer of {} bytes", content.len())),
         Err(outcome) => outcome,
     }
 }
 
-fn refused(body: &[u8]) -> Outcome {
+fn parse_refusal(body: &[u8]) -> Outcome {
     let answer: Value = serde_json::from_slice(body).unwrap_or_default();
     match answer["error"]["code"].as_u64() {
         Some(code) => Outcome::Refused {
@@ -167,7 +168,7 @@
 }
 
 fn read_stream(reader: impl std::io::Read, on_token: &mut impl FnMut()) -> Result<String, Outcome> {
-    let mut text = String::new();
+    let mut content = String::new();
     let mut is_error = false;
     for line in BufReader::new(reader).lines() {
         let line = line.map_err(|error| Outcome::Broken(error.to_string()))?;
@@ -178,14 +179,14 @@
             continue;
         };
         if is_error {
-            return Err(refused(data.as_bytes()));
+            return Err(parse_refusal(data.as_bytes()));
         }
         if data == "[DONE]" {
-            return Ok(text);
+            return Ok(content);
         }
         on_token();
         let event: Value = serde_json::from_str(data).unwrap_or_default();
-        text.push_str(
+        content.push_str(
             event["choices"][0]["delta"]["content"]
                 .as_str()
                 .unwrap_or_default(),
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -1,4 +1,4 @@
-//! A stand-in of a plain service that counts runs per key.
+//! A stand-in for a plain service, which counts executions per idempotency key.
 
 use crate::server;
 use passway_http::{Body, Request, Response};
@@ -9,13 +9,13 @@
 use std::net::SocketAddr;
 use std::sync::{Mutex, PoisonError};
 
-/// What the service is told to do wrong.
+/// Faults that the service injects.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// Runs the call and then breaks the connection instead of answering.
+    /// Executes the call, then breaks the connection instead of answering.
     pub break_after_run: bool,
-    /// Runs the call this much later.
+    /// Delay before each call is executed, in milliseconds.
     pub delay_ms: u64,
 }
 
@@ -26,28 +26,28 @@
     unkeyed_runs: u32,
 }
 
-/// The service; clones are the same service.
+/// A plain service; clones share the same state.
 #[derive(Debug, Clone, Default)]
 pub struct PlainService {
     state: Arc<Mutex<State>>,
 }
 
-/// Breaks the connection when it is read.
-struct Broken;
+/// A response body whose read fails, which breaks the connection.
+struct BrokenBody;
 
-impl Read for Broken {
+impl Read for BrokenBody {
     fn read(&mut self, _buffer: &mut [u8]) -> io::Result<usize> {
-        Err(io::Error::other("told to break"))
+        Err(io::Error::other("injected connection break"))
     }
 }
 
 impl PlainService {
-    /// A service that has run nothing.
+    /// Creates a service that has executed no call.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Tells the service what to do wrong from now on.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         self.state
             .lock()
@@ -55,7 +55,7 @@
             .faults = faults;
     }
 
-    /// How often each key ran.
+    /// Returns the number of executions per idempotency key.
     pub fn runs(&self) -> BTreeMap<String, u32> {
         self.state
             .lock()
@@ -64,7 +64,7 @@
             .clone()
     }
 
-    /// How often calls without a key ran.
+    /// Returns the number of executed calls without an idempotency key.
     pub fn unkeyed_runs(&self) -> u32 {
         self.state
             .lock()
@@ -72,7 +72,7 @@
             .unkeyed_runs
     }
 
-    /// Serves calls over HTTP.
+    /// Serves calls over HTTP and returns the bound address.
     pub fn serve(&self, address: SocketAddr) -> SocketAddr {
         let service = self.clone();
         server::serve(address, move |request| service.handle(&request))
@@ -98,7 +98,7 @@
         std::thread::sleep(Duration::from_millis(faults.delay_ms));
         let run = self.run(key.as_deref());
         if faults.break_after_run {
-            return server::response(200, Body::wrap_reader(Broken));
+            return server::response(200, Body::wrap_reader(BrokenBody));
         }
         server::response(
             200,
--- a/crates/standins/src/sizes.rs
+++ b/crates/standins/src/sizes.rs
@@ -1,4 +1,4 @@
-//! Configurations at the sizes of today and of the target.
+//! Configurations of today's size and of the target size, for benchmarks.
 
 use passway_config::Catalog;
 use passway_config::document::{
@@ -8,24 +8,24 @@
 use passway_decide::router::{Arrival, AttemptOutcome, RouterAction, RouterCore};
 use passway_types::prelude::*;
 
-/// How much a configuration holds.
+/// The number of entries in a configuration, by kind.
 #[derive(Debug, Clone, Copy)]
 pub struct Size {
-    /// Base models.
+    /// Number of base models.
     pub models: usize,
-    /// Adapters.
+    /// Number of adapters.
     pub adapters: usize,
-    /// Model engines.
+    /// Number of model engines.
     pub upstreams: usize,
-    /// Workspaces.
+    /// Number of workspaces.
     pub workspaces: usize,
-    /// Policy rules.
+    /// Number of policy rules.
     pub rules: usize,
-    /// Entry instances.
+    /// Number of entry instances.
     pub instances: usize,
 }
 
-/// Sizes: today, a third of the way, the target.
+/// Today's size, the size a third of the way to the target, and the target size.
 pub const SIZES: [Size; 3] = [
     Size {
         models: 50,
@@ -52,7 +52,7 @@
         instances: 320,
     },
 ];
-/// A configuration of a size.
+/// Builds a configuration with as many entries as `size` gives.
 pub fn document(size: &Size) -> Document {
     let workspaces = (0..size.workspaces).map(|number| WorkspaceEntry {
         name: format!("workspace{number}"),
@@ -93,21 +93,21 @@
     }
 }
 
-/// A router that has a route to a replica of every model.
+/// A router core with a route to a loaded replica of every model.
 pub struct WarmRouter {
-    /// Its decisions.
+    /// The router's decision core.
     pub core: RouterCore,
-    /// Its clock.
+    /// The current time of the simulated clock.
     pub now: Instant,
     size: Size,
-    requests: RequestId,
+    request_count: RequestId,
 }
 
 impl WarmRouter {
-    /// A router with the configuration of a size.
+    /// Creates a router with a configuration of this size.
     ///
     /// # Panics
-    /// If the configuration has faults.
+    /// If the configuration is invalid.
     pub fn new(size: Size) -> Self {
         let catalog = Arc::new(Catalog::build(&document(&size), 1).expect("no faults"));
         let now = Instant::now();
@@ -128,17 +128,17 @@
             core,
             now,
             size,
-            requests: 0,
+            request_count: 0,
         }
     }
 
-    /// Takes one request through admission, choice of a replica and its end.
+    /// Handles one request: admission, choice of a replica and completion.
     pub fn serve_one(&mut self) {
         self.now += Duration::from_millis(1);
-        self.requests += 1;
-        let number = usize::try_from(self.requests).unwrap_or(0);
+        self.request_count += 1;
+        let number = usize::try_from(self.request_count).unwrap_or(0);
         let arrival = Arrival {
-            request: self.requests,
+            request: self.request_count,
             model: format!("base-model-{}@1", number % self.size.models),
             workspace: format!("workspace{}", number % self.size.workspaces),
             kind: "rush".into(),
--- a/crates/standins/src/trace.rs
+++ b/crates/standins/src/trace.rs
@@ -1,15 +1,15 @@
-//! Seeded traces of the two deployments, a day compressed into a run.
+//! Seeded request traces of the two deployments, each compressing one day into a run.
 
 use passway_types::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Which deployment a trace is like.
+/// The deployment that a trace models.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Deployment {
-    /// Stalls and scales by day with a rush at opening, growers' reports at night.
+    /// Market: stalls and scales by day with a rush at opening, growers' reports at night.
     Market,
-    /// Pickups and rush replies in waves, drivers' checks, summaries at night.
+    /// Laundry: pickups and rush replies in waves, drivers' checks, summaries at night.
     Laundry,
 }
 
@@ -25,62 +25,63 @@
     }
 }
 
-/// What a request is for; it decides workspace, length and deadline.
+/// The purpose of a request, which determines its workspace, length and deadline.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Purpose {
-    /// A customer waits: a price suggestion, a rush reply.
+    /// A customer waits for the answer: a price suggestion, a rush reply.
     Rush,
-    /// A machine waits: a tag lookup, a manifest check.
+    /// A machine waits for the answer: a tag lookup, a manifest check.
     Lookup,
-    /// Overnight: a harvest report, a claims summary.
+    /// Batch work at night: a harvest report, a claims summary.
     Night,
 }
 
 /// One request of a trace.
 #[derive(Debug, Clone)]
 pub struct TraceRequest {
-    /// When it comes, from the start of the run.
+    /// Arrival time, from the start of the run.
     pub arrives_after: Duration,
-    /// The model or adapter.
+    /// Name of the requested model or adapter.
     pub model: String,
-    /// What it is for.
+    /// Purpose of the request.
     pub purpose: Purpose,
 }
 
-/// Parts of the day, as shares of the run: where the rush begins and ends, where the night begins.
-struct Day {
+/// The load profile of a day. Times are fractions of the run: the start and end of each rush, the
+/// start of the night.
+struct DayProfile {
     rushes: &'static [(f64, f64)],
     rush_factor: f64,
-    night_from: f64,
-    rush_share: f64,
+    night_start: f64,
+    rush_ratio: f64,
 }
 
-const MARKET: Day = Day {
+const MARKET: DayProfile = DayProfile {
     rushes: &[(0.15, 0.25)],
     rush_factor: 6.0,
-    night_from: 0.75,
-    rush_share: 0.5,
+    night_start: 0.75,
+    rush_ratio: 0.5,
 };
-const LAUNDRY: Day = Day {
+const LAUNDRY: DayProfile = DayProfile {
     rushes: &[(0.10, 0.16), (0.40, 0.46), (0.60, 0.66)],
     rush_factor: 3.0,
-    night_from: 0.8,
-    rush_share: 0.3,
+    night_start: 0.8,
+    rush_ratio: 0.3,
 };
 
-/// Draws the requests of one run, in order of time.
+/// Generates the requests of one run, ordered by arrival time.
 ///
-/// Models are asked for by a power law: a few often, most rarely, so that most
-/// sleep most of the time. `rate_per_s` is the mean rate outside rushes.
+/// The popularity of models follows a power law: a few are requested often, most rarely, so most
+/// models are unloaded most of the time. `rate_per_s` is the mean rate outside rushes.
 pub fn generate_requests(
-    site: Deployment,
+    deployment: Deployment,
     seed: u64,
     length: Duration,
     rate_per_s: f64,
     models: usize,
     adapters: usize,
 ) -> Vec<TraceRequest> {
-    let day = if site == Deployment::Market {
+    let profile = if deployment == Deployment::Market {
         MARKET
     } else {
         LAUNDRY
@@ -89,13 +90,13 @@
     let mut requests = Vec::new();
     let mut at_s = 0.0;
     loop {
-        let part = at_s / length.as_secs_f64();
-        let is_rush = day
+        let elapsed_ratio = at_s / length.as_secs_f64();
+        let is_rush = profile
             .rushes
             .iter()
-            .any(|(from, to)| (*from..*to).contains(&part));
+            .any(|(start, end)| (*start..*end).contains(&elapsed_ratio));
         let rate = if is_rush {
-            rate_per_s * day.rush_factor
+            rate_per_s * profile.rush_factor
         } else {
             rate_per_s
         };
@@ -103,14 +104,14 @@
         if at_s >= length.as_secs_f64() {
             return requests;
         }
-        let purpose = if part >= day.night_from {
+        let purpose = if elapsed_ratio >= profile.night_start {
             Purpose::Night
-        } else if is_rush || rng.random_bool(day.rush_share) {
+        } else if is_rush || rng.random_bool(profile.rush_ratio) {
             Purpose::Rush
         } else {
             Purpose::Lookup
         };
-        let model = model(&mut rng, models, adapters);
+        let model = random_model(&mut rng, models, adapters);
         requests.push(TraceRequest {
             arrives_after: Duration::from_secs_f64(at_s),
             model,
@@ -119,21 +120,21 @@
     }
 }
 
-fn model(rng: &mut ChaCha8Rng, models: usize, adapters: usize) -> String {
+fn random_model(rng: &mut ChaCha8Rng, models: usize, adapters: usize) -> String {
     let is_adapter = adapters > 0 && rng.random_bool(0.4);
     let count = if is_adapter { adapters } else { models };
-    // The square of a number between 0 and 1 falls near 0 most often.
-    let drawn = rng.random::<f64>().powi(2);
+    // Squaring a uniform number between 0 and 1 favors values near 0.
+    let random = rng.random::<f64>().powi(2);
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
         clippy::cast_precision_loss,
-        reason = "a place in a short list"
+        reason = "an index of a short list"
     )]
-    let place = ((drawn * count as f64) as usize).min(count - 1);
+    let index = ((random * count as f64) as usize).min(count - 1);
     if is_adapter {
-        format!("adapter{place}@1")
+        format!("adapter{index}@1")
     } else {
-        format!("model{place}@1")
+        format!("model{index}@1")
     }
 }
--- a/crates/standins/src/weight_store.rs
+++ b/crates/standins/src/weight_store.rs
@@ -1,18 +1,18 @@
-//! A stand-in of the rate-limited weight store.
+//! A stand-in for the weight store, which limits the rate and the number of loads.
 
 use passway_types::prelude::*;
 use std::sync::{Condvar, Mutex, PoisonError};
 
-/// The store's pace.
+/// Limits and speed of the weight store.
 #[derive(Debug, Clone)]
 pub struct WeightStoreLimits {
-    /// Loads at one time.
+    /// Maximum number of concurrent loads.
     pub max_concurrent: u32,
-    /// Shortest time between the starts of two loads.
+    /// Minimum time between the starts of two loads.
     pub min_start_interval: Duration,
-    /// Speed of one load, in megabytes (2^20 bytes) a second.
+    /// Transfer rate of one load, in megabytes (2^20 bytes) per second.
     pub mb_per_s: u64,
-    /// Every load takes this many times as long.
+    /// Factor by which each transfer takes longer; 1 is full speed.
     pub slowdown: u32,
 }
 
@@ -29,64 +29,64 @@
 
 #[derive(Debug)]
 struct State {
-    pace: WeightStoreLimits,
+    limits: WeightStoreLimits,
     running: u32,
     next_start_at: Instant,
-    loads: u64,
+    load_count: u64,
 }
 
-/// The store; clones are the same store.
+/// A weight store; clones share the same state.
 #[derive(Debug, Clone)]
 pub struct WeightStore {
     state: Arc<(Mutex<State>, Condvar)>,
 }
 
 impl WeightStore {
-    /// A store with a pace.
-    pub fn new(pace: WeightStoreLimits) -> Self {
+    /// Creates a store with these limits.
+    pub fn new(limits: WeightStoreLimits) -> Self {
         let state = State {
-            pace,
+            limits,
             running: 0,
             next_start_at: Instant::now(),
-            loads: 0,
+            load_count: 0,
         };
         Self {
             state: Arc::new((Mutex::new(state), Condvar::new())),
         }
     }
 
-    /// Slows the store down from now on; 1 is full speed.
+    /// Sets the factor by which later loads are slowed down; 1 is full speed.
     pub fn set_slowdown(&self, slowdown: u32) {
         self.state
             .0
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .pace
+            .limits
             .slowdown = slowdown;
     }
 
-    /// Loads so far.
-    pub fn loads(&self) -> u64 {
+    /// Returns the number of loads started so far.
+    pub fn load_count(&self) -> u64 {
         self.state
             .0
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .loads
+            .load_count
     }
 
-    /// Fetches a checkpoint; returns when it is there.
+    /// Fetches a checkpoint; blocks until the transfer is complete.
     pub fn fetch(&self, size_bytes: u64) {
         let (lock, freed) = &*self.state;
         let mut state = lock.lock().unwrap_or_else(PoisonError::into_inner);
-        while state.running >= state.pace.max_concurrent {
+        while state.running >= state.limits.max_concurrent {
             state = freed.wait(state).unwrap_or_else(PoisonError::into_inner);
         }
         state.running += 1;
-        state.loads += 1;
+        state.load_count += 1;
         let now = Instant::now();
         let start_at = state.next_start_at.max(now);
-        state.next_start_at = start_at + state.pace.min_start_interval;
-        let transfer = transfer_time(size_bytes, &state.pace);
+        state.next_start_at = start_at + state.limits.min_start_interval;
+        let transfer = transfer_time(size_bytes, &state.limits);
         drop(state);
         std::thread::sleep(start_at - now + transfer);
         lock.lock().unwrap_or_else(PoisonError::into_inner).running -= 1;
@@ -94,7 +94,7 @@
     }
 }
 
-fn transfer_time(size_bytes: u64, pace: &WeightStoreLimits) -> Duration {
-    let micros = size_bytes.saturating_mul(1_000_000) / (pace.mb_per_s << 20);
-    Duration::from_micros(micros) * pace.slowdown
+fn transfer_time(size_bytes: u64, limits: &WeightStoreLimits) -> Duration {
+    let micros = size_bytes.saturating_mul(1_000_000) / (limits.mb_per_s << 20);
+    Duration::from_micros(micros) * limits.slowdown
 }
