--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -1,12 +1,12 @@
-//! Stand-ins that speak the users' platform's protocol.
+//! Stand-ins that implement the protocol of the users' platform.
 //!
-//! * [`store`]: the metadata store with transactions, leases and watches, its
-//!   outages and lost answers.
-//! * [`documents`]: a configuration, and entries of servers that do not write their own.
-//! * [`caller`]: a caller over bytes of its own.
-//! * [`process`]: an instance as a process of its own.
-//! * [`proxy`]: a way whose connections can be delayed, reset and silenced.
-//! * [`raw`]: a server whose every byte is scripted.
+//! * [`store`]: the metadata store with transactions, leases and watches, and with fault injection
+//!   (outages, lost answers).
+//! * [`documents`]: a configuration, and store entries of servers that don't publish their own.
+//! * [`caller`]: an HTTP client that sends given bytes.
+//! * [`process`]: an instance as a separate process.
+//! * [`proxy`]: a TCP proxy whose connections can be delayed, reset and silenced.
+//! * [`raw`]: a server that sends scripted bytes.
 //! * [`model_server`]: a model server with orders, reports and streams.
 
 pub mod caller;
--- a/crates/standins/src/platform/caller.rs
+++ b/crates/standins/src/platform/caller.rs
@@ -1,38 +1,42 @@
-//! A caller over bytes of its own: it sends what it is told, whole or not, and sees how each
-//! answer ended.
+//! An HTTP client that sends exactly the given bytes, valid or not, and reports whether each answer
+//! was complete.
 
 use passway_types::prelude::*;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// Longest wait for something that must come.
+/// Maximum wait for an event that must happen, and read timeout of a caller's connection.
 pub const RECEIVE_TIMEOUT: Duration = Duration::from_secs(20);
-/// The host of all routes.
+/// The host name of all routes.
 pub const HOST: &str = "shop.example";
 
-/// An answer as a caller got it.
+/// An answer as the caller received it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// The head.
+    /// The status line and the headers.
     pub head: String,
-    /// The body, decoded.
+    /// The body without its transfer encoding; of an incomplete answer the part that was received.
     pub body: String,
-    /// Whether it ended as its framing says.
+    /// Whether the body ended as its framing announces.
     pub is_complete: bool,
 }
 
 impl Answer {
-    /// A header's value.
+    /// Returns the value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
-        let mut lines = self.head.lines().skip(1).filter_map(|l| l.split_once(':'));
+        let mut lines = self
+            .head
+            .lines()
+            .skip(1)
+            .filter_map(|line| line.split_once(':'));
         let found = lines.find(|(key, _)| key.eq_ignore_ascii_case(name));
         found.map(|(_, value)| value.trim())
     }
 }
 
-/// A caller's connection.
+/// A client connection.
 #[derive(Debug)]
 pub struct Caller {
     /// The socket.
@@ -41,18 +45,18 @@
 }
 
 impl Caller {
-    /// Connects.
+    /// Connects to `address`.
     ///
     /// # Panics
-    /// If nobody listens there.
+    /// If the connection fails.
     pub fn connect(address: SocketAddr) -> Self {
         Self::from_stream(TcpStream::connect(address).expect("connecting"))
     }
 
-    /// Uses a connection.
+    /// Uses an open connection.
     ///
     /// # Panics
-    /// If it takes no time-out.
+    /// If the read timeout cannot be set.
     pub fn from_stream(stream: TcpStream) -> Self {
         stream
             .set_read_timeout(Some(RECEIVE_TIMEOUT))
@@ -63,7 +67,7 @@
         }
     }
 
-    /// Sends bytes; whether the other end still stands.
+    /// Sends bytes; returns whether the connection accepted them.
     pub fn try_send(&mut self, bytes: &[u8]) -> bool {
         self.stream.write_all(bytes).is_ok()
     }
@@ -71,16 +75,16 @@
     /// Sends bytes.
     ///
     /// # Panics
-    /// If the other end is gone.
+    /// If the peer has closed the connection.
     pub fn send(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).expect("sending");
     }
 
-    fn more(&mut self) -> bool {
+    fn read_more(&mut self) -> bool {
         let mut chunk = [0; 4_096];
         let count = loop {
             match self.stream.read(&mut chunk) {
-                // A process that was stopped goes on with what it waited for.
+                // A process that was stopped by a signal retries the read once it continues.
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 read => break read.unwrap_or(0),
             }
@@ -89,23 +93,27 @@
         count > 0
     }
 
-    /// Reads an answer; `None` if the connection ends before its head, or says nothing for
-    /// [`RECEIVE_TIMEOUT`].
+    /// Reads an answer; `None` if the connection is closed before the end of the head, or nothing
+    /// arrives for [`RECEIVE_TIMEOUT`].
     ///
     /// # Panics
-    /// If what comes is no answer.
+    /// If the answer has no valid status line.
     pub fn receive(&mut self) -> Option<Answer> {
         let end = loop {
-            if let Some(end) = self.bytes.windows(4).position(|four| four == b"\r\n\r\n") {
+            if let Some(end) = self
+                .bytes
+                .windows(4)
+                .position(|window| window == b"\r\n\r\n")
+            {
                 break end;
             }
-            if !self.more() {
+            if !self.read_more() {
                 return None;
             }
         };
         let head = String::from_utf8_lossy(&self.bytes[..end]).into_owned();
         self.bytes.drain(..end + 4);
-        let status = head.split(' ').nth(1).and_then(|text| text.parse().ok());
+        let status = head.split(' ').nth(1).and_then(|value| value.parse().ok());
         let mut answer = Answer {
             status: status.expect("a status"),
             head,
@@ -113,7 +121,7 @@
             is_complete: false,
         };
         if answer.header("transfer-encoding") == Some("chunked") {
-            while let Some(chunk) = self.chunk() {
+            while let Some(chunk) = self.read_chunk() {
                 if chunk.is_empty() {
                     answer.is_complete = true;
                     break;
@@ -124,19 +132,19 @@
         }
         let length = answer
             .header("content-length")
-            .and_then(|text| text.parse().ok());
+            .and_then(|value| value.parse().ok());
         let length: usize = length.unwrap_or(0);
-        while self.bytes.len() < length && self.more() {}
-        let got = length.min(self.bytes.len());
-        answer.is_complete = got == length;
-        let body: Vec<u8> = self.bytes.drain(..got).collect();
+        while self.bytes.len() < length && self.read_more() {}
+        let received = length.min(self.bytes.len());
+        answer.is_complete = received == length;
+        let body: Vec<u8> = self.bytes.drain(..received).collect();
         answer.body = String::from_utf8_lossy(&body).into_owned();
         Some(answer)
     }
 
-    fn chunk(&mut self) -> Option<Vec<u8>> {
+    fn read_chunk(&mut self) -> Option<Vec<u8>> {
         loop {
-            if let Some(end) = self.bytes.windows(2).position(|two| two == b"\r\n") {
+            if let Some(end) = self.bytes.windows(2).position(|window| window == b"\r\n") {
                 let size = std::str::from_utf8(&self.bytes[..end]).ok()?;
                 let size = usize::from_str_radix(size, 16).ok()?;
                 if self.bytes.len() >= end + 2 + size + 2 {
@@ -145,29 +153,30 @@
                     return Some(chunk);
                 }
             }
-            if !self.more() {
+            if !self.read_more() {
                 return None;
             }
         }
     }
 }
 
-/// A request's bytes; its caller waits for 8 s.
-pub fn request(method: &str, path: &str, id: &str, more: &str, body: &str) -> Vec<u8> {
+/// Builds the bytes of a request with a deadline of 8 s. `headers` holds additional header lines,
+/// each ending with CRLF. A GET request has no body.
+pub fn request(method: &str, path: &str, id: &str, headers: &str, body: &str) -> Vec<u8> {
     let length = body.len();
     let framing = if method == "GET" {
         String::new()
     } else {
         format!("Content-Length: {length}\r\n")
     };
-    format!("{method} {path} HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: {id}\r\nDeadline-Ms: 8000\r\n{more}{framing}\r\n{body}")
+    format!("{method} {path} HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: {id}\r\nDeadline-Ms: 8000\r\n{headers}{framing}\r\n{body}")
         .into_bytes()
 }
 
-/// Sends one request on a connection of its own.
+/// Sends one request over a new connection and returns the answer.
 ///
 /// # Panics
-/// As [`Caller`] does.
+/// As [`Caller::connect`], [`Caller::send`] and [`Caller::receive`] do.
 pub fn fetch(address: SocketAddr, bytes: &[u8]) -> Option<Answer> {
     let mut caller = Caller::connect(address);
     caller.send(bytes);
--- a/crates/standins/src/platform/documents.rs
+++ b/crates/standins/src/platform/documents.rs
@@ -1,11 +1,11 @@
-//! What operators and servers write into the store.
+//! Builds the documents that operators and servers write to the metadata store.
 
 use super::caller::HOST;
 use super::store::MetadataStandIn;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// A configuration with a route of every kind; models by name.
+/// Builds a configuration with a route of every kind and the named models.
 pub fn configuration(version: u64, models: &[&str]) -> Value {
     let models: Vec<Value> = models
         .iter()
@@ -33,25 +33,26 @@
             "header_timeout_ms": 3_000, "idle_timeout_ms": 15_000}})
 }
 
-/// A configuration with workspaces, whose routes ask for a key of one of them.
+/// Adds workspaces to a configuration; its routes then require an API key of a workspace.
 pub fn with_workspaces(mut configuration: Value, workspaces: &[Value]) -> Value {
     configuration["tenants"] = workspaces.into();
     configuration
 }
 
-/// A workspace with keys that may use so many tokens a second, and as many at once; 0 for no limit.
+/// Builds a workspace with API keys. `tokens_per_s` is its rate limit in tokens per second and also
+/// its burst; 0 means unlimited.
 pub fn workspace(name: &str, keys: &[&str], tokens_per_s: f64) -> Value {
     json!({"name": name, "api_keys": keys, "priority": 1, "unit": "token_count",
         "plain_tokens": 200, "rate_per_s": tokens_per_s, "burst": tokens_per_s})
 }
 
-/// The entry of a plain server that is ready.
+/// Builds the store entry of a plain server that is ready.
 pub fn plain_entry(address: SocketAddr) -> Value {
     json!({"service": "plain", "address": address.to_string(), "zone": "hall0",
         "version": "v1", "slots": 6, "state": "ready", "sequence": 1, "cold_left_ms": 0})
 }
 
-/// Lists a plain server.
+/// Writes the entry of a plain server with this state to the store.
 pub fn list_plain(store: &MetadataStandIn, id: &str, address: SocketAddr, state: &str) {
     let mut entry = plain_entry(address);
     entry["state"] = state.into();
--- a/crates/standins/src/platform/model_server.rs
+++ b/crates/standins/src/platform/model_server.rs
@@ -1,4 +1,4 @@
-//! A model server with orders, reports and streams, whose ledger judges the orders.
+//! A model server that handles orders, reports and streams, and records them for checks by tests.
 
 use super::raw::{RawServer, Received, Step};
 use super::store::MetadataStandIn;
@@ -7,75 +7,75 @@
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// When each server has started first, in Unix milliseconds.
+/// Reported start time of each server before its first restart, in Unix milliseconds.
 const FIRST_START_MS: u64 = 1_792_321_983_006;
-/// Time that a server which has left takes to start again.
+/// Time that a server takes to restart after it has left.
 const RESTART_TIME: Duration = Duration::from_millis(300);
-/// Events of a stream.
+/// Number of events in a complete stream.
 pub const EVENTS: u64 = 5;
 
-/// What the server is told to do wrong.
+/// Faults that the server injects.
 #[derive(Debug, Clone, Default)]
 pub struct Faults {
-    /// Cuts the next stream off after so many events.
+    /// Closes the connection of the next stream after this many events.
     pub cut_after_events: Option<u64>,
-    /// Sends nothing more after so many events of the next stream.
+    /// Sends nothing more in the next stream after this many events.
     pub silent_after_events: Option<u64>,
-    /// Pauses for 2.5 s after so many events of the next stream.
+    /// Pauses the next stream for 2.5 s after this many events.
     pub pause_after_events: Option<u64>,
-    /// Takes the next order and does not answer it.
+    /// Carries out the next order without answering it.
     pub drops_order_answer: bool,
-    /// Pauses for so long before each event of all streams.
+    /// Delay before each event of every stream.
     pub event_delay: Duration,
-    /// Crashes when it begins to run a request whose body begins so.
+    /// Crashes when it starts to execute a request whose body begins with this prefix.
     pub crash_on_prefix: Option<String>,
-    /// Names so many requests a second as what it takes.
+    /// Limit that the server advertises in its answers, in requests per second.
     pub advertised_limit_per_s: Option<f64>,
-    /// Says in all of its answers that it leaves.
+    /// Announces in every answer that the server is leaving.
     pub is_leaving: bool,
-    /// Turns requests away, and asks for so many seconds of rest.
+    /// Rejects requests and asks the instances to back off for this many seconds.
     pub backoff_s: Option<f64>,
-    /// A crash leaves its port open, whose connections are closed for so long; then it starts again
-    /// under its id.
+    /// With a value, a crash leaves the port open, as under a supervisor: the server closes all
+    /// connections for this time, then serves again under the same id.
     pub restart_delay: Option<Duration>,
 }
 
-/// The models of a server.
+/// The models that a server starts with.
 #[derive(Debug, Clone, Copy)]
 pub struct InitialModels<'a> {
-    /// How many may stand on it.
+    /// Maximum number of loaded models.
     pub capacity: usize,
-    /// Those that do.
+    /// The loaded models.
     pub loaded: &'a [&'a str],
-    /// Those on its disk besides.
+    /// Further models on the server's disk.
     pub on_disk: &'a [&'a str],
 }
 
-/// An order that was taken.
+/// An order that the server accepted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AcceptedOrder {
     /// `load_model` or `unload_model`.
     pub operation: String,
-    /// The model, with an adapter behind a slash.
+    /// The model; an adapter follows after a slash.
     pub model_ref: String,
-    /// Who gave it.
+    /// The holder that sent the order.
     pub holder: String,
-    /// The fencing number.
+    /// The fencing number of the order.
     pub fence: u64,
 }
 
-/// A request that came, and what its answer said of the server.
+/// A request that reached the server, and the signals in its answer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Arrival {
-    /// Its id.
+    /// Id of the request.
     pub id: String,
-    /// When it came.
+    /// Time of arrival.
     pub arrived_at: Instant,
-    /// The start of the server that it came to, counted.
+    /// Number of restarts of the server before the request arrived.
     pub restart_count: usize,
-    /// Whether the answer said that the server leaves.
+    /// Whether the answer announced that the server is leaving.
     pub is_leaving: bool,
-    /// The rest that the answer asked for.
+    /// The backoff that the answer asked for.
     pub backoff: Option<Duration>,
 }
 
@@ -83,34 +83,34 @@
 struct State {
     models: Vec<(String, Vec<String>)>,
     on_disk: Vec<String>,
-    taken: Vec<AcceptedOrder>,
-    over_limit: u32,
-    runs: Vec<String>,
-    run_at: Vec<Instant>,
+    orders: Vec<AcceptedOrder>,
+    loads_over_capacity: u32,
+    executed_ids: Vec<String>,
+    executed_at: Vec<Instant>,
     arrivals: Vec<Arrival>,
-    /// Whether it leaves, until it starts again.
-    leaves: bool,
-    /// When orders and questions for its state came.
-    asked_at: Vec<Instant>,
-    /// Bodies of the requests under which it crashed and started again.
-    restarts: Vec<String>,
+    /// Whether the server is leaving; reset by a restart.
+    is_leaving: bool,
+    /// Arrival times of orders and report queries.
+    control_calls_at: Vec<Instant>,
+    /// The body of the request behind each restart; empty if the server left.
+    restart_bodies: Vec<String>,
     down_until: Option<Instant>,
-    crashed: bool,
+    has_crashed: bool,
     faults: Faults,
 }
 
 impl State {
-    fn says_leaving(&self) -> bool {
-        self.leaves || self.faults.is_leaving
+    fn announces_leaving(&self) -> bool {
+        self.is_leaving || self.faults.is_leaving
     }
 }
 
-/// The server.
+/// A model server; clones share the same state.
 #[derive(Debug, Clone)]
 pub struct ModelServer {
-    /// Its id.
+    /// Id of the server.
     pub id: String,
-    /// Where it listens.
+    /// The address that the server publishes in its store entry.
     pub address: SocketAddr,
     service: String,
     capacity: usize,
@@ -118,16 +118,16 @@
     store: MetadataStandIn,
 }
 
-fn answer(status: u16, id: &str, body: &str, more: &str) -> Vec<Step> {
+fn answer(status: u16, id: &str, body: &str, headers: &str) -> Vec<Step> {
     let length = body.len();
     let text = format!(
-        "HTTP/1.1 {status} X\r\nContent-Length: {length}\r\nRequest-Id: {id}\r\n{more}\r\n{body}"
+        "HTTP/1.1 {status} X\r\nContent-Length: {length}\r\nRequest-Id: {id}\r\n{headers}\r\n{body}"
     );
     vec![Step::Send(text.into_bytes())]
 }
 
 impl ModelServer {
-    /// A server with room for so many models, which lists itself in the store.
+    /// Starts a server that can hold `capacity` models and publishes its entry in the store.
     pub fn start(
         store: &MetadataStandIn,
         id: &str,
@@ -144,13 +144,14 @@
         Self::start_behind(store, id, service, models, |address| address)
     }
 
-    /// A server that lists itself at the address of a way to it.
+    /// Starts a server that publishes the address of a proxy. `proxy_to` receives the address that
+    /// the server listens on and returns the address to publish.
     pub fn start_behind(
         store: &MetadataStandIn,
         id: &str,
         service: &str,
         models: InitialModels<'_>,
-        way_to: impl FnOnce(SocketAddr) -> SocketAddr,
+        proxy_to: impl FnOnce(SocketAddr) -> SocketAddr,
     ) -> Self {
         let InitialModels {
             capacity,
@@ -160,20 +161,20 @@
         let state = State {
             models: models
                 .iter()
-                .map(|m| ((*m).to_owned(), Vec::new()))
+                .map(|model| ((*model).to_owned(), Vec::new()))
                 .collect(),
             on_disk: on_disk
                 .iter()
                 .chain(models)
-                .map(|m| (*m).to_owned())
+                .map(|model| (*model).to_owned())
                 .collect(),
             ..State::default()
         };
         let state = Arc::new(Mutex::new(state));
-        let this: Arc<Mutex<Option<Self>>> = Arc::default();
-        let answering = this.clone();
-        let raw = RawServer::start(move |received| {
-            let server = answering
+        let shared_server: Arc<Mutex<Option<Self>>> = Arc::default();
+        let server_slot = shared_server.clone();
+        let listener = RawServer::start(move |received| {
+            let server = server_slot
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner)
                 .clone();
@@ -181,13 +182,13 @@
         });
         let server = Self {
             id: id.to_owned(),
-            address: way_to(raw.address),
+            address: proxy_to(listener.address),
             service: service.to_owned(),
             capacity,
             state,
             store: store.clone(),
         };
-        *this.lock().unwrap_or_else(PoisonError::into_inner) = Some(server.clone());
+        *shared_server.lock().unwrap_or_else(PoisonError::into_inner) = Some(server.clone());
         server.publish_entry("ready");
         server
     }
@@ -201,78 +202,80 @@
         self.state().faults = faults;
     }
 
-    /// Says something of itself in the store.
-    pub fn publish_entry(&self, said: &str) {
+    /// Writes the server's entry with this state to the store.
+    pub fn publish_entry(&self, server_state: &str) {
         let state = self.state();
         let entry = json!({"service": self.service, "address": self.address.to_string(),
-            "zone": "hall0", "version": "v1", "slots": 8, "state": said, "cold_left_ms": 0,
-            "models": models(&state), "sequence": 1, "born": born(&state),
+            "zone": "hall0", "version": "v1", "slots": 8, "state": server_state, "cold_left_ms": 0,
+            "models": models(&state), "sequence": 1, "born": started_at_ms(&state),
             "at_hand": {"in_memory": [], "on_disk": state.on_disk}});
         drop(state);
         self.store.put(&format!("servers/{}", self.id), &entry);
     }
 
-    /// Orders that were taken.
+    /// Returns the orders that the server accepted.
     pub fn accepted_orders(&self) -> Vec<AcceptedOrder> {
-        self.state().taken.clone()
+        self.state().orders.clone()
     }
 
-    /// Orders to load more than there is room for.
+    /// Returns the number of load orders beyond the server's capacity.
     pub fn loads_over_capacity(&self) -> u32 {
-        self.state().over_limit
+        self.state().loads_over_capacity
     }
 
-    /// Requests that ran.
+    /// Returns the ids of the executed requests.
     pub fn executed_ids(&self) -> Vec<String> {
-        self.state().runs.clone()
+        self.state().executed_ids.clone()
     }
 
-    /// When they began.
+    /// Returns the start times of the executed requests.
     pub fn executed_at(&self) -> Vec<Instant> {
-        self.state().run_at.clone()
+        self.state().executed_at.clone()
     }
 
-    /// Requests that came, whether or not they ran.
+    /// Returns all requests that reached the server, executed or not.
     pub fn arrivals(&self) -> Vec<Arrival> {
         self.state().arrivals.clone()
     }
 
-    /// Says from now on that it leaves, ends after so long and starts again under its id.
-    pub fn leave(&self, after: Duration) {
-        self.state().leaves = true;
+    /// Announces in every answer that the server is leaving, and restarts it under the same id
+    /// after this time.
+    pub fn leave(&self, delay: Duration) {
+        self.state().is_leaving = true;
         let server = self.clone();
         std::thread::spawn(move || {
-            std::thread::sleep(after);
+            std::thread::sleep(delay);
             server.restart(b"", RESTART_TIME);
         });
     }
 
-    /// When orders and questions for its state came.
+    /// Returns the arrival times of orders and report queries.
     pub fn control_calls_at(&self) -> Vec<Instant> {
-        self.state().asked_at.clone()
+        self.state().control_calls_at.clone()
     }
 
-    /// Bodies of the requests under which it crashed and started again.
+    /// Returns the body of the request behind each restart; empty if the server left.
     pub fn restart_bodies(&self) -> Vec<String> {
-        self.state().restarts.clone()
+        self.state().restart_bodies.clone()
     }
 
-    /// Whether it has crashed.
+    /// Returns whether the server has crashed for good.
     pub fn has_crashed(&self) -> bool {
-        self.state().crashed
+        self.state().has_crashed
     }
 
-    /// A request ends it, and it starts again under its id.
-    fn restart(&self, body: &[u8], after: Duration) -> Vec<Step> {
+    /// Closes all connections, and serves again under the same id after this time. `body` is the body
+    /// of the request that caused the crash, empty if the server left.
+    fn restart(&self, body: &[u8], delay: Duration) -> Vec<Step> {
         let mut state = self.state();
         let body = String::from_utf8_lossy(body).into_owned();
-        state.restarts.push(body);
-        state.leaves = false;
-        state.down_until = Some(Instant::now() + after);
+        state.restart_bodies.push(body);
+        state.is_leaving = false;
+        state.down_until = Some(Instant::now() + delay);
         drop(state);
         let server = self.clone();
         std::thread::spawn(move || {
-            std::thread::sleep(after);
+            std::thread::sleep(delay);
             server.state().down_until = None;
             server.publish_entry("ready");
         });
@@ -293,10 +296,10 @@
         if received.request_line().starts_with("GET /report ") {
             let mut state = self.state();
             let report = json!({"models": models(&state), "in_flight": false,
-                "born": born(&state), "sequence": state.taken.len(), "at_hand": {"in_memory": [], "on_disk": state.on_disk}});
-            state.asked_at.push(Instant::now());
-            let said = words(&state);
-            return answer(200, &id, &report.to_string(), &said);
+                "born": started_at_ms(&state), "sequence": state.orders.len(), "at_hand": {"in_memory": [], "on_disk": state.on_disk}});
+            state.control_calls_at.push(Instant::now());
+            let signals = signal_headers(&state);
+            return answer(200, &id, &report.to_string(), &signals);
         }
         if received.request_line().starts_with("POST /order ") {
             return self.order(received, &id);
@@ -310,24 +313,24 @@
         };
         let mut state = self.state();
         let expected = order["expected"].as_u64();
-        if expected.is_some_and(|count| usize::try_from(count).ok() != Some(state.taken.len())) {
+        if expected.is_some_and(|count| usize::try_from(count).ok() != Some(state.orders.len())) {
             return answer(409, id, "", "");
         }
-        let text = |name: &str| order[name].as_str().unwrap_or_default().to_owned();
-        let (operation, model) = (text("operation"), text("model"));
+        let field = |name: &str| order[name].as_str().unwrap_or_default().to_owned();
+        let (operation, model) = (field("operation"), field("model"));
         let adapter = order["adapter"].as_str().map(str::to_owned);
         let model_ref = adapter
             .as_ref()
-            .map_or(model.clone(), |a| format!("{model}/{a}"));
-        state.taken.push(AcceptedOrder {
+            .map_or(model.clone(), |adapter| format!("{model}/{adapter}"));
+        state.orders.push(AcceptedOrder {
             operation: operation.clone(),
             model_ref,
-            holder: text("holder"),
+            holder: field("holder"),
             fence: order["fence"].as_u64().unwrap_or(0),
         });
         let is_load = operation == "load_model";
         match (is_load, adapter) {
-            (true, None) if state.models.len() >= self.capacity => state.over_limit += 1,
+            (true, None) if state.models.len() >= self.capacity => state.loads_over_capacity += 1,
             (true, None) => {
                 state.on_disk.push(model.clone());
                 state.models.push((model, Vec::new()));
@@ -336,7 +339,7 @@
             (is_load, Some(adapter)) => {
                 for (name, adapters) in &mut state.models {
                     if *name == model {
-                        adapters.retain(|known| *known != adapter);
+                        adapters.retain(|other| *other != adapter);
                         if is_load {
                             adapters.push(adapter.clone());
                         }
@@ -344,84 +347,84 @@
                 }
             }
         }
-        state.asked_at.push(Instant::now());
-        let said = words(&state);
-        let lost = std::mem::take(&mut state.faults.drops_order_answer);
+        state.control_calls_at.push(Instant::now());
+        let signals = signal_headers(&state);
+        let is_answer_dropped = std::mem::take(&mut state.faults.drops_order_answer);
         drop(state);
         self.publish_entry("ready");
-        if lost {
+        if is_answer_dropped {
             return vec![Step::Close];
         }
-        answer(202, id, "", &said)
+        answer(202, id, "", &signals)
     }
 
     fn stream(&self, received: &Received, id: &str) -> Vec<Step> {
-        let wish = received.header("model").unwrap_or_default();
-        let (model, adapter) = wish.split_once('/').unwrap_or((wish, ""));
+        let model_ref = received.header("model").unwrap_or_default();
+        let (model, adapter) = model_ref.split_once('/').unwrap_or((model_ref, ""));
         let mut state = self.state();
-        let stands = state.models.iter().any(|(name, adapters)| {
-            name == model && (adapter.is_empty() || adapters.iter().any(|known| known == adapter))
+        let is_loaded = state.models.iter().any(|(name, adapters)| {
+            name == model && (adapter.is_empty() || adapters.iter().any(|other| other == adapter))
         });
-        let said = words(&state);
-        let rest_s = state.faults.backoff_s;
+        let signals = signal_headers(&state);
+        let backoff_s = state.faults.backoff_s;
         let arrival = Arrival {
             id: id.to_owned(),
             arrived_at: Instant::now(),
-            restart_count: state.restarts.len(),
-            is_leaving: state.says_leaving(),
-            backoff: rest_s.map(Duration::from_secs_f64),
+            restart_count: state.restart_bodies.len(),
+            is_leaving: state.announces_leaving(),
+            backoff: backoff_s.map(Duration::from_secs_f64),
         };
         state.arrivals.push(arrival);
-        if let Some(rest_s) = rest_s {
-            let more = format!("Not-Executed: 1\r\nRetry-After: {rest_s}\r\n{said}");
-            return answer(503, id, "", &more);
+        if let Some(backoff_s) = backoff_s {
+            let headers = format!("Not-Executed: 1\r\nRetry-After: {backoff_s}\r\n{signals}");
+            return answer(503, id, "", &headers);
         }
-        if !stands {
-            let more = format!("Not-Executed: 1\r\n{said}");
-            return answer(421, id, "", &more);
+        if !is_loaded {
+            let headers = format!("Not-Executed: 1\r\n{signals}");
+            return answer(421, id, "", &headers);
         }
-        state.runs.push(id.to_owned());
-        state.run_at.push(Instant::now());
-        let crashes_on = state.faults.crash_on_prefix.as_deref();
-        let crashes = crashes_on.is_some_and(|prefix| received.body.starts_with(prefix.as_bytes()));
-        if crashes && let Some(after) = state.faults.restart_delay {
+        state.executed_ids.push(id.to_owned());
+        state.executed_at.push(Instant::now());
+        let prefix = state.faults.crash_on_prefix.as_deref();
+        let crashes = prefix.is_some_and(|prefix| received.body.starts_with(prefix.as_bytes()));
+        if crashes && let Some(delay) = state.faults.restart_delay {
             drop(state);
-            return self.restart(&received.body, after);
+            return self.restart(&received.body, delay);
         }
         if crashes {
-            state.crashed = true;
+            state.has_crashed = true;
             return vec![Step::Crash];
         }
-        let cuts_after = state.faults.cut_after_events.take();
+        let cut_after = state.faults.cut_after_events.take();
         let silent_after = state.faults.silent_after_events.take();
         let pause_after = state.faults.pause_after_events.take();
-        let event_pause = state.faults.event_delay;
+        let event_delay = state.faults.event_delay;
         drop(state);
-        let from = received
+        let resumed_from = received
             .header("last-event-id")
-            .and_then(|text| text.parse().ok());
-        let from: u64 = from.unwrap_or(0);
+            .and_then(|value| value.parse().ok());
+        let resumed_from: u64 = resumed_from.unwrap_or(0);
         let head = format!(
-            "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\nRequest-Id: {id}\r\n{said}Response-Seal: seal-{}\r\n\r\n",
+            "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\nRequest-Id: {id}\r\n{signals}Response-Seal: seal-{}\r\n\r\n",
             self.id
         );
         let mut steps = vec![Step::Send(head.into_bytes())];
-        for number in from + 1..=EVENTS {
-            if cuts_after.is_some_and(|after| number > after) {
-                // In the middle of an event.
+        for number in resumed_from + 1..=EVENTS {
+            if cut_after.is_some_and(|count| number > count) {
+                // The stream breaks in the middle of an event.
                 steps.push(Step::Send(b"ff\r\nid: ".to_vec()));
                 steps.push(Step::Close);
                 return steps;
             }
-            if silent_after.is_some_and(|after| number > after) {
+            if silent_after.is_some_and(|count| number > count) {
                 steps.push(Step::Pause(Duration::from_secs(30)));
                 return steps;
             }
             if pause_after == Some(number - 1) {
                 steps.push(Step::Pause(Duration::from_millis(2_500)));
             }
-            if !event_pause.is_zero() {
-                steps.push(Step::Pause(event_pause));
+            if !event_delay.is_zero() {
+                steps.push(Step::Pause(event_delay));
             }
             let event = event(number);
             let chunk = format!("{:x}\r\n{event}\r\n", event.len());
@@ -432,24 +435,25 @@
     }
 }
 
-/// One event of a stream.
+/// Returns the bytes of one event of a stream.
 pub fn event(number: u64) -> String {
     format!("id: {number}\ndata: token{number}\n\n")
 }
 
-/// What all of its answers say of it.
-fn words(state: &State) -> String {
+/// Returns the header lines that announce the server's limit and that it is leaving.
+fn signal_headers(state: &State) -> String {
     let limit = state.faults.advertised_limit_per_s;
     let limit = limit.map(|per_s| format!("Server-Limit: {per_s}\r\n"));
     let leaving = state
-        .says_leaving()
+        .announces_leaving()
         .then(|| "Server-Leaving: 1\r\n".to_owned());
     limit.into_iter().chain(leaving).collect()
 }
 
-/// Unix milliseconds of its start, as far as is told: it counts its starts.
-fn born(state: &State) -> u64 {
-    FIRST_START_MS + u64::try_from(state.restarts.len()).unwrap_or(0)
+/// Returns the reported start time, in Unix milliseconds. Each restart adds 1 ms, so the value
+/// identifies the incarnation.
+fn started_at_ms(state: &State) -> u64 {
+    FIRST_START_MS + u64::try_from(state.restart_bodies.len()).unwrap_or(0)
 }
 
 fn models(state: &State) -> Vec<Value> {
--- a/crates/standins/src/platform/process.rs
+++ b/crates/standins/src/platform/process.rs
@@ -1,4 +1,4 @@
-//! An instance as a process of its own.
+//! Runs an instance as a separate process.
 
 use anyhow::{Context, Result};
 use rustix::process::{Pid, Signal, kill_process};
@@ -8,105 +8,105 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicU8, Ordering};
 
-/// A port that the kernel chose, on a loopback address that this process alone uses,
-/// so that nobody takes the port between here and the program's start.
+/// Returns an address with a free port that the kernel chose. Its loopback IP is used by this
+/// process alone, so no other process takes the port before the program has started.
 ///
 /// # Panics
 /// If no port can be bound.
 pub fn free_address() -> SocketAddr {
-    static NEXT: AtomicU8 = AtomicU8::new(1);
-    let [high, low] = [
+    static NEXT_HOST: AtomicU8 = AtomicU8::new(1);
+    let [second_octet, third_octet] = [
         std::process::id() / 250 % 250 + 1,
         std::process::id() % 250 + 1,
     ];
-    let last = NEXT.fetch_add(1, Ordering::Relaxed);
-    let ip = format!("127.{high}.{low}.{last}:0");
+    let host = NEXT_HOST.fetch_add(1, Ordering::Relaxed);
+    let ip = format!("127.{second_octet}.{third_octet}.{host}:0");
     let listener = TcpListener::bind(ip).expect("bind");
     listener.local_addr().expect("address")
 }
 
-/// Time within which keys that were taken away stop.
+/// Maximum time for which a revoked API key is still accepted, in milliseconds.
 pub const REVOKE_MS: u64 = 3_000;
-/// Window of allotments, in seconds.
+/// Window of the workspaces' allotments, in seconds.
 pub const QUOTA_WINDOW_S: u64 = 8;
-/// Units that a workspace may use beyond its allotment in a window, beside a tenth of it.
+/// Units that a workspace may use in a window beyond its allotment plus a tenth of it.
 pub const QUOTA_SLACK: u32 = 2_000;
 
-/// What an instance is started with.
+/// Parameters of an instance's process.
 #[derive(Debug, Clone)]
 pub struct ProcessConfig {
-    /// The program's file.
+    /// Path of the instance's executable.
     pub executable: PathBuf,
-    /// The instance's name; no two of a process share one.
+    /// Name of the instance, unique within this process.
     pub name: String,
-    /// Where it reaches the store.
+    /// Address of the metadata store.
     pub store: SocketAddr,
-    /// Time from SIGTERM to the end, in seconds.
+    /// Grace period from SIGTERM to the exit, in seconds.
     pub grace_s: f64,
-    /// More arguments.
+    /// Command line arguments.
     pub arguments: Vec<String>,
-    /// Where its lines go.
+    /// Destination of the process's standard output, i.e. of its log lines.
     pub output: Output,
 }
 
-/// Where an instance's lines go.
+/// Destination of an instance's log lines.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
-    /// Nowhere.
+    /// The log lines are discarded.
     Null,
-    /// Into a pipe that nobody reads.
+    /// A pipe that nothing reads.
     Unread,
-    /// Behind what a file holds.
+    /// The log lines are appended to this file.
     File(PathBuf),
 }
 
-/// The process; it is killed when this is dropped.
+/// A running instance; dropping it kills the process.
 #[derive(Debug)]
 pub struct InstanceProcess {
-    /// The process.
+    /// The child process.
     pub child: Child,
-    /// Where callers connect.
+    /// The address that callers connect to.
     pub callers_address: SocketAddr,
-    /// Where the balancer asks.
+    /// The address of the load balancer's readiness probe.
     pub readiness_address: SocketAddr,
-    plan: ProcessConfig,
-    settings: PathBuf,
+    config: ProcessConfig,
+    settings_path: PathBuf,
 }
 
 impl Drop for InstanceProcess {
     fn drop(&mut self) {
-        // It may have ended already.
+        // Fails if the process has already exited, which is fine.
         let _ = self.child.kill();
         let _ = self.child.wait();
-        // Left behind it only wastes room.
-        let _ = std::fs::remove_file(&self.settings);
+        // If this fails, the file only wastes disk space.
+        let _ = std::fs::remove_file(&self.settings_path);
     }
 }
 
-fn spawn(plan: &ProcessConfig, settings: &PathBuf) -> Result<Child> {
-    let output = match &plan.output {
+fn spawn(config: &ProcessConfig, settings_path: &PathBuf) -> Result<Child> {
+    let output = match &config.output {
         Output::Null => Stdio::null(),
         Output::Unread => Stdio::piped(),
         Output::File(path) => {
-            let file = File::options().create(true).append(true).open(path);
-            Stdio::from(file.with_context(|| format!("opening {}", path.display()))?)
+            let log_file = File::options().create(true).append(true).open(path);
+            Stdio::from(log_file.with_context(|| format!("opening {}", path.display()))?)
         }
     };
-    Command::new(&plan.executable)
-        .args(&plan.arguments)
-        .env("PASSWAY_BOOT", settings)
+    Command::new(&config.executable)
+        .args(&config.arguments)
+        .env("PASSWAY_BOOT", settings_path)
         .stdout(output)
         .stderr(Stdio::null())
         .spawn()
-        .with_context(|| format!("starting {}", plan.executable.display()))
+        .with_context(|| format!("starting {}", config.executable.display()))
 }
 
 impl InstanceProcess {
-    /// Starts an instance, without waiting for it, on addresses that the kernel chooses.
+    /// Starts an instance on addresses that the kernel chooses; doesn't wait until it is ready.
     ///
     /// # Errors
-    /// If its files cannot be written or it cannot be started.
-    pub fn start(plan: ProcessConfig) -> Result<Self> {
+    /// If the settings file cannot be written or the process cannot be started.
+    pub fn start(config: ProcessConfig) -> Result<Self> {
         let (callers_address, readiness_address, peers) =
             (free_address(), free_address(), free_address());
         let text = format!(
@@ -116,52 +116,52 @@
             retry_window_s = 10\nlease_ms = 3000\nstrict_revoke = true\nrevoke_ms = {REVOKE_MS}\n\
             quota_window_s = {QUOTA_WINDOW_S}\nquota_overage = 0.1\nquota_slack = {QUOTA_SLACK}\n\
             [platform]\naddress = \"{}\"\nttl_min_ms = 1000\n",
-            plan.name,
+            config.name,
             peers.ip(),
             peers.port(),
-            plan.grace_s,
-            plan.store,
+            config.grace_s,
+            config.store,
         );
-        let file = format!("passway-{}-{}.toml", plan.name, std::process::id());
-        let settings = std::env::temp_dir().join(file);
-        std::fs::write(&settings, text).context("settings")?;
-        let child = spawn(&plan, &settings)?;
+        let file_name = format!("passway-{}-{}.toml", config.name, std::process::id());
+        let settings_path = std::env::temp_dir().join(file_name);
+        std::fs::write(&settings_path, text).context("settings")?;
+        let child = spawn(&config, &settings_path)?;
         Ok(Self {
             child,
             callers_address,
             readiness_address,
-            plan,
-            settings,
+            config,
+            settings_path,
         })
     }
 
-    /// Starts it again after its end, on the same addresses.
+    /// Starts the process again after it has exited, with the same settings and addresses.
     ///
     /// # Errors
-    /// If it cannot be started.
+    /// If the process cannot be started.
     pub fn restart(&mut self) -> Result<()> {
-        self.child = spawn(&self.plan, &self.settings)?;
+        self.child = spawn(&self.config, &self.settings_path)?;
         Ok(())
     }
 
-    /// Sends a signal; one that has ended already hears nothing.
+    /// Sends a signal; without effect if the process has exited.
     pub fn signal(&self, signal: Signal) {
         let _ = kill_process(Pid::from_child(&self.child), signal);
     }
 
-    /// What the balancer is told; `None` without an answer.
+    /// Returns the status code of the readiness probe; `None` without an answer.
     pub fn readiness_status(&self) -> Option<u16> {
         TcpStream::connect(self.readiness_address).ok()?;
-        let question = b"GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-        super::caller::fetch(self.readiness_address, question).map(|answer| answer.status)
+        let probe = b"GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
+        super::caller::fetch(self.readiness_address, probe).map(|answer| answer.status)
     }
 
-    /// Resident memory, in bytes; 0 of a process that has ended.
+    /// Returns the resident memory, in bytes; 0 if the process has exited.
     pub fn resident_bytes(&self) -> usize {
         let status = format!("/proc/{}/status", self.child.id());
         let status = std::fs::read_to_string(status).unwrap_or_default();
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-        let kilobytes = line.and_then(|rest| rest.split_whitespace().next()?.parse().ok());
+        let kilobytes = line.and_then(|value| value.split_whitespace().next()?.parse().ok());
         kilobytes.map_or(0, |kilobytes: usize| kilobytes << 10)
     }
 }
--- a/crates/standins/src/platform/proxy.rs
+++ b/crates/standins/src/platform/proxy.rs
@@ -1,4 +1,4 @@
-//! A way whose connections can be delayed, reset and silenced.
+//! A TCP proxy whose connections can be delayed, reset and silenced.
 
 use passway_types::prelude::*;
 use std::collections::BTreeMap;
@@ -6,50 +6,51 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Bytes that go on at one time.
+/// Maximum number of bytes that are forwarded at once.
 const CHUNK_BYTES: usize = 16 << 10;
 
-/// What happens to what goes this way from now on.
+/// Faults that the proxy injects into open and new connections.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ProxyFaults {
-    /// Each chunk waits for so long.
+    /// Delay of each forwarded chunk.
     pub delay: Duration,
-    /// What callers send is lost, and their connections stay open and silent for good.
+    /// Drops what callers send. Connections with dropped data stay open and forward nothing more in
+    /// this direction.
     pub drops_requests: bool,
-    /// The same of what comes back.
+    /// Drops what the target sends, in the same way.
     pub drops_answers: bool,
-    /// New connections are closed at once.
+    /// Closes new connections immediately.
     pub refuses_connections: bool,
 }
 
 #[derive(Debug, Default)]
 struct State {
     faults: ProxyFaults,
-    /// Both ends of each connection, by how many came before.
+    /// The sockets to the caller and to the target of each open connection, by connection number.
     open: BTreeMap<u64, [TcpStream; 2]>,
-    connections: u64,
-    /// Whether the other end has crashed, so that nobody listens here any more.
+    connection_count: u64,
+    /// Whether the target has closed its port, so the proxy's port is closed too.
     is_closed: bool,
 }
 
-/// The way; clones are the same one.
+/// A TCP proxy; clones share the same state.
 #[derive(Debug, Clone)]
 pub struct Proxy {
-    /// Where it listens.
+    /// The address that the proxy listens on.
     pub address: SocketAddr,
     target: SocketAddr,
     state: Arc<Mutex<State>>,
 }
 
 impl Proxy {
-    /// A way to an address, on a port that the kernel chooses.
+    /// Starts a proxy to `target` on a port that the kernel chooses.
     ///
     /// # Panics
     /// If no port can be bound.
     pub fn start(target: SocketAddr) -> Self {
-        let listener = TcpListener::bind(("127.0.0.1", 0)).expect("binding a way");
+        let listener = TcpListener::bind(("127.0.0.1", 0)).expect("binding a proxy");
         let proxy = Self {
-            address: listener.local_addr().expect("a way's address"),
+            address: listener.local_addr().expect("a proxy's address"),
             target,
             state: Arc::default(),
         };
@@ -69,27 +70,28 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What happens from now on; connections that have gone silent stay so.
+    /// Replaces the injected faults. Connections that have been silenced stay silent.
     pub fn set_faults(&self, faults: ProxyFaults) {
         self.state().faults = faults;
     }
 
-    /// Cuts all connections.
+    /// Closes all open connections.
     pub fn reset_connections(&self) {
-        for ends in std::mem::take(&mut self.state().open).values() {
-            close(ends);
+        for sockets in std::mem::take(&mut self.state().open).values() {
+            close_sockets(sockets);
         }
     }
 
-    /// Closes the port if nobody listens at the other end any more: whoever tries it again finds
-    /// what a crash leaves.
+    /// Closes the proxy's port if the target refuses connections. Later connection attempts are then
+    /// refused, as after a crash without a proxy.
     fn close_with_target(&self) {
         if TcpStream::connect(self.target).is_ok() {
             return;
         }
         self.state().is_closed = true;
         while TcpStream::connect(self.address).is_ok() {
-            // The one that woke the thread that accepts; the next is refused.
+            // An accepted connection wakes the accepting thread, which then closes the port. Once the
+            // port is closed, connections are refused.
             std::thread::yield_now();
         }
     }
@@ -98,41 +100,43 @@
         if self.state().faults.refuses_connections {
             return;
         }
-        // A port that nobody listens at any more is told by the caller's connection that ends.
+        // If the target refuses the connection, the caller's connection is closed.
         let Ok(server) = TcpStream::connect(self.target) else {
             return;
         };
         let (Ok(caller_end), Ok(server_end)) = (caller.try_clone(), server.try_clone()) else {
             return;
         };
-        // Small messages go at once, as without a way between.
+        // Small messages are sent without delay, as without a proxy.
         let _ = (caller.set_nodelay(true), server.set_nodelay(true));
         let mut state = self.state();
-        state.connections += 1;
-        let number = state.connections;
-        state.open.insert(number, [caller_end, server_end]);
+        state.connection_count += 1;
+        let connection_number = state.connection_count;
+        state
+            .open
+            .insert(connection_number, [caller_end, server_end]);
         drop(state);
-        self.copy(
-            number,
+        self.forward(
+            connection_number,
             [caller, &server],
             |faults| faults.drops_requests,
             false,
         );
-        self.copy(
-            number,
+        self.forward(
+            connection_number,
             [&server, caller],
             |faults| faults.drops_answers,
             true,
         );
     }
 
-    /// Passes on what one end sends until either closes.
-    fn copy(
+    /// Forwards the data of one direction until either end closes the connection.
+    fn forward(
         &self,
-        number: u64,
+        connection_number: u64,
         [from, to]: [&TcpStream; 2],
-        loses: fn(&ProxyFaults) -> bool,
-        is_answers: bool,
+        is_dropped: fn(&ProxyFaults) -> bool,
+        is_from_target: bool,
     ) {
         let (Ok(mut from), Ok(mut to)) = (from.try_clone(), to.try_clone()) else {
             return;
@@ -144,23 +148,23 @@
             while let Ok(count @ 1..) = from.read(&mut chunk) {
                 let faults = proxy.state().faults;
                 std::thread::sleep(faults.delay);
-                is_silent |= loses(&faults);
+                is_silent |= is_dropped(&faults);
                 if !is_silent && to.write_all(&chunk[..count]).is_err() {
                     break;
                 }
             }
-            if is_answers {
+            if is_from_target {
                 proxy.close_with_target();
             }
-            close(&[from, to]);
-            proxy.state().open.remove(&number);
+            close_sockets(&[from, to]);
+            proxy.state().open.remove(&connection_number);
         });
     }
 }
 
-fn close(ends: &[TcpStream; 2]) {
-    for end in ends {
-        // One that is closed already needs no closing.
-        let _ = end.shutdown(Shutdown::Both);
+fn close_sockets(sockets: &[TcpStream; 2]) {
+    for socket in sockets {
+        // Fails if the socket is already closed, which is fine.
+        let _ = socket.shutdown(Shutdown::Both);
     }
 }
--- a/crates/standins/src/platform/raw.rs
+++ b/crates/standins/src/platform/raw.rs
@@ -1,4 +1,4 @@
-//! A server whose every byte is scripted, for answers that no library would give.
+//! A server that sends scripted bytes, for answers that no HTTP library would produce.
 
 use passway_types::prelude::*;
 use std::collections::BTreeMap;
@@ -7,96 +7,102 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// A request as it arrived.
+/// A request as the server received it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Received {
-    /// How many requests came before, over all connections.
+    /// Number of requests received before this one, over all connections.
     pub number: usize,
-    /// How many connections came before.
+    /// Number of connections accepted before this request's one.
     pub connection: usize,
-    /// The head, without its empty line.
+    /// The request line and the headers, without the final empty line.
     pub head: String,
     /// The body.
     pub body: Vec<u8>,
 }
 
 impl Received {
-    /// A header's value.
+    /// Returns the value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
-        let mut lines = self.head.lines().skip(1).filter_map(|l| l.split_once(':'));
+        let mut lines = self
+            .head
+            .lines()
+            .skip(1)
+            .filter_map(|line| line.split_once(':'));
         let found = lines.find(|(key, _)| key.eq_ignore_ascii_case(name));
         found.map(|(_, value)| value.trim())
     }
 
-    /// Method and path.
+    /// Returns the request line: method, path and HTTP version.
     pub fn request_line(&self) -> &str {
         self.head.lines().next().unwrap_or_default()
     }
 }
 
-/// What the server does.
+/// A step of a script.
 #[derive(Debug, Clone)]
 pub enum Step {
-    /// Sends bytes.
+    /// Sends these bytes.
     Send(Vec<u8>),
-    /// Waits.
+    /// Waits for this time.
     Pause(Duration),
-    /// Closes the connection.
+    /// Closes the request's connection.
     Close,
-    /// Ends the server as a crash does: its port is closed, then all of its connections.
+    /// Crashes the server: closes its port, then all of its connections.
     Crash,
-    /// Closes all of its connections; the port stays open, as it does under a supervisor.
+    /// Closes all connections of the server, but not its port: a supervisor keeps the port open when
+    /// the server crashes.
     CloseAll,
 }
 
-/// The server.
+/// A scripted server; clones share the same state.
 #[derive(Debug, Clone)]
 pub struct RawServer {
-    /// Where it listens.
+    /// The address that the server listens on.
     pub address: SocketAddr,
     received: Arc<Mutex<Vec<Received>>>,
     closed: Arc<Mutex<Vec<usize>>>,
-    crash: Arc<Crash>,
+    crash: Arc<CrashState>,
 }
 
-/// What a crash of the server takes.
+/// The parts of the server that a crash closes.
 #[derive(Debug, Default)]
-struct Crash {
-    /// Whether the server is about to crash.
-    begun: AtomicBool,
-    /// Whether its port is closed.
-    port_closed: AtomicBool,
-    /// Its connections, by how many came before.
+struct CrashState {
+    /// Whether a crash has begun.
+    has_begun: AtomicBool,
+    /// Whether the port is closed.
+    is_port_closed: AtomicBool,
+    /// The open connections, by connection number.
     streams: Mutex<BTreeMap<usize, TcpStream>>,
 }
 
-impl Crash {
+impl CrashState {
     fn streams(&self) -> MutexGuard<'_, BTreeMap<usize, TcpStream>> {
         self.streams.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A connection was accepted.
-    fn keep(&self, connection: usize, stream: &TcpStream) {
+    /// Registers an accepted connection.
+    fn register(&self, connection: usize, stream: &TcpStream) {
         let stream = stream.try_clone().ok();
         self.streams()
             .extend(stream.map(|stream| (connection, stream)));
     }
 
-    /// A connection has ended; it is closed once nobody keeps it.
-    fn forget(&self, connection: usize) {
+    /// Removes a finished connection; its socket closes with the last clone.
+    fn unregister(&self, connection: usize) {
         self.streams().remove(&connection);
     }
 
-    fn cut(&self) {
+    fn close_all(&self) {
         for stream in std::mem::take(&mut *self.streams()).values() {
-            // One that has ended already is cut.
+            // Fails if the connection is already closed, which is fine.
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 }
 
 impl RawServer {
-    /// Answers each request by what `script` says, on a port that the kernel chooses.
+    /// Starts a server that runs the steps returned by `script` for each request, on a port that the
+    /// kernel chooses.
     ///
     /// # Panics
     /// If no port can be bound.
@@ -111,52 +117,55 @@
         let (accepting, script) = (server.clone(), Arc::new(script));
         std::thread::spawn(move || {
             for (connection, stream) in listener.incoming().enumerate() {
-                if accepting.crash.begun.load(Ordering::Acquire) {
+                if accepting.crash.has_begun.load(Ordering::Acquire) {
                     break;
                 }
                 let Ok(stream) = stream else { continue };
-                accepting.crash.keep(connection, &stream);
+                accepting.crash.register(connection, &stream);
                 let (server, script) = (accepting.clone(), script.clone());
                 std::thread::spawn(move || {
-                    // A caller that leaves ends the connection; there is no one to tell.
-                    let _ = server.converse(stream, connection, &*script);
-                    server.crash.forget(connection);
+                    // An error means that the caller has disconnected; nothing is left to do.
+                    let _ = server.serve_connection(stream, connection, &*script);
+                    server.crash.unregister(connection);
                     server.closed().push(connection);
                 });
             }
             drop(listener);
-            accepting.crash.port_closed.store(true, Ordering::Release);
+            accepting
+                .crash
+                .is_port_closed
+                .store(true, Ordering::Release);
         });
         server
     }
 
-    /// Ends the server as a crash does.
+    /// Closes the port, then all connections.
     fn crash(&self) {
-        self.crash.begun.store(true, Ordering::Release);
-        while !self.crash.port_closed.load(Ordering::Acquire) {
-            // Wakes the thread that accepts; where the port is closed already, nobody.
+        self.crash.has_begun.store(true, Ordering::Release);
+        while !self.crash.is_port_closed.load(Ordering::Acquire) {
+            // Wakes the accepting thread; without effect if the port is already closed.
             let _ = TcpStream::connect(self.address);
             std::thread::yield_now();
         }
-        self.crash.cut();
+        self.crash.close_all();
     }
 
     fn closed(&self) -> std::sync::MutexGuard<'_, Vec<usize>> {
         self.closed.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Connections that have ended.
+    /// Returns the numbers of the connections that have ended.
     pub fn closed_connections(&self) -> Vec<usize> {
         self.closed().clone()
     }
 
-    /// All requests that came.
+    /// Returns all received requests.
     pub fn received(&self) -> Vec<Received> {
         let received = self.received.lock();
         received.unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    fn converse(
+    fn serve_connection(
         &self,
         mut stream: TcpStream,
         connection: usize,
@@ -165,22 +174,22 @@
         stream.set_nodelay(true)?;
         let mut bytes = Vec::new();
         while let Some((head, body)) = read_request(&mut stream, &mut bytes)? {
-            let mut all = self.received.lock().unwrap_or_else(PoisonError::into_inner);
+            let mut requests = self.received.lock().unwrap_or_else(PoisonError::into_inner);
             let received = Received {
-                number: all.len(),
+                number: requests.len(),
                 connection,
                 head,
                 body,
             };
-            all.push(received.clone());
-            drop(all);
+            requests.push(received.clone());
+            drop(requests);
             for step in script(&received) {
                 match step {
                     Step::Send(bytes) => stream.write_all(&bytes)?,
-                    Step::Pause(time) => std::thread::sleep(time),
+                    Step::Pause(duration) => std::thread::sleep(duration),
                     Step::Close => return Ok(()),
                     Step::Crash => self.crash(),
-                    Step::CloseAll => self.crash.cut(),
+                    Step::CloseAll => self.crash.close_all(),
                 }
             }
         }
@@ -188,24 +197,24 @@
     }
 }
 
-/// Reads one request with a counted body; `None` at the connection's end.
+/// Reads one request whose body has a `Content-Length`; `None` at the end of the connection.
 fn read_request(
     stream: &mut TcpStream,
     bytes: &mut Vec<u8>,
 ) -> std::io::Result<Option<(String, Vec<u8>)>> {
     let mut chunk = [0; 8 << 10];
     loop {
-        if let Some(end) = bytes.windows(4).position(|four| four == b"\r\n\r\n") {
+        if let Some(end) = bytes.windows(4).position(|window| window == b"\r\n\r\n") {
             let head = String::from_utf8_lossy(&bytes[..end]).into_owned();
             let length = head.lines().filter_map(|line| line.split_once(':'));
             let mut length = length.filter(|(name, _)| name.eq_ignore_ascii_case("content-length"));
             let length = length
                 .next()
                 .and_then(|(_, value)| value.trim().parse().ok());
-            let whole = end + 4 + length.unwrap_or(0);
-            if bytes.len() >= whole {
-                let body = bytes[end + 4..whole].to_vec();
-                bytes.drain(..whole);
+            let request_end = end + 4 + length.unwrap_or(0);
+            if bytes.len() >= request_end {
+                let body = bytes[end + 4..request_end].to_vec();
+                bytes.drain(..request_end);
                 return Ok(Some((head, body)));
             }
         }
--- a/crates/standins/src/platform/store.rs
+++ b/crates/standins/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The platform's metadata store, in memory.
+//! An in-memory stand-in for the platform's metadata store.
 
 use crate::server::{json_body, json_response, query_number, response, serve};
 use base64::Engine as _;
@@ -11,21 +11,21 @@
 use std::net::SocketAddr;
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 
-/// Items of one page.
-const PAGE: usize = 500;
-/// Longest hold of a call that is not answered.
-const SILENCE: Duration = Duration::from_secs(3);
+/// Maximum number of items in a page of a range read.
+const MAX_PAGE_ITEMS: usize = 500;
+/// Time for which a call without an answer is held open.
+const UNANSWERED_CALL_DURATION: Duration = Duration::from_secs(3);
 
-/// What the store is told to do wrong.
+/// Faults that the store injects.
 #[derive(Debug, Clone, Default)]
 pub struct Faults {
-    /// Answers every call with this status.
+    /// Answers every call with this status code.
     pub error_status: Option<u16>,
-    /// Answers every call with bytes that are no JSON.
+    /// Answers every call with a body that isn't JSON.
     pub sends_invalid_json: bool,
-    /// Does so many of the next writes and does not answer them.
+    /// Number of upcoming writes that are applied but not answered.
     pub answers_to_drop: u32,
-    /// Holds every call and does not answer.
+    /// Holds every call open, then answers 503.
     pub is_silent: bool,
 }
 
@@ -38,24 +38,24 @@
 
 #[derive(Debug)]
 struct Lease {
-    time: Duration,
-    until: Instant,
+    ttl: Duration,
+    expires_at: Instant,
 }
 
 #[derive(Debug, Default)]
 struct State {
     items: BTreeMap<String, Item>,
     leases: BTreeMap<u64, Lease>,
-    /// Changes in their order: key, revision, and the item unless it went away.
+    /// The changes in order: key, revision, and the new item, or `None` if the key was removed.
     history: Vec<(String, u64, Option<Item>)>,
-    forgotten_to: u64,
+    compacted_to: u64,
     revision: u64,
     next_lease: u64,
     calls: BTreeMap<String, u64>,
     faults: Faults,
 }
 
-/// The store; clones are the same store.
+/// A metadata store; clones share the same state.
 #[derive(Debug, Clone, Default)]
 pub struct MetadataStandIn {
     shared: Arc<(Mutex<State>, Condvar)>,
@@ -110,29 +110,32 @@
         }
     }
 
-    fn lapse(&mut self) {
+    fn expire_leases(&mut self) {
         let now = Instant::now();
-        let over = self.leases.iter().filter(|(_, lease)| lease.until <= now);
-        let over: Vec<u64> = over.map(|(id, _)| *id).collect();
-        for lease in over {
+        let expired = self
+            .leases
+            .iter()
+            .filter(|(_, lease)| lease.expires_at <= now);
+        let expired: Vec<u64> = expired.map(|(id, _)| *id).collect();
+        for lease in expired {
             self.end_lease(lease);
         }
     }
 }
 
-fn in_json(key: &str, item: &Item) -> Value {
+fn item_json(key: &str, item: &Item) -> Value {
     value!({"tls_key": key, "value": STANDARD.encode(&item.value), "revision": item.revision,
         "created": item.revision, "lease": item.lease})
 }
 
-fn text(request: &Request, name: &str) -> String {
+fn query_text(request: &Request, name: &str) -> String {
     let pairs = request.head.uri.query().unwrap_or_default().split('&');
-    let mut named = pairs.filter_map(|pair| pair.split_once('='));
-    let found = named.find(|(key, _)| *key == name);
+    let mut parameters = pairs.filter_map(|pair| pair.split_once('='));
+    let found = parameters.find(|(key, _)| *key == name);
     found.map(|(_, value)| value.to_owned()).unwrap_or_default()
 }
 
-/// One way to the store, whose calls alone can be refused.
+/// An endpoint of the store whose calls can be refused without affecting other endpoints.
 #[derive(Debug)]
 pub struct StoreEndpoint {
     address: SocketAddr,
@@ -140,37 +143,37 @@
 }
 
 impl StoreEndpoint {
-    /// Where it is served.
+    /// Returns the address of the endpoint.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Tells this way what to do wrong from now on; of the faults only refusals count here.
+    /// Replaces the faults of this endpoint; only [`Faults::error_status`] has an effect.
     pub fn set_faults(&self, faults: Faults) {
         *self.faults.lock().unwrap_or_else(PoisonError::into_inner) = faults;
     }
 }
 
 impl MetadataStandIn {
-    /// Serves on a port that the kernel chooses.
+    /// Serves the store on a port that the kernel chooses and returns the address.
     pub fn serve(&self) -> SocketAddr {
         let store = self.clone();
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        serve(any, move |request| store.answer(&request))
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+        serve(any_port, move |request| store.answer(&request))
     }
 
-    /// Serves on a port that the kernel chooses, with faults of this way to it alone.
+    /// Serves the store on a port that the kernel chooses, as an endpoint with faults of its own.
     pub fn serve_endpoint(&self) -> StoreEndpoint {
         let store = self.clone();
         let faults: Arc<Mutex<Faults>> = Arc::default();
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let here = faults.clone();
-        let address = serve(any, move |request| {
-            let refuses = here
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+        let endpoint_faults = faults.clone();
+        let address = serve(any_port, move |request| {
+            let error_status = endpoint_faults
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner)
                 .error_status;
-            refuses.map_or_else(|| store.answer(&request), |status| response(status, ""))
+            error_status.map_or_else(|| store.answer(&request), |status| response(status, ""))
         });
         StoreEndpoint { address, faults }
     }
@@ -179,54 +182,54 @@
         self.shared.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells the store what to do wrong from now on.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         self.state().faults = faults;
         self.shared.1.notify_all();
     }
 
-    /// Writes a value as the operator or a server does.
+    /// Writes a JSON value, as the operator or a server does.
     pub fn put(&self, key: &str, value: &Value) {
         self.state().put(key, value.to_string().into_bytes(), 0);
         self.shared.1.notify_all();
     }
 
-    /// Writes bytes as one of the system's own processes does, under no lease.
+    /// Writes bytes without a lease, as passway's own processes do.
     pub fn put_bytes(&self, key: &str, value: &[u8]) {
         self.state().put(key, value.to_vec(), 0);
         self.shared.1.notify_all();
     }
 
-    /// Takes a key away.
+    /// Removes a key.
     pub fn remove(&self, key: &str) {
         self.state().remove(key);
         self.shared.1.notify_all();
     }
 
-    /// A key's value.
+    /// Returns the value of a key.
     pub fn get(&self, key: &str) -> Option<Vec<u8>> {
         let mut state = self.state();
-        state.lapse();
+        state.expire_leases();
         state.items.get(key).map(|item| item.value.clone())
     }
 
-    /// A key's revision; 0 if it is not there.
+    /// Returns the revision of a key; 0 if the key doesn't exist.
     pub fn revision_of(&self, key: &str) -> u64 {
         let mut state = self.state();
-        state.lapse();
+        state.expire_leases();
         state.items.get(key).map_or(0, |item| item.revision)
     }
 
-    /// Forgets what has changed up to now.
+    /// Drops the history of changes, so watches from earlier revisions fail with status 410.
     pub fn compact_history(&self) {
         let mut state = self.state();
-        state.forgotten_to = state.revision;
+        state.compacted_to = state.revision;
         state.history.clear();
         drop(state);
         self.shared.1.notify_all();
     }
 
-    /// Calls by path since the start.
+    /// Returns the number of calls by path since the start.
     pub fn calls(&self) -> BTreeMap<String, u64> {
         self.state().calls.clone()
     }
@@ -235,7 +238,7 @@
         let path = request.path().to_owned();
         let faults = {
             let mut state = self.state();
-            state.lapse();
+            state.expire_leases();
             *state.calls.entry(path.clone()).or_default() += 1;
             state.faults.clone()
         };
@@ -243,7 +246,7 @@
             return response(status, "");
         }
         if faults.is_silent {
-            std::thread::sleep(SILENCE);
+            std::thread::sleep(UNANSWERED_CALL_DURATION);
             return response(503, "");
         }
         if faults.sends_invalid_json {
@@ -268,24 +271,24 @@
     }
 
     fn key(&self, request: &Request) -> Response {
-        let key = text(request, "tls_key");
+        let key = query_text(request, "tls_key");
         let state = self.state();
         let item = state.items.get(&key);
         item.map_or_else(
             || response(404, ""),
-            |item| json_response(&in_json(&key, item)),
+            |item| json_response(&item_json(&key, item)),
         )
     }
 
     fn range(&self, request: &Request) -> Response {
-        let (prefix, after) = (text(request, "prefix"), text(request, "after"));
+        let (prefix, after) = (query_text(request, "prefix"), query_text(request, "after"));
         let state = self.state();
         let items = state.items.iter();
         let mut items = items.filter(|(key, _)| key.starts_with(&prefix) && **key > after);
         let page: Vec<Value> = items
             .by_ref()
-            .take(PAGE)
-            .map(|(k, i)| in_json(k, i))
+            .take(MAX_PAGE_ITEMS)
+            .map(|(key, item)| item_json(key, item))
             .collect();
         let has_more = items.next().is_some();
         json_response(
@@ -294,34 +297,34 @@
     }
 
     fn watch(&self, request: &Request) -> Response {
-        let prefix = text(request, "prefix");
+        let prefix = query_text(request, "prefix");
         let after = query_number(request, "after").unwrap_or(0);
         let wait = Duration::from_millis(query_number(request, "wait_ms").unwrap_or(0));
-        let until = Instant::now() + wait;
+        let wait_until = Instant::now() + wait;
         let mut state = self.state();
         loop {
-            state.lapse();
-            if after < state.forgotten_to {
+            state.expire_leases();
+            if after < state.compacted_to {
                 return response(410, "");
             }
-            let news = state.history.iter();
-            let news = news.filter(|(key, at, _)| key.starts_with(&prefix) && *at > after);
-            let events: Vec<Value> = news
+            let changes = state.history.iter();
+            let changes = changes.filter(|(key, at, _)| key.starts_with(&prefix) && *at > after);
+            let events: Vec<Value> = changes
                 .map(|(key, revision, item)| match item {
-                    Some(item) => in_json(key, item),
+                    Some(item) => item_json(key, item),
                     None => value!({"tls_key": key, "revision": revision, "tombstone": true}),
                 })
                 .collect();
-            let left = until.saturating_duration_since(Instant::now());
-            if !events.is_empty() || left.is_zero() || state.faults.error_status.is_some() {
+            let remaining = wait_until.saturating_duration_since(Instant::now());
+            if !events.is_empty() || remaining.is_zero() || state.faults.error_status.is_some() {
                 return json_response(
                     &value!({"events": events, "store_revision": state.revision}),
                 );
             }
-            // Leases lapse without a call; look again soon.
-            let step = left.min(Duration::from_millis(50));
-            let waited = self.shared.1.wait_timeout(state, step);
-            state = waited.unwrap_or_else(PoisonError::into_inner).0;
+            // Leases expire without a call, so the watch checks again after at most 50 ms.
+            let step = remaining.min(Duration::from_millis(50));
+            let wait_result = self.shared.1.wait_timeout(state, step);
+            state = wait_result.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
 
@@ -330,16 +333,16 @@
             return response(400, "");
         };
         let mut state = self.state();
-        let stands = |row: &Expected| {
+        let is_current = |row: &Expected| {
             let item = state.items.get(&row.tls_key);
             item.map_or(0, |item| item.revision) == row.revision
         };
-        if !transaction.expected.iter().all(stands) {
+        if !transaction.expected.iter().all(is_current) {
             return response(412, "{\"items\":[]}");
         }
         let leases = &state.leases;
-        let known = |write: &Write| write.lease == 0 || leases.contains_key(&write.lease);
-        if !transaction.writes.iter().all(known) {
+        let has_lease = |write: &Write| write.lease == 0 || leases.contains_key(&write.lease);
+        if !transaction.writes.iter().all(has_lease) {
             return response(404, "");
         }
         for write in transaction.writes {
@@ -351,27 +354,28 @@
         for key in transaction.remove {
             state.remove(&key);
         }
-        let lost = state.faults.answers_to_drop > 0;
+        let is_dropped = state.faults.answers_to_drop > 0;
         state.faults.answers_to_drop = state.faults.answers_to_drop.saturating_sub(1);
         let revision = state.revision;
         drop(state);
         self.shared.1.notify_all();
-        if lost {
-            std::thread::sleep(SILENCE);
+        if is_dropped {
+            std::thread::sleep(UNANSWERED_CALL_DURATION);
             return response(504, "");
         }
         json_response(&value!({ "revision": revision }))
     }
 
     fn grant(&self, request: &Request) -> Response {
-        let Some(ttl_ms) = json_body::<Value>(request).and_then(|b| b["ttl_ms"].as_u64()) else {
+        let Some(ttl_ms) = json_body::<Value>(request).and_then(|body| body["ttl_ms"].as_u64())
+        else {
             return response(400, "");
         };
         let mut state = self.state();
         state.next_lease += 1;
-        let (lease, time) = (state.next_lease, Duration::from_millis(ttl_ms));
-        let until = Instant::now() + time;
-        state.leases.insert(lease, Lease { time, until });
+        let (lease, ttl) = (state.next_lease, Duration::from_millis(ttl_ms));
+        let expires_at = Instant::now() + ttl;
+        state.leases.insert(lease, Lease { ttl, expires_at });
         json_response(&value!({"lease": lease, "ttl_ms": ttl_ms}))
     }
 
@@ -380,8 +384,8 @@
         let Some(lease) = state.leases.get_mut(&lease) else {
             return response(404, "");
         };
-        lease.until = Instant::now() + lease.time;
-        let ttl_ms = u64::try_from(lease.time.as_millis()).unwrap_or(u64::MAX);
+        lease.expires_at = Instant::now() + lease.ttl;
+        let ttl_ms = u64::try_from(lease.ttl.as_millis()).unwrap_or(u64::MAX);
         json_response(&value!({ "ttl_ms": ttl_ms }))
     }
 }
