--- a/crates/standins/src/soak.rs
+++ b/crates/standins/src/soak.rs
@@ -1,13 +1,15 @@
-//! A fault soak: real instances as processes among stand-ins, faults drawn by a seed, and callers who
-//! use open connections until the process is gone.
+//! A soak test with fault injection: real instances run as processes among stand-ins, a seed
+//! selects the faults, and callers use open connections until the process closes them.
 //!
-//! The seed fixes the schedule of faults and of requests; what they meet depends on the
-//! machine. So nothing is judged by times, only by what callers and servers saw:
+//! The seed determines the sequences of faults and requests; their timing depends on the machine.
+//! The checks therefore compare what callers and servers recorded, and don't depend on the speed
+//! of the machine:
 //!
-//! * [`cluster`]: the processes, the stand-ins and the ways between them.
-//! * [`schedule`]: which faults come when.
-//! * [`callers`]: who asks for what, and what each of them got.
-//! * [`checks`]: the promises; [`workspace_checks`]: those on keys and allotments.
+//! * [`cluster`]: the processes, the stand-ins and the proxies between them.
+//! * [`schedule`]: selects and injects the faults.
+//! * [`callers`]: send requests and record the answers.
+//! * [`checks`]: check the invariants; [`workspace_checks`] those on API keys and allotments,
+//!   [`signal_checks`] those on the engines' signals.
 
 mod callers;
 mod checks;
@@ -25,70 +27,70 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-/// What is played.
+/// Parameters of a soak run.
 #[derive(Debug, Clone)]
 pub struct SoakPlan {
-    /// The instances' program.
+    /// Path of the instances' executable.
     pub executable: PathBuf,
-    /// Where their logs are kept.
+    /// Directory for the instances' logs.
     pub log_dir: PathBuf,
-    /// Fixes the faults and the requests.
+    /// Seed of the faults and the requests.
     pub seed: u64,
-    /// Instances.
+    /// Number of instances.
     pub instances: usize,
-    /// Engines, each with room for two models.
+    /// Number of engines, each with a capacity of two models.
     pub engines: usize,
-    /// Callers, each with one connection at a time.
+    /// Number of callers, each with one connection at a time.
     pub callers: usize,
-    /// Faults.
+    /// Number of injected faults.
     pub fault_count: u64,
-    /// Longest pause between two faults.
+    /// Maximum pause between two faults.
     pub max_pause: Duration,
 }
 
-/// What came of it.
+/// Results of a soak run.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct SoakReport {
-    /// The seed.
+    /// The seed of the run.
     pub seed: u64,
-    /// Requests that were sent.
+    /// Number of requests sent.
     pub requests: usize,
-    /// Answers with success that ended as their framing says.
+    /// Number of complete answers with status 200.
     pub served: usize,
-    /// Answers "not run".
+    /// Number of refusals, i.e. answers that state that the request was not executed.
     pub refused: usize,
-    /// Connections that ended without an answer.
+    /// Number of requests whose connection ended without an answer.
     pub closed: usize,
-    /// Engines that crashed.
+    /// Number of engine crashes caused by the poison request, restarted engines included.
     pub crashed_engines: usize,
-    /// Largest resident memory of an instance, in bytes.
+    /// Peak resident memory of an instance, in bytes.
     pub peak_bytes: usize,
-    /// Faults that were played, by name.
+    /// Number of injected faults by name.
     pub faults: BTreeMap<&'static str, u32>,
-    /// Promises that were broken, and how.
+    /// The violated invariants, one description each.
     pub broken: Vec<String>,
 }
 
-/// Plays one seed.
+/// Runs the soak with one seed.
 ///
 /// # Errors
-/// If the instances cannot be started, or do not serve before the first fault.
+/// If the instances cannot be started or don't become ready before the first fault.
 pub fn run(plan: &SoakPlan) -> Result<SoakReport> {
-    let world = Arc::new(SoakCluster::start(plan)?);
-    let callers = Callers::start(&world, plan);
+    let cluster = Arc::new(SoakCluster::start(plan)?);
+    let callers = Callers::start(&cluster, plan);
     let mut schedule = Schedule::new(plan.seed);
     for _ in 0..plan.fault_count {
-        schedule.inject_next(&world, plan.max_pause);
+        schedule.inject_next(&cluster, plan.max_pause);
     }
-    world.clear_faults();
+    cluster.clear_faults();
     let records = callers.stop_and_collect();
     let mut report = SoakReport {
         seed: plan.seed,
         faults: schedule.injected().clone(),
         ..SoakReport::default()
     };
-    checks::check_promises(&world, &records, &mut report);
-    checks::check_recovery(&world, &mut report);
-    world.stop(&mut report);
+    checks::check_promises(&cluster, &records, &mut report);
+    checks::check_recovery(&cluster, &mut report);
+    cluster.stop(&mut report);
     Ok(report)
 }
--- a/crates/standins/src/soak/callers.rs
+++ b/crates/standins/src/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Who asks for what, and what each of them got.
+//! Callers that send random requests and record the answers.
 
 use super::SoakPlan;
 use super::cluster::{MODELS, POISON, SMALL_KEY, SoakCluster, SoakInstance, key_of_version};
@@ -10,97 +10,101 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::thread::JoinHandle;
 
-/// Longest pause of a caller between two requests.
+/// Maximum pause of a caller between two requests, in milliseconds.
 const MAX_PAUSE_MS: u64 = 60;
-/// One request in so many crashes the engines that run it.
+/// One in this many streaming requests is a poison request, which crashes the engine that executes
+/// it.
 const ONE_POISON_IN: u32 = 15;
-/// Chance that a caller goes on over the connection that it has.
+/// Probability that a caller reuses its open connection.
 const REUSE_PROBABILITY: f64 = 0.9;
 
-/// A kind of request.
+/// The kind of a request. The variants' names appear in the descriptions of violations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestKind {
-    /// A call that may run once.
+    /// A call that may be executed at most once.
     Once,
-    /// A call that may run again.
+    /// An idempotent call, which may be executed again.
     Again,
-    /// A stream that may go on elsewhere.
+    /// A stream that another engine may resume.
     Resumable,
-    /// A stream that may run once.
+    /// A stream that may be executed at most once.
     Stream,
-    /// A call by the route that a version of the configuration added.
+    /// A call to the route that this version of the configuration added.
     Version(u64),
 }
 
-/// One request and what came of it.
+/// A request and its answer.
 #[derive(Debug, Clone)]
 pub struct Record {
-    /// Its id.
+    /// Id of the request.
     pub id: String,
-    /// What it was.
+    /// Kind of the request.
     pub kind: RequestKind,
-    /// The instance, by its place in the world.
+    /// Index of the instance in the cluster.
     pub instance: usize,
-    /// The life of the process that it was sent to, if that was the same when it ended.
+    /// Incarnation of the process that the request was sent to; `None` if the process was restarted
+    /// before the request ended.
     pub incarnation: Option<u64>,
-    /// Whether anything but a planned stop happened to the instance meanwhile.
+    /// Whether the instance was disturbed during the request by anything but a planned stop.
     pub was_disturbed: bool,
-    /// The version whose key it came with; `None` for the workspace that may use little.
+    /// The configuration version that introduced the request's API key; `None` for the key of the
+    /// small workspace.
     pub key_version: Option<u64>,
-    /// Just before it was sent.
+    /// Time just before the request was sent.
     pub sent_at: Instant,
-    /// When it had ended.
+    /// Time after the answer or the end of the connection.
     pub ended_at: Instant,
     /// The answer; `None` if the connection ended without one.
     pub answer: Option<Answer>,
 }
 
-/// The callers.
+/// The running callers.
 #[derive(Debug)]
 pub struct Callers {
-    ended: Arc<AtomicBool>,
-    threads: Vec<JoinHandle<Vec<Record>>>,
+    is_stopped: Arc<AtomicBool>,
+    handles: Vec<JoinHandle<Vec<Record>>>,
 }
 
+/// The state of one caller.
 struct CallerLoop {
-    number: usize,
+    caller_number: usize,
     rng: ChaCha8Rng,
-    sites: Vec<Arc<SoakInstance>>,
+    instances: Vec<Arc<SoakInstance>>,
     version: Arc<dyn Fn() -> u64 + Send + Sync>,
-    ended: Arc<AtomicBool>,
-    sent: Arc<AtomicU64>,
+    is_stopped: Arc<AtomicBool>,
+    request_count: Arc<AtomicU64>,
 }
 
 impl Callers {
-    /// Lets them begin.
-    pub fn start(world: &Arc<SoakCluster>, plan: &SoakPlan) -> Self {
-        let ended: Arc<AtomicBool> = Arc::default();
-        let sent: Arc<AtomicU64> = Arc::default();
-        let threads = (0..plan.callers).map(|number| {
-            let world = world.clone();
-            let one = CallerLoop {
-                number,
-                // Beside the schedule's own stream of numbers.
-                rng: ChaCha8Rng::seed_from_u64(plan.seed ^ (u64::MAX - number as u64)),
-                sites: world.instances.clone(),
-                version: Arc::new(move || world.version()),
-                ended: ended.clone(),
-                sent: sent.clone(),
+    /// Starts the callers, each in a thread of its own.
+    pub fn start(cluster: &Arc<SoakCluster>, plan: &SoakPlan) -> Self {
+        let is_stopped: Arc<AtomicBool> = Arc::default();
+        let request_count: Arc<AtomicU64> = Arc::default();
+        let handles = (0..plan.callers).map(|caller_number| {
+            let cluster = cluster.clone();
+            let caller_loop = CallerLoop {
+                caller_number,
+                // Independent of the random numbers of the fault schedule.
+                rng: ChaCha8Rng::seed_from_u64(plan.seed ^ (u64::MAX - caller_number as u64)),
+                instances: cluster.instances.clone(),
+                version: Arc::new(move || cluster.version()),
+                is_stopped: is_stopped.clone(),
+                request_count: request_count.clone(),
             };
-            std::thread::spawn(move || one.run())
+            std::thread::spawn(move || caller_loop.run())
         });
         Self {
-            threads: threads.collect(),
-            ended,
+            handles: handles.collect(),
+            is_stopped,
         }
     }
 
-    /// Waits for all of them; what they got.
+    /// Stops all callers and returns their records.
     pub fn stop_and_collect(self) -> Vec<Record> {
-        self.ended.store(true, Ordering::Release);
-        let records = self.threads.into_iter().map(|thread| {
-            // A caller that panicked has printed why; what it saw is lost.
-            thread.join().unwrap_or_default()
+        self.is_stopped.store(true, Ordering::Release);
+        let records = self.handles.into_iter().map(|handle| {
+            // A caller that panicked has printed the reason; its records are lost.
+            handle.join().unwrap_or_default()
         });
         records.flatten().collect()
     }
@@ -109,70 +113,71 @@
 impl CallerLoop {
     fn run(mut self) -> Vec<Record> {
         let mut records = Vec::new();
-        let mut kept: Option<(usize, Caller)> = None;
-        while !self.ended.load(Ordering::Acquire) {
-            let keeps = self.rng.random_bool(REUSE_PROBABILITY);
-            let connection = kept.take().filter(|_| keeps);
+        let mut open_connection: Option<(usize, Caller)> = None;
+        while !self.is_stopped.load(Ordering::Acquire) {
+            let can_reuse = self.rng.random_bool(REUSE_PROBABILITY);
+            let connection = open_connection.take().filter(|_| can_reuse);
             let Some((instance, caller)) = connection.or_else(|| self.connect()) else {
-                self.rest();
+                self.pause();
                 continue;
             };
-            let (record, caller) = self.ask(instance, caller);
-            kept = caller.map(|caller| (instance, caller));
+            let (record, caller) = self.send(instance, caller);
+            open_connection = caller.map(|caller| (instance, caller));
             records.extend(record);
-            self.rest();
+            self.pause();
         }
         records
     }
 
-    fn rest(&mut self) {
+    fn pause(&mut self) {
         let pause_ms = self.rng.random_range(0..MAX_PAUSE_MS);
         std::thread::sleep(Duration::from_millis(pause_ms));
     }
 
-    /// Connects to an instance; `None` while it is not process.
+    /// Connects to a random instance; `None` if the connection fails.
     fn connect(&mut self) -> Option<(usize, Caller)> {
-        let instance = self.rng.random_range(0..self.sites.len());
-        let stream = TcpStream::connect(self.sites[instance].callers_address).ok()?;
+        let instance = self.rng.random_range(0..self.instances.len());
+        let stream = TcpStream::connect(self.instances[instance].callers_address).ok()?;
         Some((instance, Caller::from_stream(stream)))
     }
 
-    /// Asks once; the connection, if it may carry another request. A request that could not
-    /// be sent is no request.
-    fn ask(&mut self, instance: usize, mut caller: Caller) -> (Option<Record>, Option<Caller>) {
-        let number = self.sent.fetch_add(1, Ordering::AcqRel);
-        let id = format!("r{}-{number}", self.number);
-        let key_version = self.draw_key();
+    /// Sends one request. Returns its record, or `None` if the request could not be sent, and the
+    /// connection if it can carry another request.
+    fn send(&mut self, instance: usize, mut caller: Caller) -> (Option<Record>, Option<Caller>) {
+        let number = self.request_count.fetch_add(1, Ordering::AcqRel);
+        let id = format!("r{}-{number}", self.caller_number);
+        let key_version = self.random_key_version();
         let key = key_version.map_or_else(|| SMALL_KEY.to_owned(), key_of_version);
-        let (kind, bytes) = self.draw(&id, &key);
-        let process = self.sites[instance].clone();
-        let life = process.incarnation.load(Ordering::Acquire);
-        let harmed = process.disturbance_count.load(Ordering::Acquire);
+        let (kind, request_bytes) = self.random_request(&id, &key);
+        let target = self.instances[instance].clone();
+        let initial = target.incarnation.load(Ordering::Acquire);
+        let count_before = target.disturbance_count.load(Ordering::Acquire);
         let sent_at = Instant::now();
-        if !caller.try_send(&bytes) {
+        if !caller.try_send(&request_bytes) {
             return (None, None);
         }
         let answer = caller.receive();
-        let keeps = answer.as_ref().is_some_and(|answer| {
+        let can_reuse = answer.as_ref().is_some_and(|answer| {
             answer.is_complete && answer.header("connection") != Some("close")
         });
         let record = Record {
             id,
             kind,
             instance,
-            incarnation: (process.incarnation.load(Ordering::Acquire) == life).then_some(life),
-            was_disturbed: process.disturbance_count.load(Ordering::Acquire) != harmed,
+            incarnation: (target.incarnation.load(Ordering::Acquire) == initial).then_some(initial),
+            was_disturbed: target.disturbance_count.load(Ordering::Acquire) != count_before,
             key_version,
             sent_at,
             ended_at: Instant::now(),
             answer,
         };
-        (Some(record), Some(caller).filter(|_| keeps))
+        (Some(record), Some(caller).filter(|_| can_reuse))
     }
 
-    /// A key that most instances know: mostly one that the newest version has kept, at times one that
-    /// it brought, or that was taken away.
-    fn draw_key(&mut self) -> Option<u64> {
+    /// Selects the version of a random API key: mostly a key that the newest version has retained, so
+    /// most instances know it; sometimes the newest key or a revoked one. `None` selects the key of
+    /// the small workspace.
+    fn random_key_version(&mut self) -> Option<u64> {
         let version = (self.version)();
         let age = match self.rng.random_range(0..20) {
             0..2 => return None,
@@ -183,34 +188,41 @@
         Some(version.saturating_sub(age))
     }
 
-    fn draw(&mut self, id: &str, key: &str) -> (RequestKind, Vec<u8>) {
-        let key = format!("Authorization: Token {key}\r\n");
+    /// Builds a random request that carries `id` and the API key.
+    fn random_request(&mut self, id: &str, key: &str) -> (RequestKind, Vec<u8>) {
+        let key_header = format!("Authorization: Token {key}\r\n");
         let model = MODELS[self.rng.random_range(0..MODELS.len())];
-        let model = format!("{key}Model: {model}\r\n");
+        let model_header = format!("{key_header}Model: {model}\r\n");
         let version = (self.version)();
         match self.rng.random_range(0..6) {
-            0 => (RequestKind::Once, request("POST", "/pay/", id, &key, id)),
-            1 => (RequestKind::Again, request("GET", "/read/", id, &key, "")),
+            0 => (
+                RequestKind::Once,
+                request("POST", "/pay/", id, &key_header, id),
+            ),
+            1 => (
+                RequestKind::Again,
+                request("GET", "/read/", id, &key_header, ""),
+            ),
             2 if version > 1 => {
                 let version = self.rng.random_range(2..=version);
                 let path = format!("/v{version}/");
                 (
                     RequestKind::Version(version),
-                    request("GET", &path, id, &key, ""),
+                    request("GET", &path, id, &key_header, ""),
                 )
             }
             3 => (
                 RequestKind::Stream,
-                request("POST", "/report/", id, &model, id),
+                request("POST", "/report/", id, &model_header, id),
             ),
             _ if self.rng.random_ratio(1, ONE_POISON_IN) => {
-                let model = format!("{key}Model: {}\r\n", MODELS[0]);
-                let bytes = request("POST", "/chat/", id, &model, POISON);
-                (RequestKind::Resumable, bytes)
+                let model_header = format!("{key_header}Model: {}\r\n", MODELS[0]);
+                let request_bytes = request("POST", "/chat/", id, &model_header, POISON);
+                (RequestKind::Resumable, request_bytes)
             }
             _ => (
                 RequestKind::Resumable,
-                request("POST", "/chat/", id, &model, id),
+                request("POST", "/chat/", id, &model_header, id),
             ),
         }
     }
--- a/crates/standins/src/soak/checks.rs
+++ b/crates/standins/src/soak/checks.rs
@@ -1,4 +1,4 @@
-//! The promises, judged from what callers and servers saw.
+//! Checks the invariants against the records of callers and servers.
 
 use super::SoakReport;
 use super::callers::{Record, RequestKind};
@@ -11,68 +11,70 @@
 use passway_types::prelude::*;
 use std::collections::BTreeMap;
 
-/// An instance may have at most so much resident memory: the smallest one's limit (users' pages).
+/// Maximum resident memory of an instance, in bytes: the limit of the smallest instance according
+/// to the users.
 const MAX_RESIDENT_BYTES: usize = 160 << 20;
-/// Crashes that one request may bring about, and one more for each instance: copies that run
-/// at one moment each end an engine, and so do instances that are cut off from the others.
+/// Maximum number of crashes caused by one request, in addition to one per instance: each of
+/// several copies that run at the same time crashes an engine, and so does each instance that is
+/// disconnected from the others.
 const MAX_CRASHES: usize = 3;
-/// Longest wait until everything is served again once nothing fails any more.
-const RECOVERY_LIMIT: Duration = Duration::from_mins(1);
-/// Pause between two tries.
-const TRY_PAUSE: Duration = Duration::from_millis(100);
+/// Maximum wait until all requests are served after the faults have ended.
+const RECOVERY_TIMEOUT: Duration = Duration::from_mins(1);
+/// Pause between two attempts.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Judges what all callers saw.
-pub fn check_promises(world: &SoakCluster, records: &[Record], report: &mut SoakReport) {
-    let runs = runs(world);
+/// Checks all records and fills in the report.
+pub fn check_promises(cluster: &SoakCluster, records: &[Record], report: &mut SoakReport) {
+    let execution_counts = execution_counts(cluster);
     report.requests = records.len();
-    report.crashed_engines = crashes(world);
+    report.crashed_engines = count_crashes(cluster);
     for record in records {
-        let ran = runs.get(&record.id).copied().unwrap_or(0);
+        let executions = execution_counts.get(&record.id).copied().unwrap_or(0);
         match &record.answer {
             Some(answer) if answer.status == 200 && answer.is_complete => report.served += 1,
             Some(answer) if is_refusal(answer) => report.refused += 1,
             None => report.closed += 1,
             Some(_) => {}
         }
-        let broken = [
-            own_answer(record),
-            run_once(record, ran),
-            not_run_is_true(record, ran),
-            not_lost(record, ran),
+        let violations = [
+            check_answer(record),
+            check_executed_once(record, executions),
+            check_refusal(record, executions),
+            check_not_lost(record, executions),
         ];
-        let broken = broken.into_iter().flatten();
-        report.broken.extend(broken.map(|what| {
+        let violations = violations.into_iter().flatten();
+        report.broken.extend(violations.map(|violation| {
             format!(
-                "{what}: {} {:?} at instance {}",
+                "{violation}: {} {:?} at instance {}",
                 record.id, record.kind, record.instance
             )
         }));
     }
-    workspace_checks::judge(world, records, report);
-    signal_checks::judge(world, records, report);
-    never_back(records, report);
-    orders(world, report);
-    let most = MAX_CRASHES + world.instances.len();
-    if report.crashed_engines > most {
-        let crashed = report.crashed_engines;
+    workspace_checks::check_keys_and_quota(cluster, records, report);
+    signal_checks::check_signals(cluster, records, report);
+    check_versions(records, report);
+    check_orders(cluster, report);
+    let max_crashes = MAX_CRASHES + cluster.instances.len();
+    if report.crashed_engines > max_crashes {
+        let crash_count = report.crashed_engines;
         report
             .broken
-            .push(format!("one request ended {crashed} engines"));
+            .push(format!("the poison request crashed {crash_count} engines"));
     }
-    for (number, site) in world.instances.iter().enumerate() {
-        let bytes = site.program().resident_bytes();
+    for (number, instance) in cluster.instances.iter().enumerate() {
+        let bytes = instance.process().resident_bytes();
         report.peak_bytes = report.peak_bytes.max(bytes);
         if bytes > MAX_RESIDENT_BYTES {
-            report
-                .broken
-                .push(format!("instance {number} has {bytes} bytes"));
+            report.broken.push(format!(
+                "instance {number} uses {bytes} bytes of resident memory"
+            ));
         }
     }
 }
 
-/// How many engines the request that crashes them has ended, those that started again among them.
-fn crashes(world: &SoakCluster) -> usize {
-    let engines = world.engines().into_iter();
+/// Returns the number of engine crashes caused by the poison request, restarted engines included.
+fn count_crashes(cluster: &SoakCluster) -> usize {
+    let engines = cluster.engines().into_iter();
     let crashes = engines.map(|engine| {
         let restarts = engine.server.restart_bodies();
         let restarts = restarts.iter().filter(|body| body.starts_with(POISON));
@@ -81,127 +83,135 @@
     crashes.sum()
 }
 
-/// How often each request ran, at all servers.
-fn runs(world: &SoakCluster) -> BTreeMap<String, usize> {
-    let mut runs: BTreeMap<String, usize> = BTreeMap::new();
-    let plain = world.plains.iter().flat_map(RawServer::received);
+/// Returns the number of executions of each request, over all servers.
+fn execution_counts(cluster: &SoakCluster) -> BTreeMap<String, usize> {
+    let mut execution_counts: BTreeMap<String, usize> = BTreeMap::new();
+    let plain = cluster.plain_servers.iter().flat_map(RawServer::received);
     let plain = plain.filter(|received| !is_shed(received));
     let plain = plain.map(|received| received.header("request-id").unwrap_or_default().to_owned());
-    let engines = world.engines().into_iter();
+    let engines = cluster.engines().into_iter();
     let streams = engines.flat_map(|engine| engine.server.executed_ids());
     for id in plain.chain(streams) {
-        *runs.entry(id).or_default() += 1;
+        *execution_counts.entry(id).or_default() += 1;
     }
-    runs
+    execution_counts
 }
 
 fn is_refusal(answer: &Answer) -> bool {
     matches!(answer.status, 408 | 421 | 429 | 503)
 }
 
-/// A success is the server's whole answer to this request, and what is cut does not look whole.
-fn own_answer(record: &Record) -> Option<String> {
+/// An answer with status 200 belongs to the request. A complete one has the server's whole body, an
+/// incomplete one a prefix of it.
+fn check_answer(record: &Record) -> Option<String> {
     let answer = record
         .answer
         .as_ref()
         .filter(|answer| answer.status == 200)?;
     if answer.header("request-id") != Some(&record.id) {
-        return Some("another request's answer".to_owned());
+        return Some("the answer belongs to another request".to_owned());
     }
-    let whole = match record.kind {
+    let expected = match record.kind {
         RequestKind::Resumable | RequestKind::Stream => {
             (1..=EVENTS).map(event).collect::<Vec<_>>().concat()
         }
         RequestKind::Once | RequestKind::Again | RequestKind::Version(_) => record.id.clone(),
     };
     let is_right = if answer.is_complete {
-        answer.body == whole
+        answer.body == expected
     } else {
-        whole.starts_with(&answer.body)
+        expected.starts_with(&answer.body)
     };
-    (!is_right).then(|| format!("a wrong body, {:?}", answer.body))
+    (!is_right).then(|| format!("unexpected body: {:?}", answer.body))
 }
 
-/// What may run once does not run again.
-fn run_once(record: &Record, ran: usize) -> Option<String> {
-    let once = matches!(record.kind, RequestKind::Once | RequestKind::Stream);
-    (once && ran > 1).then(|| format!("ran {ran} times"))
+/// A request that may be executed at most once isn't executed again.
+fn check_executed_once(record: &Record, executions: usize) -> Option<String> {
+    let at_most_once = matches!(record.kind, RequestKind::Once | RequestKind::Stream);
+    (at_most_once && executions > 1).then(|| format!("executed {executions} times"))
 }
 
-/// What has run is not refused as "not run".
-fn not_run_is_true(record: &Record, ran: usize) -> Option<String> {
-    let once = matches!(record.kind, RequestKind::Once | RequestKind::Stream);
-    let refused = record.answer.as_ref().is_some_and(is_refusal);
-    (once && refused && ran > 0).then(|| "refused as not run, and has run".to_owned())
+/// An executed request that may run only once isn't refused as not executed.
+fn check_refusal(record: &Record, executions: usize) -> Option<String> {
+    let at_most_once = matches!(record.kind, RequestKind::Once | RequestKind::Stream);
+    let is_refused = record.answer.as_ref().is_some_and(is_refusal);
+    (at_most_once && is_refused && executions > 0)
+        .then(|| "refused as not executed, but executed".to_owned())
 }
 
-/// A planned stop cuts nothing: a call that a plain server has run gets an answer, unless
-/// something else happened to the instance.
-fn not_lost(record: &Record, ran: usize) -> Option<String> {
+/// A planned stop loses no answers: a call that a plain server has executed is answered, unless the
+/// instance was disturbed.
+fn check_not_lost(record: &Record, executions: usize) -> Option<String> {
     let is_plain = !matches!(record.kind, RequestKind::Resumable | RequestKind::Stream);
-    let lost = is_plain && ran > 0 && record.answer.is_none() && !record.was_disturbed;
-    lost.then(|| "ran, and its connection ended without an answer".to_owned())
+    let is_lost = is_plain && executions > 0 && record.answer.is_none() && !record.was_disturbed;
+    is_lost.then(|| "executed, but its connection ended without an answer".to_owned())
 }
 
-/// Once a caller was served by a version's route, the same life of a process refuses it none of
-/// that or an older version.
-fn never_back(records: &[Record], report: &mut SoakReport) {
-    // Records of different callers are not in one order, those of one are.
-    let mut last: BTreeMap<(&str, usize, u64), u64> = BTreeMap::new();
+/// Once a process has served a caller by the route of a version, the same incarnation still has the
+/// routes of this and older versions.
+fn check_versions(records: &[Record], report: &mut SoakReport) {
+    // Only the records of the same caller are in chronological order.
+    let mut newest_by_process: BTreeMap<(&str, usize, u64), u64> = BTreeMap::new();
     for record in records {
-        let (RequestKind::Version(version), Some(life), Some(answer)) =
+        let (RequestKind::Version(version), Some(incarnation), Some(answer)) =
             (record.kind, record.incarnation, &record.answer)
         else {
             continue;
         };
         let caller = record.id.split('-').next().unwrap_or_default();
-        let newest = last.entry((caller, record.instance, life)).or_default();
+        let newest_served = newest_by_process
+            .entry((caller, record.instance, incarnation))
+            .or_default();
         match answer.status {
-            200 => *newest = version.max(*newest),
-            404 if version <= *newest => {
-                let what = format!("version {version} is gone after {newest}: {}", record.id);
-                report.broken.push(what);
+            200 => *newest_served = version.max(*newest_served),
+            404 if version <= *newest_served => {
+                let violation = format!(
+                    "version {version} is refused after version {newest_served} was served: {}",
+                    record.id
+                );
+                report.broken.push(violation);
             }
             _ => {}
         }
     }
 }
 
-/// No engine is ordered beyond its room, or by an older holder after a newer one.
-fn orders(world: &SoakCluster, report: &mut SoakReport) {
-    for engine in world.engines() {
+/// No engine gets load orders beyond its capacity, or orders of an older holder after a newer one's.
+fn check_orders(cluster: &SoakCluster, report: &mut SoakReport) {
+    for engine in cluster.engines() {
         let id = &engine.server.id;
         if engine.server.loads_over_capacity() > 0 {
             report
                 .broken
-                .push(format!("{id} was ordered to load without room"));
+                .push(format!("{id} received a load order beyond its capacity"));
         }
         let fences: Vec<u64> = engine
             .server
             .accepted_orders()
             .iter()
-            .map(|o| o.fence)
+            .map(|order| order.fence)
             .collect();
         if !fences.is_sorted() {
-            report
-                .broken
-                .push(format!("{id} took an older holder's order: {fences:?}"));
+            report.broken.push(format!(
+                "{id} accepted an older holder's order after a newer one's: {fences:?}"
+            ));
         }
     }
 }
 
-/// Once nothing fails any more, each instance serves each kind.
-pub fn check_recovery(world: &SoakCluster, report: &mut SoakReport) {
-    if !world.wait_until_ready() {
+/// Checks that each instance becomes ready and serves each kind of request after the faults have
+/// ended.
+pub fn check_recovery(cluster: &SoakCluster, report: &mut SoakReport) {
+    if !cluster.wait_until_ready() {
         report
             .broken
-            .push("an instance does not become ready again".to_owned());
+            .push("an instance did not become ready again".to_owned());
         return;
     }
-    for (number, site) in world.instances.iter().enumerate() {
+    for (number, instance) in cluster.instances.iter().enumerate() {
         let key = format!(
             "Authorization: Token {}\r\n",
-            key_of_version(world.version())
+            key_of_version(cluster.version())
         );
         let model = format!("{key}Model: {}\r\n", MODELS[number % MODELS.len()]);
         let kinds = [
@@ -210,19 +220,19 @@
             ("POST", "/chat/", &*model),
         ];
         for (method, path, more) in kinds {
-            let limit_at = Instant::now() + RECOVERY_LIMIT;
+            let deadline = Instant::now() + RECOVERY_TIMEOUT;
             let is_served = || {
                 let bytes = request(method, path, "after", more, "after");
-                fetch(site.callers_address, &bytes)
-                    .is_some_and(|a| a.status == 200 && a.is_complete)
+                fetch(instance.callers_address, &bytes)
+                    .is_some_and(|answer| answer.status == 200 && answer.is_complete)
             };
             while !is_served() {
-                if Instant::now() >= limit_at {
-                    let broken = format!("{path} is not served again at instance {number}");
-                    report.broken.push(broken);
+                if Instant::now() >= deadline {
+                    let violation = format!("{path} was not served again at instance {number}");
+                    report.broken.push(violation);
                     break;
                 }
-                std::thread::sleep(TRY_PAUSE);
+                std::thread::sleep(RETRY_INTERVAL);
             }
         }
     }
--- a/crates/standins/src/soak/cluster.rs
+++ b/crates/standins/src/soak/cluster.rs
@@ -1,4 +1,4 @@
-//! The processes, the stand-ins and the ways between them.
+//! The instances' processes, the stand-ins and the proxies between them.
 
 use super::{SoakPlan, SoakReport};
 use crate::platform::caller::HOST;
@@ -17,22 +17,23 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// The models; each engine begins with two of them.
+/// Names of the models; each engine starts with two of them loaded.
 pub const MODELS: [&str; 5] = ["m0", "m1", "m2", "m3", "m4"];
-/// The key of a workspace that may use little.
+/// The API key of the workspace `small`, which has a low rate limit.
 pub const SMALL_KEY: &str = "soak-key-small";
-/// Units a second that it may use, and as many at once: ten calls.
+/// Rate limit of the workspace `small`, in units per second, and also its burst: ten calls.
 pub const SMALL_RATE_PER_S: u32 = 2_000;
-/// What a call counts.
+/// Units that a call is charged.
 pub const UNITS_PER_CALL: u32 = 200;
 
-/// The key that a version brings; the next one keeps it, and the one after takes it away.
+/// Returns the API key that a configuration version introduces. The next version retains the key,
+/// the one after that revokes it.
 pub fn key_of_version(version: u64) -> String {
     format!("soak-key-{version}")
 }
 
-/// A version's workspaces.
-fn with_keys(version: u64, table: Value) -> Value {
+/// Adds the workspaces of a version to its configuration.
+fn with_keys(version: u64, document: Value) -> Value {
     let (new, old) = (
         key_of_version(version),
         key_of_version(version.saturating_sub(1)),
@@ -41,70 +42,73 @@
         workspace("large", &[&new, &old], 0.0),
         workspace("small", &[SMALL_KEY], f64::from(SMALL_RATE_PER_S)),
     ];
-    with_workspaces(table, &workspaces)
+    with_workspaces(document, &workspaces)
 }
 
-/// The body that crashes engines, if they are told so.
+/// The body of the poison request, which crashes the engines.
 pub const POISON: &str = "poison";
-/// Time from SIGTERM to the end, in seconds: the shortest that leaves time between the
-/// balancer's notice and the end.
+/// Grace period from SIGTERM to the exit, in seconds: the shortest that leaves time between the
+/// load balancer's reaction and the exit.
 const GRACE_S: f64 = 4.5;
-/// Longest wait for instances to serve: a busy machine starts dozens of processes in seconds.
+/// Maximum wait for the instances to become ready. A busy machine takes seconds to start dozens of
+/// processes.
 const START_TIMEOUT: Duration = Duration::from_mins(2);
-/// Time that a plain server works on a call, so that stops and kills find some under way.
+/// Time that a plain server takes for a call, so stops and kills find some calls in flight.
 const CALL_DURATION: Duration = Duration::from_millis(15);
-/// Time between two events of a stream, for the same reason.
+/// Delay before each event of a stream, for the same reason.
 const EVENT_DELAY: Duration = Duration::from_millis(20);
-/// Pause between two looks.
+/// Interval at which a condition is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// A supervised engine serves again this long after a crash.
+/// Time after a crash at which a supervised engine serves again.
 const SUPERVISED_RESTART_DELAY: Duration = Duration::from_millis(800);
-/// An engine's entry stays for so long after its crash; another engine comes then.
+/// Time for which the store entry of a crashed engine remains; then another engine replaces it.
 const STALE_ENTRY_DURATION: Duration = Duration::from_millis(1_500);
 
-/// One instance and its way to the store.
+/// An instance and its proxy to the store.
 #[derive(Debug)]
 pub struct SoakInstance {
-    program: Mutex<InstanceProcess>,
-    /// Held by whoever ends the process and starts it again.
+    process: Mutex<InstanceProcess>,
+    /// Held by the thread that restarts the process.
     restarting: Mutex<()>,
-    /// Its way to the store.
+    /// The proxy between the instance and the store.
     pub store_proxy: Proxy,
-    /// Where callers connect; the same after each start.
+    /// The address that callers connect to; unchanged by restarts.
     pub callers_address: SocketAddr,
-    /// How many times it was killed, paused or cut: what callers lose then is not a stop's.
+    /// Number of kills, pauses and faults of the store proxy. Requests lost during a disturbance
+    /// aren't counted as lost by a planned stop.
     pub disturbance_count: AtomicU64,
-    /// Lives of the process so far.
+    /// Number of restarts of the process.
     pub incarnation: AtomicU64,
 }
 
 impl SoakInstance {
-    /// The process, for a moment: others signal it while it ends.
-    pub fn program(&self) -> MutexGuard<'_, InstanceProcess> {
-        self.program.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Locks the process. Callers hold the lock briefly, since other threads signal the process while
+    /// it terminates.
+    pub fn process(&self) -> MutexGuard<'_, InstanceProcess> {
+        self.process.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Something other than a planned stop happens to it.
+    /// Records a disturbance other than a planned stop.
     pub fn record_disturbance(&self) {
         self.disturbance_count.fetch_add(1, Ordering::AcqRel);
     }
 
-    /// Ends it by a signal and starts it again.
+    /// Terminates the process with a signal and starts it again.
     pub fn restart(&self, signal: Signal) {
-        let _alone = self
+        let _restart_guard = self
             .restarting
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        self.program().signal(signal);
-        while matches!(self.program().child.try_wait(), Ok(None)) {
+        self.process().signal(signal);
+        while matches!(self.process().child.try_wait(), Ok(None)) {
             std::thread::sleep(POLL_INTERVAL);
         }
         self.incarnation.fetch_add(1, Ordering::AcqRel);
-        let again = self.program().restart();
-        again.expect("an instance that starts again");
+        let restarted = self.process().restart();
+        restarted.expect("a restarted instance");
     }
 
-    /// Kills it and starts it again.
+    /// Kills the process and starts it again.
     pub fn kill(&self) {
         self.record_disturbance();
         self.restart(Signal::KILL);
@@ -112,42 +116,42 @@
     }
 }
 
-/// An engine behind its way.
+/// An engine behind a proxy.
 #[derive(Debug, Clone)]
 pub struct Engine {
-    /// How many were started before it.
+    /// Number of engines started before this one.
     pub number: usize,
-    /// The engine.
+    /// The model server.
     pub server: ModelServer,
-    /// The way to it.
+    /// The proxy between the instances and the engine.
     pub proxy: Proxy,
-    /// Whether anything has happened to that: what it answers may not have been heard.
+    /// Whether a fault was injected into the proxy, so instances may have missed answers.
     pub proxy_was_disturbed: Arc<AtomicBool>,
 }
 
-/// All of it.
+/// The whole system under test.
 #[derive(Debug)]
 pub struct SoakCluster {
-    /// The store.
+    /// The metadata store.
     pub store: MetadataStandIn,
     /// The instances.
     pub instances: Vec<Arc<SoakInstance>>,
-    /// Plain servers.
-    pub plains: Vec<RawServer>,
+    /// The plain servers.
+    pub plain_servers: Vec<RawServer>,
     engines: Arc<Mutex<Vec<Engine>>>,
     version: AtomicU64,
-    /// Versions whose keys were taken away, and when the store had taken that.
-    taken_away: Mutex<BTreeMap<u64, Instant>>,
-    ended: Arc<AtomicBool>,
+    /// Versions whose keys were revoked, with the time at which the store had accepted the revocation.
+    revoked_keys: Mutex<BTreeMap<u64, Instant>>,
+    is_stopped: Arc<AtomicBool>,
 }
 
-/// Whether a plain server refuses the request, which does not run then.
+/// Returns whether a plain server sheds the request, i.e. refuses it without executing it.
 pub fn is_shed(received: &Received) -> bool {
     received.number % 11 == 5
 }
 
-/// A plain server that says whose request it answers. It sheds some, and breaks off others
-/// that have run.
+/// Starts a plain server that answers with the request's id. It sheds some requests, and closes the
+/// connection of others after executing them.
 fn plain_server() -> RawServer {
     RawServer::start(|received| {
         let id = received.header("request-id").unwrap_or_default();
@@ -168,8 +172,9 @@
     })
 }
 
-/// What engines do while nothing fails: their streams last, and one request crashes them. Every second one
-/// is kept by a supervisor, so that its port stays open and it starts again under its id.
+/// Returns the faults that engines always have: streams take some time, and the poison request
+/// crashes the engine. Every second engine runs under a supervisor: its port stays open, and it
+/// restarts under the same id.
 pub fn default_engine_faults(number: usize) -> EngineFaults {
     EngineFaults {
         crash_on_prefix: Some(POISON.to_owned()),
@@ -181,10 +186,10 @@
 
 fn start_engine(store: &MetadataStandIn, number: usize) -> Engine {
     let id = format!("i-{number}");
-    let standing = [MODELS[number % 2], MODELS[2 + number % 3]];
+    let loaded = [MODELS[number % 2], MODELS[2 + number % 3]];
     let models = InitialModels {
-        capacity: standing.len(),
-        loaded: &standing,
+        capacity: loaded.len(),
+        loaded: &loaded,
         on_disk: &MODELS,
     };
     let mut way = None;
@@ -201,81 +206,83 @@
 }
 
 impl SoakCluster {
-    /// Starts everything and waits until all instances are ready.
+    /// Starts all stand-ins and instances, and waits until all instances are ready.
     pub fn start(plan: &SoakPlan) -> Result<Self> {
         let store = MetadataStandIn::default();
         store.put("op/config", &with_keys(1, configuration(1, &MODELS)));
-        let plains = vec![plain_server(), plain_server()];
-        for (number, server) in plains.iter().enumerate() {
+        let plain_servers = vec![plain_server(), plain_server()];
+        for (number, server) in plain_servers.iter().enumerate() {
             list_plain(&store, &format!("p-{number}"), server.address, "ready");
         }
         let engines = (0..plan.engines).map(|number| start_engine(&store, number));
         let engines: Arc<Mutex<Vec<Engine>>> = Arc::new(Mutex::new(engines.collect()));
-        let sites: Result<Vec<Arc<SoakInstance>>> = (0..plan.instances)
-            .map(|number| start_site(plan, &store, number))
+        let instances: Result<Vec<Arc<SoakInstance>>> = (0..plan.instances)
+            .map(|number| start_instance(plan, &store, number))
             .collect();
-        let world = Self {
+        let cluster = Self {
             store,
-            instances: sites?,
-            plains,
+            instances: instances?,
+            plain_servers,
             engines,
             version: AtomicU64::new(1),
-            taken_away: Mutex::default(),
-            ended: Arc::default(),
+            revoked_keys: Mutex::default(),
+            is_stopped: Arc::default(),
         };
-        world.replace_crashed();
+        cluster.replace_crashed();
         ensure!(
-            world.wait_until_ready(),
-            "the instances do not become ready"
+            cluster.wait_until_ready(),
+            "the instances did not become ready in time"
         );
-        Ok(world)
+        Ok(cluster)
     }
 
-    /// Engines that were there, those that crashed among them.
+    /// Returns all engines so far, crashed ones included.
     pub fn engines(&self) -> Vec<Engine> {
         let engines = self.engines.lock().unwrap_or_else(PoisonError::into_inner);
         engines.clone()
     }
 
-    /// The newest version of the configuration.
+    /// Returns the newest version of the configuration.
     pub fn version(&self) -> u64 {
         self.version.load(Ordering::Acquire)
     }
 
-    /// The operator adds a route, by which callers see that the version is in force.
+    /// Writes the next version of the configuration to the store. It adds a route, by which callers
+    /// detect that the version is in effect, introduces an API key and revokes an old one.
     pub fn publish_next_version(&self) {
         let version = self.version() + 1;
-        let mut table = configuration(version, &MODELS);
-        let pattern = table["routes"][0].clone();
-        if let Some(routes) = table["routes"].as_array_mut() {
-            for added in 2..=version {
-                let mut route = pattern.clone();
-                route["name"] = json!(format!("v{added}"));
+        let mut document = configuration(version, &MODELS);
+        let template = document["routes"][0].clone();
+        if let Some(routes) = document["routes"].as_array_mut() {
+            for number in 2..=version {
+                let mut route = template.clone();
+                route["name"] = json!(format!("v{number}"));
                 route["host"] = json!(HOST);
-                route["prefix"] = json!(format!("/v{added}/"));
+                route["prefix"] = json!(format!("/v{number}/"));
                 routes.push(route);
             }
         }
-        self.store.put("op/config", &with_keys(version, table));
-        let mut taken_away = self.revoked_keys();
-        taken_away.insert(version.saturating_sub(2), Instant::now());
-        drop(taken_away);
-        // Callers ask for it from now on; an instance may not know it yet.
+        self.store.put("op/config", &with_keys(version, document));
+        let mut revoked_keys = self.revoked_keys();
+        revoked_keys.insert(version.saturating_sub(2), Instant::now());
+        drop(revoked_keys);
+        // Callers use the new version from now on, even if an instance doesn't know it yet.
         self.version.store(version, Ordering::Release);
     }
 
-    /// Versions whose keys were taken away, and when the store had taken that.
+    /// Returns the versions whose keys were revoked, each with the time at which the store had
+    /// accepted the revocation.
     pub fn revoked_keys(&self) -> MutexGuard<'_, BTreeMap<u64, Instant>> {
-        let taken_away = self.taken_away.lock();
-        taken_away.unwrap_or_else(PoisonError::into_inner)
+        let revoked_keys = self.revoked_keys.lock();
+        revoked_keys.unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits until all instances are ready; whether they are.
+    /// Waits until all instances are ready; returns false after a timeout of 2 min.
     pub fn wait_until_ready(&self) -> bool {
-        let limit_at = Instant::now() + START_TIMEOUT;
-        self.instances.iter().all(|site| {
-            while Instant::now() < limit_at {
-                if site.program().readiness_status() == Some(200) {
+        let deadline = Instant::now() + START_TIMEOUT;
+        self.instances.iter().all(|instance| {
+            while Instant::now() < deadline {
+                if instance.process().readiness_status() == Some(200) {
                     return true;
                 }
                 std::thread::sleep(POLL_INTERVAL);
@@ -284,43 +291,47 @@
         })
     }
 
-    /// Another engine comes for each that crashes, and the entry of that one goes.
+    /// Starts a thread that replaces each crashed engine: it removes the engine's store entry and
+    /// starts another engine.
     fn replace_crashed(&self) {
-        let (store, engines, ended) =
-            (self.store.clone(), self.engines.clone(), self.ended.clone());
+        let (store, engines, is_stopped) = (
+            self.store.clone(),
+            self.engines.clone(),
+            self.is_stopped.clone(),
+        );
         std::thread::spawn(move || {
-            let mut replaced = 0;
-            while !ended.load(Ordering::Acquire) {
+            let mut replaced_count = 0;
+            while !is_stopped.load(Ordering::Acquire) {
                 std::thread::sleep(POLL_INTERVAL);
-                let all = engines
+                let current = engines
                     .lock()
                     .unwrap_or_else(PoisonError::into_inner)
                     .clone();
-                let crashed = all.iter().filter(|engine| engine.server.has_crashed());
-                for engine in crashed.skip(replaced) {
+                let crashed_engines = current.iter().filter(|engine| engine.server.has_crashed());
+                for engine in crashed_engines.skip(replaced_count) {
                     engine.proxy.set_faults(ProxyFaults {
                         refuses_connections: true,
                         ..ProxyFaults::default()
                     });
                     std::thread::sleep(STALE_ENTRY_DURATION);
                     store.remove(&format!("servers/{}", engine.server.id));
-                    let mut all = engines.lock().unwrap_or_else(PoisonError::into_inner);
-                    let another = start_engine(&store, all.len());
-                    all.push(another);
-                    replaced += 1;
+                    let mut current = engines.lock().unwrap_or_else(PoisonError::into_inner);
+                    let replacement = start_engine(&store, current.len());
+                    current.push(replacement);
+                    replaced_count += 1;
                 }
             }
         });
     }
 
-    /// Nothing fails any more.
+    /// Ends all injected faults and resumes stopped processes.
     pub fn clear_faults(&self) {
         self.store.set_faults(StoreFaults::default());
-        for site in &self.instances {
-            site.store_proxy.set_faults(ProxyFaults::default());
-            // Connections that had gone silent stay so; new ones work.
-            site.store_proxy.reset_connections();
-            site.program().signal(Signal::CONT);
+        for instance in &self.instances {
+            instance.store_proxy.set_faults(ProxyFaults::default());
+            // Silenced connections stay silent, so they are closed; new connections work.
+            instance.store_proxy.reset_connections();
+            instance.process().signal(Signal::CONT);
         }
         for engine in self.engines() {
             engine
@@ -333,36 +344,41 @@
         }
     }
 
-    /// Stops all instances as the platform does.
+    /// Stops all instances with SIGTERM, as the platform does, and checks their exit codes.
     pub fn stop(&self, report: &mut SoakReport) {
-        self.ended.store(true, Ordering::Release);
-        for site in &self.instances {
-            let _alone = site
+        self.is_stopped.store(true, Ordering::Release);
+        for instance in &self.instances {
+            let _restart_guard = instance
                 .restarting
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner);
-            let bytes = site.program().resident_bytes();
+            let bytes = instance.process().resident_bytes();
             report.peak_bytes = report.peak_bytes.max(bytes);
-            site.program().signal(Signal::TERM);
+            instance.process().signal(Signal::TERM);
         }
-        for (number, site) in self.instances.iter().enumerate() {
-            let code = site.program().child.wait().ok().and_then(|s| s.code());
-            if code != Some(0) {
-                let broken = format!("instance {number} ended with {code:?} at its stop");
+        for (number, instance) in self.instances.iter().enumerate() {
+            let exit_code = instance
+                .process()
+                .child
+                .wait()
+                .ok()
+                .and_then(|status| status.code());
+            if exit_code != Some(0) {
+                let broken = format!("instance {number} exited with {exit_code:?} after SIGTERM");
                 report.broken.push(broken);
             }
         }
     }
 }
 
-fn start_site(
+fn start_instance(
     plan: &SoakPlan,
     store: &MetadataStandIn,
     number: usize,
 ) -> Result<Arc<SoakInstance>> {
     let store_proxy = Proxy::start(store.serve());
     let name = format!("soak{}-{number}", plan.seed);
-    let program = InstanceProcess::start(ProcessConfig {
+    let process = InstanceProcess::start(ProcessConfig {
         executable: plan.executable.clone(),
         output: Output::File(plan.log_dir.join(format!("{name}.log"))),
         name,
@@ -371,8 +387,8 @@
         arguments: Vec::new(),
     })?;
     Ok(Arc::new(SoakInstance {
-        callers_address: program.callers_address,
-        program: Mutex::new(program),
+        callers_address: process.callers_address,
+        process: Mutex::new(process),
         restarting: Mutex::default(),
         store_proxy,
         disturbance_count: AtomicU64::new(0),
--- a/crates/standins/src/soak/schedule.rs
+++ b/crates/standins/src/soak/schedule.rs
@@ -1,4 +1,4 @@
-//! Which faults come when.
+//! Selects the faults and injects them.
 
 use super::cluster::{SoakCluster, default_engine_faults};
 use crate::platform::model_server::{EVENTS, Faults as EngineFaults};
@@ -12,61 +12,63 @@
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering;
 
-/// Longest time for which a process stands still.
+/// Maximum time for which a process is stopped, in milliseconds.
 const MAX_STOPPED_MS: u64 = 2_500;
-/// Longest time from an engine's word that it leaves to its end.
+/// Maximum time from an engine's announcement that it leaves to its restart, in milliseconds.
 const MAX_LEAVING_MS: u64 = 4_000;
-/// Longest delay of what goes over a way.
+/// Maximum delay of the data that a proxy forwards, in milliseconds.
 const MAX_DELAY_MS: u64 = 200;
 
-/// A fault.
+/// A kind of fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
-    /// Everything is well from now on; processes go on.
-    Lift,
-    /// The store answers wrongly, or not at all.
+    /// Clears all faults and resumes stopped processes.
+    ClearAll,
+    /// The store gives wrong answers or none.
     Store,
-    /// The store forgets its history.
-    ForgetHistory,
-    /// One instance's way to the store is cut, slow or silent.
-    Way,
-    /// One instance's connections to the store are reset.
-    ResetWay,
-    /// A process is killed.
+    /// The store drops its history of changes.
+    CompactHistory,
+    /// The proxy between one instance and the store refuses connections, is slow or drops data.
+    StoreProxy,
+    /// The connections between one instance and the store are closed.
+    ResetStoreProxy,
+    /// One process is killed.
     Kill,
-    /// Several processes are killed, one after the other.
+    /// Several processes are killed one after the other.
     KillMany,
-    /// A process is stopped as planned.
-    Stop,
-    /// A process stands still.
-    Pause,
-    /// The operator changes the configuration.
+    /// One process is stopped with SIGTERM, as in a planned stop, and restarted.
+    PlannedStop,
+    /// One process is stopped for a while with SIGSTOP.
+    StopProcess,
+    /// The operator writes a new version of the configuration.
     Configure,
-    /// The same, three times at once.
+    /// The operator writes three new versions in succession.
     ConfigureOften,
-    /// An engine cuts a stream, falls silent or loses an answer.
+    /// An engine breaks or pauses a stream, falls silent, or drops an answer.
     Engine,
-    /// The way to an engine is slow or silent.
-    EngineWay,
-    /// Connections to an engine are reset.
-    ResetEngineWay,
-    /// An engine names how much it takes, or asks for rest.
-    EngineWord,
-    /// An engine leaves, which its answers say and its entry does not, and starts again.
+    /// The proxy to an engine refuses connections, is slow or drops data.
+    EngineProxy,
+    /// The connections to an engine are closed.
+    ResetEngineProxy,
+    /// An engine advertises a limit or asks for a backoff.
+    EngineSignal,
+    /// An engine announces in its answers, but not in its store entry, that it leaves, and then
+    /// restarts.
     EngineLeaves,
 }
 
-/// What is drawn from; engines fail more often than the rest, as each such fault is one stream's.
+/// The faults to choose from. Engine faults appear several times, since each affects only one
+/// stream.
 const FAULTS: [Fault; 22] = [
-    Fault::Lift,
+    Fault::ClearAll,
     Fault::Store,
-    Fault::ForgetHistory,
-    Fault::Way,
-    Fault::ResetWay,
+    Fault::CompactHistory,
+    Fault::StoreProxy,
+    Fault::ResetStoreProxy,
     Fault::Kill,
     Fault::KillMany,
-    Fault::Stop,
-    Fault::Pause,
+    Fault::PlannedStop,
+    Fault::StopProcess,
     Fault::Configure,
     Fault::ConfigureOften,
     Fault::Engine,
@@ -74,116 +76,121 @@
     Fault::Engine,
     Fault::Engine,
     Fault::Engine,
-    Fault::EngineWay,
-    Fault::ResetEngineWay,
-    Fault::EngineWord,
-    Fault::EngineWord,
+    Fault::EngineProxy,
+    Fault::ResetEngineProxy,
+    Fault::EngineSignal,
+    Fault::EngineSignal,
     Fault::EngineLeaves,
     Fault::EngineLeaves,
 ];
 
 impl Fault {
+    /// Returns the key of the fault in the report, an outer name.
     fn name(self) -> &'static str {
         match self {
-            Self::Lift => "lift",
+            Self::ClearAll => "lift",
             Self::Store => "store",
-            Self::ForgetHistory => "forget history",
-            Self::Way => "way",
-            Self::ResetWay => "reset way",
+            Self::CompactHistory => "forget history",
+            Self::StoreProxy => "way",
+            Self::ResetStoreProxy => "reset way",
             Self::Kill => "kill",
             Self::KillMany => "kill many",
-            Self::Stop => "stop",
-            Self::Pause => "pause",
+            Self::PlannedStop => "stop",
+            Self::StopProcess => "pause",
             Self::Configure => "configure",
             Self::ConfigureOften => "configure often",
             Self::Engine => "engine",
-            Self::EngineWay => "engine way",
-            Self::ResetEngineWay => "reset engine way",
-            Self::EngineWord => "engine word",
+            Self::EngineProxy => "engine way",
+            Self::ResetEngineProxy => "reset engine way",
+            Self::EngineSignal => "engine word",
             Self::EngineLeaves => "engine leaves",
         }
     }
 }
 
-/// Draws faults.
+/// A seeded sequence of faults.
 #[derive(Debug)]
 pub struct Schedule {
     rng: ChaCha8Rng,
-    played: BTreeMap<&'static str, u32>,
+    injected: BTreeMap<&'static str, u32>,
 }
 
 impl Schedule {
-    /// The schedule of a seed.
+    /// Creates the schedule of a seed.
     pub fn new(seed: u64) -> Self {
         Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
-            played: BTreeMap::new(),
+            injected: BTreeMap::new(),
         }
     }
 
-    /// What was played, by name.
+    /// Returns the number of injected faults by name.
     pub fn injected(&self) -> &BTreeMap<&'static str, u32> {
-        &self.played
+        &self.injected
     }
 
-    /// The next fault, and a pause of at most `longest`. Stops and pauses of processes go on
-    /// beside what follows.
-    pub fn inject_next(&mut self, world: &SoakCluster, longest: Duration) {
-        let fault = *FAULTS.choose(&mut self.rng).unwrap_or(&Fault::Lift);
-        *self.played.entry(fault.name()).or_default() += 1;
-        let site = self.rng.random_range(0..world.instances.len());
-        let site = &world.instances[site];
-        let engines = world.engines();
+    /// Injects the next fault, then waits for a random time of at most `max_pause`. Stops and pauses
+    /// of processes run in the background, concurrently with later faults.
+    pub fn inject_next(&mut self, cluster: &SoakCluster, max_pause: Duration) {
+        let fault = *FAULTS.choose(&mut self.rng).unwrap_or(&Fault::ClearAll);
+        *self.injected.entry(fault.name()).or_default() += 1;
+        let instance = self.rng.random_range(0..cluster.instances.len());
+        let instance = &cluster.instances[instance];
+        let engines = cluster.engines();
         let engine = &engines[self.rng.random_range(0..engines.len())];
         match fault {
-            Fault::Lift => world.clear_faults(),
-            Fault::Store => world.store.set_faults(self.store_faults()),
-            Fault::ForgetHistory => world.store.compact_history(),
-            Fault::Way => {
-                site.record_disturbance();
-                site.store_proxy.set_faults(self.way_faults());
+            Fault::ClearAll => cluster.clear_faults(),
+            Fault::Store => cluster.store.set_faults(self.random_store_faults()),
+            Fault::CompactHistory => cluster.store.compact_history(),
+            Fault::StoreProxy => {
+                instance.record_disturbance();
+                instance.store_proxy.set_faults(self.random_proxy_faults());
             }
-            Fault::ResetWay => site.store_proxy.reset_connections(),
-            Fault::Kill => site.kill(),
+            Fault::ResetStoreProxy => instance.store_proxy.reset_connections(),
+            Fault::Kill => instance.kill(),
             Fault::KillMany => {
-                let first = self.rng.random_range(0..world.instances.len());
-                world.instances[first..].iter().for_each(|site| site.kill());
+                let first = self.rng.random_range(0..cluster.instances.len());
+                cluster.instances[first..]
+                    .iter()
+                    .for_each(|instance| instance.kill());
             }
-            Fault::Stop => {
-                let site = site.clone();
-                std::thread::spawn(move || site.restart(Signal::TERM));
+            Fault::PlannedStop => {
+                let instance = instance.clone();
+                std::thread::spawn(move || instance.restart(Signal::TERM));
             }
-            Fault::Pause => {
-                site.record_disturbance();
-                let time = Duration::from_millis(self.rng.random_range(50..MAX_STOPPED_MS));
-                let site = site.clone();
+            Fault::StopProcess => {
+                instance.record_disturbance();
+                let duration = Duration::from_millis(self.rng.random_range(50..MAX_STOPPED_MS));
+                let instance = instance.clone();
                 std::thread::spawn(move || {
-                    site.program().signal(Signal::STOP);
-                    std::thread::sleep(time);
-                    site.program().signal(Signal::CONT);
+                    instance.process().signal(Signal::STOP);
+                    std::thread::sleep(duration);
+                    instance.process().signal(Signal::CONT);
                 });
             }
-            Fault::Configure => world.publish_next_version(),
-            Fault::ConfigureOften => (0..3).for_each(|_| world.publish_next_version()),
-            Fault::Engine => engine.server.set_faults(self.engine_faults(engine.number)),
-            Fault::EngineWay => {
+            Fault::Configure => cluster.publish_next_version(),
+            Fault::ConfigureOften => (0..3).for_each(|_| cluster.publish_next_version()),
+            Fault::Engine => engine
+                .server
+                .set_faults(self.random_engine_faults(engine.number)),
+            Fault::EngineProxy => {
                 engine.proxy_was_disturbed.store(true, Ordering::Release);
-                engine.proxy.set_faults(self.way_faults());
+                engine.proxy.set_faults(self.random_proxy_faults());
             }
-            Fault::ResetEngineWay => {
+            Fault::ResetEngineProxy => {
                 engine.proxy_was_disturbed.store(true, Ordering::Release);
                 engine.proxy.reset_connections();
             }
-            Fault::EngineWord => engine.server.set_faults(self.engine_word(engine.number)),
+            Fault::EngineSignal => engine.server.set_faults(self.random_signal(engine.number)),
             Fault::EngineLeaves => {
-                let after_ms = self.rng.random_range(0..MAX_LEAVING_MS);
-                engine.server.leave(Duration::from_millis(after_ms));
+                let delay_ms = self.rng.random_range(0..MAX_LEAVING_MS);
+                engine.server.leave(Duration::from_millis(delay_ms));
             }
         }
-        std::thread::sleep(longest.mul_f64(self.rng.random_range(0.1..1.0)));
+        std::thread::sleep(max_pause.mul_f64(self.rng.random_range(0.1..1.0)));
     }
 
-    fn store_faults(&mut self) -> StoreFaults {
+    fn random_store_faults(&mut self) -> StoreFaults {
         let mut faults = StoreFaults::default();
         match self.rng.random_range(0..5) {
             0 => faults.error_status = Some(503),
@@ -195,7 +202,7 @@
         faults
     }
 
-    fn way_faults(&mut self) -> ProxyFaults {
+    fn random_proxy_faults(&mut self) -> ProxyFaults {
         let mut faults = ProxyFaults::default();
         match self.rng.random_range(0..4) {
             0 => {
@@ -209,7 +216,7 @@
         faults
     }
 
-    fn engine_word(&mut self, number: usize) -> EngineFaults {
+    fn random_signal(&mut self, number: usize) -> EngineFaults {
         let mut faults = default_engine_faults(number);
         if self.rng.random_bool(0.5) {
             faults.advertised_limit_per_s = Some(self.rng.random_range(0.5..20.0));
@@ -219,13 +226,13 @@
         faults
     }
 
-    fn engine_faults(&mut self, number: usize) -> EngineFaults {
-        let after = Some(self.rng.random_range(0..EVENTS));
+    fn random_engine_faults(&mut self, number: usize) -> EngineFaults {
+        let event_count = Some(self.rng.random_range(0..EVENTS));
         let mut faults = default_engine_faults(number);
         match self.rng.random_range(0..4) {
-            0 => faults.cut_after_events = after,
-            1 => faults.silent_after_events = after,
-            2 => faults.pause_after_events = after,
+            0 => faults.cut_after_events = event_count,
+            1 => faults.silent_after_events = event_count,
+            2 => faults.pause_after_events = event_count,
             _ => faults.drops_order_answer = true,
         }
         faults
--- a/crates/standins/src/soak/signal_checks.rs
+++ b/crates/standins/src/soak/signal_checks.rs
@@ -1,4 +1,4 @@
-//! Whether engines got what they had said that they do not want.
+//! Checks that requests respect the engines' signals: leaving and backoff.
 
 use super::SoakReport;
 use super::callers::Record;
@@ -7,85 +7,94 @@
 use passway_types::prelude::*;
 use std::collections::HashMap;
 
-/// A request may reach an engine so long after its instance has passed on that the engine leaves.
-const DRAIN_TIME: Duration = Duration::from_secs(2);
-/// What is on its way when an engine asks for rest does not count.
-const ON_ITS_WAY: Duration = Duration::from_millis(500);
-/// Requests that may reach an engine from one instance within a rest.
-const MOST_WITHIN_REST: usize = 2;
+/// Time after an instance has forwarded an engine's leaving signal for which its requests may still
+/// reach the engine.
+const DRAIN_WINDOW: Duration = Duration::from_secs(2);
+/// Time after the start of a backoff for which requests are considered in flight and not counted.
+const IN_FLIGHT_WINDOW: Duration = Duration::from_millis(500);
+/// Maximum number of requests from one instance that may reach an engine within a backoff.
+const MAX_WITHIN_BACKOFF: usize = 2;
 
-/// One life of an instance before one start of an engine.
-type Pair = (usize, u64, usize);
+/// The index and incarnation of an instance, and the restart count of an engine.
+type Link = (usize, u64, usize);
 
-/// A request that reached an engine, with the instance that sent it.
-struct Sent<'a> {
+/// A request that reached an engine, with its sender and receiver.
+struct SentRequest<'a> {
     arrival: &'a Arrival,
     record: &'a Record,
-    pair: Pair,
+    link: Link,
 }
 
-/// Judges what reached engines after their words.
-pub(super) fn judge(world: &SoakCluster, records: &[Record], report: &mut SoakReport) {
-    let by_id: HashMap<&str, &Record> = records.iter().map(|r| (&*r.id, r)).collect();
-    for engine in world.engines() {
+/// Checks the requests that reached engines after their signals.
+pub(super) fn check_signals(cluster: &SoakCluster, records: &[Record], report: &mut SoakReport) {
+    let by_id: HashMap<&str, &Record> =
+        records.iter().map(|record| (&*record.id, record)).collect();
+    for engine in cluster.engines() {
         let arrivals = engine.server.arrivals();
-        let sent = arrivals.iter().filter_map(|arrival| {
+        let requests = arrivals.iter().filter_map(|arrival| {
             let record = by_id.get(&*arrival.id)?;
-            // One that was paused, killed or cut has an excuse.
-            let life = record.incarnation.filter(|_| !record.was_disturbed)?;
-            let pair = (record.instance, life, arrival.restart_count);
-            Some(Sent {
+            // Requests of an instance that was paused, killed or disconnected are skipped.
+            let incarnation = record.incarnation.filter(|_| !record.was_disturbed)?;
+            let link = (record.instance, incarnation, arrival.restart_count);
+            Some(SentRequest {
                 arrival,
                 record,
-                pair,
+                link,
             })
         });
-        let sent: Vec<Sent<'_>> = sent.collect();
-        leaving(&engine, &sent, report);
+        let requests: Vec<SentRequest<'_>> = requests.collect();
+        check_leaving(&engine, &requests, report);
         if !engine
             .proxy_was_disturbed
             .load(std::sync::atomic::Ordering::Acquire)
         {
-            resting(&engine, &sent, report);
+            check_backoff(&engine, &requests, report);
         }
     }
 }
 
-/// Nothing reaches an engine late from an instance that has passed on that it leaves.
-fn leaving(engine: &Engine, sent: &[Sent<'_>], report: &mut SoakReport) {
-    let mut passed_on: HashMap<Pair, Instant> = HashMap::new();
-    for one in sent.iter().filter(|one| one.arrival.is_leaving) {
-        let answer = one.record.answer.as_ref();
+/// No request reaches an engine more than [`DRAIN_WINDOW`] after the sending instance has forwarded
+/// the engine's leaving signal.
+fn check_leaving(engine: &Engine, requests: &[SentRequest<'_>], report: &mut SoakReport) {
+    let mut forwarded_at: HashMap<Link, Instant> = HashMap::new();
+    for request in requests.iter().filter(|request| request.arrival.is_leaving) {
+        let answer = request.record.answer.as_ref();
         if answer.is_some_and(|answer| answer.header("server-leaving") == Some("1")) {
-            let at = passed_on.entry(one.pair).or_insert(one.record.ended_at);
-            *at = one.record.ended_at.min(*at);
+            let at = forwarded_at
+                .entry(request.link)
+                .or_insert(request.record.ended_at);
+            *at = request.record.ended_at.min(*at);
         }
     }
-    for one in sent {
-        let is_late = |at: &Instant| one.arrival.arrived_at > *at + DRAIN_TIME;
-        if passed_on.get(&one.pair).is_some_and(is_late) {
-            let (id, engine) = (&one.arrival.id, &engine.server.id);
-            let what = format!("{id} reached {engine}, which had said that it leaves");
-            report.broken.push(what);
+    for request in requests {
+        let is_late = |at: &Instant| request.arrival.arrived_at > *at + DRAIN_WINDOW;
+        if forwarded_at.get(&request.link).is_some_and(is_late) {
+            let (id, engine) = (&request.arrival.id, &engine.server.id);
+            let violation =
+                format!("{id} reached {engine}, whose leaving signal had been forwarded");
+            report.broken.push(violation);
         }
     }
 }
 
-/// No more than a few requests reach an engine from an instance within the rest that it asked for.
-fn resting(engine: &Engine, sent: &[Sent<'_>], report: &mut SoakReport) {
-    for one in sent {
-        let Some(rest) = one.arrival.backoff else {
+/// At most [`MAX_WITHIN_BACKOFF`] requests from one instance reach an engine within a backoff that
+/// the engine asked for.
+fn check_backoff(engine: &Engine, requests: &[SentRequest<'_>], report: &mut SoakReport) {
+    for request in requests {
+        let Some(backoff) = request.arrival.backoff else {
             continue;
         };
-        let within = one.arrival.arrived_at + ON_ITS_WAY..one.arrival.arrived_at + rest;
-        let others = sent.iter().filter(|other| other.pair == one.pair);
+        let within =
+            request.arrival.arrived_at + IN_FLIGHT_WINDOW..request.arrival.arrived_at + backoff;
+        let others = requests.iter().filter(|other| other.link == request.link);
         let count = others
             .filter(|other| within.contains(&other.arrival.arrived_at))
             .count();
-        if count > MOST_WITHIN_REST {
-            let (id, engine) = (&one.arrival.id, &engine.server.id);
-            let what = format!("{count} requests reached {engine} within the rest after {id}");
-            report.broken.push(what);
+        if count > MAX_WITHIN_BACKOFF {
+            let (id, engine) = (&request.arrival.id, &engine.server.id);
+            let violation =
+                format!("{count} requests reached {engine} within the backoff after {id}");
+            report.broken.push(violation);
         }
     }
 }
--- a/tests/all/main.rs
+++ b/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! All scenario tests, one module a feature.
+//! All scenario tests, one module per feature.
 
 mod allotment_begin;
 mod allotment_load;
--- a/tests/all/platform_soak.rs
+++ b/tests/all/platform_soak.rs
@@ -1,8 +1,8 @@
-//! A randomized soak of two instances among stand-ins: stores that fail, servers that
-//! cut, fall silent and lose answers, instances that stop and come back.
+//! A randomized soak test of two instances among stand-ins. The store fails, servers break off
+//! streams, fall silent and drop answers, and instances are restarted.
 //!
-//! `PASSWAY_SOAK_STEPS` sets its length, `PASSWAY_SOAK_SEED` the seed. What must hold is
-//! judged from the stand-ins' ledgers and the callers' answers, never from times.
+//! `PASSWAY_SOAK_STEPS` sets the number of steps, `PASSWAY_SOAK_SEED` the seed. The invariants are
+//! checked against the stand-ins' records and the callers' answers and don't depend on times.
 
 use crate::cluster::{self, fetch, list_plain, request, until};
 use crate::support::from_environment;
@@ -18,18 +18,19 @@
 
 const DEFAULT_STEPS: u64 = 40;
 const MODELS: [&str; 5] = ["m0", "m1", "m2", "m3", "m4"];
-/// Chance of each fault in a step.
+/// Probability of each fault in a step.
 const FAULT_CHANCE: f64 = 0.15;
 
 type Answers = Arc<Mutex<Vec<(String, u16)>>>;
 
-/// A plain server that breaks off, sheds or answers, by turns.
-fn plain() -> RawServer {
+/// Starts a plain server that closes connections, sheds requests or answers, depending on the
+/// request's number.
+fn start_plain_server() -> RawServer {
     RawServer::start(|received| {
         let id = received.header("request-id").unwrap_or_default();
-        let head = |status, more: &str| {
+        let head = |status, headers: &str| {
             let text = format!(
-                "HTTP/1.1 {status} X\r\nRequest-Id: {id}\r\nContent-Length: 2\r\n{more}\r\nok"
+                "HTTP/1.1 {status} X\r\nRequest-Id: {id}\r\nContent-Length: 2\r\n{headers}\r\nok"
             );
             vec![Step::Send(text.into_bytes())]
         };
@@ -42,7 +43,7 @@
     })
 }
 
-fn draw_store_faults(rng: &mut ChaCha8Rng) -> Faults {
+fn random_store_faults(rng: &mut ChaCha8Rng) -> Faults {
     let mut faults = Faults::default();
     match rng.random_range(0..4) {
         0 => faults.error_status = Some(503),
@@ -53,15 +54,15 @@
     faults
 }
 
-fn draw_server_faults(rng: &mut ChaCha8Rng) -> model_server::Faults {
-    let after = Some(rng.random_range(0..EVENTS));
+fn random_server_faults(rng: &mut ChaCha8Rng) -> model_server::Faults {
+    let event_count = Some(rng.random_range(0..EVENTS));
     match rng.random_range(0..3) {
         0 => model_server::Faults {
-            cut_after_events: after,
+            cut_after_events: event_count,
             ..Default::default()
         },
         1 => model_server::Faults {
-            silent_after_events: after,
+            silent_after_events: event_count,
             ..Default::default()
         },
         _ => model_server::Faults {
@@ -71,16 +72,16 @@
     }
 }
 
-/// One caller: a stream or a call that may run once.
+/// Sends a stream request or a call that may be executed at most once, and records the answer.
 fn call(address: std::net::SocketAddr, number: u64, model: &str, answers: &Answers) {
     let id = format!("r{number}");
-    let (path, more) = match number % 3 {
+    let (path, headers) = match number % 3 {
         0 => ("/pay/", String::new()),
         1 => ("/chat/", format!("Model: {model}\r\n")),
         _ => ("/report/", format!("Model: {model}\r\n")),
     };
-    let more = more + "Connection: close\r\n";
-    let bytes = request("POST", path, &id, &more, "{}");
+    let headers = headers + "Connection: close\r\n";
+    let bytes = request("POST", path, &id, &headers, "{}");
     let Some(answer) = fetch(address, &bytes) else {
         return;
     };
@@ -96,7 +97,7 @@
     answers.lock().expect("answers").push((id, answer.status));
 }
 
-fn start_two(store: &MetadataStandIn) -> [Instance; 2] {
+fn start_instances(store: &MetadataStandIn) -> [Instance; 2] {
     ["one", "two"].map(|name| cluster::start_ready(name, store))
 }
 
@@ -105,18 +106,18 @@
     let steps = from_environment("PASSWAY_SOAK_STEPS", DEFAULT_STEPS);
     let mut rng = ChaCha8Rng::seed_from_u64(from_environment("PASSWAY_SOAK_SEED", 1));
     let store = cluster::store(&MODELS);
-    let plains = [plain(), plain()];
-    for (number, server) in plains.iter().enumerate() {
+    let plain_servers = [start_plain_server(), start_plain_server()];
+    for (number, server) in plain_servers.iter().enumerate() {
         list_plain(&store, &format!("p-{number}"), server.address, "ready");
     }
     let servers = ["i-0", "i-1", "i-2"]
         .map(|id| ModelServer::start(&store, id, "engines", 2, &["m0", "m1"], &["m2", "m3", "m4"]));
-    let mut instances = start_two(&store);
+    let mut instances = start_instances(&store);
     let answers = Answers::default();
     let mut callers = Vec::new();
     for step in 0..steps {
         if rng.random_bool(FAULT_CHANCE) {
-            store.set_faults(draw_store_faults(&mut rng));
+            store.set_faults(random_store_faults(&mut rng));
         } else if rng.random_bool(0.5) {
             store.set_faults(Faults::default());
         }
@@ -125,18 +126,18 @@
         }
         for server in &servers {
             if rng.random_bool(FAULT_CHANCE) {
-                server.set_faults(draw_server_faults(&mut rng));
+                server.set_faults(random_server_faults(&mut rng));
             }
         }
         if rng.random_bool(FAULT_CHANCE / 3.0) {
-            // One is restarted; the other takes over the right to order.
-            let which = rng.random_range(0..2);
-            instances[which].stop();
+            // One instance is restarted; the other one takes over the leadership.
+            let index = rng.random_range(0..2);
+            instances[index].stop();
             store.set_faults(Faults::default());
-            instances[which] = cluster::start_ready(["one", "two"][which], &store);
+            instances[index] = cluster::start_ready(["one", "two"][index], &store);
         }
-        for part in 0..4 {
-            let number = step * 4 + part;
+        for offset in 0..4 {
+            let number = step * 4 + offset;
             let address = instances[rng.random_range(0..2)].callers_address();
             let model = MODELS[rng.random_range(0..MODELS.len())];
             let answers = answers.clone();
@@ -150,7 +151,7 @@
     for caller in callers {
         caller.join().expect("a caller");
     }
-    judge(&servers, &plains, &answers);
+    check_invariants(&servers, &plain_servers, &answers);
     until("service after the faults", || {
         let bytes = request("POST", "/report/", "last", "Model: m4\r\n", "{}");
         let answer = fetch(instances[0].callers_address(), &bytes);
@@ -158,46 +159,53 @@
     });
 }
 
-fn judge(servers: &[ModelServer], plains: &[RawServer], answers: &Answers) {
+fn check_invariants(servers: &[ModelServer], plain_servers: &[RawServer], answers: &Answers) {
     let answers = answers.lock().expect("answers");
-    let mut runs: BTreeMap<String, usize> = BTreeMap::new();
+    let mut execution_counts: BTreeMap<String, usize> = BTreeMap::new();
     for server in servers {
         assert_eq!(
             server.loads_over_capacity(),
             0,
-            "an order to load without room"
+            "a load order beyond the capacity"
         );
-        let mut highest = 0;
+        let mut highest_fence = 0;
         for order in server.accepted_orders() {
             assert!(
-                order.fence >= highest,
+                order.fence >= highest_fence,
                 "an older holder's order after a newer one's"
             );
-            highest = order.fence;
+            highest_fence = order.fence;
         }
         for id in server.executed_ids() {
-            *runs.entry(id).or_default() += 1;
+            *execution_counts.entry(id).or_default() += 1;
         }
     }
-    for server in plains {
-        // The fourth of seven is shed; every other one counts as run.
-        for received in server.received().iter().filter(|r| r.number % 7 != 4) {
+    for server in plain_servers {
+        // The requests with remainder 4 are shed; all others count as executed.
+        for received in server
+            .received()
+            .iter()
+            .filter(|request| request.number % 7 != 4)
+        {
             let id = received.header("request-id").unwrap_or_default();
-            *runs.entry(id.to_owned()).or_default() += 1;
+            *execution_counts.entry(id.to_owned()).or_default() += 1;
         }
     }
-    for (id, count) in &runs {
+    for (id, count) in &execution_counts {
         let number: u64 = id[1..].parse().unwrap_or(1);
-        let may_resume = number % 3 == 1;
-        assert!(may_resume || *count <= 1, "{id} ran {count} times");
+        let is_resumable = number % 3 == 1;
+        assert!(
+            is_resumable || *count <= 1,
+            "{id} was executed {count} times"
+        );
     }
     for (id, status) in answers.iter() {
         let number: u64 = id[1..].parse().unwrap_or(1);
-        let refused = matches!(status, 429 | 503);
-        let once_only = number % 3 != 1;
+        let is_refused = matches!(status, 429 | 503);
+        let is_once_only = number % 3 != 1;
         assert!(
-            !(refused && once_only && runs.contains_key(id)),
-            "{id} ran and was refused"
+            !(is_refused && is_once_only && execution_counts.contains_key(id)),
+            "{id} was executed and refused"
         );
     }
 }
--- a/tests/all/soak.rs
+++ b/tests/all/soak.rs
@@ -1,20 +1,21 @@
-//! The fault soak, short: real processes, a fixed seed. `passway-soak` plays more of it.
+//! A short fault soak with real processes and a fixed seed. The program `passway-soak` runs longer
+//! ones.
 
 use crate::support::from_environment;
 use passway_standins::soak::{self, SoakPlan};
 use passway_types::prelude::*;
 
-/// Faults of the run in CI, some 15 s.
+/// Number of faults in a CI run, which takes about 15 s.
 const STEPS: u64 = 40;
 
 #[test]
 fn promises_kept() {
     let seed = from_environment("PASSWAY_SOAK_SEED", 1);
-    let logs = std::env::temp_dir().join(format!("passway-soak-{}", std::process::id()));
-    std::fs::create_dir_all(&logs).expect("a folder for logs");
+    let log_dir = std::env::temp_dir().join(format!("passway-soak-{}", std::process::id()));
+    std::fs::create_dir_all(&log_dir).expect("a folder for logs");
     let report = soak::run(&SoakPlan {
         executable: env!("CARGO_BIN_EXE_passway-instance").into(),
-        log_dir: logs.clone(),
+        log_dir: log_dir.clone(),
         seed,
         instances: 3,
         engines: 4,
@@ -27,8 +28,8 @@
         report.broken,
         Vec::<String>::new(),
         "logs: {}",
-        logs.display()
+        log_dir.display()
     );
     assert!(report.served > 0, "{report:?}");
-    std::fs::remove_dir_all(&logs).expect("the folder removed");
+    std::fs::remove_dir_all(&log_dir).expect("the folder removed");
 }
