--- a/crates/standins/src/platform/model_server.rs
+++ b/crates/standins/src/platform/model_server.rs
@@ -197,7 +197,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells the server what to do wrong from now on.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         self.state().faults = faults;
     }
