--- a/crates/instance/src/control.rs
+++ b/crates/instance/src/control.rs
@@ -57,7 +57,7 @@
 ) -> OrderAnswer {
     let sent_order = EngineOrder {
         action: order.action,
-        model_ref: order.wish.clone(),
+        model_ref: order.model_ref.clone(),
         expected_orders: order.expected_orders,
         upstream: order.engine.clone(),
         holder: shared.settings.instance.clone(),
--- a/crates/serving/src/placement.rs
+++ b/crates/serving/src/placement.rs
@@ -1,404 +1,428 @@
-//! Which models stand on which engines: the decisions of the holder of the right to order.
+//! Decides which models are loaded on which engines. Only the holder of the leadership, i.e. of the
+//! right to send orders to engines, runs these decisions.
 //!
-//! Needs, uses, engines' words and answers to orders go in; orders, questions and
-//! changed placements come out. Each engine has at most one model order under way.
-//! Every order names the count of orders that the engine must have taken, so an
-//! order that is carried out late can only take effect in the state that it was
-//! decided for; memory is therefore checked against that state alone.
+//! The input is demand, running requests, engine entries and reports, and answers to orders; the
+//! output is orders, state queries and changed placements. Each engine has at most one model order
+//! in flight. Every order names the number of orders that the engine must have taken before, so a
+//! delayed order can only take effect in the state that it was decided for. The memory check
+//! therefore considers that state alone.
 
 mod announced;
-mod ceiling;
-mod census;
+mod benefit;
+mod checkpoint_locations;
 mod crashing_loads;
 mod demand;
 mod engine;
-mod homes;
 mod loading;
 pub mod policy;
-mod questions;
+mod query_budget;
+mod replica_counts;
+mod store_load_limiter;
 mod victims;
-mod worth;
 
 use crate::ports::{EngineReport, OrderAction, OrderAnswer};
 use crate::routes::{EnginePool, RouteTable};
 use crate::upstreams::{ModelRef, ResidentModel, UpstreamEntry};
-use announced::Announced;
+use announced::AnnouncedPlacements;
 pub use announced::{PlacementDigest, digest};
-use ceiling::StoreLoads;
-pub use ceiling::USUAL_LOAD_WINDOW;
-use census::Census;
+use checkpoint_locations::CheckpointLocations;
 use crashing_loads::CrashingLoads;
 use demand::Demand;
 pub use demand::{Usage, Waiters};
-use engine::{Engine, Loading};
-use homes::Homes;
+use engine::{Engine, InterruptedLoad};
 use passway_types::prelude::*;
 use policy::PlacementPolicy;
-use questions::Questions;
+use query_budget::QueryBudget;
+use replica_counts::ReplicaCounts;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
-
-/// An order whose effect shows neither in the engine's word nor in a report is asked for after this.
-const ASK_PAUSE: Duration = Duration::from_millis(120);
-/// Time for an unload that no run holds up.
-const UNLOAD_TIME: Duration = Duration::from_millis(30);
-/// Instances hear of a model that has come, and send what waits for it, well within this.
-const DOUBT_TIME: Duration = Duration::from_millis(500);
-/// How old the state that an engine reports may be: some hundred milliseconds (users' pages).
-/// What may have changed since then is not known to whoever did not order it.
-const REPORT_AGE: Duration = Duration::from_millis(500);
-/// Time in which instances that hear of a new holder connect and tell what they use.
-const LISTENING_TIME: Duration = Duration::from_millis(300);
+pub use store_load_limiter::DEFAULT_LOAD_WINDOW;
+use store_load_limiter::StoreLoadLimiter;
+
+/// Delay before the holder queries an engine for the effect of an order that neither an entry nor a
+/// report has shown. Unanswered queries back off from this delay.
+const QUERY_DELAY: Duration = Duration::from_millis(120);
+/// Duration of an unload that no running request delays.
+const UNLOAD_DURATION: Duration = Duration::from_millis(30);
+/// How long requests may wait for a model that an engine should serve before the holder queries
+/// that engine. Instances normally learn of a loaded model and send the waiting requests well
+/// within this time.
+const WAIT_BEFORE_CHECK: Duration = Duration::from_millis(500);
+/// Maximum age of the state in an engine's report: reports lag by some hundred milliseconds (users'
+/// pages). A new holder does not know what its predecessor ordered within this time.
+const MAX_REPORT_AGE: Duration = Duration::from_millis(500);
+/// Time after the start of a term in which instances connect to the new holder and publish their
+/// demand.
+const LISTENING_WINDOW: Duration = Duration::from_millis(300);
 
 /// A model or adapter order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlannedOrder {
     /// The engine.
     pub engine: UpstreamId,
-    /// Where it listens.
+    /// The address that the engine listens on.
     pub address: SocketAddr,
     /// Load or unload.
     pub action: OrderAction,
-    /// What.
-    pub wish: ModelRef,
-    /// The count of orders that it must have taken.
+    /// The model or adapter to load or unload.
+    pub model_ref: ModelRef,
+    /// Number of orders that the engine must have taken before this one; the engine refuses the
+    /// order otherwise.
     pub expected_orders: u64,
-    /// The start of the engine for which it was decided.
+    /// Start time of the engine process for which the order was decided, in milliseconds.
     pub started_at_ms: u64,
 }
 
-/// Requests for a model that run on an engine.
+/// Running requests for one model on one engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ModelRuns {
+pub struct RunningRequests {
     /// The engine.
     pub engine: UpstreamId,
     /// The model.
     pub model: ModelName,
-    /// How many there are.
+    /// Number of running requests.
     pub count: u32,
 }
 
-/// What the holder is to do.
+/// An action that the holder must carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Give an order.
+    /// Send an order to an engine.
     Order(PlannedOrder),
-    /// Ask an engine for its state.
+    /// Query an engine for its state.
     Ask {
         /// The engine.
         engine: UpstreamId,
-        /// Where it listens.
+        /// The address that the engine listens on.
         address: SocketAddr,
     },
 }
 
-/// Where requests may go on one engine.
+/// The models on one engine to which requests may be routed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Placement {
     /// The engine.
     pub engine: UpstreamId,
-    /// Models and adapters that stand there.
+    /// Loaded models and adapters.
     pub models: Vec<ResidentModel>,
-    /// Models that are about to go.
-    pub closing: Vec<ModelName>,
+    /// Loaded models that are about to be unloaded; no new request may be routed to them.
+    pub evicting: Vec<ModelName>,
 }
 
-/// The decisions over all engines.
+/// Plans the placement of models and adapters on all engines.
 #[derive(Debug)]
 pub struct Planner {
     engines: BTreeMap<UpstreamId, Engine>,
     pools: BTreeMap<ServiceName, EnginePool>,
     demand: Demand,
     policy: Box<dyn PlacementPolicy>,
-    /// Replicas and runs, as they were counted at the last change of a pass.
-    census: Census,
-    /// Engines that have each model near.
-    homes: Homes,
-    /// Loads that count against each service's ceiling of the weight store.
-    store_loads: BTreeMap<ServiceName, StoreLoads>,
-    /// The span over which they count.
+    /// Replicas and running requests, as counted at the beginning of the current pass and updated
+    /// by its swaps.
+    replica_counts: ReplicaCounts,
+    /// Engines that have each model's checkpoint in memory or on disk.
+    checkpoint_locations: CheckpointLocations,
+    /// Limits how many loads from the weight store may begin, by service.
+    store_load_limiters: BTreeMap<ServiceName, StoreLoadLimiter>,
+    /// Sliding window over which these loads are counted.
     load_window: Duration,
-    changed: BTreeSet<UpstreamId>,
-    /// Engines on which each instance has runs.
-    runs_on: HashMap<InstanceId, Vec<UpstreamId>>,
-    announced: Announced,
-    /// Engines that were there and are not, or have started again, while a model came to them.
-    ended_loading: Vec<Loading>,
+    /// Engines whose placement may have changed since the last announcement.
+    changed_engines: BTreeSet<UpstreamId>,
+    /// Engines on which each instance has running requests.
+    engines_by_instance: HashMap<InstanceId, Vec<UpstreamId>>,
+    announced: AnnouncedPlacements,
+    /// Loads on engines that disappeared or restarted before the model was loaded.
+    interrupted_loads: Vec<InterruptedLoad>,
     crashing_loads: CrashingLoads,
-    questions: Questions,
-    /// Halls that operators have emptied.
-    emptied: BTreeSet<DataHall>,
-    /// Engines that want nothing from this instance, and until when.
-    resting: BTreeMap<UpstreamId, Instant>,
-    /// When engines may be asked for their state in this term: what a holder before ordered
-    /// last shows in a report by then. `None` until the term's first decision.
-    reports_from: Option<Instant>,
+    query_budget: QueryBudget,
+    /// Data halls that operators have evacuated.
+    evacuated_halls: BTreeSet<DataHall>,
+    /// Engines that accept nothing from this instance, with the end of the backoff.
+    backing_off: BTreeMap<UpstreamId, Instant>,
+    /// Start of state queries in this term. By then, a report shows the last order of the previous
+    /// holder. `None` until the first decision of the term.
+    queries_from: Option<Instant>,
+    /// End of the listening window of this term, in which nothing is placed or evicted.
     listening_until: Option<Instant>,
 }
 
 impl Planner {
-    /// No engines; loads from the weight store count over a span.
+    /// Creates a planner without engines. Loads from the weight store are counted over
+    /// `load_window`.
     pub fn new(load_window: Duration, policy: Box<dyn PlacementPolicy>) -> Self {
         Self {
             engines: BTreeMap::new(),
             pools: BTreeMap::new(),
             demand: Demand::default(),
             policy,
-            census: Census::default(),
-            homes: Homes::default(),
-            store_loads: BTreeMap::new(),
+            replica_counts: ReplicaCounts::default(),
+            checkpoint_locations: CheckpointLocations::default(),
+            store_load_limiters: BTreeMap::new(),
             load_window,
-            changed: BTreeSet::new(),
-            runs_on: HashMap::new(),
-            announced: Announced::default(),
-            ended_loading: Vec::new(),
+            changed_engines: BTreeSet::new(),
+            engines_by_instance: HashMap::new(),
+            announced: AnnouncedPlacements::default(),
+            interrupted_loads: Vec::new(),
             crashing_loads: CrashingLoads::default(),
-            questions: Questions::default(),
-            emptied: BTreeSet::new(),
-            resting: BTreeMap::new(),
-            reports_from: None,
+            query_budget: QueryBudget::default(),
+            evacuated_halls: BTreeSet::new(),
+            backing_off: BTreeMap::new(),
+            queries_from: None,
             listening_until: None,
         }
     }
 
-    /// Uses a configuration.
+    /// Applies the route table of a configuration.
     pub fn set_table(&mut self, table: &RouteTable) {
         let services = table.services.values();
         let pools = services.filter_map(|s| Some((s.name.clone(), s.pool.clone()?)));
         self.pools = pools.collect();
         for service in self.pools.keys() {
-            let loads = || StoreLoads::new(self.load_window);
-            let known = self.store_loads.entry(service.clone());
-            known.or_insert_with(loads);
+            let new_limiter = || StoreLoadLimiter::new(self.load_window);
+            let limiter = self.store_load_limiters.entry(service.clone());
+            limiter.or_insert_with(new_limiter);
         }
     }
 
-    /// Begins a term with what this instance knew of engines as a listener, and forgets what
-    /// was known of their orders. In `doubtful` engines orders that the holder before had no
-    /// answer to may be carried out yet. Instances tell within moments what they need and use; until
-    /// then nothing is evicted.
+    /// Begins a term with the entries that this instance knows, and drops all knowledge of orders.
+    /// Engines in `unconfirmed` may still carry out an order of the previous holder that had no
+    /// answer. The planner evicts nothing until instances have had time to publish their demand and
+    /// running requests.
     pub fn begin_term(
         &mut self,
         entries: impl Iterator<Item = UpstreamEntry>,
-        doubtful: &BTreeSet<UpstreamId>,
+        unconfirmed: &BTreeSet<UpstreamId>,
         now: Instant,
     ) {
-        self.listening_until = Some(now + LISTENING_TIME);
-        self.reports_from = None;
-        for (service, loads) in &mut self.store_loads {
+        self.listening_until = Some(now + LISTENING_WINDOW);
+        self.queries_from = None;
+        for (service, limiter) in &mut self.store_load_limiters {
             if let Some(pool) = self.pools.get(service) {
-                loads.begin_term(pool, now);
+                limiter.begin_term(pool, now);
             }
         }
         for (id, engine) in &mut self.engines {
-            engine.forget_orders(doubtful.contains(id));
+            engine.begin_term(unconfirmed.contains(id));
         }
         for entry in entries {
-            self.heard(entry, now);
+            self.update_engine(entry, now);
         }
-        // Instances compare what they know with this when they connect.
-        self.changed.clear();
+        // Instances compare their known placements with these digests when they connect.
+        self.changed_engines.clear();
         let placements = self.engines.values().map(Engine::placement);
-        self.announced.begin(placements);
+        self.announced.begin_term(placements);
     }
 
-    /// An engine has said something of itself.
-    pub fn heard(&mut self, entry: UpstreamEntry, now: Instant) {
+    /// Applies an engine's entry in the directory.
+    pub fn update_engine(&mut self, entry: UpstreamEntry, now: Instant) {
         if !self.pools.contains_key(&entry.service) {
             return;
         }
         let id = entry.id.clone();
-        let is_emptied = self.emptied.contains(&entry.hall);
+        let is_evacuated = self.evacuated_halls.contains(&entry.hall);
         if let Some(engine) = self.engines.get_mut(&id) {
-            engine.set_emptied(is_emptied);
+            engine.set_evacuated(is_evacuated);
             if entry.started_at_ms > engine.entry.started_at_ms {
-                self.ended_loading.extend(engine.loading());
+                self.interrupted_loads.extend(engine.interrupted_load());
             }
-            engine.update(entry, now);
-            self.homes.update(engine);
+            engine.update_entry(entry, now);
+            self.checkpoint_locations.update(engine);
         } else {
             let mut engine = Engine::new(entry);
-            engine.set_emptied(is_emptied);
-            self.homes.update(&engine);
+            engine.set_evacuated(is_evacuated);
+            self.checkpoint_locations.update(&engine);
             self.engines.insert(id.clone(), engine);
         }
-        self.changed.insert(id);
+        self.changed_engines.insert(id);
     }
 
-    /// Engines to which an order has no answer and may be carried out yet, for a successor.
-    pub fn doubtful(&self, now: Instant) -> impl Iterator<Item = &UpstreamId> {
-        let doubtful = self.engines.iter().filter(move |(_, e)| e.is_doubtful(now));
-        doubtful.map(|(id, _)| id)
+    /// Engines that may still carry out an order that has no answer. The holder passes them on to
+    /// its successor.
+    pub fn unconfirmed_engines(&self, now: Instant) -> impl Iterator<Item = &UpstreamId> {
+        let unconfirmed = self
+            .engines
+            .iter()
+            .filter(move |(_, e)| e.has_unconfirmed_orders(now));
+        unconfirmed.map(|(id, _)| id)
     }
 
-    /// How many engines there are.
-    pub fn engines(&self) -> usize {
+    /// Number of known engines.
+    pub fn engine_count(&self) -> usize {
         self.engines.len()
     }
 
-    /// Only these upstreams are there.
+    /// Drops all engines except `ids`.
     pub fn retain(&mut self, ids: &BTreeSet<UpstreamId>) {
-        self.homes.retain(ids);
-        let gone = self.engines.extract_if(.., |id, _| !ids.contains(id));
-        self.ended_loading
-            .extend(gone.filter_map(|(_, engine)| engine.loading()));
+        self.checkpoint_locations.retain(ids);
+        let removed = self.engines.extract_if(.., |id, _| !ids.contains(id));
+        self.interrupted_loads
+            .extend(removed.filter_map(|(_, engine)| engine.interrupted_load()));
         self.announced.retain(ids);
     }
 
-    /// So many requests of an instance wait for a model or adapter now.
-    pub fn waiting(&mut self, waiters: Waiters, now: Instant) {
+    /// Sets how many requests of an instance currently wait for a model or adapter.
+    pub fn set_waiters(&mut self, waiters: Waiters, now: Instant) {
         self.demand.set_waiters(waiters, now);
     }
 
-    /// An instance took so many requests for a model or adapter.
-    pub fn taken(&mut self, service: &ServiceName, model_ref: &ModelRef, count: u32, now: Instant) {
+    /// Records that an instance accepted `count` requests for a model or adapter.
+    pub fn record_arrivals(
+        &mut self,
+        service: &ServiceName,
+        model_ref: &ModelRef,
+        count: u32,
+        now: Instant,
+    ) {
         self.demand.record_arrivals(service, model_ref, count, now);
         if model_ref.adapter.is_none() {
             return;
         }
         for engine in self.engines.values_mut() {
-            engine.record_use(model_ref, now);
+            engine.record_adapter_use(model_ref, now);
         }
     }
 
-    /// What runs of an instance's requests.
-    pub fn running(&mut self, instance: &InstanceId, runs: &[ModelRuns]) {
+    /// Replaces the running requests of an instance.
+    pub fn set_running(&mut self, instance: &InstanceId, requests: &[RunningRequests]) {
         let mut by_engine: BTreeMap<&UpstreamId, Vec<(ModelName, u32)>> = BTreeMap::new();
-        for run in runs {
-            let here = by_engine.entry(&run.engine).or_default();
-            here.push((run.model.clone(), run.count));
+        for request in requests {
+            let models = by_engine.entry(&request.engine).or_default();
+            models.push((request.model.clone(), request.count));
         }
-        // An instance runs something on a few engines of hundreds.
+        // An instance has running requests on only a few of hundreds of engines.
         let engines = by_engine.keys().map(|id| (*id).clone()).collect();
-        let before = self.runs_on.insert(instance.clone(), engines);
-        for id in before.into_iter().flatten() {
+        let previous = self.engines_by_instance.insert(instance.clone(), engines);
+        for id in previous.into_iter().flatten() {
             if !by_engine.contains_key(&id)
                 && let Some(engine) = self.engines.get_mut(&id)
             {
                 engine.set_running(instance, Vec::new());
             }
         }
-        for (id, here) in by_engine {
+        for (id, running) in by_engine {
             if let Some(engine) = self.engines.get_mut(id) {
-                engine.set_running(instance, here);
+                engine.set_running(instance, running);
             }
         }
     }
 
-    /// An instance is gone, and what it ran with it.
-    pub fn instance_gone(&mut self, instance: &InstanceId) {
-        self.demand.instance_gone(instance);
-        self.running(instance, &[]);
-        self.runs_on.remove(instance);
+    /// Removes an instance with its waiting and running requests.
+    pub fn remove_instance(&mut self, instance: &InstanceId) {
+        self.demand.remove_instance(instance);
+        self.set_running(instance, &[]);
+        self.engines_by_instance.remove(instance);
     }
 
-    /// An order was answered.
-    pub fn answered(&mut self, order: &PlannedOrder, answer: OrderAnswer, now: Instant) {
+    /// Applies the answer to an order.
+    pub fn apply_answer(&mut self, order: &PlannedOrder, answer: OrderAnswer, now: Instant) {
         let Some(engine) = self.engines.get_mut(&order.engine) else {
             return;
         };
-        let time = match order.action {
-            OrderAction::Unload => UNLOAD_TIME,
-            OrderAction::Load => engine.load_time(&self.pools, &order.wish.model),
+        let duration = match order.action {
+            OrderAction::Unload => UNLOAD_DURATION,
+            OrderAction::Load => engine.load_duration(&self.pools, &order.model_ref.model),
         };
-        if let Some(loads) = self.store_loads.get_mut(&engine.entry.service) {
+        if let Some(limiter) = self.store_load_limiters.get_mut(&engine.entry.service) {
             match answer {
                 OrderAnswer::Taken => {
-                    loads.count_is(&order.engine, order.expected_orders + 1, now);
+                    limiter.raise_orders_taken(&order.engine, order.expected_orders + 1, now);
                 }
                 _ if !engine.is_store_load(order) => {}
-                OrderAnswer::Lost => loads.lost(&order.engine, now),
-                _ => loads.not_begun(&order.engine),
+                OrderAnswer::Lost => limiter.mark_unconfirmed(&order.engine, now),
+                _ => limiter.cancel(&order.engine),
             }
         }
-        engine.answered(order, answer, now + time, now);
-        self.changed.insert(order.engine.clone());
+        engine.apply_answer(order, answer, now + duration, now);
+        self.changed_engines.insert(order.engine.clone());
     }
 
-    /// An engine told its state; `None` if it did not answer.
-    pub fn reported(&mut self, id: &UpstreamId, report: Option<EngineReport>, now: Instant) {
+    /// Applies an engine's report of its state; `None` if the query was not answered.
+    pub fn apply_report(&mut self, id: &UpstreamId, report: Option<EngineReport>, now: Instant) {
         if let Some(engine) = self.engines.get_mut(id) {
             let started_at_ms = report.as_ref().map_or(0, |report| report.started_at_ms);
             if started_at_ms > engine.entry.started_at_ms {
-                self.ended_loading.extend(engine.loading());
+                self.interrupted_loads.extend(engine.interrupted_load());
             }
-            let loads = self.store_loads.get_mut(&engine.entry.service);
-            if let (Some(report), Some(loads)) = (&report, loads) {
-                loads.count_is(id, report.orders_taken, now);
+            let limiter = self.store_load_limiters.get_mut(&engine.entry.service);
+            if let (Some(report), Some(limiter)) = (&report, limiter) {
+                limiter.raise_orders_taken(id, report.orders_taken, now);
             }
-            engine.reported(report, now);
-            self.homes.update(engine);
-            self.changed.insert(id.clone());
+            engine.apply_report(report, now);
+            self.checkpoint_locations.update(engine);
+            self.changed_engines.insert(id.clone());
         }
     }
 
-    /// An engine in need takes so many requests a second, or is in no need any more.
+    /// Sets the limit that an engine advertises, in requests per second; `None` if the engine is no
+    /// longer limited.
     pub fn set_limit(&mut self, id: &UpstreamId, per_s: Option<f64>) {
         if let Some(engine) = self.engines.get_mut(id) {
             engine.set_limit(per_s);
         }
     }
 
-    /// A start of an engine leaves, as it said in an answer.
+    /// Marks an engine process as leaving, as it signalled in an answer to a request.
     pub fn set_leaving(&mut self, id: &UpstreamId, started_at_ms: u64) {
         if let Some(engine) = self.engines.get_mut(id)
             && engine.entry.started_at_ms == started_at_ms
         {
-            engine.leaves();
-            self.changed.insert(id.clone());
+            engine.set_leaving();
+            self.changed_engines.insert(id.clone());
         }
     }
 
-    /// The halls that operators have emptied, as they were told last.
-    pub fn emptied(&self) -> &BTreeSet<DataHall> {
-        &self.emptied
+    /// The data halls that operators have evacuated, as last set.
+    pub fn evacuated_halls(&self) -> &BTreeSet<DataHall> {
+        &self.evacuated_halls
     }
 
-    /// Operators have emptied these halls and no others: what stands there comes elsewhere.
-    pub fn set_emptied(&mut self, emptied: BTreeSet<DataHall>) {
-        self.emptied = emptied;
+    /// Sets the data halls that operators have evacuated. Models on engines there are loaded
+    /// elsewhere.
+    pub fn set_evacuated_halls(&mut self, halls: BTreeSet<DataHall>) {
+        self.evacuated_halls = halls;
         for (id, engine) in &mut self.engines {
-            let is_emptied = self.emptied.contains(&engine.entry.hall);
-            if engine.set_emptied(is_emptied) {
-                self.changed.insert(id.clone());
+            let is_evacuated = self.evacuated_halls.contains(&engine.entry.hall);
+            if engine.set_evacuated(is_evacuated) {
+                self.changed_engines.insert(id.clone());
             }
         }
     }
 
-    /// An engine wants nothing from some instance until a moment: what requests wait for there had better come
-    /// to another one, and nothing comes to it meanwhile.
-    pub fn note_rest(&mut self, id: &UpstreamId, started_at_ms: u64, until: Instant) {
+    /// Records that an engine accepts no requests from some instance until `until`. Meanwhile the
+    /// planner loads the models that requests wait for on other engines, and loads no further
+    /// models on this one.
+    pub fn record_backoff(&mut self, id: &UpstreamId, started_at_ms: u64, until: Instant) {
         if let Some(engine) = self.engines.get_mut(id)
             && engine.entry.started_at_ms == started_at_ms
         {
-            engine.note_rest(until);
+            engine.record_backoff(until);
         }
     }
 
-    /// These engines want nothing from this instance until the moments given: they are neither ordered nor
-    /// asked before.
-    pub fn set_resting(&mut self, resting: BTreeMap<UpstreamId, Instant>) {
-        self.resting = resting;
+    /// Sets the engines that accept nothing from this instance until the given times. The planner
+    /// sends them no orders and no queries until then.
+    pub fn set_backing_off(&mut self, engines: BTreeMap<UpstreamId, Instant>) {
+        self.backing_off = engines;
     }
 
-    /// Whether placements have changed since they were taken last.
-    pub fn has_changed(&self) -> bool {
-        !self.changed.is_empty()
+    /// Whether any placement may have changed since the last [`Self::take_changed_placements`].
+    pub fn has_changed_placements(&self) -> bool {
+        !self.changed_engines.is_empty()
     }
 
-    /// Placements of engines to which something has come that requests wait for, and the
-    /// instances that wait: they are told at once, and all others with the next batch.
-    pub fn take_awaited(&mut self) -> Vec<(Placement, BTreeSet<InstanceId>)> {
+    /// Placements of engines that have just loaded a model or adapter that requests wait for, each
+    /// with the instances of these requests. These instances are notified at once, all others with
+    /// the next batch.
+    pub fn take_awaited_placements(&mut self) -> Vec<(Placement, BTreeSet<InstanceId>)> {
         let mut awaited = Vec::new();
-        for id in &self.changed {
+        for id in &self.changed_engines {
             let Some(engine) = self.engines.get_mut(id) else {
                 continue;
             };
-            let came = engine.take_just_came();
+            let newly_loaded = engine.take_newly_loaded();
             let service = &engine.entry.service;
-            let instances: BTreeSet<InstanceId> = came
+            let instances: BTreeSet<InstanceId> = newly_loaded
                 .iter()
-                .flat_map(|wish| self.demand.waiting_instances(service, wish))
+                .flat_map(|model_ref| self.demand.waiting_instances(service, model_ref))
                 .cloned()
                 .collect();
             if !instances.is_empty() {
@@ -409,34 +433,34 @@
     }
 
     /// Placements that have changed since the last call.
-    pub fn take_changed(&mut self) -> Vec<Placement> {
-        let changed = std::mem::take(&mut self.changed);
+    pub fn take_changed_placements(&mut self) -> Vec<Placement> {
+        let changed = std::mem::take(&mut self.changed_engines);
         let engines = changed.iter().filter_map(|id| self.engines.get(id));
         let mut placements: Vec<Placement> = engines.map(Engine::placement).collect();
-        placements.retain(|placement| self.announced.is_news(placement));
+        placements.retain(|placement| self.announced.record_if_changed(placement));
         placements
     }
 
-    /// The placements that an instance lacks which knows those with some digests.
-    pub fn placements_unlike(&self, known: &BTreeSet<PlacementDigest>) -> Vec<Placement> {
-        let told = self.announced.unlike(known);
-        // What has changed since all were told is looked at itself.
-        let told = told.filter(|id| !self.changed.contains(*id));
-        let engines = told.chain(&self.changed);
+    /// Placements that an instance lacks if it knows the placements with the given digests.
+    pub fn placements_differing_from(&self, known: &BTreeSet<PlacementDigest>) -> Vec<Placement> {
+        let announced = self.announced.differing_from(known);
+        // Changes that have not been announced yet are compared by their current placement.
+        let unchanged = announced.filter(|id| !self.changed_engines.contains(*id));
+        let engines = unchanged.chain(&self.changed_engines);
         let placements = engines.filter_map(|id| Some(self.engines.get(id)?.placement()));
         placements
             .filter(|p| !known.contains(&p.digest()))
             .collect()
     }
 
-    /// What is to be done now.
+    /// Decides the next orders and queries.
     pub fn decide(&mut self, now: Instant) -> Vec<Action> {
         self.demand.expire(now);
-        self.blame_loads(now);
-        let listens = self.listening_until.is_some_and(|until| now < until);
-        if !listens {
-            self.count(now);
-            self.doubt_engines(now);
+        self.record_crashing_loads(now);
+        let is_listening = self.listening_until.is_some_and(|until| now < until);
+        if !is_listening {
+            self.recount(now);
+            self.check_silent_engines(now);
             self.place_adapters(now);
             self.place_models(now);
             self.prefetch(now);
@@ -444,170 +468,176 @@
         self.next_actions(now)
     }
 
-    /// Counts engines that ended while a model came to them against the model.
-    fn blame_loads(&mut self, now: Instant) {
-        for loading in std::mem::take(&mut self.ended_loading) {
-            let Loading {
+    /// Records engines that crashed during a load against the model that was loading.
+    fn record_crashing_loads(&mut self, now: Instant) {
+        for interrupted in std::mem::take(&mut self.interrupted_loads) {
+            let InterruptedLoad {
                 service,
                 model,
                 start,
-            } = loading;
-            self.crashing_loads.ended(&service, &model, start, now);
+            } = interrupted;
+            self.crashing_loads
+                .record_crash(&service, &model, start, now);
         }
         self.crashing_loads.expire(&self.engines, now);
     }
 
-    /// Models that are not loaded, since engines ended while they came.
+    /// Models that are not loaded because engines crashed while loading them.
     pub fn refused_models(&self) -> impl Iterator<Item = &(ServiceName, ModelName)> {
         self.crashing_loads.refused()
     }
 
-    /// Has engines asked that should have what requests have waited for: they may be gone,
-    /// or have lost it.
-    fn doubt_engines(&mut self, now: Instant) {
-        for waiting in self.demand.waiting_since(now, DOUBT_TIME) {
-            let service = &waiting.service;
-            let having = self.census.engines(service, &waiting.model_ref.model);
-            for id in having {
+    /// Schedules queries of engines that should serve a model for which requests still wait: these
+    /// engines may be gone or may have lost the model.
+    fn check_silent_engines(&mut self, now: Instant) {
+        for awaited in self.demand.awaited_for_at_least(now, WAIT_BEFORE_CHECK) {
+            let service = &awaited.service;
+            let engines = self
+                .replica_counts
+                .engines_with_replica(service, &awaited.model_ref.model);
+            for id in engines {
                 if let Some(engine) = self.engines.get_mut(id)
-                    && engine.serves(service, &waiting.model_ref)
+                    && engine.can_serve(service, &awaited.model_ref)
                 {
-                    engine.doubt(now);
+                    engine.schedule_check(now);
                 }
             }
         }
     }
 
-    /// The next order or question of each engine.
+    /// The next order or query of each engine.
     fn next_actions(&mut self, now: Instant) -> Vec<Action> {
         let mut actions = Vec::new();
-        let reports_from = *self.reports_from.get_or_insert(now + REPORT_AGE);
-        if now < reports_from {
+        let queries_from = *self.queries_from.get_or_insert(now + MAX_REPORT_AGE);
+        if now < queries_from {
             return actions;
         }
-        let inherits = now < reports_from + ceiling::LATEST_BEGIN;
-        self.questions.begin_pass(now);
-        let awaited = self.awaited_homes();
-        let (first, others): (Vec<_>, Vec<_>) = self
+        let may_inherit_orders = now < queries_from + store_load_limiter::MAX_ORDER_DELAY;
+        self.query_budget.refill(now);
+        let awaited_ids = self.awaited_engines();
+        let (awaited_engines, other_engines): (Vec<_>, Vec<_>) = self
             .engines
             .iter_mut()
-            .partition(|(id, _)| awaited.contains(*id));
-        for (id, engine) in first.into_iter().chain(others) {
+            .partition(|(id, _)| awaited_ids.contains(*id));
+        for (id, engine) in awaited_engines.into_iter().chain(other_engines) {
             let service = &engine.entry.service;
             let pool = self.pools.get(service);
-            let (Some(pool), Some(loads)) = (pool, self.store_loads.get_mut(service)) else {
+            let (Some(pool), Some(limiter)) = (pool, self.store_load_limiters.get_mut(service))
+            else {
                 continue;
             };
-            if engine.settle_adapter(now) {
-                self.changed.insert(id.clone());
+            if engine.complete_due_adapter(now) {
+                self.changed_engines.insert(id.clone());
             }
-            if self.resting.contains_key(id) {
+            if self.backing_off.contains_key(id) {
                 continue;
             }
-            let before = engine.closing.len();
-            let may_fetch = loads.has_room(pool, now);
-            // What it says of itself tells where requests can go; only orders need its own report.
-            if engine.awaits_first_question() && !self.questions.take() {
+            let previous_evicting_count = engine.evicting.len();
+            let can_fetch = limiter.has_capacity(pool, now);
+            // An engine's entry suffices for routing; only orders need a report.
+            if engine.needs_first_query() && !self.query_budget.try_take() {
                 continue;
             }
-            if let Some(action) = engine.step(pool, may_fetch, inherits, now) {
+            if let Some(action) = engine.next_action(pool, can_fetch, may_inherit_orders, now) {
                 if let Action::Order(order) = &action
                     && engine.is_store_load(order)
                 {
-                    loads.begin(id, order.expected_orders, now);
+                    limiter.record_order(id, order.expected_orders, now);
                 }
                 actions.push(action);
             }
-            if engine.closing.len() != before {
-                self.changed.insert(id.clone());
+            if engine.evicting.len() != previous_evicting_count {
+                self.changed_engines.insert(id.clone());
             }
         }
         actions
     }
 
-    /// Engines that have near what requests wait for.
-    fn awaited_homes(&self) -> BTreeSet<UpstreamId> {
-        let waiting = self.demand.waiting().into_iter();
-        let homes = waiting.flat_map(|waiting| {
-            self.homes
-                .of_model(&waiting.service, &waiting.model_ref.model)
+    /// Engines that have a checkpoint in memory or on disk for which requests wait.
+    fn awaited_engines(&self) -> BTreeSet<UpstreamId> {
+        let awaited_models = self.demand.awaited_models().into_iter();
+        let engines = awaited_models.flat_map(|awaited| {
+            self.checkpoint_locations
+                .engines_caching(&awaited.service, &awaited.model_ref.model)
         });
-        homes.cloned().collect()
+        engines.cloned().collect()
     }
 
-    /// When to decide again if nothing is heard.
-    pub fn next_look_at(&self, now: Instant) -> Instant {
+    /// When to call [`Self::decide`] again if nothing changes until then.
+    pub fn next_decision_at(&self, now: Instant) -> Instant {
         let engines = self.engines.iter();
-        let open = engines.filter(|(id, _)| !self.resting.contains_key(*id));
-        let dues = open.filter_map(|(_, engine)| engine.look_at());
-        let moments = [
+        let available = engines.filter(|(id, _)| !self.backing_off.contains_key(*id));
+        let engine_times = available.filter_map(|(_, engine)| engine.next_action_at());
+        let planner_times = [
             self.listening_until,
-            self.reports_from,
-            self.questions.room_at(),
+            self.queries_from,
+            self.query_budget.next_available_at(),
         ];
-        let rests = self.resting.values().copied();
-        let listening = moments.into_iter().flatten().chain(rests);
-        let listening = listening.filter(|at| now < *at);
-        let rooms = self.store_loads.values();
-        let rooms = rooms.filter_map(|loads| loads.room_at(now));
-        let next = dues.chain(listening).chain(rooms).min();
+        let backoff_ends = self.backing_off.values().copied();
+        let other_times = planner_times.into_iter().flatten().chain(backoff_ends);
+        let other_times = other_times.filter(|at| now < *at);
+        let limiters = self.store_load_limiters.values();
+        let capacity_times = limiters.filter_map(|limiter| limiter.next_capacity_at(now));
+        let next = engine_times.chain(other_times).chain(capacity_times).min();
         next.unwrap_or(now + Duration::from_secs(1))
     }
 
-    /// Replicas that a model is worth now.
-    fn wanted(&self, service: &ServiceName, model: &ModelName, now: Instant) -> usize {
+    /// Number of replicas that the policy gives a model for its current demand.
+    fn target_replicas(&self, service: &ServiceName, model: &ModelName, now: Instant) -> usize {
         let usage = self.usage(service, model);
         self.policy
             .replicas(self.demand.rate(service, model, now), usage)
     }
 
-    /// How much a model is used now.
+    /// Current usage of a model.
     fn usage(&self, service: &ServiceName, model: &ModelName) -> Usage {
         Usage {
-            runs: self.census.runs(service, model),
+            running: self.replica_counts.running_count(service, model),
             waiters: self.demand.waiters(service, model),
             slots: self.pools.get(service).map_or(1, |pool| pool.slots),
         }
     }
 
-    /// Whether requests take all slots of the engines that have a model, and of those that
-    /// it comes to.
-    fn lacks_slots(&self, service: &ServiceName, model: &ModelName) -> bool {
-        let replicas = self.replicas(service, model) + self.coming(service, model);
+    /// Whether requests take all slots of the engines that have a model, are loading it or are
+    /// about to load it.
+    fn is_out_of_slots(&self, service: &ServiceName, model: &ModelName) -> bool {
+        let replicas = self.replica_count(service, model) + self.pending_load_count(service, model);
         let usage = self.usage(service, model);
         let slots = u64::from(usage.slots) * u64::try_from(replicas).unwrap_or(u64::MAX);
-        replicas > 0 && u64::from(usage.runs) + u64::from(usage.waiters) >= slots
+        replicas > 0 && u64::from(usage.running) + u64::from(usage.waiters) >= slots
     }
 
-    /// Engines on which a model stands and stays.
-    fn replicas(&self, service: &ServiceName, model: &ModelName) -> usize {
-        self.census.replicas(service, model)
+    /// Number of engines on which a model is loaded and not about to be unloaded.
+    fn replica_count(&self, service: &ServiceName, model: &ModelName) -> usize {
+        self.replica_counts.replica_count(service, model)
     }
 
-    /// Engines on which a model comes.
-    fn coming(&self, service: &ServiceName, model: &ModelName) -> usize {
-        self.census.coming(service, model)
+    /// Number of engines that are loading a model or about to load it.
+    fn pending_load_count(&self, service: &ServiceName, model: &ModelName) -> usize {
+        self.replica_counts.pending_load_count(service, model)
     }
 
-    /// Engines that have a model near.
-    fn homes_of<'a>(
+    /// Engines that have a model's checkpoint in memory or on disk.
+    fn engines_caching<'a>(
         &'a self,
         service: &ServiceName,
         model: &ModelName,
     ) -> impl Iterator<Item = &'a Engine> + use<'a> {
-        let homes = self.homes.of_model(service, model);
-        homes.filter_map(|id| self.engines.get(id))
+        let engines = self.checkpoint_locations.engines_caching(service, model);
+        engines.filter_map(|id| self.engines.get(id))
     }
 
-    /// Counts replicas and runs anew.
-    fn count(&mut self, now: Instant) {
+    /// Recounts replicas and running requests.
+    fn recount(&mut self, now: Instant) {
         let demand = &self.demand;
-        let bears = |engine: &Engine, model: &ModelName| {
+        let can_serve = |engine: &Engine, model: &ModelName| {
             let service = &engine.entry.service;
-            let is_missed = engine.rests(now) && demand.waiters(service, model) > 0;
-            let bears = !engine.is_in_need() || engine.bears(demand.rate(service, model, now));
-            bears && !is_missed
+            let has_blocked_waiters =
+                engine.is_backing_off(now) && demand.waiters(service, model) > 0;
+            let can_serve_rate =
+                !engine.is_limited() || engine.can_serve_rate(demand.rate(service, model, now));
+            can_serve_rate && !has_blocked_waiters
         };
-        self.census = Census::of(self.engines.values(), bears);
+        self.replica_counts = ReplicaCounts::count(self.engines.values(), can_serve);
     }
 }
--- a/crates/standins/src/fleet_model/requests.rs
+++ b/crates/standins/src/fleet_model/requests.rs
@@ -114,7 +114,8 @@
         self.waiting.entry(model).or_default().push_back(waiting);
         let now = self.now();
         let wish = wish(FleetSize::model(model));
-        self.planner.taken(&FleetSize::service(), &wish, 1, now);
+        self.planner
+            .record_arrivals(&FleetSize::service(), &wish, 1, now);
     }
 
     /// Requests that have waited too long are refused.
@@ -139,7 +140,7 @@
     /// Tells the planner how many requests wait for each model that stands nowhere.
     pub(super) fn tell_needs(&mut self) {
         let now = self.now();
-        let until = now + Duration::from_millis(RARE_WAIT_MS);
+        let latest_deadline = now + Duration::from_millis(RARE_WAIT_MS);
         let waiting = self.waiting.iter().filter(|(number, _)| {
             let model = FleetSize::model(**number);
             !self.engines.iter().any(|engine| self.stays(engine, &model))
@@ -156,11 +157,11 @@
             let waiters = Waiters {
                 instance: "all".into(),
                 service: FleetSize::service(),
-                wish: wish(FleetSize::model(number)),
+                model_ref: wish(FleetSize::model(number)),
                 count,
-                until,
+                latest_deadline,
             };
-            self.planner.waiting(waiters, now);
+            self.planner.set_waiters(waiters, now);
         }
     }
 }
--- a/tests/all/term_begin.rs
+++ b/tests/all/term_begin.rs
@@ -1,64 +1,68 @@
-//! A term of the right to order begins before a thousand engines.
+//! A new holder must not query all of a thousand engines at once.
 //!
-//! Seen: all of 100 instances were killed; five holders followed each other within eight seconds, each lost
-//! the right two seconds after it took it, and nothing was loaded for twelve seconds. How it came about: each asked a
-//! thousand engines for their state in one moment, a thread and a call for each, for which its
-//! quarter of a core needs two seconds; its lease, which lasts 1.2 s, was not renewed meanwhile. Cause: what
-//! a holder asks at its begin grows with the fleet and was bounded by nothing.
+//! Guards against a series of short terms: after all of 100 instances were killed, five holders
+//! succeeded each other within eight seconds, each lost the leadership two seconds after it took
+//! it, and nothing was loaded for twelve seconds. Each holder started a thousand queries at once,
+//! with a thread and a call for each. They took two seconds on its quarter of a core, and its lease
+//! of 1.2 s was not renewed meanwhile. The number of queries at the start of a term grew with the
+//! fleet without a limit.
 
-use crate::planned::{Planned, plain};
+use crate::test_planner::{TestPlanner, base_model};
 use passway_serving::placement::{Action, PlannedOrder};
 use passway_serving::ports::{OrderAction, OrderAnswer};
 use passway_types::prelude::*;
 use std::collections::BTreeSet;
 
 const ENGINES: usize = 1_000;
-/// Questions that a holder may ask in a second: half a millisecond of a core each, and a fifth of what an
-/// instance with a quarter of a core has.
-const MOST_IN_SECOND: usize = 100 + BURST;
-/// As many may be asked at once.
+/// Maximum number of queries per second. Each takes half a millisecond of CPU time; together they
+/// use a fifth of the quarter of a core that an instance has.
+const MAX_QUERIES_PER_S: usize = 100 + BURST;
+/// Maximum number of queries at once.
 const BURST: usize = 32;
-/// Within this all engines are to be asked.
-const ALL_ASKED: Duration = Duration::from_secs(12);
+/// Time in which all engines must be queried.
+const ALL_QUERIED_WITHIN: Duration = Duration::from_secs(12);
 
-/// A planner whose term begins before so many engines, m2 being on the disk of the last one alone.
-fn begun(engines: usize) -> Planned {
-    let mut planned = Planned::new();
-    planned.hear_of("i-0", 2, &["m0", "m1"], &["m0", "m1"]);
+/// A planner whose term begins with `engines` additional engines. Only the last one has m2 on its
+/// disk.
+fn planner_at_term_begin(engines: usize) -> TestPlanner {
+    let mut test = TestPlanner::new();
+    test.send_entry_of("i-0", 2, &["m0", "m1"], &["m0", "m1"]);
     for number in 0..engines {
         let on_disk = if number + 1 == engines { "m2" } else { "m1" };
-        planned.hear_of(&format!("j-{number:04}"), 1, &["m0"], &["m0", on_disk]);
+        test.send_entry_of(&format!("j-{number:04}"), 1, &["m0"], &["m0", on_disk]);
     }
-    planned
+    test
 }
 
-/// Engines that are asked within a time, each of which answers at once.
-fn asked(planned: &mut Planned, time: Duration) -> (Vec<UpstreamId>, Vec<PlannedOrder>) {
-    let until = planned.now + time;
-    let (mut asked, mut orders) = (Vec::new(), Vec::new());
-    while planned.now < until {
-        planned.now += Duration::from_millis(20);
-        for action in planned.planner.decide(planned.now) {
+/// The engines that are queried within `duration`, and the orders; each engine answers at once.
+fn queried_within(
+    test: &mut TestPlanner,
+    duration: Duration,
+) -> (Vec<UpstreamId>, Vec<PlannedOrder>) {
+    let until = test.now + duration;
+    let (mut queried, mut orders) = (Vec::new(), Vec::new());
+    while test.now < until {
+        test.now += Duration::from_millis(20);
+        for action in test.planner.decide(test.now) {
             match action {
                 Action::Ask { engine, .. } => {
-                    let last = on_disk_of(&engine);
-                    planned.reported(&engine, false, 0, &["m0"], &["m0", last]);
-                    asked.push(engine);
+                    let disk_model = disk_model_of(&engine);
+                    test.send_report_of(&engine, false, 0, &["m0"], &["m0", disk_model]);
+                    queried.push(engine);
                 }
                 Action::Order(order) => {
-                    planned
-                        .planner
-                        .answered(&order, OrderAnswer::Taken, planned.now);
+                    test.planner
+                        .apply_answer(&order, OrderAnswer::Taken, test.now);
                     orders.push(order);
                 }
             }
         }
     }
-    (asked, orders)
+    (queried, orders)
 }
 
-/// What the last engine alone has on its disk, or what the others have.
-fn on_disk_of(engine: &str) -> &'static str {
+/// The model that only the last engine has on its disk, or the one that the others have.
+fn disk_model_of(engine: &str) -> &'static str {
     if engine == format!("j-{:04}", ENGINES - 1) {
         "m2"
     } else {
@@ -67,34 +71,44 @@
 }
 
 #[test]
-fn questions_are_spread() {
-    let mut planned = begun(ENGINES);
-    let mut all = BTreeSet::new();
-    for _ in 0..ALL_ASKED.as_secs() {
-        let (asked, _) = asked(&mut planned, Duration::from_secs(1));
-        assert!(asked.len() <= MOST_IN_SECOND, "{} at once", asked.len());
-        all.extend(asked);
+fn queries_are_spread() {
+    let mut test = planner_at_term_begin(ENGINES);
+    let mut all_queried = BTreeSet::new();
+    for _ in 0..ALL_QUERIED_WITHIN.as_secs() {
+        let (queried, _) = queried_within(&mut test, Duration::from_secs(1));
+        assert!(
+            queried.len() <= MAX_QUERIES_PER_S,
+            "{} queries in a second",
+            queried.len()
+        );
+        all_queried.extend(queried);
     }
-    assert_eq!(all.len(), ENGINES + 1, "the engine of every planner too");
+    assert_eq!(
+        all_queried.len(),
+        ENGINES + 1,
+        "including the engine of every `TestPlanner`"
+    );
 }
 
-/// A small fleet is asked at once, as before.
+/// A small fleet is queried at once.
 #[test]
-fn few_at_once() {
-    let mut planned = begun(BURST - 1);
-    let (asked, _) = asked(&mut planned, Duration::from_millis(600));
-    assert_eq!(asked.len(), BURST);
+fn small_fleet_at_once() {
+    let mut test = planner_at_term_begin(BURST - 1);
+    let (queried, _) = queried_within(&mut test, Duration::from_millis(600));
+    assert_eq!(queried.len(), BURST);
 }
 
-/// The engine that has near what requests wait for is not left for the end.
+/// An engine that has cached a model for which requests wait is queried among the first.
 #[test]
-fn awaited_first() {
-    let mut planned = begun(ENGINES);
-    planned.need_wish(plain("m2"), 5);
-    let (_, orders) = asked(&mut planned, Duration::from_secs(2));
+fn engine_with_awaited_model_first() {
+    let mut test = planner_at_term_begin(ENGINES);
+    test.set_waiters(base_model("m2"), 5);
+    let (_, orders) = queried_within(&mut test, Duration::from_secs(2));
     let last = format!("j-{:04}", ENGINES - 1);
-    let comes = orders.iter().any(|order| {
-        order.action == OrderAction::Load && *order.wish.model == *"m2" && *order.engine == *last
+    let is_loaded_early = orders.iter().any(|order| {
+        order.action == OrderAction::Load
+            && *order.model_ref.model == *"m2"
+            && *order.engine == *last
     });
-    assert!(comes, "{orders:?}");
+    assert!(is_loaded_early, "{orders:?}");
 }
