--- a/crates/standins/src/platform/model_server.rs
+++ b/crates/standins/src/platform/model_server.rs
@@ -9,8 +9,8 @@
 
 /// Reported start time of each server before its first restart, in Unix milliseconds.
 const FIRST_START_MS: u64 = 1_792_321_983_006;
-/// Time that a server takes to restart after it has left.
-const RESTART_TIME: Duration = Duration::from_millis(300);
+/// Time for which a server that has left is down before it restarts.
+const RESTART_DELAY: Duration = Duration::from_millis(300);
 /// Number of events in a complete stream.
 pub const EVENTS: u64 = 5;
 
@@ -239,13 +239,13 @@
     }
 
     /// Announces in every answer that the server is leaving, and restarts it under the same id
-    /// after this time.
+    /// after `delay`.
     pub fn leave(&self, delay: Duration) {
         self.state().is_leaving = true;
         let server = self.clone();
         std::thread::spawn(move || {
             std::thread::sleep(delay);
-            server.restart(b"", RESTART_TIME);
+            server.restart(b"", RESTART_DELAY);
         });
     }
 
@@ -264,8 +264,9 @@
         self.state().has_crashed
     }
 
-    /// Closes all connections, and serves again under the same id after this time. `body` is the body
-    /// of the request that caused the crash, empty if the server left.
+    /// Takes the server down and brings it up again under the same id after `delay`. Returns the step
+    /// that closes all connections. `body` is the body of the request that caused the crash, empty
+    /// if the server left.
     fn restart(&self, body: &[u8], delay: Duration) -> Vec<Step> {
         let mut state = self.state();
         let body = String::from_utf8_lossy(body).into_owned();
