--- a/crates/standins/src/bin/passway-load.rs
+++ b/crates/standins/src/bin/passway-load.rs
@@ -4,10 +4,10 @@
 use clap::Parser;
 use hdrhistogram::Histogram;
 use passway_config::document::{KeepEntry, KeepPolicyName};
+use passway_standins::cluster::{ClusterPlan, TestCluster};
 use passway_standins::engine::Engine;
 use passway_standins::load::{Call, Outcome, call};
-use passway_standins::trace::{Purpose, Site, TraceRequest, draw};
-use passway_standins::world::{World, WorldPlan};
+use passway_standins::trace::{Deployment, Purpose, TraceRequest, generate_requests};
 use passway_types::prelude::*;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
 struct Arguments {
     /// Deployment whose demand the trace follows: `market` or `laundry`.
     #[arg(long, default_value = "market")]
-    site: Site,
+    site: Deployment,
     /// Variants, separated by commas, the baseline first.
     #[arg(
         long,
@@ -86,13 +86,13 @@
     let length = Duration::from_secs(arguments.length_s);
     let mut reports = Vec::new();
     for variant in &arguments.variants {
-        let keep = retention_of(variant)?;
-        let plan = WorldPlan {
-            keep,
+        let retention = retention_of(variant)?;
+        let plan = ClusterPlan {
+            retention,
             max_replicas: 2,
-            ..WorldPlan::default()
+            ..ClusterPlan::default()
         };
-        let trace = draw(
+        let trace = generate_requests(
             arguments.site,
             arguments.seed,
             length,
@@ -145,8 +145,8 @@
 }
 
 /// Runs the trace with one variant.
-fn run(variant: &str, plan: WorldPlan, trace: &[TraceRequest]) -> Result<Report> {
-    let world = Arc::new(World::start(plan)?);
+fn run(variant: &str, plan: ClusterPlan, trace: &[TraceRequest]) -> Result<Report> {
+    let world = Arc::new(TestCluster::start(plan)?);
     let fleet = world.start_fleet()?;
     let routers: Vec<SocketAddr> = fleet
         .routers
@@ -157,7 +157,7 @@
     let began_at = Instant::now();
     let mut callers: Vec<JoinHandle<(bool, passway_standins::load::Sample)>> = Vec::new();
     for (number, request) in trace.iter().enumerate() {
-        std::thread::sleep(request.after.saturating_sub(began_at.elapsed()));
+        std::thread::sleep(request.arrives_after.saturating_sub(began_at.elapsed()));
         let is_cold = !world
             .engines
             .iter()
@@ -206,7 +206,7 @@
 }
 
 impl Sampler {
-    fn start(world: Arc<World>) -> Self {
+    fn start(world: Arc<TestCluster>) -> Self {
         let is_stopped = Arc::new(AtomicBool::new(false));
         let thread_is_stopped = is_stopped.clone();
         let thread = std::thread::spawn(move || {
@@ -215,7 +215,7 @@
             while !thread_is_stopped.load(Ordering::Relaxed) {
                 std::thread::sleep(SAMPLE_INTERVAL);
                 let now = Instant::now();
-                let idle: f64 = world.engines.iter().map(Engine::idle_share).sum();
+                let idle: f64 = world.engines.iter().map(Engine::idle_memory_ratio).sum();
                 idle_engine_s += idle * (now - sampled_at).as_secs_f64();
                 sampled_at = now;
             }
@@ -234,7 +234,7 @@
 /// Builds the report of a run.
 fn report(
     variant: &str,
-    world: &World,
+    world: &TestCluster,
     samples: &[(bool, passway_standins::load::Sample)],
     idle_engine_s: f64,
 ) -> Result<Report> {
@@ -247,7 +247,7 @@
         match &sample.outcome {
             Outcome::Whole => {
                 whole += 1;
-                let first_token_ms = u64::try_from(sample.first.as_millis())?;
+                let first_token_ms = u64::try_from(sample.first_token.as_millis())?;
                 let histogram = if *is_cold { &mut cold } else { &mut warm };
                 histogram.record(first_token_ms)?;
             }
--- a/crates/standins/src/bin/passway-slopes/fleets.rs
+++ b/crates/standins/src/bin/passway-slopes/fleets.rs
@@ -3,7 +3,7 @@
 use anyhow::{Context, Result};
 use passway_config::revision;
 use passway_platform::key_value::KeyValue;
-use passway_standins::world::{Fleet, World, WorldPlan};
+use passway_standins::cluster::{ClusterPlan, Fleet, TestCluster};
 use passway_types::prelude::*;
 
 /// Numbers of instances of the measured fleets.
@@ -16,9 +16,9 @@
         "fleet: instances kv_reads_per_s kv_writes_per_s control_bytes_per_s_per_instance spread_ms"
     );
     for instances in FLEETS {
-        let world = World::start(WorldPlan {
+        let world = TestCluster::start(ClusterPlan {
             instances,
-            ..WorldPlan::default()
+            ..ClusterPlan::default()
         })?;
         let fleet = world.start_fleet()?;
         std::thread::sleep(Duration::from_secs(3));
@@ -45,7 +45,7 @@
 }
 
 /// Changes the configuration and returns the time until it is in effect at every router.
-fn propagation_delay(world: &World, fleet: &Fleet) -> Result<Duration> {
+fn propagation_delay(world: &TestCluster, fleet: &Fleet) -> Result<Duration> {
     let read = world.key_value.get(revision::CURRENT_KEY);
     let current = read.ok().flatten().context("no configuration")?;
     let mut next = revision::decode(&current.value)?;
--- /dev/null
+++ b/crates/standins/src/soak/cluster.rs
@@ -0,0 +1,397 @@
+//! The instances' processes, the stand-ins and the proxies between them.
+
+use super::{SoakPlan, SoakReport};
+use crate::platform::caller::HOST;
+use crate::platform::documents::{configuration, list_plain, with_workspaces, workspace};
+use crate::platform::model_server::{Faults as EngineFaults, InitialModels, ModelServer};
+use crate::platform::process::{InstanceProcess, Output, ProcessConfig};
+use crate::platform::proxy::{Proxy, ProxyFaults};
+use crate::platform::raw::{RawServer, Received, Step};
+use crate::platform::store::{Faults as StoreFaults, MetadataStandIn};
+use anyhow::{Result, ensure};
+use passway_types::prelude::*;
+use rustix::process::Signal;
+use serde_json::{Value, json};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::{Mutex, MutexGuard, PoisonError};
+
+/// Names of the models; each engine starts with two of them loaded.
+pub const MODELS: [&str; 5] = ["m0", "m1", "m2", "m3", "m4"];
+/// The API key of the workspace `small`, which has a low rate limit.
+pub const SMALL_KEY: &str = "soak-key-small";
+/// Rate limit of the workspace `small`, in units per second, and also its burst: ten calls.
+pub const SMALL_RATE_PER_S: u32 = 2_000;
+/// Units that a call is charged.
+pub const UNITS_PER_CALL: u32 = 200;
+
+/// Returns the API key that a configuration version introduces. The next version retains the key,
+/// the one after that revokes it.
+pub fn key_of_version(version: u64) -> String {
+    format!("soak-key-{version}")
+}
+
+/// Adds the workspaces of a version to its configuration.
+fn with_keys(version: u64, document: Value) -> Value {
+    let (new, old) = (
+        key_of_version(version),
+        key_of_version(version.saturating_sub(1)),
+    );
+    let workspaces = [
+        workspace("large", &[&new, &old], 0.0),
+        workspace("small", &[SMALL_KEY], f64::from(SMALL_RATE_PER_S)),
+    ];
+    with_workspaces(document, &workspaces)
+}
+
+/// The body of the poison request, which crashes the engines.
+pub const POISON: &str = "poison";
+/// Grace period from SIGTERM to the exit, in seconds: the shortest that leaves time between the
+/// load balancer's reaction and the exit.
+const GRACE_S: f64 = 4.5;
+/// Maximum wait for the instances to become ready. A busy machine takes seconds to start dozens of
+/// processes.
+const START_TIMEOUT: Duration = Duration::from_mins(2);
+/// Time that a plain server takes for a call, so stops and kills find some calls in flight.
+const CALL_DURATION: Duration = Duration::from_millis(15);
+/// Delay before each event of a stream, for the same reason.
+const EVENT_DELAY: Duration = Duration::from_millis(20);
+/// Interval at which a condition is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Time after a crash at which a supervised engine serves again.
+const SUPERVISED_RESTART_DELAY: Duration = Duration::from_millis(800);
+/// Time for which the store entry of a crashed engine remains; then another engine replaces it.
+const STALE_ENTRY_DURATION: Duration = Duration::from_millis(1_500);
+
+/// An instance and its proxy to the store.
+#[derive(Debug)]
+pub struct SoakInstance {
+    process: Mutex<InstanceProcess>,
+    /// Held by the thread that restarts the process.
+    restarting: Mutex<()>,
+    /// The proxy between the instance and the store.
+    pub store_proxy: Proxy,
+    /// The address that callers connect to; unchanged by restarts.
+    pub callers_address: SocketAddr,
+    /// Number of kills, pauses and faults of the store proxy. Requests lost during a disturbance
+    /// aren't counted as lost by a planned stop.
+    pub disturbance_count: AtomicU64,
+    /// Number of restarts of the process.
+    pub incarnation: AtomicU64,
+}
+
+impl SoakInstance {
+    /// Locks the process. Callers hold the lock briefly, since other threads signal the process while
+    /// it terminates.
+    pub fn process(&self) -> MutexGuard<'_, InstanceProcess> {
+        self.process.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Records a disturbance other than a planned stop.
+    pub fn record_disturbance(&self) {
+        self.disturbance_count.fetch_add(1, Ordering::AcqRel);
+    }
+
+    /// Terminates the process with a signal and starts it again.
+    pub fn restart(&self, signal: Signal) {
+        let _restart_guard = self
+            .restarting
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        self.process().signal(signal);
+        while matches!(self.process().child.try_wait(), Ok(None)) {
+            std::thread::sleep(POLL_INTERVAL);
+        }
+        self.incarnation.fetch_add(1, Ordering::AcqRel);
+        let restarted = self.process().restart();
+        restarted.expect("a restarted instance");
+    }
+
+    /// Kills the process and starts it again.
+    pub fn kill(&self) {
+        self.record_disturbance();
+        self.restart(Signal::KILL);
+        self.record_disturbance();
+    }
+}
+
+/// An engine behind a proxy.
+#[derive(Debug, Clone)]
+pub struct Engine {
+    /// Number of engines started before this one.
+    pub number: usize,
+    /// The model server.
+    pub server: ModelServer,
+    /// The proxy between the instances and the engine.
+    pub proxy: Proxy,
+    /// Whether a fault was injected into the proxy, so instances may have missed answers.
+    pub proxy_was_disturbed: Arc<AtomicBool>,
+}
+
+/// The whole system under test.
+#[derive(Debug)]
+pub struct SoakCluster {
+    /// The metadata store.
+    pub store: MetadataStandIn,
+    /// The instances.
+    pub instances: Vec<Arc<SoakInstance>>,
+    /// The plain servers.
+    pub plain_servers: Vec<RawServer>,
+    engines: Arc<Mutex<Vec<Engine>>>,
+    version: AtomicU64,
+    /// Versions whose keys were revoked, with the time at which the store had accepted the revocation.
+    revoked_keys: Mutex<BTreeMap<u64, Instant>>,
+    is_stopped: Arc<AtomicBool>,
+}
+
+/// Returns whether a plain server sheds the request, i.e. refuses it without executing it.
+pub fn is_shed(received: &Received) -> bool {
+    received.number % 11 == 5
+}
+
+/// Starts a plain server that answers with the request's id. It sheds some requests, and closes the
+/// connection of others after executing them.
+fn plain_server() -> RawServer {
+    RawServer::start(|received| {
+        let id = received.header("request-id").unwrap_or_default();
+        if is_shed(received) {
+            let text = format!(
+                "HTTP/1.1 503 X\r\nRequest-Id: {id}\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n"
+            );
+            return vec![Step::Send(text.into_bytes())];
+        }
+        if received.number % 9 == 4 {
+            return vec![Step::Pause(CALL_DURATION), Step::Close];
+        }
+        let length = id.len();
+        let text = format!(
+            "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Seal: s\r\nContent-Length: {length}\r\n\r\n{id}"
+        );
+        vec![Step::Pause(CALL_DURATION), Step::Send(text.into_bytes())]
+    })
+}
+
+/// Returns the faults that engines always have: streams take some time, and the poison request
+/// crashes the engine. Every second engine runs under a supervisor: its port stays open, and it
+/// restarts under the same id.
+pub fn default_engine_faults(number: usize) -> EngineFaults {
+    EngineFaults {
+        crash_on_prefix: Some(POISON.to_owned()),
+        restart_delay: (number % 2 == 1).then_some(SUPERVISED_RESTART_DELAY),
+        event_delay: EVENT_DELAY,
+        ..EngineFaults::default()
+    }
+}
+
+fn start_engine(store: &MetadataStandIn, number: usize) -> Engine {
+    let id = format!("i-{number}");
+    let loaded = [MODELS[number % 2], MODELS[2 + number % 3]];
+    let models = InitialModels {
+        capacity: loaded.len(),
+        loaded: &loaded,
+        on_disk: &MODELS,
+    };
+    let mut way = None;
+    let server = ModelServer::start_behind(store, &id, "engines", models, |address| {
+        way.insert(Proxy::start(address)).address
+    });
+    server.set_faults(default_engine_faults(number));
+    Engine {
+        number,
+        proxy_was_disturbed: Arc::default(),
+        proxy: way.unwrap_or_else(|| Proxy::start(server.address)),
+        server,
+    }
+}
+
+impl SoakCluster {
+    /// Starts all stand-ins and instances, and waits until all instances are ready.
+    pub fn start(plan: &SoakPlan) -> Result<Self> {
+        let store = MetadataStandIn::default();
+        store.put("op/config", &with_keys(1, configuration(1, &MODELS)));
+        let plain_servers = vec![plain_server(), plain_server()];
+        for (number, server) in plain_servers.iter().enumerate() {
+            list_plain(&store, &format!("p-{number}"), server.address, "ready");
+        }
+        let engines = (0..plan.engines).map(|number| start_engine(&store, number));
+        let engines: Arc<Mutex<Vec<Engine>>> = Arc::new(Mutex::new(engines.collect()));
+        let instances: Result<Vec<Arc<SoakInstance>>> = (0..plan.instances)
+            .map(|number| start_instance(plan, &store, number))
+            .collect();
+        let cluster = Self {
+            store,
+            instances: instances?,
+            plain_servers,
+            engines,
+            version: AtomicU64::new(1),
+            revoked_keys: Mutex::default(),
+            is_stopped: Arc::default(),
+        };
+        cluster.replace_crashed();
+        ensure!(
+            cluster.wait_until_ready(),
+            "the instances did not become ready in time"
+        );
+        Ok(cluster)
+    }
+
+    /// Returns all engines so far, crashed ones included.
+    pub fn engines(&self) -> Vec<Engine> {
+        let engines = self.engines.lock().unwrap_or_else(PoisonError::into_inner);
+        engines.clone()
+    }
+
+    /// Returns the newest version of the configuration.
+    pub fn version(&self) -> u64 {
+        self.version.load(Ordering::Acquire)
+    }
+
+    /// Writes the next version of the configuration to the store. It adds a route, by which callers
+    /// detect that the version is in effect, introduces an API key and revokes an old one.
+    pub fn publish_next_version(&self) {
+        let version = self.version() + 1;
+        let mut document = configuration(version, &MODELS);
+        let template = document["routes"][0].clone();
+        if let Some(routes) = document["routes"].as_array_mut() {
+            for number in 2..=version {
+                let mut route = template.clone();
+                route["name"] = json!(format!("v{number}"));
+                route["host"] = json!(HOST);
+                route["prefix"] = json!(format!("/v{number}/"));
+                routes.push(route);
+            }
+        }
+        self.store.put("op/config", &with_keys(version, document));
+        let mut revoked_keys = self.revoked_keys();
+        revoked_keys.insert(version.saturating_sub(2), Instant::now());
+        drop(revoked_keys);
+        // Callers use the new version from now on, even if an instance doesn't know it yet.
+        self.version.store(version, Ordering::Release);
+    }
+
+    /// Returns the versions whose keys were revoked, each with the time at which the store had
+    /// accepted the revocation.
+    pub fn revoked_keys(&self) -> MutexGuard<'_, BTreeMap<u64, Instant>> {
+        let revoked_keys = self.revoked_keys.lock();
+        revoked_keys.unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Waits until all instances are ready; returns false after a timeout of 2 min.
+    pub fn wait_until_ready(&self) -> bool {
+        let deadline = Instant::now() + START_TIMEOUT;
+        self.instances.iter().all(|instance| {
+            while Instant::now() < deadline {
+                if instance.process().readiness_status() == Some(200) {
+                    return true;
+                }
+                std::thread::sleep(POLL_INTERVAL);
+            }
+            false
+        })
+    }
+
+    /// Starts a thread that replaces each crashed engine: it removes the engine's store entry and
+    /// starts another engine.
+    fn replace_crashed(&self) {
+        let (store, engines, is_stopped) = (
+            self.store.clone(),
+            self.engines.clone(),
+            self.is_stopped.clone(),
+        );
+        std::thread::spawn(move || {
+            let mut replaced_count = 0;
+            while !is_stopped.load(Ordering::Acquire) {
+                std::thread::sleep(POLL_INTERVAL);
+                let current = engines
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner)
+                    .clone();
+                let crashed_engines = current.iter().filter(|engine| engine.server.has_crashed());
+                for engine in crashed_engines.skip(replaced_count) {
+                    engine.proxy.set_faults(ProxyFaults {
+                        refuses_connections: true,
+                        ..ProxyFaults::default()
+                    });
+                    std::thread::sleep(STALE_ENTRY_DURATION);
+                    store.remove(&format!("servers/{}", engine.server.id));
+                    let mut current = engines.lock().unwrap_or_else(PoisonError::into_inner);
+                    let replacement = start_engine(&store, current.len());
+                    current.push(replacement);
+                    replaced_count += 1;
+                }
+            }
+        });
+    }
+
+    /// Ends all injected faults and resumes stopped processes.
+    pub fn clear_faults(&self) {
+        self.store.set_faults(StoreFaults::default());
+        for instance in &self.instances {
+            instance.store_proxy.set_faults(ProxyFaults::default());
+            // Silenced connections stay silent, so they are closed; new connections work.
+            instance.store_proxy.reset_connections();
+            instance.process().signal(Signal::CONT);
+        }
+        for engine in self.engines() {
+            engine
+                .server
+                .set_faults(default_engine_faults(engine.number));
+            if !engine.server.has_crashed() {
+                engine.proxy.set_faults(ProxyFaults::default());
+                engine.proxy.reset_connections();
+            }
+        }
+    }
+
+    /// Stops all instances with SIGTERM, as the platform does, and checks their exit codes.
+    pub fn stop(&self, report: &mut SoakReport) {
+        self.is_stopped.store(true, Ordering::Release);
+        for instance in &self.instances {
+            let _restart_guard = instance
+                .restarting
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner);
+            let bytes = instance.process().resident_bytes();
+            report.peak_bytes = report.peak_bytes.max(bytes);
+            instance.process().signal(Signal::TERM);
+        }
+        for (number, instance) in self.instances.iter().enumerate() {
+            let exit_code = instance
+                .process()
+                .child
+                .wait()
+                .ok()
+                .and_then(|status| status.code());
+            if exit_code != Some(0) {
+                let broken = format!("instance {number} exited with {exit_code:?} after SIGTERM");
+                report.broken.push(broken);
+            }
+        }
+    }
+}
+
+fn start_instance(
+    plan: &SoakPlan,
+    store: &MetadataStandIn,
+    number: usize,
+) -> Result<Arc<SoakInstance>> {
+    let store_proxy = Proxy::start(store.serve());
+    let name = format!("soak{}-{number}", plan.seed);
+    let process = InstanceProcess::start(ProcessConfig {
+        executable: plan.executable.clone(),
+        output: Output::File(plan.log_dir.join(format!("{name}.log"))),
+        name,
+        store: store_proxy.address,
+        grace_s: GRACE_S,
+        arguments: Vec::new(),
+    })?;
+    Ok(Arc::new(SoakInstance {
+        callers_address: process.callers_address,
+        process: Mutex::new(process),
+        restarting: Mutex::default(),
+        store_proxy,
+        disturbance_count: AtomicU64::new(0),
+        incarnation: AtomicU64::new(0),
+    }))
+}
--- a/tests/all/bad_input.rs
+++ b/tests/all/bad_input.rs
@@ -2,8 +2,8 @@
 //! other requests.
 
 use crate::support::{burst, long_timeout_plan};
+use passway_standins::cluster::{Fleet, TestCluster};
 use passway_standins::load::Outcome;
-use passway_standins::world::{Fleet, World};
 use passway_types::prelude::*;
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -40,7 +40,7 @@
 
 #[test]
 fn specific_codes() {
-    let world = World::start(long_timeout_plan()).expect("world");
+    let world = TestCluster::start(long_timeout_plan()).expect("world");
     let fleet = world.start_fleet().expect("fleet");
     let status_and_code = |code: ResultCode| (code.http_status(), code as u16);
     let model = r#"{"model":"model1@1"}"#;
@@ -92,7 +92,7 @@
 
 #[test]
 fn body_in_parts() {
-    let world = World::start(long_timeout_plan()).expect("world");
+    let world = TestCluster::start(long_timeout_plan()).expect("world");
     let fleet = world.start_fleet().expect("fleet");
     let body = r#"{"model":"model1@1"}"#;
     let whole = post("", body);
@@ -102,7 +102,7 @@
 
 #[test]
 fn incomplete_requests() {
-    let world = World::start(long_timeout_plan()).expect("world");
+    let world = TestCluster::start(long_timeout_plan()).expect("world");
     let fleet = world.start_fleet().expect("fleet");
     let mut half_sent = Vec::new();
     for _ in 0..50 {
@@ -128,7 +128,7 @@
 
 #[test]
 fn disconnect_while_streaming() {
-    let world = World::start(long_timeout_plan()).expect("world");
+    let world = TestCluster::start(long_timeout_plan()).expect("world");
     let fleet = world.start_fleet().expect("fleet");
     let body = r#"{"model":"model1@1","stream":true,"max_tokens":100000}"#;
     let mut stream = TcpStream::connect(fleet.routers[0].address()).expect("connect");
@@ -155,9 +155,9 @@
 
 #[test]
 fn disconnect_while_waiting() {
-    let world = World::start(long_timeout_plan()).expect("world");
+    let world = TestCluster::start(long_timeout_plan()).expect("world");
     let fleet = world.start_fleet().expect("fleet");
-    world.store.set_slowdown(50);
+    world.weight_store.set_slowdown(50);
     let body = r#"{"model":"model1@1"}"#;
     let mut stream = TcpStream::connect(fleet.routers[0].address()).expect("connect");
     stream.write_all(post("", body).as_bytes()).expect("write");
--- a/tests/all/config_spread.rs
+++ b/tests/all/config_spread.rs
@@ -4,8 +4,8 @@
 use crate::support::small_plan;
 use passway_config::StoredRevision;
 use passway_ctl::store::{ChangeError, ConfigStore, CurrentRevision};
+use passway_standins::cluster::{ClusterPlan, TestCluster};
 use passway_standins::key_value::Faults;
-use passway_standins::world::{World, WorldPlan};
 use passway_types::prelude::*;
 
 fn next_revision(previous: &CurrentRevision, author: &str, share: u32) -> StoredRevision {
@@ -21,13 +21,13 @@
     }
 }
 
-fn config_store(world: &World) -> ConfigStore {
+fn config_store(world: &TestCluster) -> ConfigStore {
     ConfigStore::new(Arc::new(world.key_value.clone()))
 }
 
 #[test]
 fn in_force_on_all_instances() {
-    let world = World::start(WorldPlan {
+    let world = TestCluster::start(ClusterPlan {
         instances: 6,
         ..small_plan()
     })
@@ -45,7 +45,7 @@
 
 #[test]
 fn concurrent_operators() {
-    let world = World::start(small_plan()).expect("world");
+    let world = TestCluster::start(small_plan()).expect("world");
     let store = Arc::new(config_store(&world));
     let previous = store.current().expect("current");
     let operators: Vec<_> = (0..8)
@@ -77,7 +77,7 @@
 
 #[test]
 fn lost_answer_read_back() {
-    let world = World::start(small_plan()).expect("world");
+    let world = TestCluster::start(small_plan()).expect("world");
     let store = config_store(&world);
     let previous = store.current().expect("current");
     let change = next_revision(&previous, "ann", 9);
@@ -97,7 +97,7 @@
 
 #[test]
 fn no_revert_during_outage() {
-    let world = World::start(WorldPlan {
+    let world = TestCluster::start(ClusterPlan {
         instances: 3,
         ..small_plan()
     })
--- a/tests/all/foreign_entries.rs
+++ b/tests/all/foreign_entries.rs
@@ -144,7 +144,7 @@
 /// Sends a request with this id to the plain service and returns the status of the answer.
 fn request_status(instance: &passway_instance::Instance, id: &str) -> u16 {
     let request = cluster::request("GET", "/read/", id, "", "");
-    let answer = cluster::ask(instance.callers_address(), &request);
+    let answer = cluster::fetch(instance.callers_address(), &request);
     answer.expect("an answer").status
 }
 
--- a/tests/all/previous_holder.rs
+++ b/tests/all/previous_holder.rs
@@ -7,8 +7,8 @@
 use passway_decide::messages::{DemandVerdict, RouteChange};
 use passway_decide::router::{Arrival, RouterAction, RouterCore};
 use passway_router::Router;
+use passway_standins::cluster::TestCluster;
 use passway_standins::load::Outcome;
-use passway_standins::world::World;
 use passway_types::prelude::*;
 use passway_wire::message::{CellHolder, Config, DemandAnswer, Heartbeat};
 use passway_wire::{Body, Link, LinkReader};
@@ -62,7 +62,7 @@
 
     /// Sends a revision and waits until the router reports it as in force. By then the router
     /// has handled all earlier messages of this controller.
-    fn send_config(&mut self, world: &World, revision: Revision) {
+    fn send_config(&mut self, world: &TestCluster, revision: Revision) {
         let stored = StoredRevision {
             revision,
             change_id: 0,
@@ -94,7 +94,7 @@
 
 #[test]
 fn late_refusal_ignored() {
-    let world = World::start(long_timeout_plan()).expect("world");
+    let world = TestCluster::start(long_timeout_plan()).expect("world");
     let listeners = [0; 2].map(|_| TcpListener::bind("127.0.0.1:0").expect("bind"));
     let addresses = listeners
         .each_ref()
@@ -121,7 +121,7 @@
 
 #[test]
 fn refusal_after_route_ignored() {
-    let world = World::start(small_plan()).expect("world");
+    let world = TestCluster::start(small_plan()).expect("world");
     let catalog = passway_config::Catalog::build(&world.document, 1).expect("catalog");
     let now = Instant::now();
     let mut core = RouterCore::new(1, Arc::new(catalog), now);
--- a/tests/all/process_kills.rs
+++ b/tests/all/process_kills.rs
@@ -2,11 +2,11 @@
 
 use crate::processes::{Processes, health, send_request, wait_until_serving};
 use crate::support::{long_timeout_plan, small_plan};
+use passway_standins::cluster::{ClusterPlan, TestCluster};
 use passway_standins::engine;
 use passway_standins::key_value;
 use passway_standins::load::{Outcome, Sample};
 use passway_standins::service;
-use passway_standins::world::{World, WorldPlan};
 use passway_types::prelude::*;
 use rustix::process::Signal;
 use std::thread::JoinHandle;
@@ -31,7 +31,7 @@
 
 #[test]
 fn drain_cuts_nothing() {
-    let world = World::start(long_timeout_plan()).expect("world");
+    let world = TestCluster::start(long_timeout_plan()).expect("world");
     let mut processes = Processes::start(&world);
     let router = processes.routers[0].address;
     let callers: Vec<_> = (0..30)
@@ -46,7 +46,7 @@
 
 #[test]
 fn drain_fails_health_check() {
-    let world = World::start(long_timeout_plan()).expect("world");
+    let world = TestCluster::start(long_timeout_plan()).expect("world");
     let processes = Processes::start(&world);
     let router = processes.routers[0].address;
     let long_call = send_request(router, "model1@1", 0, 4 * LONG_ANSWER_TOKENS);
@@ -64,7 +64,7 @@
 
 #[test]
 fn killed_router_breaks_own_calls() {
-    let world = World::start(long_timeout_plan()).expect("world");
+    let world = TestCluster::start(long_timeout_plan()).expect("world");
     let processes = Processes::start(&world);
     let (first, second) = (processes.routers[0].address, processes.routers[1].address);
     let killed_router_calls: Vec<_> = (0..20)
@@ -84,19 +84,19 @@
             "{outcome:?}"
         );
     }
-    assert_eq!(world.loads_of("model1@1"), 1);
+    assert_eq!(world.load_count("model1@1"), 1);
 }
 
 #[test]
 fn controller_killed_while_loading() {
-    let plan = WorldPlan {
+    let plan = ClusterPlan {
         instances: 3,
         lease_ms: small_plan().lease_ms,
         ..long_timeout_plan()
     };
-    let world = World::start(plan).expect("world");
+    let world = TestCluster::start(plan).expect("world");
     // The load lasts until after the kill, but ends before the deadline.
-    world.store.set_slowdown(5);
+    world.weight_store.set_slowdown(5);
     let processes = Processes::start(&world);
     let leader = processes.leader();
     let routers: Vec<_> = processes
@@ -110,19 +110,19 @@
     std::thread::sleep(STREAMING_DELAY);
     processes.controllers[leader].signal(Signal::KILL);
     assert_all_whole(callers);
-    assert_eq!(world.loads_of("model2@1"), 1);
+    assert_eq!(world.load_count("model2@1"), 1);
 }
 
 #[test]
 fn controller_paused() {
     for checks_fencing in [true, false] {
-        let plan = WorldPlan {
+        let plan = ClusterPlan {
             instances: 3,
             checks_fencing,
             lease_ms: small_plan().lease_ms,
             ..long_timeout_plan()
         };
-        let world = World::start(plan).expect("world");
+        let world = TestCluster::start(plan).expect("world");
         let processes = Processes::start(&world);
         let leader = processes.leader();
         let router = processes.routers[(leader + 1) % 3].address;
@@ -143,18 +143,18 @@
                 "an order exceeded the engine's free memory"
             );
         }
-        assert_eq!(world.loads_of("model1@1"), 1);
+        assert_eq!(world.load_count("model1@1"), 1);
     }
 }
 
 #[test]
 fn engine_terminates_while_streaming() {
-    let plan = WorldPlan {
+    let plan = ClusterPlan {
         max_replicas: 2,
         slots: 8,
         ..long_timeout_plan()
     };
-    let world = World::start(plan).expect("world");
+    let world = TestCluster::start(plan).expect("world");
     let processes = Processes::start(&world);
     let router = processes.routers[0].address;
     // More requests than one replica has slots, so that a second replica is loaded.
@@ -187,7 +187,7 @@
 
 #[test]
 fn key_value_outage() {
-    let world = World::start(small_plan()).expect("world");
+    let world = TestCluster::start(small_plan()).expect("world");
     let mut processes = Processes::start(&world);
     let router = processes.routers[0].address;
     assert_all_whole(vec![send_request(router, "model1@1", 0, 8)]);
@@ -242,11 +242,11 @@
 
 #[test]
 fn leaving_upstream_gets_no_requests() {
-    let plan = WorldPlan {
+    let plan = ClusterPlan {
         list_lag: Duration::from_mins(1),
         ..long_timeout_plan()
     };
-    let world = World::start(plan).expect("world");
+    let world = TestCluster::start(plan).expect("world");
     let processes = Processes::start(&world);
     let router = processes.routers[0].address;
     assert_all_whole(vec![send_request(router, "model1@1", 0, 8)]);
@@ -276,7 +276,7 @@
 
 #[test]
 fn isolated_instance_refuses_requests() {
-    let world = World::start(small_plan()).expect("world");
+    let world = TestCluster::start(small_plan()).expect("world");
     let processes = Processes::start(&world);
     let router = processes.routers[0].address;
     assert_all_whole(vec![send_request(router, "model1@1", 0, 8)]);
@@ -332,7 +332,7 @@
 
 #[test]
 fn outcome_written_before_stop() {
-    let world = World::start(long_timeout_plan()).expect("world");
+    let world = TestCluster::start(long_timeout_plan()).expect("world");
     let mut processes = Processes::start(&world);
     let (first, second) = (processes.routers[0].address, processes.routers[1].address);
     let charge = |router| {
--- a/tests/all/received_orders.rs
+++ b/tests/all/received_orders.rs
@@ -3,7 +3,7 @@
 //! cover the causes one by one. A calm day at 256 engines had one violation, 3.6 s after the
 //! leadership had changed hands.
 
-use crate::cluster::{self, PATIENCE};
+use crate::cluster::{self, RECEIVE_TIMEOUT};
 use crate::test_planner::{TestPlanner, base_model, entry, resident};
 use passway_serving::placement::{Action, PlannedOrder};
 use passway_serving::ports::{Directory, EngineReport, OrderAction, OrderAnswer, StoredValue};
@@ -112,7 +112,7 @@
     test.orders_within_second(OrderAnswer::Taken);
     test.send_report(false, 1, &["m0", "m2"]);
     // No request waits for m2 any more, and m0 is busy.
-    test.now += PATIENCE;
+    test.now += RECEIVE_TIMEOUT;
     let busy_model = base_model("m0");
     test.planner
         .record_arrivals(&"engines".into(), &busy_model, 40, test.now);
--- a/tests/all/stream_resume.rs
+++ b/tests/all/stream_resume.rs
@@ -1,18 +1,18 @@
 //! Broken streams are resumed at another engine without repeated or missing tokens.
 
 use crate::support::{burst, long_timeout_plan};
+use passway_standins::cluster::{ClusterPlan, TestCluster};
 use passway_standins::engine::Faults;
 use passway_standins::load::Outcome;
-use passway_standins::world::{World, WorldPlan};
 use passway_types::prelude::*;
 
 #[test]
 fn broken_stream_resumed() {
-    let plan = WorldPlan {
+    let plan = ClusterPlan {
         max_replicas: 2,
         ..long_timeout_plan()
     };
-    let world = World::start(plan).expect("world");
+    let world = TestCluster::start(plan).expect("world");
     let fleet = world.start_fleet().expect("fleet");
     for engine in &world.engines {
         engine.set_faults(Faults {
@@ -34,7 +34,7 @@
 
 #[test]
 fn broken_stream_complete_or_refused() {
-    let world = World::start(long_timeout_plan()).expect("world");
+    let world = TestCluster::start(long_timeout_plan()).expect("world");
     let fleet = world.start_fleet().expect("fleet");
     for engine in &world.engines {
         engine.set_faults(Faults {
--- a/tests/all/support.rs
+++ b/tests/all/support.rs
@@ -1,7 +1,7 @@
 //! Small helpers that several tests share.
 
+use passway_standins::cluster::{ClusterPlan, Fleet};
 use passway_standins::load::{Burst, Sample};
-use passway_standins::world::{Fleet, WorldPlan};
 use passway_types::prelude::*;
 use std::ops::Range;
 
@@ -9,23 +9,23 @@
 const MAX_SHOWN_VIOLATIONS: usize = 8;
 
 /// The plan of a world that starts quickly: two instances, three engines.
-pub fn small_plan() -> WorldPlan {
-    WorldPlan {
+pub fn small_plan() -> ClusterPlan {
+    ClusterPlan {
         instances: 2,
         engines: 3,
         services: 1,
         models: 6,
         adapters: 4,
-        ..WorldPlan::default()
+        ..ClusterPlan::default()
     }
 }
 
 /// The small plan with long timeouts, for tests of neither an unavailable key-value service
 /// nor a lost controller. On a busy machine, calls to the service may take seconds and leases
 /// may expire; with short timeouts, requests would then be refused as in an outage.
-pub fn long_timeout_plan() -> WorldPlan {
-    WorldPlan {
-        patience: Some(Duration::from_secs(10)),
+pub fn long_timeout_plan() -> ClusterPlan {
+    ClusterPlan {
+        key_value_timeout: Some(Duration::from_secs(10)),
         lease_ms: 10_000,
         ..small_plan()
     }
--- a/tests/all/test_planner.rs
+++ b/tests/all/test_planner.rs
@@ -1,6 +1,6 @@
 //! A planner with one engine, in virtual time.
 
-use crate::cluster::{self, PATIENCE};
+use crate::cluster::{self, RECEIVE_TIMEOUT};
 use passway_serving::placement::policy::PolicyName;
 use passway_serving::placement::{Action, DEFAULT_LOAD_WINDOW, PlannedOrder, Planner, Waiters};
 use passway_serving::ports::{Directory, EngineReport, OrderAnswer, StoredValue};
@@ -111,7 +111,7 @@
             service: "engines".into(),
             model_ref,
             count,
-            latest_deadline: self.now + PATIENCE,
+            latest_deadline: self.now + RECEIVE_TIMEOUT,
         };
         self.planner.set_waiters(waiters, self.now);
     }
