--- a/crates/instance/src/dispatch.rs
+++ b/crates/instance/src/dispatch.rs
@@ -134,7 +134,7 @@
 
     /// Replaces the list of dispatchers.
     pub fn set_dispatchers(&self, list: Vec<Candidate>) {
-        log::info!(dispatchers = list.len(); "list of dispatchers changed");
+        log::info!(dispatchers = list.len(); "dispatchers");
         lock(&self.dispatchers).set(list);
         // Wakes the receiving thread, so that it applies the new list.
         self.send(self.own_address, None);
