--- a/crates/decide/src/cell.rs
+++ b/crates/decide/src/cell.rs
@@ -7,9 +7,9 @@
 //!
 //! * [`write`]: the life cycle of a change of the plan.
 //! * [`term`]: the state and the actions of the holder during one term.
-//! * [`lease`], [`previous_holders`], [`progress`], [`usage`], [`demand`], [`upstreams`]: the parts
-//!   of that state.
-//! * [`placing`], [`idle`], [`orders`], [`publish`]: the parts of its actions.
+//! * `lease`, `previous_holders`, `progress`, `usage`, [`demand`], [`upstreams`]: the parts of that
+//!   state.
+//! * `placing`, `idle`, `orders`, `publish`: the parts of its actions.
 
 pub mod demand;
 mod idle;
--- a/crates/instance/src/forward.rs
+++ b/crates/instance/src/forward.rs
@@ -1,11 +1,11 @@
 //! Handling of one request: the loop over attempts, and the answer if all fail.
 //!
-//! * [`destination`] finds the route and service, [`access`] checks whether the request is
+//! * `destination` finds the route and service, `access` checks whether the request is
 //!   admitted.
-//! * [`waiting`] waits for an upstream and chooses it.
-//! * [`refusal`] writes the answer when nothing more can be tried.
-//! * [`attempt`] and [`exchange`] are one attempt. [`suspect`] tracks whether the request crashes
-//!   its upstreams. [`limits`] requests grants at limited upstreams. [`send_permit`] is the last
+//! * `waiting` waits for an upstream and chooses it.
+//! * `refusal` writes the answer when nothing more can be tried.
+//! * `attempt` and `exchange` are one attempt. `suspect` tracks whether the request crashes
+//!   its upstreams. `limits` requests grants at limited upstreams. `send_permit` is the last
 //!   check before a request is sent.
 //!
 //! The outcome of an attempt decides what may follow. A request that was not run may go to another
--- a/crates/instance/src/lib.rs
+++ b/crates/instance/src/lib.rs
@@ -8,20 +8,22 @@
 //!   into events.
 //! * [`http1`] and [`pool`] implement connections; [`reply`] writes the instance's own answers.
 //! * [`feeds`] follows the store; [`ready`] answers the balancer's readiness probe.
-//! * [`right`] holds the leadership, i.e. the right to send orders to engines. [`holder`] plans and
-//!   sends orders while this instance has the leadership, [`candidates`] are the instances that may
-//!   succeed it, and [`report`] sends the holder what this instance needs.
-//! * [`words`] applies and publishes the signals that upstreams send about themselves; [`control`]
-//!   sends orders and queries to engines; [`limits`] keeps limited upstreams within their
-//!   advertised rates.
+//! * [`leadership`] takes and extends the leadership, i.e. the right to send orders to engines.
+//!   [`holder`] plans and sends orders while this instance has the leadership, [`candidates`] are
+//!   the instances that may succeed it, and [`report`] sends the holder what this instance needs.
+//! * [`members`] are the instances that the holder knows; [`coordinator`] sends requests to the
+//!   holder for what is counted in one place, such as quotas and limits, and counts them there.
+//! * [`signals`] applies and publishes the signals that upstreams send about themselves;
+//!   [`control`] sends orders and queries to engines; [`limits`] keeps limited upstreams within
+//!   their advertised rates; [`dispatch`] queries dispatchers for engines and answers such queries.
 //! * [`poison`] detects requests that crash upstreams, publishes them and stores them.
 //! * [`freshness`] proves how recent the configuration is; [`allotments`] enforces the workspaces'
 //!   quotas; [`queries`] are datagram queries to other instances.
 //! * [`metrics`] are the metrics of `/metrics`.
 //! * [`health`] tracks whether the store answers.
-//! * [`relay`] receives the store's updates through the holder, [`news`] encodes these updates, and
-//!   [`compression`] compresses large values; [`subscribers`] are the instances that receive updates from
-//!   the holder, and [`feed_log`] is the log of updates to send.
+//! * [`relay`] receives the store's updates through the holder, [`updates`] defines and encodes
+//!   them, and [`compression`] compresses large values; [`subscribers`] are the instances that
+//!   receive updates from the holder, and [`feed_log`] is the log of updates to send.
 //! * [`lifecycle`] starts and stops the instance; [`stop_signal`] ends the remaining waits at a
 //!   stop.
 
--- a/crates/process/src/logging/queue.rs
+++ b/crates/process/src/logging/queue.rs
@@ -68,7 +68,7 @@
         self.lines.recv().map(|line| self.release(line))
     }
 
-    /// Takes the waiting lines, up to [`MAX_BYTES`]. The limit ends the iteration even if new lines
+    /// Takes the waiting lines, up to `MAX_BYTES`. The limit ends the iteration even if new lines
     /// are queued meanwhile.
     pub fn drain(&self) -> impl Iterator<Item = String> {
         let mut remaining_bytes = MAX_BYTES;
