--- a/crates/instance/src/candidates.rs
+++ b/crates/instance/src/candidates.rs
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Member {
     address: SocketAddr,
-    is_weak: bool,
+    has_low_cpu: bool,
     disconnected_at: Option<Instant>,
 }
 
@@ -39,10 +39,10 @@
 
 impl Candidates {
     /// Adds an instance that subscribed.
-    pub fn add(&mut self, instance: InstanceId, address: SocketAddr, is_weak: bool) {
+    pub fn add(&mut self, instance: InstanceId, address: SocketAddr, has_low_cpu: bool) {
         let member = Member {
             address,
-            is_weak,
+            has_low_cpu,
             disconnected_at: None,
         };
         self.members.insert(instance, member);
@@ -68,10 +68,10 @@
                 .disconnected_at
                 .is_none_or(|at| now < at + DISCONNECT_GRACE)
         });
-        let others = |is_weak: bool| {
+        let others = |has_low_cpu: bool| {
             let members = self.members.iter();
             let matching = members.filter(move |(name, member)| {
-                member.is_weak == is_weak && **name != this_instance.instance
+                member.has_low_cpu == has_low_cpu && **name != this_instance.instance
             });
             matching.map(|(instance, member)| Candidate {
                 instance: instance.clone(),
@@ -113,7 +113,12 @@
                     address: member.address,
                 };
                 let is_new = !current.contains(&candidate);
-                (member.is_weak, is_new, hash::mixed(0, instance), candidate)
+                (
+                    member.has_low_cpu,
+                    is_new,
+                    hash::mixed(0, instance),
+                    candidate,
+                )
             })
             .collect();
         ranked.sort();
--- a/crates/instance/src/dispatch.rs
+++ b/crates/instance/src/dispatch.rs
@@ -433,17 +433,17 @@
                 let answer = shared.configuration_age.answer_query(&ask);
                 self.send(from, Body::VersionAnswer(answer));
             }
-            Body::VersionAnswer(told) => shared.configuration_age.receive_answer(told),
+            Body::VersionAnswer(answer) => shared.configuration_age.receive_answer(answer),
             Body::PermitRequest(ask) => {
                 let answer = coordinator::decide(shared, from, &ask);
                 self.send(from, Body::PermitReply(answer));
             }
-            Body::PermitReply(told) => shared.coordinator.receive_answer(told),
+            Body::PermitReply(answer) => shared.coordinator.receive_answer(answer),
             Body::PermitRelease(back) if back.digest.is_empty() => {
                 shared.allotments.record_release(shared, from, &back);
             }
             Body::PermitRelease(back) => shared.poison.release_exclusive_run(from, &back),
-            Body::Suspects(told) => shared.poison.merge_from_peer(told),
+            Body::Suspects(suspects) => shared.poison.merge_from_peer(suspects),
         }
     }
 
--- a/crates/instance/src/holder.rs
+++ b/crates/instance/src/holder.rs
@@ -94,7 +94,7 @@
         candidates: Candidates::default(),
         logged_without_promise: None,
         published_unconfirmed: BTreeSet::new(),
-        published_breaks: BTreeMap::new(),
+        published_disconnects: BTreeMap::new(),
         published_limits: BTreeMap::new(),
         published_leaving: BTreeMap::new(),
         dispatchers: Vec::new(),
@@ -132,7 +132,7 @@
     /// Engines with unconfirmed orders, as last published.
     published_unconfirmed: BTreeSet<UpstreamId>,
     /// Starts of upstreams that broke off, as published, and when each may be forgotten.
-    published_breaks: BTreeMap<UpstreamStart, Instant>,
+    published_disconnects: BTreeMap<UpstreamStart, Instant>,
     /// Limits of limited upstreams, as last published.
     published_limits: BTreeMap<UpstreamId, f64>,
     /// Starts of upstreams that are leaving, as published.
@@ -161,13 +161,13 @@
     logged_refused_models: usize,
 }
 
-fn decode_demand(wish: &ModelRequests) -> (ServiceName, ModelRef) {
-    let adapter = Some(wish.adapter.as_str()).filter(|name| !name.is_empty());
+fn decode_demand(requests: &ModelRequests) -> (ServiceName, ModelRef) {
+    let adapter = Some(requests.adapter.as_str()).filter(|name| !name.is_empty());
     let wanted = ModelRef {
-        model: wish.model.as_str().into(),
+        model: requests.model.as_str().into(),
         adapter: adapter.map(Into::into),
     };
-    (wish.service.as_str().into(), wanted)
+    (requests.service.as_str().into(), wanted)
 }
 
 impl HolderThread {
@@ -268,7 +268,7 @@
         let address = subscribe.address.parse().ok();
         let member = address.map(|address| (subscribe.instance.as_str().into(), address));
         if let Some((name, address)) = member.clone() {
-            self.candidates.add(name, address, subscribe.is_weak);
+            self.candidates.add(name, address, subscribe.has_low_cpu);
         }
         let known = |feed| subscribe.known_revisions.get(feed).copied().unwrap_or(0);
         let sent = std::array::from_fn(known);
@@ -393,10 +393,10 @@
             };
             self.planner.set_waiters(waiters, now);
         }
-        for taken in &needs.accepted {
-            let (service, wanted) = decode_demand(taken);
+        for arrivals in &needs.accepted {
+            let (service, wanted) = decode_demand(arrivals);
             self.planner
-                .record_arrivals(&service, &wanted, taken.count, now);
+                .record_arrivals(&service, &wanted, arrivals.count, now);
         }
         let running = needs.running.iter().map(|running| RunningRequests {
             engine: running.engine.as_str().into(),
--- a/crates/instance/src/holder/publishing.rs
+++ b/crates/instance/src/holder/publishing.rs
@@ -100,14 +100,14 @@
     /// Merges what an instance reports of requests that crash upstreams, and publishes the result.
     pub(super) fn merge_and_publish_suspects(&mut self, received: Suspects) {
         let now = clock::now();
-        let mut breaks = self.shared.poison.merge_breaks(&received.disconnects);
+        let mut disconnected = self.shared.poison.merge_disconnects(&received.disconnects);
         // Many instances see the same upstream break off; it is published once.
-        self.published_breaks.retain(|_, until| now < *until);
-        breaks.retain(|(start, _)| !self.published_breaks.contains_key(start));
+        self.published_disconnects.retain(|_, until| now < *until);
+        disconnected.retain(|(start, _)| !self.published_disconnects.contains_key(start));
         let until = now + poison::UNCONFIRMED_TIMEOUT;
-        let published = breaks.iter().map(|(start, _)| (start.clone(), until));
-        self.published_breaks.extend(published);
-        let disconnects = poison::encode_breaks(&breaks);
+        let published = disconnected.iter().map(|(start, _)| (start.clone(), until));
+        self.published_disconnects.extend(published);
+        let disconnects = poison::encode_disconnects(&disconnected);
         let mut known = self.shared.poison.merge_fleet_list(received);
         known.retain(|suspect| suspect.crashes.len() >= MIN_BROADCAST_CRASHES);
         if self.fence.is_some() && !(known.is_empty() && disconnects.is_empty()) {
--- a/crates/instance/src/poison.rs
+++ b/crates/instance/src/poison.rs
@@ -198,10 +198,13 @@
     }
 
     /// Merges the upstreams that broke off at other instances, and returns them.
-    pub fn merge_breaks(&self, received: &[UpstreamDisconnect]) -> Vec<(UpstreamStart, Instant)> {
+    pub fn merge_disconnects(
+        &self,
+        received: &[UpstreamDisconnect],
+    ) -> Vec<(UpstreamStart, Instant)> {
         let now = clock::now();
         let mut list = lock(&self.list);
-        let breaks = received.iter().map(|received| {
+        let disconnected = received.iter().map(|received| {
             let start = UpstreamStart {
                 upstream: received.upstream.as_str().into(),
                 started_at_ms: received.started_at_ms,
@@ -209,11 +212,11 @@
             let at = now.checked_sub(Duration::from_millis(received.ms_ago));
             (start, at.unwrap_or(now))
         });
-        let breaks: Vec<_> = breaks.collect();
-        for (start, at) in &breaks {
+        let disconnected: Vec<_> = disconnected.collect();
+        for (start, at) in &disconnected {
             list.record_disconnect(start, *at, now);
         }
-        breaks
+        disconnected
     }
 
     /// Reports an update of a suspect request to the holder, which publishes it to all instances.
@@ -364,14 +367,14 @@
 }
 
 /// Encodes upstreams that broke off.
-pub fn encode_breaks(breaks: &[(UpstreamStart, Instant)]) -> Vec<UpstreamDisconnect> {
+pub fn encode_disconnects(disconnected: &[(UpstreamStart, Instant)]) -> Vec<UpstreamDisconnect> {
     let now = clock::now();
-    let breaks = breaks.iter().map(|(start, at)| UpstreamDisconnect {
+    let disconnected = disconnected.iter().map(|(start, at)| UpstreamDisconnect {
         upstream: start.upstream.to_string(),
         started_at_ms: start.started_at_ms,
         ms_ago: millis_since(*at, now),
     });
-    breaks.collect()
+    disconnected.collect()
 }
 
 fn encode_one(suspect: Suspect) -> message::Suspect {
--- a/crates/instance/src/report.rs
+++ b/crates/instance/src/report.rs
@@ -49,12 +49,12 @@
         subscribed_at: None,
         last_running: Vec::new(),
         dialed: None,
-        taken: BTreeMap::new(),
+        arrivals: BTreeMap::new(),
         waiting: BTreeMap::new(),
         refused: Vec::new(),
         unreported: BTreeSet::new(),
         suspects: Vec::new(),
-        breaks: Vec::new(),
+        disconnects: Vec::new(),
         changed_signals: BTreeSet::new(),
         recent: VecDeque::new(),
         is_new_connection: Arc::default(),
@@ -70,7 +70,7 @@
     subscribed_at: Option<Instant>,
     last_running: Vec<RunCount>,
     dialed: Option<(Holder, Dialer)>,
-    taken: TakenCounts,
+    arrivals: ArrivalCounts,
     /// Requests of this instance that wait for a model or adapter.
     waiting: BTreeMap<DemandKey, LocalWaiters>,
     /// Requests that were refused at once, and until when each counts as waiting.
@@ -80,7 +80,7 @@
     /// Updates of suspect requests that were not reported to the holder yet.
     suspects: Vec<Suspect>,
     /// Upstreams that broke off under requests of this instance.
-    breaks: Vec<(UpstreamStart, Instant)>,
+    disconnects: Vec<(UpstreamStart, Instant)>,
     /// Upstreams whose signals changed.
     changed_signals: BTreeSet<UpstreamId>,
     /// Recent requests, for a holder that begins its term.
@@ -91,7 +91,7 @@
 
 /// A model or adapter of a service.
 type DemandKey = (ServiceName, ModelName, Option<AdapterName>);
-type TakenCounts = BTreeMap<DemandKey, u32>;
+type ArrivalCounts = BTreeMap<DemandKey, u32>;
 
 /// Requests of this instance that wait for one model or adapter.
 #[derive(Debug, Clone, Copy)]
@@ -101,8 +101,8 @@
     until: Instant,
 }
 
-fn demand_key(service: ServiceName, wish: ModelRef) -> DemandKey {
-    (service, wish.model, wish.adapter)
+fn demand_key(service: ServiceName, model_ref: ModelRef) -> DemandKey {
+    (service, model_ref.model, model_ref.adapter)
 }
 
 fn encode_demand(
@@ -142,7 +142,7 @@
             if is_report_due
                 || !self.unreported.is_empty()
                 || !self.suspects.is_empty()
-                || !self.breaks.is_empty()
+                || !self.disconnects.is_empty()
                 || !self.changed_signals.is_empty()
                 || self.is_new_connection.load(Ordering::Acquire)
             {
@@ -201,7 +201,7 @@
                 self.add_waiter(key, until);
             }
             ReportEvent::Suspect(suspect) => self.suspects.push(suspect),
-            ReportEvent::StartBroken(start, at) => self.breaks.push((start, at)),
+            ReportEvent::StartBroken(start, at) => self.disconnects.push((start, at)),
             ReportEvent::SignalsChanged(upstream) => {
                 self.changed_signals.insert(upstream);
             }
@@ -218,7 +218,7 @@
                 }
                 let key = demand_key(service, model_ref);
                 self.recent.push_back((now, key.clone()));
-                *self.taken.entry(key).or_default() += 1;
+                *self.arrivals.entry(key).or_default() += 1;
             }
         }
     }
@@ -304,7 +304,7 @@
                 }
                 DialEvent::Received(Body::Suspects(suspects)) => {
                     drop(link);
-                    for (start, at) in shared.poison.merge_breaks(&suspects.disconnects) {
+                    for (start, at) in shared.poison.merge_disconnects(&suspects.disconnects) {
                         shared.upstreams().mark_unreachable(&start.upstream, at);
                     }
                     // Only a message about requests shows that the fleet's list was received.
@@ -372,7 +372,7 @@
             known_revisions: known.to_vec(),
             instance: self.shared.settings.instance.to_string(),
             address: self.shared.settings.peer_address.to_string(),
-            is_weak: self.leadership.has_low_cpu(),
+            has_low_cpu: self.leadership.has_low_cpu(),
             placement_digests: self.shared.upstreams().placement_digests().collect(),
         }));
         self.subscribed_at = Some(clock::now());
@@ -383,14 +383,14 @@
         let Some(outbox) = link.as_ref() else {
             // Without a connection the changes are dropped: a new connection starts with a full
             // report.
-            self.taken.clear();
+            self.arrivals.clear();
             self.unreported.clear();
             self.suspects.clear();
-            self.breaks.clear();
+            self.disconnects.clear();
             self.changed_signals.clear();
             return;
         };
-        let mut taken = std::mem::take(&mut self.taken);
+        let mut arrivals = std::mem::take(&mut self.arrivals);
         let mut unreported = std::mem::take(&mut self.unreported);
         let mut suspects = poison::encode(std::mem::take(&mut self.suspects));
         let named: Vec<UpstreamId> = std::mem::take(&mut self.changed_signals)
@@ -398,7 +398,7 @@
             .collect();
         let mut signals = signals::encode_for_holder(&self.shared, Some(&named));
         if self.is_new_connection.swap(false, Ordering::AcqRel) {
-            taken = recent_counts(&self.recent);
+            arrivals = recent_counts(&self.recent);
             unreported = self.waiting.keys().cloned().collect();
             self.last_running.clear();
             suspects = self.shared.poison.suspects(1);
@@ -407,7 +407,7 @@
         if signals != KnownSignals::default() {
             outbox.send(Body::KnownSignals(signals));
         }
-        suspects.disconnects = poison::encode_breaks(&std::mem::take(&mut self.breaks));
+        suspects.disconnects = poison::encode_disconnects(&std::mem::take(&mut self.disconnects));
         if !suspects.suspects.is_empty() || !suspects.disconnects.is_empty() {
             outbox.send(Body::Suspects(suspects));
         }
@@ -421,10 +421,10 @@
             None => encode_demand(key, 0, Duration::ZERO),
         });
         let waiting: Vec<ModelRequests> = waiting.collect();
-        let taken = taken
+        let arrivals = arrivals
             .iter()
             .map(|(key, count)| encode_demand(key, *count, Duration::ZERO));
-        let accepted: Vec<ModelRequests> = taken.collect();
+        let accepted: Vec<ModelRequests> = arrivals.collect();
         let upstreams = self.shared.upstreams();
         let running = upstreams
             .in_flight_by_model()
@@ -472,12 +472,12 @@
 }
 
 /// Counts the recent requests by model and adapter.
-fn recent_counts(recent: &VecDeque<(Instant, DemandKey)>) -> TakenCounts {
-    let mut taken = TakenCounts::new();
+fn recent_counts(recent: &VecDeque<(Instant, DemandKey)>) -> ArrivalCounts {
+    let mut arrivals = ArrivalCounts::new();
     for (_, key) in recent {
-        *taken.entry(key.clone()).or_default() += 1;
+        *arrivals.entry(key.clone()).or_default() += 1;
     }
-    taken
+    arrivals
 }
 
 fn apply_placements(shared: &Shared, engines: Vec<EnginePlacement>) {
@@ -487,8 +487,8 @@
             name: model.model.into(),
             adapters: model.adapters.into_iter().map(Into::into).collect(),
         });
-        let closing = placement.evicting.into_iter().map(Into::into);
-        upstreams.set_placement(&placement.engine, models.collect(), closing.collect());
+        let evicting = placement.evicting.into_iter().map(Into::into);
+        upstreams.set_placement(&placement.engine, models.collect(), evicting.collect());
     }
     drop(upstreams);
     shared.notify_upstreams_changed();
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -267,7 +267,7 @@
     /// Whether the instance has few CPU resources, so that another instance should preferably hold
     /// the leadership.
     #[prost(bool, tag = "4")]
-    pub is_weak: bool,
+    pub has_low_cpu: bool,
     /// A digest for each engine of the models that, as far as the instance knows, are loaded there.
     #[prost(fixed64, repeated, tag = "5")]
     pub placement_digests: Vec<u64>,
--- a/tests/all/bounded_state.rs
+++ b/tests/all/bounded_state.rs
@@ -28,51 +28,51 @@
 
 #[test]
 fn invented_models() {
-    let mut planned = TestPlanner::new();
+    let mut test_planner = TestPlanner::new();
     for number in 0..NAMES {
         let model_ref = base_model(&format!("invented-{number}"));
-        planned
+        test_planner
             .planner
-            .record_arrivals(&"engines".into(), &model_ref, 1, planned.now);
+            .record_arrivals(&"engines".into(), &model_ref, 1, test_planner.now);
     }
-    planned.now += Duration::from_mins(1);
-    planned.add_waiter("m2");
-    planned.planner.decide(planned.now);
-    assert_eq!(retained(&planned.planner, "invented-"), 0);
+    test_planner.now += Duration::from_mins(1);
+    test_planner.add_waiter("m2");
+    test_planner.planner.decide(test_planner.now);
+    assert_eq!(retained(&test_planner.planner, "invented-"), 0);
 }
 
 #[test]
 fn adapters_elsewhere() {
-    let mut planned = TestPlanner::new();
+    let mut test_planner = TestPlanner::new();
     for number in 0..NAMES {
         let model_ref = ModelRef {
             model: "m0".into(),
             adapter: Some(format!("elsewhere-{number}").into()),
         };
-        planned
+        test_planner
             .planner
-            .record_arrivals(&"engines".into(), &model_ref, 1, planned.now);
+            .record_arrivals(&"engines".into(), &model_ref, 1, test_planner.now);
     }
     // None of them is loaded on the engine or wanted there.
-    assert_eq!(retained(&planned.planner, "elsewhere-"), 0);
+    assert_eq!(retained(&test_planner.planner, "elsewhere-"), 0);
 }
 
 #[test]
 fn refused_adapters() {
-    let mut planned = TestPlanner::new();
-    planned.orders_within_second(OrderAnswer::Taken);
-    planned.send_report(false, 0, &["m0", "m1"]);
+    let mut test_planner = TestPlanner::new();
+    test_planner.orders_within_second(OrderAnswer::Taken);
+    test_planner.send_report(false, 0, &["m0", "m1"]);
     for number in 0..NAMES {
         let model_ref = ModelRef {
             model: "m0".into(),
             adapter: Some(format!("refused-{number}").into()),
         };
-        planned.set_waiters(model_ref.clone(), 1);
-        let orders = planned.orders_within_second(OrderAnswer::Refused);
+        test_planner.set_waiters(model_ref.clone(), 1);
+        let orders = test_planner.orders_within_second(OrderAnswer::Refused);
         assert!(!orders.is_empty(), "{number}");
-        planned.set_waiters(model_ref, 0);
+        test_planner.set_waiters(model_ref, 0);
     }
-    let retained = retained(&planned.planner, "refused-");
+    let retained = retained(&test_planner.planner, "refused-");
     assert!(retained < MAX_SPARE, "{retained}");
 }
 
--- a/tests/all/config_memory.rs
+++ b/tests/all/config_memory.rs
@@ -53,7 +53,7 @@
             known_revisions: vec![1, 1],
             instance: name.into(),
             address: "127.0.0.1:1".into(),
-            is_weak: false,
+            has_low_cpu: false,
             placement_digests: Vec::new(),
         }))
     };
--- a/tests/all/fleet_start.rs
+++ b/tests/all/fleet_start.rs
@@ -151,19 +151,19 @@
 /// Only instances with requests that wait for a model learn at once that it is loaded.
 #[test]
 fn awaited_model_sent_at_once() {
-    let mut planned = TestPlanner::new();
-    planned.orders_within_second(passway_serving::ports::OrderAnswer::Taken);
-    planned.send_report(false, 0, &["m0"]);
-    planned.planner.take_awaited_placements();
-    planned.add_waiter("m2");
-    planned.orders_within_second(passway_serving::ports::OrderAnswer::Taken);
-    assert_eq!(planned.planner.take_awaited_placements(), []);
-    planned.send_report(false, 1, &["m0", "m2"]);
-    let awaited = planned.planner.take_awaited_placements();
+    let mut test_planner = TestPlanner::new();
+    test_planner.orders_within_second(passway_serving::ports::OrderAnswer::Taken);
+    test_planner.send_report(false, 0, &["m0"]);
+    test_planner.planner.take_awaited_placements();
+    test_planner.add_waiter("m2");
+    test_planner.orders_within_second(passway_serving::ports::OrderAnswer::Taken);
+    assert_eq!(test_planner.planner.take_awaited_placements(), []);
+    test_planner.send_report(false, 1, &["m0", "m2"]);
+    let awaited = test_planner.planner.take_awaited_placements();
     let placements: Vec<_> = awaited
         .iter()
         .map(|(placement, instances)| (&*placement.engine, instances.len()))
         .collect();
     assert_eq!(placements, [("i-0", 1)]);
-    assert_eq!(planned.planner.take_awaited_placements(), []);
+    assert_eq!(test_planner.planner.take_awaited_placements(), []);
 }
--- a/tests/all/holder_heard.rs
+++ b/tests/all/holder_heard.rs
@@ -151,7 +151,7 @@
         known_revisions: vec![1, 1],
         instance: "ghost".into(),
         address: "127.0.0.1:1".into(),
-        is_weak: false,
+        has_low_cpu: false,
         placement_digests: Vec::new(),
     };
     link.send(Body::Subscribe(subscribe)).expect("sent");
--- a/tests/all/model_orders.rs
+++ b/tests/all/model_orders.rs
@@ -153,11 +153,11 @@
 
 #[test]
 fn queries_before_ordering() {
-    let mut planned = TestPlanner::new();
-    planned.add_waiter("m2");
-    assert_eq!(planned.orders_within_second(OrderAnswer::Taken), []);
-    planned.send_report(false, 3, &["m0", "m1"]);
-    let orders = planned.orders_within_second(OrderAnswer::Taken);
+    let mut test_planner = TestPlanner::new();
+    test_planner.add_waiter("m2");
+    assert_eq!(test_planner.orders_within_second(OrderAnswer::Taken), []);
+    test_planner.send_report(false, 3, &["m0", "m1"]);
+    let orders = test_planner.orders_within_second(OrderAnswer::Taken);
     assert_eq!(orders.len(), 1);
     assert_eq!(orders[0].action, OrderAction::Unload);
     assert_eq!(orders[0].expected_orders, 3);
@@ -166,13 +166,13 @@
 #[test]
 fn no_order_on_busy_report() {
     // Another holder's load is in progress: the reported models are not all that occupy memory.
-    let mut planned = TestPlanner::new();
-    planned.add_waiter("m2");
-    planned.orders_within_second(OrderAnswer::Taken);
-    planned.send_report(true, 4, &["m0"]);
-    assert_eq!(planned.orders_within_second(OrderAnswer::Taken), []);
-    planned.send_report(false, 4, &["m0", "m3"]);
-    let orders = planned.orders_within_second(OrderAnswer::Taken);
+    let mut test_planner = TestPlanner::new();
+    test_planner.add_waiter("m2");
+    test_planner.orders_within_second(OrderAnswer::Taken);
+    test_planner.send_report(true, 4, &["m0"]);
+    assert_eq!(test_planner.orders_within_second(OrderAnswer::Taken), []);
+    test_planner.send_report(false, 4, &["m0", "m3"]);
+    let orders = test_planner.orders_within_second(OrderAnswer::Taken);
     assert_eq!(
         orders.first().map(|order| order.action),
         Some(OrderAction::Unload)
@@ -182,19 +182,19 @@
 #[test]
 fn no_load_before_unload_done() {
     // The unload was accepted, but a run delays it.
-    let mut planned = TestPlanner::new();
-    planned.add_waiter("m2");
-    planned.orders_within_second(OrderAnswer::Taken);
-    planned.send_report(false, 0, &["m0", "m1"]);
-    let orders = planned.orders_within_second(OrderAnswer::Taken);
+    let mut test_planner = TestPlanner::new();
+    test_planner.add_waiter("m2");
+    test_planner.orders_within_second(OrderAnswer::Taken);
+    test_planner.send_report(false, 0, &["m0", "m1"]);
+    let orders = test_planner.orders_within_second(OrderAnswer::Taken);
     assert_eq!(orders.len(), 1);
-    planned.send_report(true, 1, &["m0", "m1"]);
-    assert_eq!(planned.orders_within_second(OrderAnswer::Taken), []);
+    test_planner.send_report(true, 1, &["m0", "m1"]);
+    assert_eq!(test_planner.orders_within_second(OrderAnswer::Taken), []);
     // A report of an older state that arrives late.
-    planned.send_report(false, 0, &["m1"]);
-    assert_eq!(planned.orders_within_second(OrderAnswer::Taken), []);
-    planned.send_report(false, 1, &["m1"]);
-    let orders = planned.orders_within_second(OrderAnswer::Taken);
+    test_planner.send_report(false, 0, &["m1"]);
+    assert_eq!(test_planner.orders_within_second(OrderAnswer::Taken), []);
+    test_planner.send_report(false, 1, &["m1"]);
+    let orders = test_planner.orders_within_second(OrderAnswer::Taken);
     assert_eq!(
         orders.first().map(|order| order.action),
         Some(OrderAction::Load)
@@ -204,24 +204,24 @@
 
 #[test]
 fn other_incarnation() {
-    let mut planned = TestPlanner::new();
-    planned.add_waiter("m2");
-    planned.orders_within_second(OrderAnswer::Taken);
-    planned.send_report(false, 0, &["m0", "m1"]);
+    let mut test_planner = TestPlanner::new();
+    test_planner.add_waiter("m2");
+    test_planner.orders_within_second(OrderAnswer::Taken);
+    test_planner.send_report(false, 0, &["m0", "m1"]);
     assert_eq!(
-        planned
+        test_planner
             .orders_within_second(OrderAnswer::OtherIncarnation)
             .len(),
         1
     );
-    planned.send_report(false, 0, &[]);
-    assert_eq!(planned.orders_within_second(OrderAnswer::Taken), []);
+    test_planner.send_report(false, 0, &[]);
+    assert_eq!(test_planner.orders_within_second(OrderAnswer::Taken), []);
 }
 
 #[test]
 fn used_adapter_keeps_slot() {
-    let mut planned = TestPlanner::new();
-    planned.orders_within_second(OrderAnswer::Taken);
+    let mut test_planner = TestPlanner::new();
+    test_planner.orders_within_second(OrderAnswer::Taken);
     let model = |adapters: &[&str]| ResidentModel {
         name: "m0".into(),
         adapters: adapters.iter().map(|name| (*name).into()).collect(),
@@ -236,32 +236,32 @@
         started_at_ms: 0,
     };
     let engine: UpstreamId = "i-0".into();
-    planned
+    test_planner
         .planner
-        .apply_report(&engine, Some(report(0, &["a1", "a2"])), planned.now);
-    let wish = ModelRef {
+        .apply_report(&engine, Some(report(0, &["a1", "a2"])), test_planner.now);
+    let model_ref = ModelRef {
         model: "m0".into(),
         adapter: Some("a3".into()),
     };
-    planned.set_waiters(wish, 1);
+    test_planner.set_waiters(model_ref, 1);
     // Both slots are in use; a run delays the unload.
-    let orders = planned.orders_within_second(OrderAnswer::Taken);
+    let orders = test_planner.orders_within_second(OrderAnswer::Taken);
     assert_eq!(orders.len(), 1, "{orders:?}");
     assert_eq!(orders[0].action, OrderAction::Unload);
-    planned
+    test_planner
         .planner
-        .apply_report(&engine, Some(report(1, &["a1", "a2"])), planned.now);
-    let again = planned.orders_within_second(OrderAnswer::Taken);
+        .apply_report(&engine, Some(report(1, &["a1", "a2"])), test_planner.now);
+    let again = test_planner.orders_within_second(OrderAnswer::Taken);
     assert!(
         again
             .iter()
             .all(|order| order.action == OrderAction::Unload),
         "{again:?}"
     );
-    planned
+    test_planner
         .planner
-        .apply_report(&engine, Some(report(2, &["a2"])), planned.now);
-    let loads = planned.orders_within_second(OrderAnswer::Taken);
+        .apply_report(&engine, Some(report(2, &["a2"])), test_planner.now);
+    let loads = test_planner.orders_within_second(OrderAnswer::Taken);
     assert_eq!(
         loads.first().map(|order| order.action),
         Some(OrderAction::Load)
@@ -270,18 +270,18 @@
 
 #[test]
 fn older_entry_ignored() {
-    let mut planned = TestPlanner::new();
-    planned.add_waiter("m2");
-    planned.orders_within_second(OrderAnswer::Taken);
-    planned.send_report(false, 0, &["m0", "m1"]);
-    let orders = planned.orders_within_second(OrderAnswer::Taken);
+    let mut test_planner = TestPlanner::new();
+    test_planner.add_waiter("m2");
+    test_planner.orders_within_second(OrderAnswer::Taken);
+    test_planner.send_report(false, 0, &["m0", "m1"]);
+    let orders = test_planner.orders_within_second(OrderAnswer::Taken);
     let victim = orders.first().expect("an unload").model_ref.model.clone();
     let stays = if &*victim == "m0" { "m1" } else { "m0" };
     // An entry from an earlier time when the slot was empty.
-    planned.send_entry(0, &[stays]);
-    assert_eq!(planned.orders_within_second(OrderAnswer::Taken), []);
-    planned.send_entry(2, &[stays]);
-    let orders = planned.orders_within_second(OrderAnswer::Taken);
+    test_planner.send_entry(0, &[stays]);
+    assert_eq!(test_planner.orders_within_second(OrderAnswer::Taken), []);
+    test_planner.send_entry(2, &[stays]);
+    let orders = test_planner.orders_within_second(OrderAnswer::Taken);
     assert_eq!(
         orders.first().map(|order| order.action),
         Some(OrderAction::Load)
@@ -290,19 +290,19 @@
 
 #[test]
 fn new_holder_waits_for_reports() {
-    let mut planned = TestPlanner::new();
-    planned.add_waiter("m2");
-    planned.send_report(false, 0, &["m0", "m1"]);
-    assert_eq!(planned.planner.decide(planned.now), []);
+    let mut test_planner = TestPlanner::new();
+    test_planner.add_waiter("m2");
+    test_planner.send_report(false, 0, &["m0", "m1"]);
+    assert_eq!(test_planner.planner.decide(test_planner.now), []);
     // Instances report recent requests from before the term began: m0 is in use.
     let busy = ModelRef {
         model: "m0".into(),
         adapter: None,
     };
-    planned
+    test_planner
         .planner
-        .record_arrivals(&"engines".into(), &busy, 40, planned.now);
-    let orders = planned.orders_within_second(OrderAnswer::Taken);
+        .record_arrivals(&"engines".into(), &busy, 40, test_planner.now);
+    let orders = test_planner.orders_within_second(OrderAnswer::Taken);
     assert_eq!(
         orders.first().map(|order| &*order.model_ref.model),
         Some("m1")
@@ -340,9 +340,9 @@
 fn disk_before_weight_store() {
     // One engine has every model on its disk and is busy; an empty one could only load from the
     // weight store.
-    let mut planned = TestPlanner::new();
-    planned.orders_within_second(OrderAnswer::Taken);
-    planned.send_entry_of("i-9", 1, &[], &[]);
+    let mut test_planner = TestPlanner::new();
+    test_planner.orders_within_second(OrderAnswer::Taken);
+    test_planner.send_entry_of("i-9", 1, &[], &[]);
     let empty = EngineReport {
         models: Vec::new(),
         busy: false,
@@ -352,18 +352,18 @@
         adapters_loading: Vec::new(),
         started_at_ms: 0,
     };
-    planned
+    test_planner
         .planner
-        .apply_report(&"i-9".into(), Some(empty), planned.now);
-    planned.send_report(true, 0, &["m0"]);
-    planned.add_waiter("m2");
-    let orders = planned.orders_within_second(OrderAnswer::Taken);
+        .apply_report(&"i-9".into(), Some(empty), test_planner.now);
+    test_planner.send_report(true, 0, &["m0"]);
+    test_planner.add_waiter("m2");
+    let orders = test_planner.orders_within_second(OrderAnswer::Taken);
     assert_eq!(
         orders,
         [],
         "a second is less than a load from the weight store"
     );
-    let fetched = planned.orders_within_second(OrderAnswer::Taken);
+    let fetched = test_planner.orders_within_second(OrderAnswer::Taken);
     assert_eq!(fetched.first().map(|order| &*order.engine), Some("i-9"));
 }
 
