--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -2,7 +2,7 @@
 //! connections and calls.
 //!
 //! One thread makes all decisions ([`node::Node`]) and never blocks. The threads of
-//! [`workers`] make its calls and return the answers as [`node::Input`]s. Each connection of
+//! `workers` make its calls and return the answers as [`node::Input`]s. Each connection of
 //! a router, another controller or `passwayctl` has a reader thread ([`listener`]); messages
 //! to it go through an outbox.
 //!
--- a/crates/ctl/src/commands/analyze.rs
+++ b/crates/ctl/src/commands/analyze.rs
@@ -1,9 +1,9 @@
 //! `passwayctl analyze`: finds bottlenecks in the logs of all instances.
 //!
-//! * [`events`]: requests and orders, parsed from the log lines.
-//! * [`report`]: statistics about them, as typed rows.
-//! * [`residency`]: when which engine had a model loaded, and for how long the model was idle.
-//! * [`chart`]: requests and residencies as an SVG chart.
+//! * `events`: requests and orders, parsed from the log lines.
+//! * `report`: statistics about them, as typed rows.
+//! * `residency`: when which engine had a model loaded, and for how long the model was idle.
+//! * `chart`: requests and residencies as an SVG chart.
 
 mod chart;
 mod events;
--- a/crates/instance/src/report.rs
+++ b/crates/instance/src/report.rs
@@ -39,7 +39,7 @@
     shared: &Arc<Shared>,
     leadership: &Arc<LeadershipDriver>,
     relay: &Arc<Relay>,
-    needs: Receiver<ReportEvent>,
+    events: Receiver<ReportEvent>,
 ) {
     let reporter = Reporter {
         shared: shared.clone(),
@@ -59,7 +59,7 @@
         recent: VecDeque::new(),
         is_new_connection: Arc::default(),
     };
-    std::thread::spawn(move || reporter.run(&needs));
+    std::thread::spawn(move || reporter.run(&events));
 }
 
 struct Reporter {
@@ -120,17 +120,17 @@
 }
 
 impl Reporter {
-    fn run(mut self, needs: &Receiver<ReportEvent>) {
+    fn run(mut self, events: &Receiver<ReportEvent>) {
         let mut report_at = clock::now() + REPORT_INTERVAL;
         loop {
             let timeout = report_at.saturating_duration_since(clock::now());
-            match needs.recv_timeout(timeout) {
-                Ok(need) => self.record(need),
+            match events.recv_timeout(timeout) {
+                Ok(event) => self.record(event),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            while let Ok(need) = needs.try_recv() {
-                self.record(need);
+            while let Ok(event) = events.try_recv() {
+                self.record(event);
             }
             let is_report_due = clock::now() >= report_at;
             if is_report_due {
@@ -181,8 +181,8 @@
         }
     }
 
-    fn record(&mut self, need: ReportEvent) {
-        match need {
+    fn record(&mut self, event: ReportEvent) {
+        match event {
             ReportEvent::WaitStarted {
                 service,
                 model_ref,
--- a/crates/instance/src/stop_signal.rs
+++ b/crates/instance/src/stop_signal.rs
@@ -35,7 +35,7 @@
 /// The two signals of a stop.
 #[derive(Debug)]
 pub struct StopSignals {
-    /// Ends waits for answers of which nothing has been sent to the caller.
+    /// Ends waits for answers whose first byte has not been sent to the caller.
     pub answers: StopSignal,
     /// Ends streams.
     pub streams: StopSignal,
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -7,8 +7,8 @@
 //! * [`upstreams`]: what upstreams report, what this instance has observed of them, and which one
 //!   a request goes to.
 //! * [`store_outages`]: when an upstream whose entry is missing counts as removed.
-//! * [`leadership`]: which instance may send orders to engines, and when an instance takes this
-//!   right.
+//! * [`leadership`]: which instance may send orders to engines, and when an instance takes the
+//!   leadership.
 //! * [`retry`]: this instance's share of the fleet's retry budget.
 //! * [`workspaces`]: which keys open routes that need one, and how much they may use;
 //!   [`freshness`]: until when the configuration with those keys may be applied; [`allotment`]:
--- a/tests/all/placement_faults/engine.rs
+++ b/tests/all/placement_faults/engine.rs
@@ -41,7 +41,7 @@
     pub(super) state: EngineState,
     /// The last states, oldest first.
     history: VecDeque<EngineState>,
-    beat: u64,
+    heartbeat: u64,
     /// Entries sent so far.
     pub(super) sent_entries: Vec<UpstreamEntry>,
     /// Entries that have not reached the holder yet, and the steps at which they arrive.
@@ -219,7 +219,7 @@
                 ..EngineState::default()
             },
             history: VecDeque::new(),
-            beat: 0,
+            heartbeat: 0,
             sent_entries: Vec::new(),
             entries_in_transit: VecDeque::new(),
         }
@@ -232,7 +232,7 @@
             started_at_ms: u64::from(step),
             ..EngineState::default()
         };
-        self.beat = 0;
+        self.heartbeat = 0;
         self.sent_entries.clear();
     }
 
@@ -258,7 +258,7 @@
     }
 
     pub(super) fn entry(&mut self) -> UpstreamEntry {
-        self.beat += 1;
+        self.heartbeat += 1;
         let entry = UpstreamEntry {
             id: self.id.clone(),
             service: "engines".into(),
@@ -270,7 +270,7 @@
             models: self.state.models.clone(),
             in_memory: Vec::new(),
             on_disk: self.state.on_disk.iter().cloned().collect(),
-            heartbeat: self.beat,
+            heartbeat: self.heartbeat,
             started_at_ms: self.state.started_at_ms,
         };
         self.sent_entries.push(entry.clone());
