--- a/crates/instance/src/dispatch.rs
+++ b/crates/instance/src/dispatch.rs
@@ -134,7 +134,7 @@
 
     /// Replaces the list of dispatchers.
     pub fn set_dispatchers(&self, list: Vec<Candidate>) {
-        log::info!(dispatchers = list.len(); "list of dispatchers changed");
+        log::info!(dispatchers = list.len(); "dispatchers");
         lock(&self.dispatchers).set(list);
         // Wakes the receiving thread, so that it applies the new list.
         self.send(self.own_address, None);
@@ -433,17 +433,17 @@
                 let answer = shared.configuration_age.answer_query(&ask);
                 self.send(from, Body::VersionAnswer(answer));
             }
-            Body::VersionAnswer(told) => shared.configuration_age.receive_answer(told),
+            Body::VersionAnswer(answer) => shared.configuration_age.receive_answer(answer),
             Body::PermitRequest(ask) => {
                 let answer = coordinator::decide(shared, from, &ask);
                 self.send(from, Body::PermitReply(answer));
             }
-            Body::PermitReply(told) => shared.coordinator.receive_answer(told),
+            Body::PermitReply(answer) => shared.coordinator.receive_answer(answer),
             Body::PermitRelease(back) if back.digest.is_empty() => {
                 shared.allotments.record_release(shared, from, &back);
             }
             Body::PermitRelease(back) => shared.poison.release_exclusive_run(from, &back),
-            Body::Suspects(told) => shared.poison.merge_from_peer(told),
+            Body::Suspects(suspects) => shared.poison.merge_from_peer(suspects),
         }
     }
 
