--- a/crates/instance/src/dispatch.rs
+++ b/crates/instance/src/dispatch.rs
@@ -117,7 +117,7 @@
     pub fn bind(own_address: SocketAddr) -> Self {
         let socket = UdpSocket::bind(own_address);
         if let Err(error) = &socket {
-            log::warn!(address:% = own_address, error:% = error; "cannot bind the port for dispatching; this instance chooses engines by its own state");
+            log::warn!(address:% = own_address, error:% = error; "no port for dispatching; engines are chosen by what is seen here");
         }
         Self {
             own_address,
