--- a/crates/instance/src/dispatch.rs
+++ b/crates/instance/src/dispatch.rs
@@ -117,7 +117,7 @@
     pub fn bind(own_address: SocketAddr) -> Self {
         let socket = UdpSocket::bind(own_address);
         if let Err(error) = &socket {
-            log::warn!(address:% = own_address, error:% = error; "no port for dispatching; engines are chosen by what is seen here");
+            log::warn!(address:% = own_address, error:% = error; "cannot bind the port for dispatching; this instance chooses engines by its own state");
         }
         Self {
             own_address,
@@ -134,7 +134,7 @@
 
     /// Replaces the list of dispatchers.
     pub fn set_dispatchers(&self, list: Vec<Candidate>) {
-        log::info!(dispatchers = list.len(); "dispatchers");
+        log::info!(dispatchers = list.len(); "received the list of dispatchers");
         lock(&self.dispatchers).set(list);
         // Wakes the receiving thread, so that it applies the new list.
         self.send(self.own_address, None);
--- a/crates/instance/src/feeds.rs
+++ b/crates/instance/src/feeds.rs
@@ -288,7 +288,7 @@
             FeedUpdate::Snapshot(listing) if listing.revision < known => return,
             FeedUpdate::Changes { to, .. } if *to <= known => return,
             FeedUpdate::Changes { from, .. } if *from > known => {
-                log::info!(prefix = self.prefix, from = *from, known = known; "a gap in the holder's news");
+                log::info!(prefix = self.prefix, from = *from, known = known; "a gap in the updates from the holder");
                 self.has_gap = true;
                 self.receiver.report_gap(update.to());
                 return;
@@ -305,7 +305,7 @@
 
     fn apply(&mut self, update: FeedUpdate, source: Source) {
         if self.receiver.feed == Some(CONFIGURATION_FEED) && update.value_count() > 0 {
-            log::info!(source:? = source, known = self.known, to = update.to(), bytes = update.size_bytes(); "configuration heard");
+            log::info!(source:? = source, known = self.known, to = update.to(), bytes = update.size_bytes(); "received a configuration");
         }
         self.has_gap = false;
         self.receiver.record_applied(&update, update.to());
--- a/crates/instance/src/feeds/configuration.rs
+++ b/crates/instance/src/feeds/configuration.rs
@@ -53,7 +53,7 @@
             self.shared.metrics.unusable_signal(UNKNOWN_HALL_LABEL);
             log::error!(hall:% = hall; "a hall that is not known is to be emptied");
         }
-        log::info!(target: DECISION_TARGET, halls:? = self.emptied_halls; "halls emptied by operators");
+        log::info!(target: DECISION_TARGET, halls:? = self.emptied_halls; "data halls evacuated by operators");
         self.shared.notify_upstreams_changed();
     }
 
--- a/crates/instance/src/freshness.rs
+++ b/crates/instance/src/freshness.rs
@@ -198,7 +198,7 @@
                 if is_proved != was_proved {
                     was_proved = is_proved;
                     let age_ms = self.age().map_or(0, millis);
-                    log::info!(target: DECISION_TARGET, age_ms = age_ms, permits = is_proved; "proof of the configuration");
+                    log::info!(target: DECISION_TARGET, age_ms = age_ms, permits = is_proved; "validity of the proof that the configuration is current changed");
                 }
             }
             let has_allotments = shared.has_allotments();
--- a/crates/instance/src/holder.rs
+++ b/crates/instance/src/holder.rs
@@ -300,7 +300,7 @@
         if let Some(holder) = self.pending_announcement.take(is_cut_off, now)
             && self.leadership.learn_holder(holder.clone())
         {
-            log::info!(target: DECISION_TARGET, holder:% = holder.instance, fence = holder.fence; "heard of a new holder");
+            log::info!(target: DECISION_TARGET, holder:% = holder.instance, fence = holder.fence; "learned of a new holder from another instance");
         }
     }
 
@@ -334,7 +334,7 @@
         };
         let without_promise = self.leadership.candidates_without_promise();
         if self.logged_without_promise.as_ref() != Some(&without_promise) {
-            log::info!(target: DECISION_TARGET, fence = fence, without_promise:? = without_promise; "asks candidates to carry the right to order");
+            log::info!(target: DECISION_TARGET, fence = fence, without_promise:? = without_promise; "requesting promises from candidates to extend the leadership without the store");
             self.logged_without_promise = Some(without_promise);
         }
         let body = Body::PromiseRequest(PromiseRequest {
@@ -482,7 +482,7 @@
         let refused: Vec<_> = self.planner.refused_models().collect();
         if refused.len() != self.logged_refused_models {
             self.logged_refused_models = refused.len();
-            log::warn!(target: DECISION_TARGET, models:? = refused; "models whose loads end engines");
+            log::warn!(target: DECISION_TARGET, models:? = refused; "the list of models whose loads crash engines changed");
         }
     }
 
--- a/crates/instance/src/leadership.rs
+++ b/crates/instance/src/leadership.rs
@@ -205,7 +205,7 @@
         let is_first = previous_request_at.is_none_or(|at| now > at + PROMISE_REQUEST_WINDOW);
         let new_answer = Some(answer);
         if lock(&self.last_promise_answer).replace(answer) != new_answer || is_first {
-            log::info!(target: DECISION_TARGET, holder:% = asker, answer:? = answer; "asked for a promise not to take the right to order");
+            log::info!(target: DECISION_TARGET, holder:% = asker, answer:? = answer; "answered a holder's request for a promise");
         }
         answer
     }
@@ -316,7 +316,7 @@
                     let recent = leadership.recent_holders_with_candidates();
                     drop(leadership);
                     let answer = store.write(&[recent_holders_write(&recent)]);
-                    log::info!(target: DECISION_TARGET, candidates = recent.candidates.len(), answer:? = answer; "list of candidates");
+                    log::info!(target: DECISION_TARGET, candidates = recent.candidates.len(), answer:? = answer; "result of writing the list of candidates");
                     self.leadership()
                         .handle_list_write(&answer, recent, clock::now());
                 }
--- a/crates/instance/src/poison.rs
+++ b/crates/instance/src/poison.rs
@@ -287,7 +287,7 @@
     pub fn clear_stored(&self) -> Vec<Suspect> {
         *lock(&self.stored) = StoredList::default();
         let cleared = lock(&self.list).clear_persisted();
-        log::info!(target: DECISION_TARGET, cleared = cleared.len(); "requests that crash upstreams were cleared");
+        log::info!(target: DECISION_TARGET, cleared = cleared.len(); "the list of poison requests was cleared");
         self.update_counts();
         cleared
     }
@@ -307,7 +307,7 @@
         self.is_empty.store(list.is_empty(), Ordering::Release);
         drop(list);
         if self.refused.swap(refused, Ordering::AcqRel) != refused {
-            log::info!(target: DECISION_TARGET, refused = refused; "requests that crash upstreams");
+            log::info!(target: DECISION_TARGET, refused = refused; "number of refused poison requests changed");
         }
         self.notify_writer();
     }
--- a/crates/instance/src/poison/exclusive.rs
+++ b/crates/instance/src/poison/exclusive.rs
@@ -109,7 +109,7 @@
                 self.may_be_granted |= no_decision == NoDecision::Silent;
                 if self.no_decision.replace(no_decision) != Some(no_decision) {
                     log::info!(target: REQUEST_TARGET, digest:% = self.digest, cause:% = no_decision;
-                        "no turn to run alone is proved");
+                        "no decision on a permit for an exclusive run");
                 }
                 PermitAnswer::Unproved(no_decision)
             }
--- a/crates/instance/src/poison/probe.rs
+++ b/crates/instance/src/poison/probe.rs
@@ -140,7 +140,7 @@
             })
         };
     }
-    log::info!(target: DECISION_TARGET, upstream:% = start.upstream, found:? = found; "an upstream that broke off was asked");
+    log::info!(target: DECISION_TARGET, upstream:% = start.upstream, found:? = found; "probed an upstream that broke off");
     let digests = shared.poison.probed_engines.take(start);
     match found {
         Some(Verdict::Lives) => {
--- a/crates/instance/src/relay.rs
+++ b/crates/instance/src/relay.rs
@@ -214,7 +214,7 @@
                 state.pending[feed] = Some(update);
             }
             Err(error) => {
-                log::warn!(feed = feed, error:% = format!("{error:#}"); "a word of the holder cannot be read");
+                log::warn!(feed = feed, error:% = format!("{error:#}"); "cannot decode an update from the holder");
                 state.gap_until[feed] = Some(to);
             }
         }
--- a/crates/instance/src/report.rs
+++ b/crates/instance/src/report.rs
@@ -293,7 +293,7 @@
                         && shared.store_health.is_failing()
                         && leadership.learn_holder(holder)
                     {
-                        log::info!(fence = term.fence; "a new term of the same holder");
+                        log::info!(fence = term.fence; "the same holder began a new term");
                     }
                 }
                 DialEvent::Received(Body::Dispatchers(dispatchers)) => {
--- a/crates/instance/src/signals.rs
+++ b/crates/instance/src/signals.rs
@@ -80,7 +80,7 @@
     let is_new = upstreams.record_leaving(&start.upstream, start.started_at_ms, now);
     drop(upstreams);
     if is_new {
-        log::info!(target: DECISION_TARGET, upstream:% = start.upstream; "an upstream says that it leaves");
+        log::info!(target: DECISION_TARGET, upstream:% = start.upstream; "an upstream announces that it is leaving");
         shared.notify_upstreams_changed();
     }
     is_new
@@ -103,7 +103,7 @@
     shared.notify_upstreams_changed();
     shared.report(ReportEvent::SignalsChanged(start.upstream.clone()));
     shared.metrics.backoff_requested();
-    log::info!(target: DECISION_TARGET, upstream:% = start.upstream, rest_ms = millis(backoff); "an upstream asks for rest");
+    log::info!(target: DECISION_TARGET, upstream:% = start.upstream, rest_ms = millis(backoff); "an upstream requests backoff");
 }
 
 /// Records the limit that a start of an upstream signalled to this or another instance. Returns
@@ -115,7 +115,7 @@
     let has_changed = is_current_start && upstreams.record_limit(&start.upstream, limit);
     drop(upstreams);
     if has_changed {
-        log::info!(target: DECISION_TARGET, upstream:% = start.upstream, per_s:? = limit.per_s; "an upstream says what it takes");
+        log::info!(target: DECISION_TARGET, upstream:% = start.upstream, per_s:? = limit.per_s; "an upstream changed its advertised limit");
         if limit.per_s.is_none() {
             shared.limits.retain(shared);
         }
--- a/crates/process/src/outbox.rs
+++ b/crates/process/src/outbox.rs
@@ -87,7 +87,7 @@
     pub fn send_frame(&self, frame: Frame) {
         let bytes = frame.byte_len();
         if self.waiting_bytes() > MAX_WAITING_BYTES || self.sender.len() >= MAX_WAITING_MESSAGES {
-            log::warn!(waiting_bytes = self.waiting_bytes(); "a peer takes too little and is cut off");
+            log::warn!(waiting_bytes = self.waiting_bytes(); "closing the connection to a peer that reads too slowly");
             return self.link.close();
         }
         self.waiting.add(bytes);
