--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -55,7 +55,7 @@
     /// # Errors
     /// If the settings name an address that cannot be parsed.
     pub fn start_on(listener: TcpListener, settings: ControllerSettings) -> Result<Self> {
-        let address = listener.local_addr().context("local address")?;
+        let address = listener.local_addr().context("reading the bound address")?;
         let (inputs, input_receiver) = unbounded();
         listener::start(listener, inputs.clone());
         let node = Node::new(settings, address, inputs.clone())?;
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -87,8 +87,14 @@
         address: SocketAddr,
         inputs: Sender<Input>,
     ) -> Result<Self> {
-        let key_value = settings.key_value.parse().context("key_value")?;
-        let list = settings.instance_list.parse().context("instance_list")?;
+        let key_value = settings
+            .key_value
+            .parse()
+            .context("parsing the setting key_value")?;
+        let list = settings
+            .instance_list
+            .parse()
+            .context("parsing the setting instance_list")?;
         let identity = Holder {
             instance: settings.instance.as_str().into(),
             incarnation: passway_process::draw_incarnation(),
--- a/crates/controller/src/node/fleet.rs
+++ b/crates/controller/src/node/fleet.rs
@@ -35,7 +35,7 @@
         let ids: HashSet<InstanceId> = list.iter().map(|entry| entry.id.clone()).collect();
         self.removed.retain(|id| !ids.contains(id));
         for id in self.listed.difference(&ids) {
-            log::warn!(id = &**id; "the platform no longer lists it");
+            log::warn!(id = &**id; "the platform no longer lists this instance");
             self.removed.insert(id.clone());
         }
         self.list_changed |= ids != self.listed;
--- a/crates/controller/src/node/peers.rs
+++ b/crates/controller/src/node/peers.rs
@@ -43,7 +43,10 @@
     ) -> Result<Self> {
         let mut ring = Vec::new();
         for text in peers {
-            ring.push(text.parse().with_context(|| format!("peer {text}"))?);
+            ring.push(
+                text.parse()
+                    .with_context(|| format!("parsing the address of the peer {text}"))?,
+            );
         }
         let outboxes = Outboxes::default();
         let chosen = chosen_peers(ring, identity.address);
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -77,7 +77,7 @@
             match self.listener.accept() {
                 Ok((stream, _)) => self.handle_connection(stream, &handler, &connection_count),
                 Err(error) => {
-                    log::warn!(error:% = error; "a connection could not be accepted");
+                    log::warn!(error:% = error; "cannot accept a connection");
                     std::thread::sleep(ACCEPT_BACKOFF);
                 }
             }
@@ -108,7 +108,7 @@
             .stack_size(STACK_BYTES)
             .spawn(run);
         if let Err(error) = result {
-            log::warn!(error:% = error; "no thread for a connection");
+            log::warn!(error:% = error; "cannot start a thread for a connection");
         }
     }
 }
--- a/crates/instance/src/callers.rs
+++ b/crates/instance/src/callers.rs
@@ -82,7 +82,7 @@
         .set_nonblocking(true)
         .context("setting the callers' listener to non-blocking")?;
     let callers = Callers {
-        address: listener.local_addr().context("the bound address")?,
+        address: listener.local_addr().context("reading the bound address")?,
         shared: shared.clone(),
         stop_signals: Arc::new(StopSignals::new().context("creating the stop signals")?),
         open: Arc::default(),
@@ -129,7 +129,7 @@
                 wait_to_accept(listener, &context.stop_signals);
             }
             Err(error) => {
-                log::warn!(error:% = error; "a connection could not be accepted");
+                log::warn!(error:% = error; "cannot accept a connection");
                 std::thread::sleep(ACCEPT_BACKOFF);
             }
         }
@@ -160,7 +160,7 @@
     };
     let thread = std::thread::Builder::new().stack_size(STACK_BYTES);
     if let Err(error) = thread.spawn(serve) {
-        log::warn!(error:% = error; "no thread for a connection");
+        log::warn!(error:% = error; "cannot start a thread for a connection");
     }
 }
 
--- a/crates/instance/src/feeds/configuration.rs
+++ b/crates/instance/src/feeds/configuration.rs
@@ -51,7 +51,7 @@
         drop(upstreams);
         for hall in unknown {
             self.shared.metrics.unusable_signal(UNKNOWN_HALL_LABEL);
-            log::error!(hall:% = hall; "a hall that is not known is to be emptied");
+            log::error!(hall:% = hall; "cannot evacuate an unknown data hall");
         }
         log::info!(target: DECISION_TARGET, halls:? = self.emptied_halls; "data halls evacuated by operators");
         self.shared.notify_upstreams_changed();
--- a/crates/instance/src/lifecycle.rs
+++ b/crates/instance/src/lifecycle.rs
@@ -67,7 +67,9 @@
     /// If an address cannot be bound.
     pub fn start(mut settings: InstanceSettings, surroundings: Surroundings) -> Result<Self> {
         let peer_listener = holder::bind(settings.peer_address)?;
-        settings.peer_address = peer_listener.local_addr().context("the bound address")?;
+        settings.peer_address = peer_listener
+            .local_addr()
+            .context("reading the bound address")?;
         // Unbounded, because requests send events while they hold the upstreams' lock, which the
         // reporting thread takes as well. At most three events of a hundred bytes wait for each
         // request in progress.
--- a/crates/instance/src/poison.rs
+++ b/crates/instance/src/poison.rs
@@ -297,7 +297,7 @@
         match self.wakeup_sender.try_send(()) {
             // If the channel is full, a wakeup is already pending.
             Ok(()) | Err(TrySendError::Full(())) => {}
-            Err(TrySendError::Disconnected(())) => log::error!("refused requests are not stored"),
+            Err(TrySendError::Disconnected(())) => log::error!("cannot store poison requests"),
         }
     }
 
--- a/crates/instance/src/ready.rs
+++ b/crates/instance/src/ready.rs
@@ -30,7 +30,7 @@
     address: SocketAddr,
 ) -> Result<SocketAddr> {
     let listener = TcpListener::bind(address).with_context(|| format!("binding {address}"))?;
-    let bound = listener.local_addr().context("the bound address")?;
+    let bound = listener.local_addr().context("reading the bound address")?;
     let (shared, leadership) = (shared.clone(), leadership.clone());
     std::thread::spawn(move || {
         for stream in listener.incoming() {
--- a/crates/process/src/logging.rs
+++ b/crates/process/src/logging.rs
@@ -27,7 +27,7 @@
 /// A dispatch that passes lines of passway's own crates at `level`, and only warnings and errors of
 /// other crates.
 fn dispatch(level: &str) -> Result<fern::Dispatch> {
-    let level: log::LevelFilter = level.parse().context("log_level")?;
+    let level: log::LevelFilter = level.parse().context("parsing the setting log_level")?;
     let mut dispatch = fern::Dispatch::new().level(log::LevelFilter::Warn);
     for name in OWN_CRATES {
         dispatch = dispatch.level_for(name, level);
--- a/crates/router/src/control.rs
+++ b/crates/router/src/control.rs
@@ -64,7 +64,10 @@
     pub fn start(settings: &RouterSettings, shared: &Arc<Shared>) -> Result<Arc<Self>> {
         let addresses = settings.controllers.iter().take(PERMANENT_CONNECTIONS);
         let permanent: Result<Vec<SocketAddr>> = addresses
-            .map(|text| text.parse().context("controllers"))
+            .map(|text| {
+                text.parse()
+                    .context("parsing an address of the setting controllers")
+            })
             .collect();
         let permanent = permanent?;
         let control = Arc::new_cyclic(|weak_self| Self {
--- a/crates/router/src/http.rs
+++ b/crates/router/src/http.rs
@@ -64,7 +64,7 @@
 /// Builds an answer from parts that are known to be valid.
 pub(crate) fn build_response(builder: ::http::response::Builder, body: Body) -> Response {
     builder.body(body).unwrap_or_else(|error| {
-        log::error!(error:% = error; "an answer could not be built");
+        log::error!(error:% = error; "cannot build an answer");
         Response::default()
     })
 }
--- a/crates/router/src/lifecycle.rs
+++ b/crates/router/src/lifecycle.rs
@@ -44,7 +44,10 @@
     /// # Errors
     /// If an address in the settings cannot be parsed, or the listen address cannot be bound.
     pub fn start(settings: &RouterSettings) -> Result<Self> {
-        let listen: SocketAddr = settings.listen.parse().context("listen")?;
+        let listen: SocketAddr = settings
+            .listen
+            .parse()
+            .context("parsing the setting listen")?;
         let limits = Limits {
             max_connections: settings.max_connections,
             max_body_bytes: settings.body_limit_bytes,
@@ -54,7 +57,7 @@
         let server = server
             .limits(limits)
             .refusal(http::too_many_connections_response());
-        let address = server.local_addr().context("local address")?;
+        let address = server.local_addr().context("reading the bound address")?;
         let shared = Arc::new(Shared::new(settings)?);
         let control = Control::start(settings, &shared)?;
         let server_state = (shared.clone(), control.clone());
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -79,7 +79,10 @@
     pub fn new(settings: &RouterSettings) -> Result<Self> {
         let incarnation = passway_process::draw_incarnation();
         let catalog = Arc::new(Catalog::default());
-        let key_value = settings.key_value.parse().context("key_value")?;
+        let key_value = settings
+            .key_value
+            .parse()
+            .context("parsing the setting key_value")?;
         let key_value = Arc::new(HttpKeyValue::new(
             key_value,
             Duration::from_millis(settings.key_value_timeout_ms),
--- a/crates/standins/src/bin/passway-config-memory.rs
+++ b/crates/standins/src/bin/passway-config-memory.rs
@@ -210,7 +210,7 @@
     let value = StoredValue {
         key: format!("servers/i-{number}"),
         value: serde_json::to_vec(&row)
-            .context("encoding a server")?
+            .context("encoding a server's entry")?
             .into(),
         revision: 1,
     };
@@ -311,7 +311,7 @@
     // Accepted connections inherit the buffer size of the listening socket.
     set_socket_recv_buffer_size(&listener, SOCKET_BUFFER_BYTES)
         .context("setting the receive buffer of a peer")?;
-    let address = listener.local_addr().context("the bound address")?;
+    let address = listener.local_addr().context("reading the bound address")?;
     let mut outboxes = Vec::new();
     let mut silent_ends = Vec::new();
     for _ in 0..count {
@@ -320,7 +320,7 @@
             .context("setting the send buffer")?;
         let (link, _reader) = Link::from_stream(stream).context("creating a link")?;
         outboxes.push(Outbox::start(link));
-        silent_ends.push(listener.accept().context("accepting")?.0);
+        silent_ends.push(listener.accept().context("accepting a connection")?.0);
     }
     Ok((outboxes, silent_ends))
 }
--- a/crates/standins/src/bin/passway-slopes/fleets.rs
+++ b/crates/standins/src/bin/passway-slopes/fleets.rs
@@ -47,7 +47,10 @@
 /// Changes the configuration and returns the time until it is in effect at every router.
 fn propagation_delay(world: &TestCluster, fleet: &Fleet) -> Result<Duration> {
     let read = world.key_value.get(revision::CURRENT_KEY);
-    let current = read.ok().flatten().context("no configuration")?;
+    let current = read
+        .ok()
+        .flatten()
+        .context("the store has no configuration")?;
     let mut next = revision::decode(&current.value)?;
     next.revision += 1;
     let started_at = Instant::now();
--- a/crates/standins/src/cluster.rs
+++ b/crates/standins/src/cluster.rs
@@ -138,7 +138,7 @@
     /// # Errors
     /// If an address cannot be parsed or the configuration cannot be stored.
     pub fn start(plan: ClusterPlan) -> Result<Self> {
-        let any_port: SocketAddr = ANY_PORT.parse().context("address")?;
+        let any_port: SocketAddr = ANY_PORT.parse().context("parsing the address")?;
         let key_value = MemoryKeyValue::new();
         let key_value_address = key_value.serve(any_port);
         let weight_store = WeightStore::new(plan.weight_store_limits.clone());
@@ -210,7 +210,7 @@
         let written = self.key_value.put_if(CURRENT_KEY, 0, &value, None);
         written
             .map(|_| ())
-            .map_err(|_| anyhow::anyhow!("storing the configuration"))
+            .map_err(|_| anyhow::anyhow!("storing the configuration failed"))
     }
 
     /// Returns the settings of an instance's controller.
@@ -273,7 +273,7 @@
         let listeners = listeners.context("binding controllers")?;
         let addresses: std::io::Result<Vec<SocketAddr>> =
             listeners.iter().map(TcpListener::local_addr).collect();
-        let addresses = addresses.context("controllers' addresses")?;
+        let addresses = addresses.context("reading the controllers' addresses")?;
         let mut controllers = Vec::new();
         for (number, listener) in listeners.into_iter().enumerate() {
             let settings = self.controller_settings(number, addresses[number], &addresses);
--- a/crates/standins/src/platform/caller.rs
+++ b/crates/standins/src/platform/caller.rs
@@ -50,7 +50,7 @@
     /// # Panics
     /// If the connection fails.
     pub fn connect(address: SocketAddr) -> Self {
-        Self::from_stream(TcpStream::connect(address).expect("connecting"))
+        Self::from_stream(TcpStream::connect(address).expect("connecting to the address"))
     }
 
     /// Uses an open connection.
@@ -60,7 +60,7 @@
     pub fn from_stream(stream: TcpStream) -> Self {
         stream
             .set_read_timeout(Some(RECEIVE_TIMEOUT))
-            .expect("a time-out");
+            .expect("setting the read timeout");
         Self {
             stream,
             bytes: Vec::new(),
@@ -77,7 +77,7 @@
     /// # Panics
     /// If the peer has closed the connection.
     pub fn send(&mut self, bytes: &[u8]) {
-        self.stream.write_all(bytes).expect("sending");
+        self.stream.write_all(bytes).expect("sending bytes");
     }
 
     fn read_more(&mut self) -> bool {
@@ -115,7 +115,7 @@
         self.bytes.drain(..end + 4);
         let status = head.split(' ').nth(1).and_then(|value| value.parse().ok());
         let mut answer = Answer {
-            status: status.expect("a status"),
+            status: status.expect("the answer has no valid status line"),
             head,
             body: String::new(),
             is_complete: false,
--- a/crates/standins/src/platform/process.rs
+++ b/crates/standins/src/platform/process.rs
@@ -21,8 +21,8 @@
     ];
     let host = NEXT_HOST.fetch_add(1, Ordering::Relaxed);
     let ip = format!("127.{second_octet}.{third_octet}.{host}:0");
-    let listener = TcpListener::bind(ip).expect("bind");
-    listener.local_addr().expect("address")
+    let listener = TcpListener::bind(ip).expect("binding a free port");
+    listener.local_addr().expect("reading the bound address")
 }
 
 /// Maximum time for which a revoked API key is still accepted, in milliseconds.
@@ -124,7 +124,7 @@
         );
         let file_name = format!("passway-{}-{}.toml", config.name, std::process::id());
         let settings_path = std::env::temp_dir().join(file_name);
-        std::fs::write(&settings_path, text).context("settings")?;
+        std::fs::write(&settings_path, text).context("writing the settings file")?;
         let child = spawn(&config, &settings_path)?;
         Ok(Self {
             child,
--- a/crates/standins/src/platform/proxy.rs
+++ b/crates/standins/src/platform/proxy.rs
@@ -50,7 +50,7 @@
     pub fn start(target: SocketAddr) -> Self {
         let listener = TcpListener::bind(("127.0.0.1", 0)).expect("binding a proxy");
         let proxy = Self {
-            address: listener.local_addr().expect("a proxy's address"),
+            address: listener.local_addr().expect("reading the proxy's address"),
             target,
             state: Arc::default(),
         };
--- a/crates/standins/src/platform/raw.rs
+++ b/crates/standins/src/platform/raw.rs
@@ -109,7 +109,9 @@
     pub fn start(script: impl Fn(&Received) -> Vec<Step> + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind(("127.0.0.1", 0)).expect("binding a stand-in");
         let server = Self {
-            address: listener.local_addr().expect("a stand-in's address"),
+            address: listener
+                .local_addr()
+                .expect("reading the stand-in's address"),
             received: Arc::default(),
             closed: Arc::default(),
             crash: Arc::default(),
--- a/crates/standins/src/server.rs
+++ b/crates/standins/src/server.rs
@@ -25,7 +25,7 @@
     let server = Server::bind(address)
         .expect("binding a stand-in")
         .limits(limits);
-    let bound = server.local_addr().expect("a stand-in's address");
+    let bound = server.local_addr().expect("reading the stand-in's address");
     std::thread::spawn(move || server.serve(handle));
     bound
 }
--- a/crates/standins/src/sizes.rs
+++ b/crates/standins/src/sizes.rs
@@ -109,7 +109,7 @@
     /// # Panics
     /// If the configuration is invalid.
     pub fn new(size: Size) -> Self {
-        let catalog = Arc::new(Catalog::build(&document(&size), 1).expect("no faults"));
+        let catalog = Arc::new(Catalog::build(&document(&size), 1).expect("building the catalog"));
         let now = Instant::now();
         let mut core = RouterCore::new(1, catalog.clone(), now);
         let added = catalog.models.keys().enumerate().map(|(number, model)| {
--- a/crates/standins/src/soak/cluster.rs
+++ b/crates/standins/src/soak/cluster.rs
@@ -105,7 +105,7 @@
         }
         self.incarnation.fetch_add(1, Ordering::AcqRel);
         let restarted = self.process().restart();
-        restarted.expect("a restarted instance");
+        restarted.expect("restarting the instance");
     }
 
     /// Kills the process and starts it again.
