--- a/crates/instance/src/dispatch.rs
+++ b/crates/instance/src/dispatch.rs
@@ -186,7 +186,7 @@
         };
         let mut engines = shared.upstreams().shuffled_engines(wanted, now);
         engines.retain(|id| !tried.contains(id));
-        let ask = DispatchRequest {
+        let request = DispatchRequest {
             id: 0,
             service: service.to_string(),
             model: model_ref.model.to_string(),
@@ -214,11 +214,11 @@
                 break;
             }
             queried.push(dispatcher);
-            let ask = DispatchRequest {
+            let request = DispatchRequest {
                 id: query.run_id,
-                ..ask.clone()
+                ..request.clone()
             };
-            let Some(grant) = self.query_dispatcher(shared, dispatcher, ask) else {
+            let Some(grant) = self.query_dispatcher(shared, dispatcher, request) else {
                 lock(&self.dispatchers).mark_unresponsive(dispatcher, clock::now());
                 return None;
             };
@@ -266,13 +266,13 @@
         &self,
         shared: &Shared,
         dispatcher: SocketAddr,
-        ask: DispatchRequest,
+        request: DispatchRequest,
     ) -> Option<DispatchReply> {
         if dispatcher == self.own_address {
-            return Some(self.answer_query(shared, self.own_address, &ask));
+            return Some(self.answer_query(shared, self.own_address, &request));
         }
-        let id = ask.id;
-        let body = Body::DispatchRequest(ask);
+        let id = request.id;
+        let body = Body::DispatchRequest(request);
         self.pending_queries
             .send_and_wait(id, || self.send(dispatcher, body.clone()))
     }
@@ -321,14 +321,14 @@
         &self,
         shared: &Shared,
         from: SocketAddr,
-        ask: &DispatchRequest,
+        request: &DispatchRequest,
     ) -> DispatchReply {
         let key = RunKey {
             instance: from,
-            id: ask.id,
+            id: request.id,
         };
         let grant = |verdict: Verdict, engine: &str| DispatchReply {
-            id: ask.id,
+            id: request.id,
             verdict: verdict.into(),
             engine: engine.to_owned(),
         };
@@ -339,38 +339,41 @@
         if let Some(engine) = run_table.engine_of(key) {
             return grant(Verdict::Go, engine);
         }
-        let adapter = Some(ask.adapter.as_str()).filter(|name| !name.is_empty());
+        let adapter = Some(request.adapter.as_str()).filter(|name| !name.is_empty());
         let model_ref = ModelRef {
-            model: ask.model.as_str().into(),
+            model: request.model.as_str().into(),
             adapter: adapter.map(Into::into),
         };
-        let allowed = if ask.is_restricted {
-            AllowedRegions::only(ask.regions.iter().map(|region| region.as_str().into()))
+        let allowed = if request.is_restricted {
+            AllowedRegions::only(request.regions.iter().map(|region| region.as_str().into()))
         } else {
             AllowedRegions::ANY
         };
-        let (service, hall) = (ask.service.as_str().into(), ask.hall.as_str().into());
+        let (service, hall) = (
+            request.service.as_str().into(),
+            request.hall.as_str().into(),
+        );
         let wanted = RequestNeeds {
             service: &service,
             model_ref: Some(&model_ref),
             hall: &hall,
             allowed: &allowed,
-            random: ask.random,
+            random: request.random,
         };
         let dispatchers = lock(&self.dispatchers);
         let is_eligible = |id: &UpstreamId| {
-            !ask.tried_engines.iter().any(|tried| **tried == **id)
+            !request.tried_engines.iter().any(|tried| **tried == **id)
                 && dispatchers.of_engine(id, now) == Some(self.own_address)
         };
         let load_of = |id: &UpstreamId| {
             let slots = upstreams.slots_of(id);
-            effective_load(run_table.load(id), slots, ask.is_urgent)
+            effective_load(run_table.load(id), slots, request.is_urgent)
         };
         let choice = upstreams.choose_by(wanted, is_eligible, Some(&load_of), now);
         let mut wait_queue = lock(&self.wait_queue);
         let waiter = Waiter {
             model_ref: model_ref.clone(),
-            due_at: instant_from_due_ms(ask.due_in_ms, now),
+            due_at: instant_from_due_ms(request.due_in_ms, now),
         };
         match choice {
             Choice::Send { id, .. } => {
@@ -410,8 +413,8 @@
     /// Handles a received datagram.
     fn handle_datagram(&self, shared: &Shared, from: SocketAddr, body: Body) {
         match body {
-            Body::DispatchRequest(ask) => {
-                let grant = self.answer_query(shared, from, &ask);
+            Body::DispatchRequest(request) => {
+                let grant = self.answer_query(shared, from, &request);
                 self.send(from, Body::DispatchReply(grant));
             }
             // A late or duplicate grant is dropped. The dispatcher's entry for its run expires,
@@ -429,20 +432,20 @@
                     run_table.record(key, &run.engine.as_str().into(), now);
                 }
             }
-            Body::VersionQuery(ask) => {
-                let answer = shared.configuration_age.answer_query(&ask);
+            Body::VersionQuery(query) => {
+                let answer = shared.configuration_age.answer_query(&query);
                 self.send(from, Body::VersionAnswer(answer));
             }
             Body::VersionAnswer(answer) => shared.configuration_age.receive_answer(answer),
-            Body::PermitRequest(ask) => {
-                let answer = coordinator::decide(shared, from, &ask);
+            Body::PermitRequest(request) => {
+                let answer = coordinator::decide(shared, from, &request);
                 self.send(from, Body::PermitReply(answer));
             }
             Body::PermitReply(answer) => shared.coordinator.receive_answer(answer),
-            Body::PermitRelease(back) if back.digest.is_empty() => {
-                shared.allotments.record_release(shared, from, &back);
+            Body::PermitRelease(release) if release.digest.is_empty() => {
+                shared.allotments.record_release(shared, from, &release);
             }
-            Body::PermitRelease(back) => shared.poison.release_exclusive_run(from, &back),
+            Body::PermitRelease(release) => shared.poison.release_exclusive_run(from, &release),
             Body::Suspects(suspects) => shared.poison.merge_from_peer(suspects),
         }
     }
--- a/crates/instance/src/holder.rs
+++ b/crates/instance/src/holder.rs
@@ -229,7 +229,7 @@
                     self.planner.remove_instance(&instance);
                 }
             }
-            Input::Needs(needs) => self.handle_needs(&needs, now),
+            Input::Report(report) => self.handle_report(&report, now),
             Input::Subscribe(number, subscribe) => self.subscribe(number, &subscribe),
             // The message only wakes the thread; `decide` runs after every input.
             Input::TermBegun => {}
@@ -381,11 +381,11 @@
         *self.shared.members() = self.members();
     }
 
-    fn handle_needs(&mut self, needs: &InstanceReport, now: Instant) {
-        for waiting in &needs.waiting {
+    fn handle_report(&mut self, report: &InstanceReport, now: Instant) {
+        for waiting in &report.waiting {
             let (service, wanted) = decode_demand(waiting);
             let waiters = Waiters {
-                instance: needs.instance.as_str().into(),
+                instance: report.instance.as_str().into(),
                 service,
                 model_ref: wanted,
                 count: waiting.count,
@@ -393,18 +393,18 @@
             };
             self.planner.set_waiters(waiters, now);
         }
-        for arrivals in &needs.accepted {
+        for arrivals in &report.accepted {
             let (service, wanted) = decode_demand(arrivals);
             self.planner
                 .record_arrivals(&service, &wanted, arrivals.count, now);
         }
-        let running = needs.running.iter().map(|running| RunningRequests {
+        let running = report.running.iter().map(|running| RunningRequests {
             engine: running.engine.as_str().into(),
             model: running.model.as_str().into(),
             count: running.count,
         });
         let running: Vec<_> = running.collect();
-        let instance = InstanceId::from(needs.instance.as_str());
+        let instance = InstanceId::from(report.instance.as_str());
         self.planner.set_running(&instance, &running);
     }
 
--- a/crates/instance/src/holder/peers.rs
+++ b/crates/instance/src/holder/peers.rs
@@ -21,8 +21,8 @@
     Connected(u64, Outbox),
     /// The connection of an instance has ended; with the instance's name, if known.
     Disconnected(u64, Option<InstanceId>),
-    /// What an instance needs.
-    Needs(InstanceReport),
+    /// An instance reports its waiting, accepted and running requests.
+    Report(InstanceReport),
     /// An instance subscribes to the store's updates.
     Subscribe(u64, Subscribe),
     /// A term of this instance has begun.
@@ -75,9 +75,9 @@
     let _ = inputs.send(Input::Connected(number, Outbox::start(link)));
     while let Ok(Some(body)) = reader.receive() {
         let input = match body {
-            Body::InstanceReport(needs) => {
-                instance = Some(InstanceId::from(needs.instance.as_str()));
-                Input::Needs(needs)
+            Body::InstanceReport(report) => {
+                instance = Some(InstanceId::from(report.instance.as_str()));
+                Input::Report(report)
             }
             Body::Subscribe(subscribe) => Input::Subscribe(number, subscribe),
             Body::NewHolder(announced) => match members::decode_holder(&announced) {
--- a/tests/all/scripted_store.rs
+++ b/tests/all/scripted_store.rs
@@ -92,10 +92,14 @@
 /// The shared state of an instance that nobody reaches.
 pub fn shared() -> Arc<Shared> {
     // There is no reporting thread, so its messages are dropped.
-    let (needs, _needed) = channel::unbounded();
+    let (report_events, _receiver) = channel::unbounded();
     let unused_address = SocketAddr::from(([127, 0, 0, 1], 1));
     let settings = cluster::settings("one", unused_address);
-    Arc::new(Shared::new(settings, Box::new(PlatformHeaders), needs))
+    Arc::new(Shared::new(
+        settings,
+        Box::new(PlatformHeaders),
+        report_events,
+    ))
 }
 
 /// Revisions that a feed has applied.
