--- a/crates/instance/src/holder.rs
+++ b/crates/instance/src/holder.rs
@@ -229,7 +229,7 @@
                     self.planner.remove_instance(&instance);
                 }
             }
-            Input::Needs(needs) => self.handle_needs(&needs, now),
+            Input::Report(report) => self.handle_report(&report, now),
             Input::Subscribe(number, subscribe) => self.subscribe(number, &subscribe),
             // The message only wakes the thread; `decide` runs after every input.
             Input::TermBegun => {}
@@ -300,7 +300,7 @@
         if let Some(holder) = self.pending_announcement.take(is_cut_off, now)
             && self.leadership.learn_holder(holder.clone())
         {
-            log::info!(target: DECISION_TARGET, holder:% = holder.instance, fence = holder.fence; "heard of a new holder");
+            log::info!(target: DECISION_TARGET, holder:% = holder.instance, fence = holder.fence; "learned of a new holder from another instance");
         }
     }
 
@@ -334,7 +334,7 @@
         };
         let without_promise = self.leadership.candidates_without_promise();
         if self.logged_without_promise.as_ref() != Some(&without_promise) {
-            log::info!(target: DECISION_TARGET, fence = fence, without_promise:? = without_promise; "asks candidates to carry the right to order");
+            log::info!(target: DECISION_TARGET, fence = fence, without_promise:? = without_promise; "requesting promises from candidates to extend the leadership without the store");
             self.logged_without_promise = Some(without_promise);
         }
         let body = Body::PromiseRequest(PromiseRequest {
@@ -381,11 +381,11 @@
         *self.shared.members() = self.members();
     }
 
-    fn handle_needs(&mut self, needs: &InstanceReport, now: Instant) {
-        for waiting in &needs.waiting {
+    fn handle_report(&mut self, report: &InstanceReport, now: Instant) {
+        for waiting in &report.waiting {
             let (service, wanted) = decode_demand(waiting);
             let waiters = Waiters {
-                instance: needs.instance.as_str().into(),
+                instance: report.instance.as_str().into(),
                 service,
                 model_ref: wanted,
                 count: waiting.count,
@@ -393,18 +393,18 @@
             };
             self.planner.set_waiters(waiters, now);
         }
-        for arrivals in &needs.accepted {
+        for arrivals in &report.accepted {
             let (service, wanted) = decode_demand(arrivals);
             self.planner
                 .record_arrivals(&service, &wanted, arrivals.count, now);
         }
-        let running = needs.running.iter().map(|running| RunningRequests {
+        let running = report.running.iter().map(|running| RunningRequests {
             engine: running.engine.as_str().into(),
             model: running.model.as_str().into(),
             count: running.count,
         });
         let running: Vec<_> = running.collect();
-        let instance = InstanceId::from(needs.instance.as_str());
+        let instance = InstanceId::from(report.instance.as_str());
         self.planner.set_running(&instance, &running);
     }
 
@@ -482,7 +482,7 @@
         let refused: Vec<_> = self.planner.refused_models().collect();
         if refused.len() != self.logged_refused_models {
             self.logged_refused_models = refused.len();
-            log::warn!(target: DECISION_TARGET, models:? = refused; "models whose loads end engines");
+            log::warn!(target: DECISION_TARGET, models:? = refused; "the list of models whose loads crash engines changed");
         }
     }
 
